--- a/src/main/java/umberspread/BoundedLoadRouter.java
+++ b/src/main/java/umberspread/BoundedLoadRouter.java
@@ -19,169 +19,215 @@
 import umberspread.Routing.Settings;
 
 /**
- * Every routing decision of one gateway. The interface, with its events and actions, is Routing.java.
+ * Makes every routing decision of one router: which server, when to retry, hedge, queue or refuse. Its
+ * interface, the events and actions, is {@link Routing}.
  *
- * <p>A request's path: {@link #requestArrived} takes it; {@link #dispatch} asks {@link #pick} for a replica
- * and sends an attempt, or holds the request; {@link #attemptEnded} settles it, or sends it to the next ring
- * replica where its class and the clock allow; {@link #giveFinalAnswer} ends what nothing else ended.
- * The ordinary path is {@link #pick}: consistent hashing with bounded loads.
+ * <p>A request's path: {@link #requestArrived} accepts it; {@link #dispatch} asks {@link #pickServer} for a
+ * server and sends an attempt, or queues the request; {@link #attemptEnded} finishes it, or retries it on
+ * the next server of the ring where its class and deadline allow; {@link #giveFinalAnswer} refuses or fails
+ * a request that no server answered. {@link #pickServer} is consistent hashing with bounded loads.
  */
 public final class BoundedLoadRouter implements Routing.Events {
-    /** A replica may carry this many hundredths of the average load: the figure Vimeo reports running. */
-    private static final int LOAD_FACTOR = 125;
-    /** Points of a replica on the ring: arcs then differ by about an eighth, half the bound's slack. */
-    private static final int VIRTUAL_POINTS = 64;
-    /** A replica's weight counts for at most this many average ones. */
-    private static final double MOST_WEIGHT = 8;
-    /** First calls to discovery spread over this part of the time in which one is due: calls wait in turn. */
-    private static final int ASK_SPREAD = 10;
-    /** A failed call is repeated after up to this part of that time, doubled at each failure. */
-    private static final int ASK_BACKOFF = 20;
-    /** What discovery has counts as told 6 s on, also where calls have failed in a row: five fit in. */
-    private static final long LONGEST_BACKOFF = 1_000_000;
-    /** A held request looks for a replica again after this part of its client's patience. */
-    private static final int HOLD_CHECKS = 8;
-    /** A held request is answered when this part of the patience is left: its client can still retry. */
-    private static final int HOLD_RESERVE = 2;
-    /** Popularity is remembered for this many of the longest client patience: it outlives sessions. */
-    private static final int POPULARITY_MEMORY = 8;
-    /** The plan is made anew this many times in the shortest first-token aim, and when the ring changes. */
-    private static final int PLANS_PER_AIM = 2;
-    /** A key is spread over this many times the replicas that its share of the traffic would fill. */
-    private static final double SPREAD = 4;
-    /** A key spread over more has a place on the ring for each so many: walks don't grow with the fleet. */
-    private static final int MOST_WALKED = 16;
-    /** Deviations of a count taken off a tally before it is believed: a key seen once is not popular. */
-    private static final double NOISE = 1;
-    /** Own-zone replicas come first only with so many gateways a zone: fewer would leave zones unused. */
-    private static final int ZONE_GATEWAYS = 3;
-    /** And with so many ready replicas in the own zone: each zone holds all prefixes anew. */
-    private static final int ZONE_REPLICAS = 8;
+    /** Bound on a server's load, in percent of the average load; Vimeo reports running with this value. */
+    private static final int LOAD_FACTOR_PERCENT = 125;
+    /**
+     * Ring points of a server of average weight. With 64, arc lengths vary by about an eighth, which is half
+     * the slack of the load bound.
+     */
+    private static final int VIRTUAL_NODES = 64;
+    /** Cap on a server's weight relative to the average, and on a measured latency relative to the mean. */
+    private static final double MAX_RELATIVE_WEIGHT = 8;
+    /**
+     * The first discovery calls of the instances are spread over the maximum discovery interval divided by
+     * this, because discovery handles calls one after the other.
+     */
+    private static final int FIRST_CALL_SPREAD_DIVISOR = 10;
+    /** A failed discovery call is retried within that interval divided by this, doubled at each failure. */
+    private static final int DISCOVERY_BACKOFF_DIVISOR = 20;
+    /**
+     * Longest wait before a failed discovery call is retried. A change counts as known to the router 6 s
+     * after discovery has it, even if calls fail; with this wait, five calls fit into that time.
+     */
+    private static final long MAX_DISCOVERY_BACKOFF_MICROS = 1_000_000;
+    /** A queued request looks for a server again after its client's timeout divided by this. */
+    private static final int QUEUE_CHECKS = 8;
+    /**
+     * A queued request is answered when its client's timeout divided by this is left, so that the client
+     * still has time to retry.
+     */
+    private static final int QUEUE_RESERVE_DIVISOR = 2;
+    /**
+     * Time constant, in multiples of the longest client timeout, with which a key's request count decays.
+     * It is longer than a session lasts.
+     */
+    private static final int POPULARITY_DECAY_TIMEOUTS = 8;
+    /** The plan is updated this many times per shortest first-token target, and when the ring changes. */
+    private static final int PLANS_PER_TARGET = 2;
+    /** A key is spread over this many times the servers that its share of the traffic would fill. */
+    private static final double SPREAD_FACTOR = 4;
+    /**
+     * Servers that a key's ring walk visits at most. A key spread over more gets one ring position per this
+     * many, so that the cost of a walk doesn't grow with the number of servers.
+     */
+    private static final int MAX_RING_WALK = 16;
+    /** Standard deviations subtracted from a key's request count, so that a key seen once isn't popular. */
+    private static final double NOISE_DEVIATIONS = 1;
+    /** The own zone is preferred only with this many instances per zone: fewer would leave zones unused. */
+    private static final int MIN_INSTANCES_PER_ZONE = 3;
+    /**
+     * The own zone is preferred only with this many ready servers in it, because each zone then caches all
+     * prefixes separately.
+     */
+    private static final int MIN_SERVERS_IN_ZONE = 8;
     /** A key with fewer recent requests than this is forgotten. */
-    private static final double LEAST_TALLY = 0.2;
-    /** A replica that failed to connect or broke a stream is left alone this part of a patience. */
-    private static final int EJECTION_PART = 6;
-    /** So many broken streams with none served between them are the replica's trouble. */
-    private static final int BREAKS = 2;
-    /** Each ejection in a row doubles, up to this many times. */
-    private static final int MOST_DOUBLINGS = 3;
-    /** A class rests at a replica that turned it away for this part of a patience, doubled in a row. */
-    private static final int REST_PART = 12;
-    /** Errors of more than this part of a replica's answers, as it reports, keep all classes away. */
-    private static final double MOST_ERRORS = 0.5;
-    /** At most this part of the ready replicas is ejected: beyond it, trouble is everywhere. */
-    private static final double MOST_EJECTED = 0.4;
-    /** Where no budget of attempts is stated: this part of the arrivals of the longest patience, and one. */
-    private static final double RETRY_RATIO = 0.2;
-    private static final double FREE_RETRIES = 1;
-    /** Requests of less than average worth leave this part of the budget of attempts to the others. */
-    private static final double BUDGET_KEPT = 0.5;
-    /** A prompt is cheap to read anew in less than this part of the aim: then a spill costs little. */
-    private static final double CHEAP_READ = 0.1;
-    /** To be spared reads is worth waiting for, up to this part of the aim: later is late for most. */
-    private static final double MOST_REREAD = 0.8;
-    /** The fastest reading seen is forgotten at this pace, in case the fleet has changed. */
-    private static final double READ_RATE_FADE = 0.999;
-    /** Weight of one first token's delay, in parts of its aim: about the last ten of its side count. */
-    private static final double DELAY_WEIGHT = 0.1;
-    /** So much above the running average of worth is more than average: equal worth is not. */
-    private static final double ABOVE = 1.05;
-    /** Weight of one request in the running average of worth: about the last hundred count. */
-    private static final double WORTH_WEIGHT = 0.01;
-    /** Machine kinds count as equal at first, with the weight of so many answers' times. */
-    private static final int EQUAL_KINDS = 10;
-    /** An attempt is overdue when its first token has not come within this part of the aim. */
-    private static final int OVERDUE_PART = 8;
-    /** Requests spill from a slow replica, whatever they are worth, while at most this part is slow. */
-    private static final double MOST_SLOW = 0.5;
-    /** A request of more than average worth bears this part of its own aim at a replica that is slow. */
-    private static final int BEARABLE_PART = 3;
-    /** A replica that was overdue is slow for this part of the time that its first token took. */
-    private static final int SLOW_PART = 2;
-    /** A tenant's share is metered over this many of the shortest aim. */
-    private static final double METER_AIMS = 5;
-    /** A cold replica is empty too: it gets this part of what would fell it, were the rest at capacity. */
+    private static final double MIN_KEY_REQUESTS = 0.2;
+    /** A server's first ejection lasts the longest client timeout divided by this. */
+    private static final int EJECTION_DIVISOR = 6;
+    /** Consecutive resets, with no answer in between, after which a server is ejected. */
+    private static final int RESETS_TO_EJECT = 2;
+    /** Consecutive ejections or class backoffs double in length, at most this many times. */
+    private static final int MAX_BACKOFF_DOUBLINGS = 3;
+    /** A server that rejects a class gets none of it for the longest client timeout divided by this. */
+    private static final int CLASS_BACKOFF_DIVISOR = 12;
+    /** A server whose load report shows a greater share of errors than this is backed off for all classes. */
+    private static final double MAX_ERROR_SHARE = 0.5;
+    /** At most this share of a pool's ready servers is ejected: beyond it, the trouble is general. */
+    private static final double MAX_EJECTED_SHARE = 0.4;
+    /**
+     * Extra attempts per arrival within the longest client timeout, where no attempt budget is configured.
+     */
+    private static final double DEFAULT_BUDGET_RATIO = 0.2;
+    /** Extra attempts in addition to that ratio. */
+    private static final double DEFAULT_BUDGET_FREE = 1;
+    /** Share of the attempt budget that requests of less than average worth may use; the rest is reserved. */
+    private static final double LOW_WORTH_BUDGET_SHARE = 0.5;
+    /** A prompt whose prefill takes less than this share of the target is cheap to move to another server. */
+    private static final double CHEAP_PREFILL_SHARE = 0.1;
+    /**
+     * Longest wait that avoiding a repeated prefill justifies, as a share of the target; beyond it, most
+     * answers would be late.
+     */
+    private static final double MAX_REPEATED_PREFILL_SHARE = 0.8;
+    /** Decay of the highest prefill rate seen, per observation, in case the servers have changed. */
+    private static final double PREFILL_RATE_DECAY = 0.999;
+    /** Weight of one first-token delay in a zone's moving average: about the last ten count. */
+    private static final double ZONE_DELAY_WEIGHT = 0.1;
+    /** A worth counts as above average only beyond this multiple of it, so that equal worths don't. */
+    private static final double ABOVE_AVERAGE_FACTOR = 1.05;
+    /** Weight of one request in a moving average: about the last hundred count. */
+    private static final double MOVING_AVERAGE_WEIGHT = 0.01;
+    /** Machine kinds start as equally fast, with the weight of this many measured latencies. */
+    private static final int KIND_PRIOR_SAMPLES = 10;
+    /** An attempt is overdue when its first token has not come within its target divided by this. */
+    private static final int OVERDUE_DIVISOR = 8;
+    /** Requests of any worth spill from a slow server while at most this share of the pool is slow. */
+    private static final double MAX_SLOW_SHARE = 0.5;
+    /** A request of above-average worth tolerates a wait of its target divided by this at a slow server. */
+    private static final int TOLERABLE_WAIT_DIVISOR = 3;
+    /** A server stays slow after an overdue attempt for the attempt's delay divided by this. */
+    private static final int SLOW_TIME_DIVISOR = 2;
+    /** Time constant of rate measurements, in multiples of the shortest first-token target. */
+    private static final double RATE_WINDOW_TARGETS = 5;
+    /**
+     * A cold server gets at most this share of the load that would overload it if the other servers were at
+     * capacity, because its prefix cache is empty as well.
+     */
     private static final double COLD_MARGIN = 0.4;
-    /** What others hold at a replica is believed for this part of a patience after its report. */
-    private static final int REPORT_PART = 3;
-    /** So many times its fair part of what all gateways hold is too much: reports tell it late. */
-    private static final double REPORTED_FACTOR = 2;
-    /** An attempt is lost when a later one's first token is ahead of it by this part of the shortest aim. */
-    private static final int OVERTAKE_PART = 10;
-    /** A request gets a second copy, where copies are allowed, when this part of its aim has passed. */
-    private static final int HEDGE_PART = 2;
-    /** A refused client is told to come back after this part of its aim: there is time for one more try. */
-    private static final int RETURN_PART = 8;
-    /** What is added to a count that a sum of fractions must reach. */
-    private static final double ROUNDING = 1e-9;
-    private static final int DISCOVERY_TOKEN = 0;
+    /** A load report is trusted for the longest client timeout divided by this. */
+    private static final int REPORT_VALIDITY_DIVISOR = 3;
+    /** Bound on a server's reported load, as a multiple of its fair share; generous because reports lag. */
+    private static final double REPORTED_LOAD_FACTOR = 2;
+    /**
+     * An attempt is presumed lost when a later one at the same server got its first token and the shortest
+     * first-token target divided by this has passed since.
+     */
+    private static final int OVERTAKE_DIVISOR = 10;
+    /** A request is hedged, where that is allowed, after its first-token target divided by this. */
+    private static final int HEDGE_DIVISOR = 2;
+    /** A refused client is advised to retry after its target divided by this; one more attempt then fits in. */
+    private static final int RETRY_AFTER_DIVISOR = 8;
+    /** Tolerance for floating-point rounding when a count is compared with a sum of fractions. */
+    private static final double ROUNDING_TOLERANCE = 1e-9;
+    /** Timer token of the next discovery call; all other tokens belong to requests. */
+    private static final int DISCOVERY_TIMER = 0;
 
     final Settings settings;
     private final Routing.Tuning tuning;
     private final LongUnaryOperator hash;
     private final Routing.Actions actions;
     private final SplittableRandom random;
-    final Map<Long, Node> nodes = new HashMap<>();
-    private final Map<Long, Pending> open = new HashMap<>();
-    private final Map<Integer, Pending> timers = new HashMap<>();
-    private final ArrayDeque<Pending> held = new ArrayDeque<>();
+    final Map<Long, TrackedServer> servers = new HashMap<>();
+    private final Map<Long, PendingRequest> openRequests = new HashMap<>();
+    private final Map<Integer, PendingRequest> requestTimers = new HashMap<>();
+    private final ArrayDeque<PendingRequest> queue = new ArrayDeque<>();
     final List<Pool> pools = new ArrayList<>();
-    private final Pool whole;
+    private final Pool unrestrictedPool;
     private final Pool[] poolOfClass;
-    private int visit;
-    private int nextToken = DISCOVERY_TOKEN;
-    private int failedCalls;
-    private boolean following;
-    private boolean calling;
-    private long callAt;
-    final Map<Long, Hot> hot = new HashMap<>();
-    double unnamed;
+    private int walkId;
+    private int lastTimerToken = DISCOVERY_TIMER;
+    private int failedDiscoveryCalls;
+    private boolean watching;
+    private boolean discoveryCallPending;
+    private long nextDiscoveryCallAt;
+    final Map<Long, KeyTraffic> trafficByKey = new HashMap<>();
+    double unkeyedRequests;
+    /** Whether the ring or an ejection has changed since the last update of the plan. */
     private boolean planStale;
     long plannedAt;
-    private final List<Node> members = new ArrayList<>();
-    private final Routing.AttemptBudget budget;
-    final ArrayDeque<Long> taken = new ArrayDeque<>();
-    final ArrayDeque<Long> further = new ArrayDeque<>();
-    private final long patience;
-    private final long planEvery;
+    private final List<TrackedServer> readyServers = new ArrayList<>();
+    private final Routing.AttemptBudget attemptBudget;
+    final ArrayDeque<Long> recentArrivals = new ArrayDeque<>();
+    final ArrayDeque<Long> recentExtraAttempts = new ArrayDeque<>();
+    private final long maxClientTimeout;
+    private final long planInterval;
     double averageWorth;
-    private final double[] delay = new double[2];
-    double firstTokenTally;
-    double readRate;
-    double unitWeight;
-    private long latest = Long.MIN_VALUE;
-    final double[] classTime;
-    private final double[] firstTime;
-    final Map<Integer, Double> kindTime = new HashMap<>();
-    private final Map<Integer, Integer> kindSeen = new HashMap<>();
-    private double fastest = 1;
+    /** Moving average of the first-token delay relative to its target: [0] in the own zone, [1] elsewhere. */
+    private final double[] zoneDelay = new double[2];
+    /** Decaying count of first tokens, from which the load of an average server is estimated. */
+    double recentFirstTokens;
+    /** In tokens per microsecond; 0 if unknown. */
+    double prefillRate;
+    /** Average weight of the first endpoint list, as a power of two; 0 before it. */
+    double referenceWeight;
+    private long latestTime = Long.MIN_VALUE;
+    /** Moving average of the duration of answers, in microseconds, by request class. */
+    final double[] classLatency;
+    private final double[] classFirstTokenLatency;
+    /** Latency of each machine kind, relative to the mean of the request classes. */
+    final Map<Integer, Double> kindLatencyRatio = new HashMap<>();
+    private final Map<Integer, Integer> kindSamples = new HashMap<>();
+    private double fastestKindSpeed = 1;
     private final Sessions sessions = new Sessions();
-    final double[] tenantTally;
+    final double[] tenantRequests;
 
     /**
-     * The replicas that one placement allows, with a ring of their own: a class is sent nowhere else, and the
-     * bound, the spread of a key, the own zone and the ceiling on ejections are relative to its pool.
+     * The servers that one placement allows, with a hash ring of their own. A class is sent only to servers
+     * of its pool; the load bound, the spread of a key, the own-zone preference and the limit on ejections
+     * are relative to the pool.
      */
     static final class Pool {
         final Routing.Placement placement;
         long[] points = new long[0];
-        Node[] owners = new Node[0];
-        final List<Node> members = new ArrayList<>();
+        TrackedServer[] owners = new TrackedServer[0];
+        final List<TrackedServer> members = new ArrayList<>();
         int ready;
         int inFlight;
-        int homeReady;
-        boolean ownZoneFirst;
+        /** Ready servers of the own zone where it is preferred, else of the whole pool. */
+        int preferredReady;
+        boolean prefersOwnZone;
         double capacity = 1;
         double arrivals;
-        double held;
-        double room;
+        /** Requests in flight, of all instances, on the servers with a recent load report. */
+        double reportedInFlight;
+        /** Relative capacity of those servers; 0 if there are none. */
+        double reportedCapacity;
 
         Pool(Routing.Placement placement) {
             this.placement = placement;
         }
 
-        /** The place on the ring at which the walk for a hash begins. */
-        private int start(long hash) {
+        /** Returns the index of the ring point at which the walk for a hash starts. */
+        private int walkStart(long hash) {
             int i = Arrays.binarySearch(points, hash);
             int at = i >= 0 ? i : -i - 1;
             return at == points.length ? 0 : at;
@@ -192,88 +238,91 @@
         }
     }
 
-    /** A key's recent requests, and over how many ring successors the bound spreads them. */
-    static final class Hot {
+    /** A key's recent requests, and the number of ring successors that they are spread over. */
+    static final class KeyTraffic {
         Pool pool;
-        double tally;
+        double requests;
         int spread = 1;
     }
 
-    /** A replica as this gateway knows it. */
-    static final class Node {
-        Replica replica;
+    /** What this router knows of a server. Times are in microseconds; 0 means never. */
+    static final class TrackedServer {
+        Replica entry;
         int points;
         List<Pool> pools = List.of();
-        int load;
-        final ArrayDeque<Attempt> waiting = new ArrayDeque<>();
-        final long[] restUntil;
-        final int[] strikes;
-        int visited;
+        int inFlight;
+        final ArrayDeque<Attempt> awaitingFirstToken = new ArrayDeque<>();
+        final long[] classBackoffUntil;
+        final int[] classFailures;
+        /** The last ring walk that came past; used to visit each server once per walk. */
+        int lastWalk;
         long ejectedUntil;
         int ejections;
-        int breaks;
+        int consecutiveResets;
         boolean onTrial;
-        int overdue;
+        int overdueAttempts;
         long slowUntil;
-        long lastDelay;
-        long coldBudgetAt;
-        long budgetedStart;
-        long spokeAt;
-        double others;
-        long othersUntil;
-
-        Node(Replica replica, int points, int classes) {
-            this.restUntil = new long[classes];
-            this.strikes = new int[classes];
-            this.replica = replica;
+        long lastFirstTokenDelay;
+        long nextColdSendAt;
+        /** The start time of the server that the cold budget is for. */
+        long coldBudgetStart;
+        long lastFirstTokenAt;
+        /** Requests of other instances in flight, by the last load report. */
+        double otherInFlight;
+        long otherInFlightUntil;
+
+        TrackedServer(Replica entry, int points, int classes) {
+            this.classBackoffUntil = new long[classes];
+            this.classFailures = new int[classes];
+            this.entry = entry;
             this.points = points;
         }
 
-        /** Ejected, or with the one request out that is its trial. */
-        boolean keptOff(long now) {
+        /** Returns whether the server is ejected, or its one trial request after an ejection is in flight. */
+        boolean isAvoided(long now) {
             return ejectedUntil > now || onTrial && ejections > 0;
         }
     }
 
-    /** One attempt of a request. */
+    /** One attempt of a request. firstTokenDelay is in microseconds, 0 before the first token. */
     private static final class Attempt {
-        private final Node node;
+        private final TrackedServer server;
         private final List<Pool> pools;
         private final long sentAt;
-        private boolean out = true;
+        private boolean inFlight = true;
         private boolean mayHaveRun = true;
         private boolean overdue;
         private boolean overtaken;
-        private long firstTokenAfter;
-        private final Pending request;
+        private long firstTokenDelay;
+        private final PendingRequest pending;
 
-        Attempt(Pending request, Node node, long sentAt) {
-            this.request = request;
-            this.node = node;
-            this.pools = node.pools;
+        Attempt(PendingRequest pending, TrackedServer server, long sentAt) {
+            this.pending = pending;
+            this.server = server;
+            this.pools = server.pools;
             this.sentAt = sentAt;
         }
     }
 
-    /** A request that is not over, or that has attempts out. */
-    private static final class Pending {
+    /** A request without a final answer, or with attempts still in flight. */
+    private static final class PendingRequest {
         private final Request request;
-        private final RequestClass type;
+        private final RequestClass requestClass;
         private final Pool pool;
         private final long arrivedAt;
         private final long deadline;
         private final long key;
         private final List<Attempt> attempts = new ArrayList<>(2);
-        private boolean over;
-        private boolean held;
-        private boolean judged;
-        private boolean begun;
+        private boolean finished;
+        private boolean queued;
+        private boolean reviewed;
+        private boolean answering;
         private boolean hedged;
         private double worth;
 
-        Pending(Request request, RequestClass type, Pool pool, long now) {
+        PendingRequest(Request request, RequestClass requestClass, Pool pool, long now) {
             this.request = request;
-            this.type = type;
+            this.requestClass = requestClass;
             this.pool = pool;
             this.arrivedAt = now;
             this.deadline = now + request.patience();
@@ -285,23 +334,25 @@
             return request.session() != 0 ? request.session() : request.id();
         }
 
-        boolean anyOut() {
-            return attempts.stream().anyMatch(a -> a.out);
+        boolean anyInFlight() {
+            return attempts.stream().anyMatch(attempt -> attempt.inFlight);
         }
 
-        /** The first attempt that may have run; null if none did. */
+        /** Returns the first attempt that may have run; null if none did. */
         Attempt firstThatMayHaveRun() {
-            return attempts.stream().filter(a -> a.mayHaveRun).findFirst().orElse(null);
+            return attempts.stream().filter(attempt -> attempt.mayHaveRun).findFirst().orElse(null);
         }
     }
 
-    /** A router for one gateway; equal seeds and events give equal actions. */
+    /**
+     * Creates the module of one router with the default tuning. Equal seeds and events give equal actions.
+     */
     public BoundedLoadRouter(Settings settings, long seed, Routing.Actions actions) {
         this(settings, seed, actions,
-                new Routing.Tuning(LOAD_FACTOR, VIRTUAL_POINTS, Mixing::mix, false));
+                new Routing.Tuning(LOAD_FACTOR_PERCENT, VIRTUAL_NODES, Mixing::mix, false));
     }
 
-    /** The same with other values of what the design leaves open. */
+    /** Creates the module of one router with other hashing parameters. */
     public BoundedLoadRouter(Settings settings, long seed, Routing.Actions actions, Routing.Tuning tuning) {
         this.settings = settings;
         this.tuning = tuning;
@@ -310,19 +361,19 @@
         this.random = new SplittableRandom(seed);
         long longest = 0;
         long aim = Long.MAX_VALUE;
-        for (RequestClass c : settings.classes()) {
-            longest = Math.max(longest, c.giveUp());
-            aim = Math.min(aim, c.aim());
-        }
-        this.patience = longest;
-        this.planEvery = aim / PLANS_PER_AIM;
-        this.classTime = new double[settings.classes().size()];
-        this.firstTime = new double[settings.classes().size()];
-        this.tenantTally = new double[settings.tenants().size()];
+        for (RequestClass requestClass : settings.classes()) {
+            longest = Math.max(longest, requestClass.giveUp());
+            aim = Math.min(aim, requestClass.aim());
+        }
+        this.maxClientTimeout = longest;
+        this.planInterval = aim / PLANS_PER_TARGET;
+        this.classLatency = new double[settings.classes().size()];
+        this.classFirstTokenLatency = new double[settings.classes().size()];
+        this.tenantRequests = new double[settings.tenants().size()];
         Routing.AttemptBudget stated = settings.contract().attempts();
-        this.budget = stated.window() > 0 ? stated
-                : new Routing.AttemptBudget(FREE_RETRIES, RETRY_RATIO, longest);
-        this.whole = poolFor(Routing.Placement.ANYWHERE);
+        this.attemptBudget = stated.window() > 0 ? stated
+                : new Routing.AttemptBudget(DEFAULT_BUDGET_FREE, DEFAULT_BUDGET_RATIO, longest);
+        this.unrestrictedPool = poolFor(Routing.Placement.ANYWHERE);
         this.poolOfClass = new Pool[settings.classes().size()];
         for (int i = 0; i < poolOfClass.length; i++) {
             poolOfClass[i] = poolFor(settings.classes().get(i).placement());
@@ -330,9 +381,9 @@
     }
 
     private Pool poolFor(Routing.Placement placement) {
-        for (Pool p : pools) {
-            if (p.placement.equals(placement)) {
-                return p;
+        for (Pool pool : pools) {
+            if (pool.placement.equals(placement)) {
+                return pool;
             }
         }
         pools.add(new Pool(placement));
@@ -341,9 +392,10 @@
 
     @Override
     public void started(long time) {
-        long now = latest(time);
+        long now = latestTime(time);
         if (settings.askForList()) {
-            callDiscoveryAt(now + jittered(settings.contract().askWithin() / ASK_SPREAD));
+            scheduleDiscoveryCall(now
+                    + jittered(settings.contract().askWithin() / FIRST_CALL_SPREAD_DIVISOR));
         }
     }
 
@@ -351,95 +403,98 @@
 
     @Override
     public void listReceived(long time, ListKind kind, List<Replica> entries) {
-        long now = latest(time);
+        long now = latestTime(time);
         if (kind == ListKind.FAILED) {
-            calling = false;
-            following = false;
-            long wait = Math.min(LONGEST_BACKOFF,
-                    settings.contract().askWithin() / ASK_BACKOFF << Math.min(failedCalls++, 3));
-            callDiscoveryAt(now + wait / 2 + jittered(wait / 2));
+            discoveryCallPending = false;
+            watching = false;
+            long wait = Math.min(MAX_DISCOVERY_BACKOFF_MICROS,
+                    settings.contract().askWithin() / DISCOVERY_BACKOFF_DIVISOR
+                    << Math.min(failedDiscoveryCalls++, 3));
+            scheduleDiscoveryCall(now + wait / 2 + jittered(wait / 2));
             return;
         }
         if (kind != ListKind.CACHED) {
-            calling = false;
-            following = true;
-            failedCalls = 0;
+            discoveryCallPending = false;
+            watching = true;
+            failedDiscoveryCalls = 0;
         }
         boolean changed = false;
         if (kind != ListKind.DELTA) {
-            Map<Long, Node> missing = new HashMap<>(nodes);
-            entries.forEach(r -> missing.remove(r.id()));
-            for (Node n : missing.values()) {
-                changed |= remove(n);
+            Map<Long, TrackedServer> missing = new HashMap<>(servers);
+            entries.forEach(entry -> missing.remove(entry.id()));
+            for (TrackedServer server : missing.values()) {
+                changed |= removeServer(server);
             }
         }
-        if (unitWeight == 0 && !entries.isEmpty()) {
-            double sum = entries.stream().mapToDouble(r -> Math.max(0, r.weight())).sum();
-            unitWeight = sum > 0 ? Math.pow(2, Math.rint(Math.log(sum / entries.size()) / Math.log(2))) : 1;
+        if (referenceWeight == 0 && !entries.isEmpty()) {
+            double sum = entries.stream().mapToDouble(entry -> Math.max(0, entry.weight())).sum();
+            referenceWeight = sum > 0 ? Math.pow(2, Math.rint(Math.log(sum / entries.size()) / Math.log(2)))
+                    : 1;
         }
-        for (Replica r : entries) {
-            changed |= update(r);
+        for (Replica entry : entries) {
+            changed |= updateServer(entry);
         }
         if (changed) {
             rebuildRing();
         }
-        retryHeld(now);
+        retryQueued(now);
     }
 
-    private boolean update(Replica r) {
-        Node n = nodes.get(r.id());
-        if (r.lifecycle() == Lifecycle.GONE) {
-            return n != null && remove(n);
+    private boolean updateServer(Replica entry) {
+        TrackedServer server = servers.get(entry.id());
+        if (entry.lifecycle() == Lifecycle.GONE) {
+            return server != null && removeServer(server);
         }
-        boolean ready = r.lifecycle() == Lifecycle.READY;
-        if (n == null) {
-            n = new Node(r, pointsFor(r), settings.classes().size());
-            nodes.put(r.id(), n);
-            n.pools = poolsOf(r);
-            inColdBudget(n, latest);
+        boolean ready = entry.lifecycle() == Lifecycle.READY;
+        if (server == null) {
+            server = new TrackedServer(entry, pointsFor(entry), settings.classes().size());
+            servers.put(entry.id(), server);
+            server.pools = poolsOf(entry);
+            withinColdBudget(server, latestTime);
             return ready;
         }
-        boolean was = n.replica.lifecycle() == Lifecycle.READY;
-        boolean moved = n.replica.zone() != r.zone() || n.replica.kind() != r.kind();
-        n.replica = r;
-        inColdBudget(n, latest);
+        boolean wasReady = server.entry.lifecycle() == Lifecycle.READY;
+        boolean moved = server.entry.zone() != entry.zone() || server.entry.kind() != entry.kind();
+        server.entry = entry;
+        withinColdBudget(server, latestTime);
         if (moved) {
-            n.pools = poolsOf(r);
+            server.pools = poolsOf(entry);
         }
-        return was != ready || ready && moved;
+        return wasReady != ready || ready && moved;
     }
 
-    private List<Pool> poolsOf(Replica r) {
+    private List<Pool> poolsOf(Replica entry) {
         List<Pool> found = new ArrayList<>(pools);
-        found.removeIf(p -> !p.placement.allows(r));
+        found.removeIf(pool -> !pool.placement.allows(entry));
         return found;
     }
 
-    /** More points for a larger replica, by the weight that it was first listed with. */
-    private int pointsFor(Replica r) {
-        double times = r.weight() > 0 ? Math.min(MOST_WEIGHT, r.weight() / unitWeight) : 1;
+    /** Returns a server's number of ring points, in proportion to the weight it was first listed with. */
+    private int pointsFor(Replica entry) {
+        double times = entry.weight() > 0 ? Math.min(MAX_RELATIVE_WEIGHT, entry.weight() / referenceWeight)
+                : 1;
         return Math.max(1, (int) Math.rint(tuning.virtualPoints() * times));
     }
 
-    private boolean remove(Node n) {
-        nodes.remove(n.replica.id());
-        return n.replica.lifecycle() == Lifecycle.READY;
+    private boolean removeServer(TrackedServer server) {
+        servers.remove(server.entry.id());
+        return server.entry.lifecycle() == Lifecycle.READY;
     }
 
-    /** Points depend on the replica alone, so a change moves only the keys next to that replica's points. */
+    /** A point depends only on its server, so a change moves only the keys next to that server's points. */
     void rebuildRing() {
-        members.clear();
+        readyServers.clear();
         planStale = true;
-        members.addAll(nodes.values());
-        members.removeIf(n -> n.replica.lifecycle() != Lifecycle.READY);
-        members.sort((a, b) -> Long.compare(a.replica.id(), b.replica.id()));
-        Map<Long, Node> byPoint = new HashMap<>();
-        for (Node n : members) {
-            for (int i = 0; i < n.points; i++) {
-                long point = hash.applyAsLong(hash.applyAsLong(n.replica.id() ^ Mixing.RING_SALT) + i);
-                Node other = byPoint.get(point);
-                if (other == null || other.replica.id() > n.replica.id()) {
-                    byPoint.put(point, n);
+        readyServers.addAll(servers.values());
+        readyServers.removeIf(server -> server.entry.lifecycle() != Lifecycle.READY);
+        readyServers.sort((one, other) -> Long.compare(one.entry.id(), other.entry.id()));
+        Map<Long, TrackedServer> byPoint = new HashMap<>();
+        for (TrackedServer server : readyServers) {
+            for (int i = 0; i < server.points; i++) {
+                long point = hash.applyAsLong(hash.applyAsLong(server.entry.id() ^ Mixing.RING_SALT) + i);
+                TrackedServer other = byPoint.get(point);
+                if (other == null || other.entry.id() > server.entry.id()) {
+                    byPoint.put(point, server);
                 }
             }
         }
@@ -454,109 +509,120 @@
         }
     }
 
-    /** Placement is kept here: a replica that the pool's classes may not run on is not on its ring. */
-    private void rebuildPool(Pool pool, long[] points, Map<Long, Node> byPoint) {
+    /** Enforces placement: only servers that the pool's classes may run on are on its ring. */
+    private void rebuildPool(Pool pool, long[] points, Map<Long, TrackedServer> byPoint) {
         pool.members.clear();
-        pool.members.addAll(members);
-        pool.members.removeIf(n -> !n.pools.contains(pool));
+        pool.members.addAll(readyServers);
+        pool.members.removeIf(server -> !server.pools.contains(pool));
         pool.ready = pool.members.size();
-        chooseHome(pool);
+        choosePreferredZone(pool);
         long[] own = new long[points.length];
-        Node[] owners = new Node[points.length];
+        TrackedServer[] owners = new TrackedServer[points.length];
         int size = 0;
         for (long point : points) {
-            Node n = byPoint.get(point);
-            if (n.pools.contains(pool)) {
+            TrackedServer server = byPoint.get(point);
+            if (server.pools.contains(pool)) {
                 own[size] = point;
-                owners[size++] = n;
+                owners[size++] = server;
             }
         }
         pool.points = Arrays.copyOf(own, size);
         pool.owners = Arrays.copyOf(owners, size);
     }
 
-    /** Own-zone members come first where there are enough of them, and gateways enough to use all zones. */
-    private void chooseHome(Pool pool) {
+    /** Prefers the own zone if it has enough servers, and there are enough instances to use all zones. */
+    private void choosePreferredZone(Pool pool) {
         int own = 0;
         List<Integer> zones = new ArrayList<>();
-        for (Node n : pool.members) {
-            own += n.replica.zone() == settings.zone() ? 1 : 0;
-            if (!zones.contains(n.replica.zone())) {
-                zones.add(n.replica.zone());
+        for (TrackedServer server : pool.members) {
+            own += server.entry.zone() == settings.zone() ? 1 : 0;
+            if (!zones.contains(server.entry.zone())) {
+                zones.add(server.entry.zone());
             }
         }
-        pool.ownZoneFirst = settings.instances() >= ZONE_GATEWAYS * zones.size() && own >= ZONE_REPLICAS
+        pool.prefersOwnZone = settings.instances() >= MIN_INSTANCES_PER_ZONE * zones.size()
+                && own >= MIN_SERVERS_IN_ZONE
                 && own * zones.size() * 2 > pool.ready;
-        pool.homeReady = pool.ownZoneFirst ? own : pool.ready;
+        pool.preferredReady = pool.prefersOwnZone ? own : pool.ready;
     }
 
-    private void callDiscoveryAt(long time) {
-        callAt = time;
-        actions.wakeAt(time, DISCOVERY_TOKEN);
+    private void scheduleDiscoveryCall(long time) {
+        nextDiscoveryCallAt = time;
+        actions.wakeAt(time, DISCOVERY_TIMER);
     }
 
     private void callDiscovery(long now) {
-        if (now < callAt || following && !calling) {
+        if (now < nextDiscoveryCallAt || watching && !discoveryCallPending) {
             return;
         }
-        calling = true;
+        discoveryCallPending = true;
         actions.followList();
-        callDiscoveryAt(now + settings.contract().askWithin());
+        scheduleDiscoveryCall(now + settings.contract().askWithin());
     }
 
-    // ---- the ordinary path
+    // ---- choice of a server
 
-    /** The key's ring position, a walk of distinct ready replicas, the bound, spill in ring order. */
-    private Node pick(Pending p, boolean free, long now) {
-        Node last = free ? null : sessions.last(p.request.session());
-        if (staysAt(p, last, now)) {
+    /**
+     * Walks the distinct ready servers from the key's ring position, applies the load bound, and chooses
+     * among the servers that the key is spread over by rendezvous hashing of the session.
+     *
+     * @param skipSlow chooses among servers that are not slow, even away from the session's server
+     * @return the server; null if none may take the request
+     */
+    private TrackedServer pickServer(PendingRequest pending, boolean skipSlow, long now) {
+        TrackedServer last = skipSlow ? null : sessions.lastServer(pending.request.session());
+        if (keepsSession(pending, last, now)) {
             return last;
         }
-        Hot h = hot.get(p.key);
-        int wanted = h == null ? 1 : h.spread;
-        long session = Mixing.mix(p.sessionOrId() ^ p.key);
-        long place = hash.applyAsLong(p.key);
-        if (wanted > MOST_WALKED) {
-            place = hash.applyAsLong(p.key ^ Mixing.mix(session & wanted / MOST_WALKED - 1));
-            wanted = MOST_WALKED;
-        }
-        Node overBound = null;
-        Node slower = null;
-        Node best = null;
+        KeyTraffic traffic = trafficByKey.get(pending.key);
+        int spread = traffic == null ? 1 : traffic.spread;
+        long session = Mixing.mix(pending.sessionOrId() ^ pending.key);
+        long position = hash.applyAsLong(pending.key);
+        if (spread > MAX_RING_WALK) {
+            position = hash.applyAsLong(pending.key ^ Mixing.mix(session & spread / MAX_RING_WALK - 1));
+            spread = MAX_RING_WALK;
+        }
+        TrackedServer overBound = null;
+        TrackedServer slower = null;
+        TrackedServer best = null;
         double bestScore = 0;
-        visit++;
+        walkId++;
         int seen = 0;
         int found = 0;
-        Pool pool = p.pool;
-        boolean home = pool.ownZoneFirst && !homeJams(p);
-        int reach = home ? pool.homeReady : pool.ready;
-        for (int i = pool.start(place); seen < reach && found < wanted; i = pool.next(i)) {
-            Node n = pool.owners[i];
-            if (n.visited == visit || home && n.replica.zone() != settings.zone()) {
+        Pool pool = pending.pool;
+        boolean ownZoneOnly = pool.prefersOwnZone && !ownZoneCongested(pending);
+        int candidates = ownZoneOnly ? pool.preferredReady : pool.ready;
+        for (int i = pool.walkStart(position); seen < candidates && found < spread; i = pool.next(i)) {
+            TrackedServer server = pool.owners[i];
+            if (server.lastWalk == walkId || ownZoneOnly && server.entry.zone() != settings.zone()) {
                 continue;
             }
-            n.visited = visit;
+            server.lastWalk = walkId;
             seen++;
-            if (!mayTake(p, n, now)) {
+            if (!mayTake(pending, server, now)) {
                 continue;
             }
-            boolean cold = warmth(n, now) < 1;
-            if ((cold || cheapToRead(p) || reported(pool, n, now)) && overBound(p, n, now)) {
-                overBound = overBound == null && !cold ? n : overBound;
+            boolean cold = capacityShare(server, now) < 1;
+            if ((cold || cheapToPrefill(pending) || hasLoadReports(pool, server, now))
+                    && overBound(pending, server, now)) {
+                overBound = overBound == null && !cold ? server : overBound;
                 continue;
             }
-            // of the keys that the ring gives it, a kind gets the part that its speed is of the fastest's
-            if (wanted == 1 && speed(n) < fastest * Mixing.unit(p.key ^ Mixing.mix(~n.replica.id()))) {
-                slower = slower == null ? n : slower;
+            // a machine kind keeps a share of its keys on the ring that is its speed relative to the fastest
+            // kind's
+            if (spread == 1 && speed(server)
+                    < fastestKindSpeed * Mixing.unit(pending.key ^ Mixing.mix(~server.entry.id()))) {
+                slower = slower == null ? server : slower;
                 continue;
             }
             found++;
-            if (free && slow(p, n, now)) {
+            if (skipSlow && isSlow(pending, server, now)) {
                 continue;
             }
-            double score = -warmth(n, now) * speed(n) / Math.log(Mixing.unit(session ^ n.replica.id()));
+            double score = -capacityShare(server, now) * speed(server)
+                    / Math.log(Mixing.unit(session ^ server.entry.id()));
             if (best == null || score > bestScore) {
-                best = n;
+                best = server;
                 bestScore = score;
             }
         }
@@ -564,243 +630,284 @@
     }
 
     /**
-     * Against a history read anew: a session goes on where it was spilled to, on the terms on which the ring
-     * would pick that replica. One that started since holds no history, and bears little.
+     * Whether a session stays on the server that served it last, which avoids a second prefill of its history
+     * after a spill. The conditions are those under which the ring would pick the server. A server that has
+     * started since has no history cached and little capacity.
      */
-    private boolean staysAt(Pending p, Node n, long now) {
-        return n != null && nodes.get(n.replica.id()) == n && n.replica.lifecycle() == Lifecycle.READY
-                && n.pools.contains(p.pool) && warmth(n, now) >= 1 && mayTake(p, n, now)
-                && !(cheapToRead(p) && overBound(p, n, now));
+    private boolean keepsSession(PendingRequest pending, TrackedServer server, long now) {
+        return server != null && servers.get(server.entry.id()) == server
+                && server.entry.lifecycle() == Lifecycle.READY
+                && server.pools.contains(pending.pool) && capacityShare(server, now) >= 1
+                && mayTake(pending, server, now)
+                && !(cheapToPrefill(pending) && overBound(pending, server, now));
     }
 
-    private static boolean reported(Pool pool, Node n, long now) {
-        return pool.room > 0 && n.othersUntil > now;
+    private static boolean hasLoadReports(Pool pool, TrackedServer server, long now) {
+        return pool.reportedCapacity > 0 && server.otherInFlightUntil > now;
     }
 
     /**
-     * One more stream would lift the replica over its bound; a cold one's is scaled to its warmth. Where
-     * reports tell them, all gateways' streams count: with many gateways an own count is one or none.
+     * Whether one more stream would exceed the server's load bound, which is scaled to its present capacity
+     * while it is cold. Where load reports are available, the streams of all instances count: with many
+     * instances, a router's own count is one or zero.
      */
-    private boolean overBound(Pending p, Node n, long now) {
-        if (reported(p.pool, n, now)) {
-            return n.load + n.others + 1 > Math.max(1, Math.ceil(REPORTED_FACTOR * (p.pool.held + 1)
-                    * weight(n) * speed(n) * warmth(n, now) / p.pool.room));
-        }
-        double average = (p.pool.inFlight + 1) * weight(n) * warmth(n, now) / p.pool.capacity;
+    private boolean overBound(PendingRequest pending, TrackedServer server, long now) {
+        if (hasLoadReports(pending.pool, server, now)) {
+            return server.inFlight + server.otherInFlight + 1 > Math.max(1,
+                    Math.ceil(REPORTED_LOAD_FACTOR * (pending.pool.reportedInFlight + 1) * weight(server)
+                            * speed(server) * capacityShare(server, now) / pending.pool.reportedCapacity));
+        }
+        double average = (pending.pool.inFlight + 1) * weight(server) * capacityShare(server, now)
+                / pending.pool.capacity;
         double fair = average * (tuning.loadFactor() / 100.0);
-        return n.load + 1 > (tuning.byChance()
-                ? Math.floor(fair + Mixing.unit(p.request.id() ^ n.replica.id())) : Math.ceil(fair));
+        return server.inFlight + 1 > (tuning.byChance()
+                ? Math.floor(fair + Mixing.unit(pending.request.id() ^ server.entry.id())) : Math.ceil(fair));
     }
 
     /**
-     * The bound on a tally of recent traffic, against scattered prefixes: with many gateways an own count of
-     * open requests rounds to a bound of one or two and skips follow chance. A key whose share of the traffic
-     * would fill more than one replica is spread over as many ring successors, in powers of two so that
-     * gateways with different tallies mostly agree.
+     * Decays the measurements and recomputes how far each key is spread. The bound is applied to recent
+     * traffic rather than open requests: with many instances, a router's own open requests give a bound of
+     * one or two, servers are skipped at random, and prefixes are scattered. A key whose share of the traffic
+     * would fill more than one server is spread over several ring successors, in powers of two so that
+     * instances with different counts mostly agree.
      */
-    private void plan(long now) {
+    private void updatePlan(long now) {
         long elapsed = now - plannedAt;
-        double decay = Math.exp(-(double) elapsed / (POPULARITY_MEMORY * patience));
+        double decay = Math.exp(-(double) elapsed / (POPULARITY_DECAY_TIMEOUTS * maxClientTimeout));
         plannedAt = now;
         planStale = false;
-        fastest = kindTime.values().stream().mapToDouble(t -> 1 / t).max().orElse(1);
-        sessions.forget(now - POPULARITY_MEMORY * patience);
-        unnamed *= decay;
-        double total = unnamed;
-        double meterDecay = Math.exp(-(double) elapsed / (METER_AIMS * planEvery * PLANS_PER_AIM));
-        firstTokenTally *= meterDecay;
-        for (int t = 0; t < tenantTally.length; t++) {
-            tenantTally[t] *= meterDecay;
+        fastestKindSpeed = kindLatencyRatio.values().stream().mapToDouble(ratio -> 1 / ratio).max().orElse(1);
+        sessions.forgetBefore(now - POPULARITY_DECAY_TIMEOUTS * maxClientTimeout);
+        unkeyedRequests *= decay;
+        double total = unkeyedRequests;
+        double meterDecay = Math.exp(
+                -(double) elapsed / (RATE_WINDOW_TARGETS * planInterval * PLANS_PER_TARGET));
+        recentFirstTokens *= meterDecay;
+        for (int t = 0; t < tenantRequests.length; t++) {
+            tenantRequests[t] *= meterDecay;
         }
         for (Pool pool : pools) {
             pool.arrivals *= decay;
             pool.capacity = 0;
-            pool.held = 0;
-            pool.room = 0;
-            for (Node n : pool.members) {
-                pool.capacity += n.ejectedUntil > now ? 0 : weight(n);
-                if (n.othersUntil > now && n.ejectedUntil <= now) {
-                    pool.held += n.load + n.others;
-                    pool.room += weight(n) * speed(n) * warmth(n, now);
+            pool.reportedInFlight = 0;
+            pool.reportedCapacity = 0;
+            for (TrackedServer server : pool.members) {
+                pool.capacity += server.ejectedUntil > now ? 0 : weight(server);
+                if (server.otherInFlightUntil > now && server.ejectedUntil <= now) {
+                    pool.reportedInFlight += server.inFlight + server.otherInFlight;
+                    pool.reportedCapacity += weight(server) * speed(server) * capacityShare(server, now);
                 }
             }
         }
-        for (Hot h : hot.values()) {
-            h.tally *= decay;
-            total += h.tally;
-        }
-        hot.values().removeIf(h -> h.tally < LEAST_TALLY);
-        for (Hot h : hot.values()) {
-            double sure = Math.max(0, h.tally - NOISE * Math.sqrt(h.tally));
-            double need = sure / traffic(h.pool, total) * h.pool.homeReady * SPREAD;
-            while (h.spread < need) {
-                h.spread *= 2;
+        for (KeyTraffic traffic : trafficByKey.values()) {
+            traffic.requests *= decay;
+            total += traffic.requests;
+        }
+        trafficByKey.values().removeIf(traffic -> traffic.requests < MIN_KEY_REQUESTS);
+        for (KeyTraffic traffic : trafficByKey.values()) {
+            double significant = Math.max(0,
+                    traffic.requests - NOISE_DEVIATIONS * Math.sqrt(traffic.requests));
+            double wanted = significant / expectedTraffic(traffic.pool, total) * traffic.pool.preferredReady
+                    * SPREAD_FACTOR;
+            while (traffic.spread < wanted) {
+                traffic.spread *= 2;
             }
-            while (h.spread > 1 && h.spread > 4 * need) {
-                h.spread /= 2;
+            while (traffic.spread > 1 && traffic.spread > 4 * wanted) {
+                traffic.spread /= 2;
             }
         }
     }
 
-    /** What comes to a pool's replicas: its own classes' traffic and, of the rest, an even share. */
-    private double traffic(Pool pool, double total) {
+    /** Returns the traffic to a pool's servers: that of its own classes and an even share of the rest. */
+    private double expectedTraffic(Pool pool, double total) {
         double own = Math.min(total, pool.arrivals);
-        return pool == whole ? total : own + (total - own) * pool.ready / Math.max(1, whole.ready);
+        return pool == unrestrictedPool ? total
+                : own + (total - own) * pool.ready / Math.max(1, unrestrictedPool.ready);
     }
 
-    /** Another of the replicas that the key is spread over, which hold its prefix, or the first free one. */
-    private Node freeReplica(Pending p, long now) {
-        Node n = pick(p, true, now);
-        return n != null && !slow(p, n, now) ? n : firstFree(p, now);
+    /**
+     * Picks another server that the key is spread over and that has its prefix, or else any responsive one.
+     */
+    private TrackedServer pickResponsive(PendingRequest pending, long now) {
+        TrackedServer server = pickServer(pending, true, now);
+        return server != null && !isSlow(pending, server, now) ? server : firstResponsive(pending, now);
     }
 
-    /** The first replica in ring order, of any zone, that is not slow and may take the request. */
-    private Node firstFree(Pending p, long now) {
-        visit++;
+    /** Returns the first server in ring order, of any zone, that isn't slow and may take the request. */
+    private TrackedServer firstResponsive(PendingRequest pending, long now) {
+        walkId++;
         int seen = 0;
-        for (int i = p.pool.start(hash.applyAsLong(p.key)); seen < p.pool.ready; i = p.pool.next(i)) {
-            Node n = p.pool.owners[i];
-            if (n.visited == visit) {
+        for (int i = pending.pool.walkStart(hash.applyAsLong(pending.key)); seen < pending.pool.ready;
+                i = pending.pool.next(i)) {
+            TrackedServer server = pending.pool.owners[i];
+            if (server.lastWalk == walkId) {
                 continue;
             }
-            n.visited = visit;
+            server.lastWalk = walkId;
             seen++;
-            if (!slow(p, n, now) && mayTake(p, n, now)) {
-                return n;
+            if (!isSlow(pending, server, now) && mayTake(pending, server, now)) {
+                return server;
             }
         }
         return null;
     }
 
-    /** Against small tenants refused in a big one's jam: a spill's cost in aims against its worth. */
-    private boolean worthASpill(Pending p) {
-        return readTime(p) * averageWorth < CHEAP_READ * p.type.aim() * p.worth;
+    /**
+     * Whether a request is worth the extra prefill that a spill costs. Without this, small tenants were
+     * refused at a server congested by a large one.
+     */
+    private boolean spillPays(PendingRequest pending) {
+        return prefillTime(pending) * averageWorth < CHEAP_PREFILL_SHARE * pending.requestClass.aim()
+                * pending.worth;
     }
 
-    /** Where only few are slow, a spill costs a read and no more; where many are, it would spread the jam. */
-    private boolean roomy(Pending p, long now) {
-        long slow = p.pool.members.stream().filter(n -> n.overdue > 0 || n.slowUntil > now).count();
-        return slow <= p.pool.ready * MOST_SLOW;
+    /**
+     * Whether only few servers of the pool are slow. A spill then costs no more than one prefill; if many
+     * servers were slow, it would spread the congestion.
+     */
+    private boolean fewAreSlow(PendingRequest pending, long now) {
+        long slow = pending.pool.members.stream()
+                .filter(server -> server.overdueAttempts > 0 || server.slowUntil > now).count();
+        return slow <= pending.pool.ready * MAX_SLOW_SHARE;
     }
 
-    private double readTime(Pending p) {
-        return p.request.promptTokens() / readRate;
+    private double prefillTime(PendingRequest pending) {
+        return pending.request.promptTokens() / prefillRate;
     }
 
-    private boolean cheapToRead(Pending p) {
-        return readTime(p) < CHEAP_READ * p.type.aim();
+    private boolean cheapToPrefill(PendingRequest pending) {
+        return prefillTime(pending) < CHEAP_PREFILL_SHARE * pending.requestClass.aim();
     }
 
     /**
-     * How quick a machine kind is, where no list tells: its first tokens' and whole answers' times against
-     * their class's mean. Quicker kinds get more keys, and within a key's spread more sessions.
+     * Measures the speed of a machine kind, which the endpoint list doesn't tell: the latency of its first
+     * tokens and whole answers, relative to the mean of their class. Faster kinds get more keys and, within a
+     * key's spread, more sessions.
      */
-    private void learnSpeed(double[] mean, Pending p, Attempt a, long now) {
-        int c = p.request.requestClass();
-        double took = Math.max(1, now - a.sentAt);
-        mean[c] += mean[c] == 0 ? took : (took - mean[c]) * WORTH_WEIGHT;
-        double ratio = Math.min(MOST_WEIGHT, took / mean[c]);
-        int kind = a.node.replica.kind();
-        double known = kindTime.getOrDefault(kind, 1.0);
-        double weight = Math.max(WORTH_WEIGHT, 1.0 / (EQUAL_KINDS + kindSeen.merge(kind, 1, Integer::sum)));
-        kindTime.put(kind, known + (ratio - known) * weight);
+    private void learnSpeed(double[] mean, PendingRequest pending, Attempt attempt, long now) {
+        int classIndex = pending.request.requestClass();
+        double took = Math.max(1, now - attempt.sentAt);
+        mean[classIndex] += mean[classIndex] == 0 ? took : (took - mean[classIndex]) * MOVING_AVERAGE_WEIGHT;
+        double ratio = Math.min(MAX_RELATIVE_WEIGHT, took / mean[classIndex]);
+        int kind = attempt.server.entry.kind();
+        double known = kindLatencyRatio.getOrDefault(kind, 1.0);
+        double weight = Math.max(MOVING_AVERAGE_WEIGHT,
+                1.0 / (KIND_PRIOR_SAMPLES + kindSamples.merge(kind, 1, Integer::sum)));
+        kindLatencyRatio.put(kind, known + (ratio - known) * weight);
     }
 
-    private double speed(Node n) {
-        return 1 / kindTime.getOrDefault(n.replica.kind(), 1.0);
+    private double speed(TrackedServer server) {
+        return 1 / kindLatencyRatio.getOrDefault(server.entry.kind(), 1.0);
     }
 
-    /** How long first tokens take at home and elsewhere: a jammed zone is left at the price of a read. */
-    private void learnDelay(Pending p, Attempt a, long now) {
-        int where = a.node.replica.zone() == settings.zone() ? 0 : 1;
-        delay[where] += ((double) (now - a.sentAt) / aim(p) - delay[where]) * DELAY_WEIGHT;
+    /**
+     * Averages the first-token delay in the own zone and elsewhere, relative to the target. A request leaves
+     * a congested zone if the difference makes up for the prefill.
+     */
+    private void learnZoneDelay(PendingRequest pending, Attempt attempt, long now) {
+        int where = attempt.server.entry.zone() == settings.zone() ? 0 : 1;
+        zoneDelay[where] += ((double) (now - attempt.sentAt) / firstTokenTarget(pending) - zoneDelay[where])
+                * ZONE_DELAY_WEIGHT;
     }
 
-    /** What reading there and at its return takes of its aim, and of those who wait behind; 0 if unknown. */
-    private double rereading(Pending p) {
-        return readRate > 0 ? Math.min(MOST_REREAD, 4 * readTime(p) / aim(p)) : 0;
+    /**
+     * Share of the target that a repeated prefill takes: in the other zone and again on return, each also
+     * delaying the requests that wait behind it. 0 if the prefill rate is unknown.
+     */
+    private double repeatedPrefillShare(PendingRequest pending) {
+        return prefillRate > 0 ? Math.min(MAX_REPEATED_PREFILL_SHARE,
+                4 * prefillTime(pending) / firstTokenTarget(pending)) : 0;
     }
 
-    private boolean homeJams(Pending p) {
-        return delay[0] * BEARABLE_PART > 1 && delay[0] > delay[1] + rereading(p);
+    private boolean ownZoneCongested(PendingRequest pending) {
+        return zoneDelay[0] * TOLERABLE_WAIT_DIVISOR > 1
+                && zoneDelay[0] > zoneDelay[1] + repeatedPrefillShare(pending);
     }
 
-    /** The fastest reading of prompts seen of late, in tokens a microsecond. */
-    private void learnReadRate(Pending p, Attempt a, long keptTokens) {
-        double unread = p.request.promptTokens() - keptTokens;
-        if (a.firstTokenAfter > 0 && unread > p.request.promptTokens() / 2) {
-            readRate = Math.max(readRate * READ_RATE_FADE, unread / a.firstTokenAfter);
+    /** Records the highest recent prefill rate, in tokens per microsecond. */
+    private void learnPrefillRate(PendingRequest pending, Attempt attempt, long keptTokens) {
+        double unread = pending.request.promptTokens() - keptTokens;
+        if (attempt.firstTokenDelay > 0 && unread > pending.request.promptTokens() / 2) {
+            prefillRate = Math.max(prefillRate * PREFILL_RATE_DECAY, unread / attempt.firstTokenDelay);
         }
     }
 
     /**
-     * A hung, paused or jammed replica hoards streams: it owes a first token past a part of its aim, or did
-     * so a short while ago. What it could only answer late is refused at once, so that the jam can end. More
-     * than average worth stays where its session is kept while the wait is a small part of its own aim; the
-     * rest while it is the part that a late answer is worth, for to leave is to be read anew or refused.
+     * Whether the server is too slow for the request. A hung, paused or congested server accumulates streams:
+     * one of them has waited for its first token past a part of its target, or did so shortly before. A
+     * request that it could only answer late is refused at once, so that the congestion can end. A request of
+     * above-average worth stays with its session's server while the wait is a small part of its own target;
+     * any other, while the wait is at most the share that a late answer is still worth, because leaving means
+     * a repeated prefill or a refusal.
      */
-    private boolean slow(Pending p, Node n, long now) {
-        if (n.overdue == 0 && n.slowUntil <= now) {
+    private boolean isSlow(PendingRequest pending, TrackedServer server, long now) {
+        if (server.overdueAttempts == 0 && server.slowUntil <= now) {
             return false;
         }
-        long bearable = p.worth > averageWorth * ABOVE ? aim(p) / BEARABLE_PART
-                : (long) (aim(p) * p.type.lateWorth());
-        Attempt oldest = n.waiting.peek();
-        return oldest != null && now - oldest.sentAt > bearable
-                || n.slowUntil > now && n.lastDelay > bearable;
+        long tolerable = pending.worth > averageWorth * ABOVE_AVERAGE_FACTOR
+                ? firstTokenTarget(pending) / TOLERABLE_WAIT_DIVISOR
+                : (long) (firstTokenTarget(pending) * pending.requestClass.lateWorth());
+        Attempt oldest = server.awaitingFirstToken.peek();
+        return oldest != null && now - oldest.sentAt > tolerable
+                || server.slowUntil > now && server.lastFirstTokenDelay > tolerable;
     }
 
-    private double weight(Node n) {
-        return n.replica.weight() > 0 ? n.replica.weight() : 1;
+    private double weight(TrackedServer server) {
+        return server.entry.weight() > 0 ? server.entry.weight() : 1;
     }
 
-    private boolean mayTake(Pending p, Node n, long now) {
-        return p.attempts.stream().noneMatch(a -> a.node.replica.id() == n.replica.id()) && !n.keptOff(now)
-                && n.restUntil[p.request.requestClass()] <= now && mayRepeatAt(p, n, now)
-                && warmEnough(p.key, n, now) && inColdBudget(n, now);
+    private boolean mayTake(PendingRequest pending, TrackedServer server, long now) {
+        return pending.attempts.stream().noneMatch(attempt -> attempt.server.entry.id() == server.entry.id())
+                && !server.isAvoided(now)
+                && server.classBackoffUntil[pending.request.requestClass()] <= now
+                && mayRepeatOn(pending, server, now)
+                && takesKeyWhileCold(pending.key, server, now) && withinColdBudget(server, now);
     }
 
     /**
-     * Slow start, against a cold replica pushed over: it is empty too, so a key costs it a full read. Of its
-     * keys the part that its present share of capacity stands for goes there, the same at every gateway.
+     * Slow start: a cold server takes a share of its keys equal to its present share of capacity, the same
+     * keys at every instance. Otherwise it is overloaded: its prefix cache is empty, so each key costs a full
+     * prefill.
      */
-    private boolean warmEnough(long key, Node n, long now) {
-        double share = warmth(n, now);
-        return share >= 1 || Mixing.unit(key ^ Mixing.mix(n.replica.id() ^ Mixing.COLD_SALT)) < share;
+    private boolean takesKeyWhileCold(long key, TrackedServer server, long now) {
+        double share = capacityShare(server, now);
+        return share >= 1 || Mixing.unit(key ^ Mixing.mix(server.entry.id() ^ Mixing.COLD_SALT)) < share;
     }
 
     /**
-     * Within any window of the contract, a cold replica gets a part of what would fell it, and no burst. Each
-     * gateway's first send waits a drawn part of its turn: many gateways that learn of it at once, each with
-     * one send to spare, fell it together.
+     * Whether a cold server may be sent another attempt. In any overload window of the contract it gets only
+     * a part of the load that would overload it, and no burst. The first attempt waits for a random part of
+     * one send interval: many instances that learn of the server at once, each with one attempt to spare,
+     * would overload it together.
      */
-    boolean inColdBudget(Node n, long now) {
-        if (warmth(n, now) >= 1) {
+    boolean withinColdBudget(TrackedServer server, long now) {
+        if (capacityShare(server, now) >= 1) {
             return true;
         }
-        if (n.budgetedStart != n.replica.startedAt()) {
-            n.budgetedStart = n.replica.startedAt();
-            long turn = jittered(coldSpacing(n, now));
-            n.coldBudgetAt = now + settings.contract().fallFor() / 2 + turn;
+        if (server.coldBudgetStart != server.entry.startedAt()) {
+            server.coldBudgetStart = server.entry.startedAt();
+            long turn = jittered(coldSendInterval(server, now));
+            server.nextColdSendAt = now + settings.contract().fallFor() / 2 + turn;
         }
-        return n.coldBudgetAt - now <= settings.contract().fallFor() / 2;
+        return server.nextColdSendAt - now <= settings.contract().fallFor() / 2;
     }
 
-    void spendColdBudget(Node n, long now) {
-        if (warmth(n, now) < 1) {
-            n.coldBudgetAt = Math.max(now, n.coldBudgetAt) + coldSpacing(n, now);
+    void spendColdBudget(TrackedServer server, long now) {
+        if (capacityShare(server, now) < 1) {
+            server.nextColdSendAt = Math.max(now, server.nextColdSendAt) + coldSendInterval(server, now);
         }
     }
 
-    private long coldSpacing(Node n, long now) {
-        double meterTime = METER_AIMS * planEvery * PLANS_PER_AIM;
-        double perReplica = firstTokenTally / meterTime / Math.max(1, whole.ready);
-        double rate = perReplica * warmth(n, now) * settings.contract().fallMultiple() * COLD_MARGIN;
+    private long coldSendInterval(TrackedServer server, long now) {
+        double meterTime = RATE_WINDOW_TARGETS * planInterval * PLANS_PER_TARGET;
+        double perReplica = recentFirstTokens / meterTime / Math.max(1, unrestrictedPool.ready);
+        double rate = perReplica * capacityShare(server, now) * settings.contract().fallMultiple()
+                * COLD_MARGIN;
         return (long) Math.min(1 / rate, settings.contract().coldFor());
     }
 
-    private double warmth(Node n, long now) {
-        long start = n.replica.startedAt();
+    private double capacityShare(TrackedServer server, long now) {
+        long start = server.entry.startedAt();
         long age = now - start;
         long coldFor = settings.contract().coldFor();
         if (start == 0 || age >= coldFor) {
@@ -814,315 +921,335 @@
 
     @Override
     public void requestArrived(long time, Request request) {
-        long now = latest(time);
+        long now = latestTime(time);
         Pool pool = poolOfClass[request.requestClass()];
-        Pending p = new Pending(request, settings.classes().get(request.requestClass()), pool, now);
-        open.put(request.id(), p);
-        forgetOld(now);
-        taken.add(now);
-        if (planStale || now >= plannedAt + planEvery) {
-            plan(now);
+        PendingRequest pending = new PendingRequest(request, settings.classes().get(request.requestClass()),
+                pool, now);
+        openRequests.put(request.id(), pending);
+        expireBudgetWindow(now);
+        recentArrivals.add(now);
+        if (planStale || now >= plannedAt + planInterval) {
+            updatePlan(now);
         }
-        p.worth = p.type.worth() * (overShare(request) ? settings.overShareWorth() : 1);
-        averageWorth += (p.worth - averageWorth) * WORTH_WEIGHT;
-        dispatch(p, now);
+        pending.worth = pending.requestClass.worth() * (overQuota(request) ? settings.overShareWorth() : 1);
+        averageWorth += (pending.worth - averageWorth) * MOVING_AVERAGE_WEIGHT;
+        dispatch(pending, now);
     }
 
     // ---- admission
 
-    /** Whether the request's tenant sends more than its share of what this gateway sees. */
-    private boolean overShare(Request r) {
-        if (r.tenant() >= tenantTally.length) {
+    /** Whether the request exceeds its tenant's quota, scaled to this instance's part of the traffic. */
+    private boolean overQuota(Request request) {
+        if (request.tenant() >= tenantRequests.length) {
             return false;
         }
-        tenantTally[r.tenant()]++;
-        double quota = settings.tenants().get(r.tenant()).quotaPerSecond();
-        double mine = quota / settings.instances() * METER_AIMS * planEvery * PLANS_PER_AIM / 1e6;
-        double excess = 1 - mine / tenantTally[r.tenant()];
+        tenantRequests[request.tenant()]++;
+        double quota = settings.tenants().get(request.tenant()).quotaPerSecond();
+        double ownQuota = quota / settings.instances() * RATE_WINDOW_TARGETS * planInterval * PLANS_PER_TARGET
+                / 1e6;
+        double excess = 1 - ownQuota / tenantRequests[request.tenant()];
         return random.nextDouble() < excess;
     }
 
-    private static void notOverdue(Attempt a, long now) {
-        if (a.overdue) {
-            a.node.lastDelay = now - a.sentAt;
-            a.node.slowUntil = now + (now - a.sentAt) / SLOW_PART;
-            a.overdue = false;
-            a.node.overdue--;
+    private static void clearOverdue(Attempt attempt, long now) {
+        if (attempt.overdue) {
+            attempt.server.lastFirstTokenDelay = now - attempt.sentAt;
+            attempt.server.slowUntil = now + (now - attempt.sentAt) / SLOW_TIME_DIVISOR;
+            attempt.overdue = false;
+            attempt.server.overdueAttempts--;
         }
     }
 
-    private static long aim(Pending p) {
-        return p.type.aim() + (long) (p.type.aimPerKilotoken() * p.request.promptTokens() / 1000);
+    private static long firstTokenTarget(PendingRequest pending) {
+        return pending.requestClass.aim()
+                + (long) (pending.requestClass.aimPerKilotoken() * pending.request.promptTokens() / 1000);
     }
 
-    private void dispatch(Pending p, long now) {
-        Node n = pick(p, false, now);
-        if (n == null && p.attempts.isEmpty()) {
-            n = firstFree(p, now);
+    private void dispatch(PendingRequest pending, long now) {
+        TrackedServer server = pickServer(pending, false, now);
+        if (server == null && pending.attempts.isEmpty()) {
+            server = firstResponsive(pending, now);
         }
-        if (n != null && slow(p, n, now) && p.attempts.isEmpty() && mayRefuse(p)) {
-            n = worthASpill(p) || roomy(p, now) ? freeReplica(p, now) : null;
-            if (n == null) {
-                giveFinalAnswer(p);
+        if (server != null && isSlow(pending, server, now) && pending.attempts.isEmpty()
+                && mayRefuse(pending)) {
+            server = spillPays(pending) || fewAreSlow(pending, now) ? pickResponsive(pending, now) : null;
+            if (server == null) {
+                giveFinalAnswer(pending);
                 return;
             }
         }
-        if (n != null) {
-            send(p, n, now);
-        } else if (p.attempts.isEmpty() && now < holdUntil(p) && (nodes.isEmpty() || p.pool.ready > 0)) {
-            hold(p, now);
-        } else if (!p.anyOut()) {
-            giveFinalAnswer(p);
+        if (server != null) {
+            send(pending, server, now);
+        } else if (pending.attempts.isEmpty() && now < queueUntil(pending)
+                && (servers.isEmpty() || pending.pool.ready > 0)) {
+            enqueue(pending, now);
+        } else if (!pending.anyInFlight()) {
+            giveFinalAnswer(pending);
         }
     }
 
-    private void send(Pending p, Node n, long now) {
-        p.attempts.add(new Attempt(p, n, now));
-        n.waiting.add(p.attempts.get(p.attempts.size() - 1));
-        if (p.attempts.size() == 1) {
-            tally(p);
-            reviewAt(p, now + aim(p) / OVERDUE_PART);
+    private void send(PendingRequest pending, TrackedServer server, long now) {
+        pending.attempts.add(new Attempt(pending, server, now));
+        server.awaitingFirstToken.add(pending.attempts.get(pending.attempts.size() - 1));
+        if (pending.attempts.size() == 1) {
+            countSent(pending);
+            scheduleReview(pending, now + firstTokenTarget(pending) / OVERDUE_DIVISOR);
             if (settings.limits().mayDuplicate()) {
-                reviewAt(p, now + aim(p) / HEDGE_PART);
+                scheduleReview(pending, now + firstTokenTarget(pending) / HEDGE_DIVISOR);
             }
         }
-        if (p.attempts.size() > 1) {
-            further.add(now);
+        if (pending.attempts.size() > 1) {
+            recentExtraAttempts.add(now);
         }
-        spendColdBudget(n, now);
-        n.load++;
-        n.onTrial = n.ejections > 0;
-        n.pools.forEach(pool -> pool.inFlight++);
-        actions.send(p.request.id(), n.replica.id(), p.deadline - now);
+        spendColdBudget(server, now);
+        server.inFlight++;
+        server.onTrial = server.ejections > 0;
+        server.pools.forEach(pool -> pool.inFlight++);
+        actions.send(pending.request.id(), server.entry.id(), pending.deadline - now);
     }
 
-    /** A key's traffic is what is sent: refused requests fill no replica. */
-    private void tally(Pending p) {
-        p.pool.arrivals++;
-        if (p.request.sharedPrefix() != 0) {
-            Hot h = hot.computeIfAbsent(p.key, k -> new Hot());
-            h.pool = p.pool;
-            h.tally++;
+    /** Counts a sent request as traffic of its key; refused requests load no server. */
+    private void countSent(PendingRequest pending) {
+        pending.pool.arrivals++;
+        if (pending.request.sharedPrefix() != 0) {
+            KeyTraffic traffic = trafficByKey.computeIfAbsent(pending.key, k -> new KeyTraffic());
+            traffic.pool = pending.pool;
+            traffic.requests++;
         } else {
-            unnamed++;
+            unkeyedRequests++;
         }
     }
 
     @Override
-    public void firstToken(long time, long requestId, int attempt) {
-        long now = latest(time);
-        Pending p = open.get(requestId);
-        if (p == null || attempt < 0 || attempt >= p.attempts.size()) {
+    public void firstToken(long time, long requestId, int attemptNumber) {
+        long now = latestTime(time);
+        PendingRequest pending = openRequests.get(requestId);
+        if (pending == null || attemptNumber < 0 || attemptNumber >= pending.attempts.size()) {
             return;
         }
-        Attempt a = p.attempts.get(attempt);
-        a.firstTokenAfter = now - a.sentAt;
-        learnDelay(p, a, now);
-        learnSpeed(firstTime, p, a, now);
-        p.begun = true;
-        firstTokenTally++;
-        a.node.spokeAt = now;
-        a.node.breaks = 0;
-        a.node.onTrial = false;
-        sessions.served(p.request.session(), a.node, now);
-        notOverdue(a, now);
-        cancelOthers(p, attempt);
-        overtake(a, now);
+        Attempt attempt = pending.attempts.get(attemptNumber);
+        attempt.firstTokenDelay = now - attempt.sentAt;
+        learnZoneDelay(pending, attempt, now);
+        learnSpeed(classFirstTokenLatency, pending, attempt, now);
+        pending.answering = true;
+        recentFirstTokens++;
+        attempt.server.lastFirstTokenAt = now;
+        attempt.server.consecutiveResets = 0;
+        attempt.server.onTrial = false;
+        sessions.recordServed(pending.request.session(), attempt.server, now);
+        clearOverdue(attempt, now);
+        cancelOthers(pending, attemptNumber);
+        markOvertaken(attempt, now);
     }
 
     /**
-     * Against answers lost while the replica serves: it reads prompts as they came, so what a later one's
-     * first token overtakes waits in no jam. One batch's come in any order: hence the wait.
+     * Detects answers that were lost while their server works normally. A server prefills prompts in order of
+     * arrival, so an attempt overtaken by a later one's first token is not waiting in a queue. The review is
+     * delayed because first tokens of one batch come in any order.
      */
-    private void overtake(Attempt by, long now) {
-        ArrayDeque<Attempt> waiting = by.node.waiting;
-        waiting.remove(by);
-        while (!waiting.isEmpty() && waiting.peek().sentAt < by.sentAt) {
-            Attempt a = waiting.poll();
-            a.overtaken = true;
-            reviewAt(a.request, now + planEvery * PLANS_PER_AIM / OVERTAKE_PART);
+    private void markOvertaken(Attempt overtaking, long now) {
+        ArrayDeque<Attempt> awaitingFirstToken = overtaking.server.awaitingFirstToken;
+        awaitingFirstToken.remove(overtaking);
+        while (!awaitingFirstToken.isEmpty() && awaitingFirstToken.peek().sentAt < overtaking.sentAt) {
+            Attempt attempt = awaitingFirstToken.poll();
+            attempt.overtaken = true;
+            scheduleReview(attempt.pending, now + planInterval * PLANS_PER_TARGET / OVERTAKE_DIVISOR);
         }
     }
 
-    private void reviewAt(Pending p, long time) {
-        int token = ++nextToken;
-        timers.put(token, p);
+    private void scheduleReview(PendingRequest pending, long time) {
+        int token = ++lastTimerToken;
+        requestTimers.put(token, pending);
         actions.wakeAt(time, token);
     }
 
-    /** What is due for a request whose answer has not begun: its replica may be slow, or its attempt lost. */
-    private void review(Pending p, long now) {
-        boolean more = settings.limits().mayDuplicate() && now >= p.arrivedAt + aim(p) / HEDGE_PART
-                && roomy(p, now);
-        boolean first = !p.judged;
-        p.judged = true;
-        Attempt last = null;
-        for (Attempt a : p.attempts) {
-            if (!a.out || a.firstTokenAfter > 0) {
+    /** Handles a request that has no first token yet: its server may be slow, or its attempt lost. */
+    private void review(PendingRequest pending, long now) {
+        boolean hedge = settings.limits().mayDuplicate()
+                && now >= pending.arrivedAt + firstTokenTarget(pending) / HEDGE_DIVISOR
+                && fewAreSlow(pending, now);
+        boolean firstReview = !pending.reviewed;
+        pending.reviewed = true;
+        Attempt latest = null;
+        for (Attempt attempt : pending.attempts) {
+            if (!attempt.inFlight || attempt.firstTokenDelay > 0) {
                 continue;
             }
-            last = a;
-            if (a.overtaken) {
-                more = true;
-                if (a.overdue) {
-                    a.overdue = false;
-                    a.node.overdue--;
+            latest = attempt;
+            if (attempt.overtaken) {
+                hedge = true;
+                if (attempt.overdue) {
+                    attempt.overdue = false;
+                    attempt.server.overdueAttempts--;
                 }
-            } else if (first) {
-                a.overdue = true;
-                a.node.overdue++;
+            } else if (firstReview) {
+                attempt.overdue = true;
+                attempt.server.overdueAttempts++;
             }
         }
-        if (more && last != null && !p.hedged && inBudget(p, now)
-                && p.attempts.size() < settings.limits().maxAttempts()
-                && (p.type.lateWorth() > 0 || now < p.arrivedAt + aim(p))) {
-            hedge(p, last, now);
+        if (hedge && latest != null && !pending.hedged && withinAttemptBudget(pending, now)
+                && pending.attempts.size() < settings.limits().maxAttempts()
+                && (pending.requestClass.lateWorth() > 0
+                || now < pending.arrivedAt + firstTokenTarget(pending))) {
+            hedge(pending, latest, now);
         }
     }
 
-    /** A second copy, or, where none is allowed, a call to stop the first, whose end is then a retry. */
-    private void hedge(Pending p, Attempt first, long now) {
-        p.hedged = true;
+    /** Sends a hedged attempt or, where that isn't allowed, cancels the first one so that it is retried. */
+    private void hedge(PendingRequest pending, Attempt first, long now) {
+        pending.hedged = true;
         if (settings.limits().mayDuplicate()) {
-            Node n = pick(p, false, now);
-            if (n != null && !slow(p, n, now) && warmth(n, now) >= 1) {
-                send(p, n, now);
+            TrackedServer server = pickServer(pending, false, now);
+            if (server != null && !isSlow(pending, server, now) && capacityShare(server, now) >= 1) {
+                send(pending, server, now);
             }
         } else if (settings.limits().cancelling()) {
-            actions.cancel(p.request.id(), p.attempts.indexOf(first));
+            actions.cancel(pending.request.id(), pending.attempts.indexOf(first));
         }
     }
 
     @Override
-    public void attemptEnded(long time, long requestId, int attempt, Outcome outcome, long took,
+    public void attemptEnded(long time, long requestId, int attemptNumber, Outcome outcome, long took,
             boolean requestOver, long keptTokens, LoadReport report) {
-        long now = latest(time);
-        Pending p = open.get(requestId);
-        if (p == null || attempt < 0 || attempt >= p.attempts.size() || !p.attempts.get(attempt).out) {
+        long now = latestTime(time);
+        PendingRequest pending = openRequests.get(requestId);
+        if (pending == null || attemptNumber < 0 || attemptNumber >= pending.attempts.size()
+                || !pending.attempts.get(attemptNumber).inFlight) {
             return;
         }
-        Attempt a = p.attempts.get(attempt);
-        a.out = false;
-        a.mayHaveRun = !outcome.neverRan();
-        a.node.load--;
-        a.node.waiting.remove(a);
-        a.pools.forEach(pool -> pool.inFlight--);
+        Attempt attempt = pending.attempts.get(attemptNumber);
+        attempt.inFlight = false;
+        attempt.mayHaveRun = !outcome.neverRan();
+        attempt.server.inFlight--;
+        attempt.server.awaitingFirstToken.remove(attempt);
+        attempt.pools.forEach(pool -> pool.inFlight--);
         if (report != null && report.inFlight() >= 0) {
-            a.node.others = Math.max(0, report.inFlight() - a.node.load);
-            a.node.othersUntil = now + patience / REPORT_PART;
-        }
-        // copies answered elsewhere while it said nothing to anyone: a vanished machine refuses nothing
-        boolean silence = outcome == Outcome.CANCELLED && a.firstTokenAfter == 0 && a.overdue
-                && a.node.spokeAt < a.sentAt && roomy(p, now);
-        notOverdue(a, now);
-        judge(a.node, silence ? Outcome.RESET : outcome, now);
+            attempt.server.otherInFlight = Math.max(0, report.inFlight() - attempt.server.inFlight);
+            attempt.server.otherInFlightUntil = now + maxClientTimeout / REPORT_VALIDITY_DIVISOR;
+        }
+        // A vanished machine refuses no connection. If hedged attempts were answered elsewhere while this
+        // server sent nothing to anyone, that counts as a reset.
+        boolean silent = outcome == Outcome.CANCELLED && attempt.firstTokenDelay == 0 && attempt.overdue
+                && attempt.server.lastFirstTokenAt < attempt.sentAt && fewAreSlow(pending, now);
+        clearOverdue(attempt, now);
+        updateEjection(attempt.server, silent ? Outcome.RESET : outcome, now);
         if (outcome == Outcome.TIMEOUT) {
-            learnSpeed(firstTime, p, a, now);
-            learnDelay(p, a, now);
+            learnSpeed(classFirstTokenLatency, pending, attempt, now);
+            learnZoneDelay(pending, attempt, now);
         }
         if (outcome == Outcome.FULL || outcome == Outcome.ERROR) {
-            boolean all = outcome == Outcome.ERROR && report != null
-                    && report.errorsPerSecond() > MOST_ERRORS * report.requestsPerSecond();
-            for (int c = 0; c < a.node.strikes.length; c++) {
-                if (all || c == p.request.requestClass()) {
-                    strike(p.pool, c, a.node, now);
+            boolean allClasses = outcome == Outcome.ERROR && report != null
+                    && report.errorsPerSecond() > MAX_ERROR_SHARE * report.requestsPerSecond();
+            for (int classIndex = 0; classIndex < attempt.server.classFailures.length; classIndex++) {
+                if (allClasses || classIndex == pending.request.requestClass()) {
+                    backOffClass(pending.pool, classIndex, attempt.server, now);
                 }
             }
         } else if (outcome == Outcome.OK) {
-            a.node.strikes[p.request.requestClass()] /= 2;
+            attempt.server.classFailures[pending.request.requestClass()] /= 2;
         }
         if (outcome == Outcome.OK) {
-            learnReadRate(p, a, keptTokens);
-            learnSpeed(classTime, p, a, now);
+            learnPrefillRate(pending, attempt, keptTokens);
+            learnSpeed(classLatency, pending, attempt, now);
         }
-        if (requestOver && !p.over) {
-            p.over = true;
-            cancelOthers(p, attempt);
+        if (requestOver && !pending.finished) {
+            pending.finished = true;
+            cancelOthers(pending, attemptNumber);
         }
-        if (!p.over && !p.anyOut()) {
-            if (mayTryAgain(p, outcome, now)) {
-                dispatch(p, now);
+        if (!pending.finished && !pending.anyInFlight()) {
+            if (mayRetry(pending, outcome, now)) {
+                dispatch(pending, now);
             } else {
-                giveFinalAnswer(p);
+                giveFinalAnswer(pending);
             }
         }
-        forgetIfDone(p);
+        removeIfDone(pending);
     }
 
-    private boolean mayTryAgain(Pending p, Outcome outcome, long now) {
-        return outcome != Outcome.TIMEOUT && now < p.deadline && inBudget(p, now)
-                && p.attempts.size() < settings.limits().maxAttempts();
+    private boolean mayRetry(PendingRequest pending, Outcome outcome, long now) {
+        return outcome != Outcome.TIMEOUT && now < pending.deadline && withinAttemptBudget(pending, now)
+                && pending.attempts.size() < settings.limits().maxAttempts();
     }
 
     /**
-     * The budget of further attempts, exact in every window: an arrival at the very edge no longer counts, an
-     * attempt there still does. What is worth less than the average leaves a part of it.
+     * Whether the attempt budget allows one more extra attempt. It holds exactly in every window: an arrival
+     * at the very edge no longer counts, an attempt there still does. Requests of less than average worth may
+     * use only a part of it.
      */
-    private boolean inBudget(Pending p, long now) {
-        forgetOld(now);
-        double mine = p.worth < averageWorth ? BUDGET_KEPT : 1;
-        return further.size() + 1 <= (budget.free() + budget.ratio() * taken.size()) * mine + ROUNDING;
+    private boolean withinAttemptBudget(PendingRequest pending, long now) {
+        expireBudgetWindow(now);
+        double usableShare = pending.worth < averageWorth ? LOW_WORTH_BUDGET_SHARE : 1;
+        return recentExtraAttempts.size() + 1
+                <= (attemptBudget.free() + attemptBudget.ratio() * recentArrivals.size()) * usableShare
+                + ROUNDING_TOLERANCE;
     }
 
     /**
-     * Outlier ejection, against a dead replica: it refuses connections and breaks streams. One trial at a
-     * time brings it back. Errors are its class's trouble, see {@link #strike}.
+     * Outlier ejection of dead servers, which refuse connections or reset streams. One trial request at a
+     * time decides whether a server returns. Errors are handled per class, see {@link #backOffClass}.
      */
-    private void judge(Node n, Outcome outcome, long now) {
+    private void updateEjection(TrackedServer server, Outcome outcome, long now) {
         if (outcome == Outcome.OK) {
-            n.ejections = 0;
-            n.breaks = 0;
-            n.onTrial = false;
-        } else if (outcome == Outcome.RESET && ++n.breaks < BREAKS && n.ejections == 0) {
-            // one broken connection speaks against that connection: a kept one may have been stale
-            n.onTrial = false;
+            server.ejections = 0;
+            server.consecutiveResets = 0;
+            server.onTrial = false;
+        } else if (outcome == Outcome.RESET && ++server.consecutiveResets < RESETS_TO_EJECT
+                && server.ejections == 0) {
+            // a single reset may only mean that a kept-alive connection was stale
+            server.onTrial = false;
         } else if (outcome == Outcome.CONNECT_FAILED || outcome == Outcome.RESET) {
-            n.onTrial = false;
-            if (now >= n.ejectedUntil && mayEject(n, now)) {
-                n.ejectedUntil = now + (patience / EJECTION_PART << Math.min(n.ejections, MOST_DOUBLINGS));
-                n.ejections++;
+            server.onTrial = false;
+            if (now >= server.ejectedUntil && mayEject(server, now)) {
+                server.ejectedUntil = now + (maxClientTimeout / EJECTION_DIVISOR
+                        << Math.min(server.ejections, MAX_BACKOFF_DOUBLINGS));
+                server.ejections++;
                 planStale = true;
-                actions.log("ejected replica " + n.replica.id() + " after " + outcome + ", trial in "
-                        + (n.ejectedUntil - now) / 1000 + " ms");
+                actions.log("ejected server " + server.entry.id() + " after " + outcome + ", trial in "
+                        + (server.ejectedUntil - now) / 1000 + " ms");
             }
         } else {
-            n.onTrial = false;
+            server.onTrial = false;
         }
     }
 
     /**
-     * A replica's trouble with a class (a limit that answers full though there is room, quick errors, which
-     * keep its count low and draw its neighbours' spill) keeps that class away, each time twice as long. A
-     * passing error could empty a small pool, hence the ceiling that it shares with ejections.
+     * Keeps a class away from a server that has trouble with it, each time twice as long. Such trouble is a
+     * limit that rejects the class though there is capacity, or quick errors, which keep the server's load
+     * low and so attract its neighbours' spill. Ejections and backoffs share one limit, because a transient
+     * error could otherwise empty a small pool.
      */
-    private void strike(Pool pool, int c, Node n, long now) {
-        if (n.restUntil[c] <= now && away(pool, c, now) + 1 <= MOST_EJECTED * pool.ready) {
-            n.restUntil[c] = now + (patience / REST_PART << Math.min(n.strikes[c], MOST_DOUBLINGS));
-            n.strikes[c]++;
+    private void backOffClass(Pool pool, int classIndex, TrackedServer server, long now) {
+        if (server.classBackoffUntil[classIndex] <= now
+                && countAvoided(pool, classIndex, now) + 1 <= MAX_EJECTED_SHARE * pool.ready) {
+            server.classBackoffUntil[classIndex] = now + (maxClientTimeout / CLASS_BACKOFF_DIVISOR
+                    << Math.min(server.classFailures[classIndex], MAX_BACKOFF_DOUBLINGS));
+            server.classFailures[classIndex]++;
         }
     }
 
-    /** How many of a pool's replicas a class is kept away from. */
-    private static long away(Pool pool, int requestClass, long now) {
-        return pool.members.stream().filter(m -> m.ejectedUntil > now || m.restUntil[requestClass] > now)
+    /** Returns how many servers of a pool are ejected or backed off for a class. */
+    private static long countAvoided(Pool pool, int classIndex, long now) {
+        return pool.members.stream()
+                .filter(server -> server.ejectedUntil > now || server.classBackoffUntil[classIndex] > now)
                 .count();
     }
 
-    private void forgetOld(long now) {
-        long edge = now - budget.window();
-        while (!taken.isEmpty() && taken.peek() <= edge) {
-            taken.poll();
+    private void expireBudgetWindow(long now) {
+        long edge = now - attemptBudget.window();
+        while (!recentArrivals.isEmpty() && recentArrivals.peek() <= edge) {
+            recentArrivals.poll();
         }
-        while (!further.isEmpty() && further.peek() < edge) {
-            further.poll();
+        while (!recentExtraAttempts.isEmpty() && recentExtraAttempts.peek() < edge) {
+            recentExtraAttempts.poll();
         }
     }
 
-    /** Never so many of any pool that the rest collapse. */
-    private boolean mayEject(Node n, long now) {
-        for (int c = 0; c < poolOfClass.length; c++) {
-            Pool pool = poolOfClass[c];
-            if (n.pools.contains(pool) && away(pool, c, now) + 1 > MOST_EJECTED * pool.ready) {
+    /** Whether every pool of the server keeps enough servers that the rest don't collapse. */
+    private boolean mayEject(TrackedServer server, long now) {
+        for (int classIndex = 0; classIndex < poolOfClass.length; classIndex++) {
+            Pool pool = poolOfClass[classIndex];
+            if (server.pools.contains(pool)
+                    && countAvoided(pool, classIndex, now) + 1 > MAX_EJECTED_SHARE * pool.ready) {
                 return false;
             }
         }
@@ -1131,96 +1258,102 @@
 
     @Override
     public void requestGone(long now, long requestId) {
-        Pending p = open.get(requestId);
-        if (p != null) {
-            p.over = true;
-            cancelOthers(p, -1);
-            forgetIfDone(p);
+        PendingRequest pending = openRequests.get(requestId);
+        if (pending != null) {
+            pending.finished = true;
+            cancelOthers(pending, -1);
+            removeIfDone(pending);
         }
     }
 
-    private void cancelOthers(Pending p, int kept) {
-        for (int i = 0; i < p.attempts.size(); i++) {
-            if (i != kept && p.attempts.get(i).out && settings.limits().cancelling()) {
-                actions.cancel(p.request.id(), i);
+    private void cancelOthers(PendingRequest pending, int kept) {
+        for (int i = 0; i < pending.attempts.size(); i++) {
+            if (i != kept && pending.attempts.get(i).inFlight && settings.limits().cancelling()) {
+                actions.cancel(pending.request.id(), i);
             }
         }
     }
 
-    private void giveFinalAnswer(Pending p) {
-        p.over = true;
-        if (mayRefuse(p)) {
-            actions.refuse(p.request.id(), comeBackAfter(p));
+    private void giveFinalAnswer(PendingRequest pending) {
+        pending.finished = true;
+        if (mayRefuse(pending)) {
+            actions.refuse(pending.request.id(), retryAfter(pending));
         } else {
-            actions.fail(p.request.id());
+            actions.fail(pending.request.id());
         }
-        cancelOthers(p, -1);
-        forgetIfDone(p);
+        cancelOthers(pending, -1);
+        removeIfDone(pending);
     }
 
-    /** A client that comes back at once meets the same jam; one that comes after its aim has come in vain. */
-    private long comeBackAfter(Pending p) {
-        return Math.min(settings.limits().retryAfterMax(), aim(p) / RETURN_PART);
+    /**
+     * Returns the retry-after advice in microseconds. A client that retries at once meets the same
+     * congestion; after its target, an answer comes too late.
+     */
+    private long retryAfter(PendingRequest pending) {
+        return Math.min(settings.limits().retryAfterMax(), firstTokenTarget(pending) / RETRY_AFTER_DIVISOR);
     }
 
-    private void forgetIfDone(Pending p) {
-        if (p.over && !p.anyOut()) {
-            open.remove(p.request.id());
+    private void removeIfDone(PendingRequest pending) {
+        if (pending.finished && !pending.anyInFlight()) {
+            openRequests.remove(pending.request.id());
         }
     }
 
-    // ---- no effect twice
+    // ---- protection from duplicate execution
 
-    private boolean mayRepeatAt(Pending p, Node n, long now) {
-        if (!settings.limits().mayDuplicate() && p.anyOut()) {
+    private boolean mayRepeatOn(PendingRequest pending, TrackedServer server, long now) {
+        if (!settings.limits().mayDuplicate() && pending.anyInFlight()) {
             return false;
         }
-        Attempt ran = p.firstThatMayHaveRun();
-        if (ran == null || p.type.effect() == Effect.RETRYABLE) {
+        Attempt ran = pending.firstThatMayHaveRun();
+        if (ran == null || pending.requestClass.effect() == Effect.RETRYABLE) {
             return true;
         }
-        // sent over a connection that may have to be made first, it must arrive in its window
+        // it may have to open a connection first, and must still arrive within the dedup window
         long arrives = now + settings.limits().connectTimeout();
-        return p.type.effect() == Effect.DEDUP && arrives < ran.sentAt + p.type.window()
-                && switch (p.type.group()) {
+        return pending.requestClass.effect() == Effect.DEDUP
+                && arrives < ran.sentAt + pending.requestClass.window()
+                && switch (pending.requestClass.group()) {
             case ALL -> true;
-            case ZONE -> ran.node.replica.zone() == n.replica.zone();
-            case CELL -> ran.node.replica.cell() == n.replica.cell();
+            case ZONE -> ran.server.entry.zone() == server.entry.zone();
+            case CELL -> ran.server.entry.cell() == server.entry.cell();
         };
     }
 
-    private boolean mayRefuse(Pending p) {
-        return p.type.effect() == Effect.RETRYABLE || p.firstThatMayHaveRun() == null
-                || p.type.effect() == Effect.DEDUP && p.type.group() == Routing.DedupGroup.ALL;
+    private boolean mayRefuse(PendingRequest pending) {
+        return pending.requestClass.effect() == Effect.RETRYABLE || pending.firstThatMayHaveRun() == null
+                || pending.requestClass.effect() == Effect.DEDUP
+                && pending.requestClass.group() == Routing.DedupGroup.ALL;
     }
 
-    // ---- holding
+    // ---- queue
 
-    private long holdUntil(Pending p) {
-        return p.deadline - p.request.patience() / HOLD_RESERVE;
+    private long queueUntil(PendingRequest pending) {
+        return pending.deadline - pending.request.patience() / QUEUE_RESERVE_DIVISOR;
     }
 
-    private void hold(Pending p, long now) {
-        if (!p.held) {
-            p.held = true;
-            // those answered meanwhile, which only the next list would clear out
-            while (!held.isEmpty() && held.peek().over) {
-                held.poll();
+    private void enqueue(PendingRequest pending, long now) {
+        if (!pending.queued) {
+            pending.queued = true;
+            // drop answered requests, which otherwise stay queued until the next endpoint list
+            while (!queue.isEmpty() && queue.peek().finished) {
+                queue.poll();
             }
-            held.add(p);
+            queue.add(pending);
         }
-        reviewAt(p, Math.min(now + p.request.patience() / HOLD_CHECKS, holdUntil(p)));
+        scheduleReview(pending, Math.min(now + pending.request.patience() / QUEUE_CHECKS,
+                queueUntil(pending)));
     }
 
-    private void retryHeld(long now) {
-        for (int n = held.size(); n > 0; n--) {
-            Pending p = held.poll();
-            if (!p.over && p.attempts.isEmpty()) {
-                Node node = pick(p, false, now);
-                if (node == null) {
-                    held.add(p);
+    private void retryQueued(long now) {
+        for (int remaining = queue.size(); remaining > 0; remaining--) {
+            PendingRequest pending = queue.poll();
+            if (!pending.finished && pending.attempts.isEmpty()) {
+                TrackedServer server = pickServer(pending, false, now);
+                if (server == null) {
+                    queue.add(pending);
                 } else {
-                    send(p, node, now);
+                    send(pending, server, now);
                 }
             }
         }
@@ -1228,28 +1361,28 @@
 
     @Override
     public void woken(long time, int token) {
-        long now = latest(time);
-        if (token == DISCOVERY_TOKEN) {
+        long now = latestTime(time);
+        if (token == DISCOVERY_TIMER) {
             callDiscovery(now);
             return;
         }
-        Pending p = timers.remove(token);
-        if (p == null || p.over) {
+        PendingRequest pending = requestTimers.remove(token);
+        if (pending == null || pending.finished) {
             return;
         }
-        if (p.attempts.isEmpty()) {
-            dispatch(p, now);
-        } else if (!p.begun) {
-            review(p, now);
+        if (pending.attempts.isEmpty()) {
+            dispatch(pending, now);
+        } else if (!pending.answering) {
+            review(pending, now);
         }
     }
 
-    // ---- numbers
+    // ---- time and randomness
 
-    /** A time before the latest one seen is taken for that one: ages and waits are never negative. */
-    long latest(long time) {
-        latest = Math.max(latest, time);
-        return latest;
+    /** Returns the time, or the latest one seen if that is later: ages and waits are never negative. */
+    long latestTime(long time) {
+        latestTime = Math.max(latestTime, time);
+        return latestTime;
     }
 
     private long jittered(long span) {
--- a/src/main/java/umberspread/GenerationRouter.java
+++ b/src/main/java/umberspread/GenerationRouter.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import umberspread.BoundedLoadRouter.Hot;
-import umberspread.BoundedLoadRouter.Node;
+import umberspread.BoundedLoadRouter.KeyTraffic;
+import umberspread.BoundedLoadRouter.TrackedServer;
 import umberspread.BoundedLoadRouter.Pool;
 import umberspread.Routing.ListKind;
 import umberspread.Routing.LoadReport;
@@ -18,26 +18,32 @@
 import umberspread.Routing.Settings;
 
 /**
- * The router of one process among several that are one gateway, one after the other or, for a while, side by
- * side. It decides nothing: it hands a router's memory on and takes one up, and counts what the others have
- * out as load, so that the bound and the cold budgets are those of the gateway and not of each process.
+ * The module of one generation: one process of a router instance, which may run beside another generation
+ * during an upgrade. It makes no decisions itself. It exports and restores the learned state, and counts the
+ * attempts of other generations as load, so that the load bound and the budgets of cold servers apply to the
+ * instance and not to each process.
  */
 public final class GenerationRouter implements Routing.Events {
     private final BoundedLoadRouter router;
     private final Memory memory;
     private final long shift;
-    private final Map<String, Lent> lent = new HashMap<>();
-    private boolean recalled;
+    private final Map<String, OtherAttempt> otherAttempts = new HashMap<>();
+    private boolean restored;
 
-    private record Lent(Node node, List<Pool> pools) {
+    /** An attempt of another generation that is counted as load. */
+    private record OtherAttempt(TrackedServer server, List<Pool> pools) {
     }
 
-    /** A router that knows nothing yet. */
+    /** Creates a module without learned state. */
     public GenerationRouter(Settings settings, long seed, Routing.Actions actions) {
         this(settings, seed, actions, null, 0);
     }
 
-    /** A router that goes on with a memory, whose times are moved by shift. */
+    /**
+     * Creates a module that continues with learned state, once the first endpoint list has arrived.
+     *
+     * @param shift added to the times in memory, in microseconds: this process's clock minus the other's
+     */
     public GenerationRouter(Settings settings, long seed, Routing.Actions actions, Memory memory,
             long shift) {
         this.router = new BoundedLoadRouter(settings, seed, actions);
@@ -45,89 +51,97 @@
         this.shift = shift;
     }
 
-    /** What this router has learnt so far. */
+    /** Returns what this module has learned so far. */
     public Memory memory() {
         return memory(true);
     }
 
-    /** The same; with no keys where they are not wanted, for there may be tens of thousands. */
+    /**
+     * Returns what this module has learned so far.
+     *
+     * @param withKeys whether to include the keys, of which there may be tens of thousands
+     */
     public Memory memory(boolean withKeys) {
         List<Memory.OfReplica> replicas = new ArrayList<>();
-        for (Node n : router.nodes.values()) {
-            replicas.add(new Memory.OfReplica(n.replica.id(), n.points, list(n.restUntil),
-                    Arrays.stream(n.strikes).boxed().toList(), n.ejectedUntil, n.ejections, n.breaks,
-                    n.slowUntil, n.lastDelay, n.coldBudgetAt, n.budgetedStart));
+        for (TrackedServer server : router.servers.values()) {
+            replicas.add(new Memory.OfReplica(server.entry.id(), server.points,
+                    list(server.classBackoffUntil), Arrays.stream(server.classFailures).boxed().toList(),
+                    server.ejectedUntil, server.ejections, server.consecutiveResets, server.slowUntil,
+                    server.lastFirstTokenDelay, server.nextColdSendAt, server.coldBudgetStart));
         }
         List<Memory.OfKey> keys = new ArrayList<>();
         if (withKeys) {
-            router.hot.forEach((key, h) ->
-                    keys.add(new Memory.OfKey(key, h.tally, h.spread, router.pools.indexOf(h.pool))));
+            router.trafficByKey.forEach((key, traffic) ->
+                    keys.add(new Memory.OfKey(key, traffic.requests, traffic.spread,
+                            router.pools.indexOf(traffic.pool))));
         }
-        return new Memory(router.unitWeight, router.averageWorth, router.firstTokenTally, router.readRate,
-                router.unnamed, router.plannedAt,
-                list(router.classTime), router.kindTime, list(router.tenantTally), List.copyOf(router.taken),
-                List.copyOf(router.further), replicas, keys,
-                router.pools.stream().map(p -> p.arrivals).toList());
+        return new Memory(router.referenceWeight, router.averageWorth, router.recentFirstTokens,
+                router.prefillRate, router.unkeyedRequests, router.plannedAt, list(router.classLatency),
+                router.kindLatencyRatio, list(router.tenantRequests), List.copyOf(router.recentArrivals),
+                List.copyOf(router.recentExtraAttempts), replicas, keys,
+                router.pools.stream().map(pool -> pool.arrivals).toList());
     }
 
-    /** Once the replicas are known; what the memory says of others, or of other settings, is dropped. */
-    private void recall(long now) {
-        router.unitWeight = memory.unitWeight();
+    /** Restores the learned state; drops state of unknown servers and of settings that have changed. */
+    private void restore(long now) {
+        router.referenceWeight = memory.unitWeight();
         router.averageWorth = memory.averageWorth();
-        router.firstTokenTally = memory.firstTokenTally();
-        router.readRate = memory.readRate();
-        router.unnamed = memory.unnamed();
+        router.recentFirstTokens = memory.firstTokenTally();
+        router.prefillRate = memory.readRate();
+        router.unkeyedRequests = memory.unnamed();
         router.plannedAt = Math.min(now, memory.plannedAt() + shift);
-        router.kindTime.putAll(memory.kindTime());
-        fill(router.classTime, memory.classTime());
-        fill(router.tenantTally, memory.tenantTally());
-        memory.taken().forEach(t -> router.taken.add(Math.min(now, t + shift)));
-        memory.further().forEach(t -> router.further.add(Math.min(now, t + shift)));
+        router.kindLatencyRatio.putAll(memory.kindTime());
+        copyInto(router.classLatency, memory.classTime());
+        copyInto(router.tenantRequests, memory.tenantTally());
+        memory.taken().forEach(arrival -> router.recentArrivals.add(Math.min(now, arrival + shift)));
+        memory.further().forEach(attempt -> router.recentExtraAttempts.add(Math.min(now, attempt + shift)));
         boolean samePools = memory.poolArrivals().size() == router.pools.size();
         for (int i = 0; samePools && i < router.pools.size(); i++) {
             router.pools.get(i).arrivals = memory.poolArrivals().get(i);
         }
-        for (Memory.OfKey k : memory.keys()) {
-            if (samePools && k.pool() >= 0 && k.pool() < router.pools.size()) {
-                Hot h = router.hot.computeIfAbsent(k.key(), key -> new Hot());
-                h.pool = router.pools.get(k.pool());
-                h.tally = k.tally();
-                h.spread = Math.max(1, k.spread());
+        for (Memory.OfKey learned : memory.keys()) {
+            if (samePools && learned.pool() >= 0 && learned.pool() < router.pools.size()) {
+                KeyTraffic traffic = router.trafficByKey.computeIfAbsent(learned.key(),
+                        key -> new KeyTraffic());
+                traffic.pool = router.pools.get(learned.pool());
+                traffic.requests = learned.tally();
+                traffic.spread = Math.max(1, learned.spread());
             }
         }
-        memory.replicas().forEach(this::recall);
+        memory.replicas().forEach(this::restoreServer);
         router.rebuildRing();
     }
 
-    private void recall(Memory.OfReplica m) {
-        Node n = router.nodes.get(m.id());
-        if (n == null) {
+    private void restoreServer(Memory.OfReplica learned) {
+        TrackedServer server = router.servers.get(learned.id());
+        if (server == null) {
             return;
         }
-        n.points = Math.max(1, m.points());
-        n.ejectedUntil = moved(m.ejectedUntil());
-        n.ejections = m.ejections();
-        n.breaks = m.breaks();
-        n.slowUntil = moved(m.slowUntil());
-        n.lastDelay = m.lastDelay();
-        // A box's start is a time of its own: a box that has started since is a new one to the budget.
-        n.coldBudgetAt = moved(m.coldBudgetAt());
-        n.budgetedStart = m.budgetedStart();
-        if (m.restUntil().size() == n.restUntil.length && m.strikes().size() == n.strikes.length) {
-            for (int c = 0; c < n.restUntil.length; c++) {
-                n.restUntil[c] = moved(m.restUntil().get(c));
-                n.strikes[c] = m.strikes().get(c);
+        server.points = Math.max(1, learned.points());
+        server.ejectedUntil = shifted(learned.ejectedUntil());
+        server.ejections = learned.ejections();
+        server.consecutiveResets = learned.breaks();
+        server.slowUntil = shifted(learned.slowUntil());
+        server.lastFirstTokenDelay = learned.lastDelay();
+        // Not shifted: compared with the listed start time. A server that has restarted gets a new budget.
+        server.nextColdSendAt = shifted(learned.coldBudgetAt());
+        server.coldBudgetStart = learned.budgetedStart();
+        if (learned.restUntil().size() == server.classBackoffUntil.length
+                && learned.strikes().size() == server.classFailures.length) {
+            for (int c = 0; c < server.classBackoffUntil.length; c++) {
+                server.classBackoffUntil[c] = shifted(learned.restUntil().get(c));
+                server.classFailures[c] = learned.strikes().get(c);
             }
         }
     }
 
-    private long moved(long time) {
+    private long shifted(long time) {
         return time == 0 ? 0 : time + shift;
     }
 
-    private static void fill(double[] into, List<Double> from) {
-        for (int i = 0; into.length == from.size() && i < into.length; i++) {
-            into[i] = from.get(i);
+    private static void copyInto(double[] target, List<Double> values) {
+        for (int i = 0; target.length == values.size() && i < target.length; i++) {
+            target[i] = values.get(i);
         }
     }
 
@@ -139,38 +153,38 @@
         return Arrays.stream(values).boxed().toList();
     }
 
-    /** Ejected, and not yet served again: those that no request, or only one for a trial, may go to. */
+    /** Returns the ejected servers, which may be sent no request, or only one as a trial. */
     @Override
     public Set<Long> avoided(long now) {
         Set<Long> avoided = new HashSet<>();
-        for (Node n : router.nodes.values()) {
-            if (n.keptOff(now)) {
-                avoided.add(n.replica.id());
+        for (TrackedServer server : router.servers.values()) {
+            if (server.isAvoided(now)) {
+                avoided.add(server.entry.id());
             }
         }
         return avoided;
     }
 
     @Override
-    public void otherSent(long time, String token, long replicaId) {
-        long now = router.latest(time);
-        Node n = router.nodes.get(replicaId);
-        if (n == null || lent.containsKey(token)) {
+    public void otherSent(long time, String token, long serverId) {
+        long now = router.latestTime(time);
+        TrackedServer server = router.servers.get(serverId);
+        if (server == null || otherAttempts.containsKey(token)) {
             return;
         }
-        lent.put(token, new Lent(n, n.pools));
-        n.load++;
-        n.pools.forEach(pool -> pool.inFlight++);
-        router.inColdBudget(n, now);
-        router.spendColdBudget(n, now);
+        otherAttempts.put(token, new OtherAttempt(server, server.pools));
+        server.inFlight++;
+        server.pools.forEach(pool -> pool.inFlight++);
+        router.withinColdBudget(server, now);
+        router.spendColdBudget(server, now);
     }
 
     @Override
     public void otherEnded(long now, String token) {
-        Lent l = lent.remove(token);
-        if (l != null) {
-            l.node.load--;
-            l.pools.forEach(pool -> pool.inFlight--);
+        OtherAttempt other = otherAttempts.remove(token);
+        if (other != null) {
+            other.server.inFlight--;
+            other.pools.forEach(pool -> pool.inFlight--);
         }
     }
 
@@ -182,9 +196,9 @@
     @Override
     public void listReceived(long now, ListKind kind, List<Replica> entries) {
         router.listReceived(now, kind, entries);
-        if (!recalled && memory != null) {
-            recalled = true;
-            recall(router.latest(now));
+        if (!restored && memory != null) {
+            restored = true;
+            restore(router.latestTime(now));
         }
     }
 
--- a/src/main/java/umberspread/Mixing.java
+++ b/src/main/java/umberspread/Mixing.java
@@ -1,16 +1,16 @@
 package umberspread;
 
-/** Numbers that look drawn and are the same wherever they are computed. */
+/** Deterministic pseudo-random numbers: equal inputs give equal results at every router instance. */
 public final class Mixing {
-    /** Sets the points of replicas apart from the keys of requests. */
+    /** Separates the hashes of servers on the ring from those of request keys. */
     static final long RING_SALT = 0x9e3779b97f4a7c15L;
-    /** Sets the keys that a cold replica takes apart from all else that is made of keys. */
+    /** Separates the choice of the keys that a cold server takes from all other hashes of keys. */
     static final long COLD_SALT = 0xd1b54a32d192ed03L;
 
     private Mixing() {
     }
 
-    /** The finaliser of SplitMix64: every bit of the input moves every bit of the result. */
+    /** The finaliser of SplitMix64: every bit of the input affects every bit of the result. */
     public static long mix(long x) {
         long z = x + RING_SALT;
         z = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
@@ -18,7 +18,7 @@
         return z ^ z >>> 31;
     }
 
-    /** A number from 0 up to 1, and never 1. */
+    /** Hashes to a number that is at least 0 and less than 1. */
     public static double unit(long x) {
         return (mix(x) >>> 11) * 0x1.0p-53;
     }
--- a/src/main/java/umberspread/Routing.java
+++ b/src/main/java/umberspread/Routing.java
@@ -5,43 +5,65 @@
 import java.util.function.LongUnaryOperator;
 
 /**
- * The whole interface of the routing module: what a gateway tells it ({@link Events}), what it asks of
- * the gateway ({@link Actions}), and the values that pass between them.
+ * The complete interface of the routing module: the events that a router delivers to it ({@link Events}),
+ * the actions that it asks of the router ({@link Actions}), and the values that they carry.
  *
- * <p>All times and durations are microseconds on a clock of the gateway's own choosing that never goes
- * back; the module reads no clock. One router serves one gateway and is not thread-safe: deliver events
- * one at a time, in the order in which they happened. Actions are called from inside an event and take
- * effect in the order of the calls; they must not call back into the router. A time before the latest one
- * seen is taken for the latest.
+ * <p>All times and durations are in microseconds, on a monotonic clock chosen by the router; the module
+ * reads no clock itself. One module object serves one router and is not thread-safe: deliver events one at
+ * a time, in the order in which they happened. Actions are called from within an event handler and take
+ * effect in call order; they must not call back into the module. A time earlier than the latest one seen
+ * is treated as the latest.
  */
 public final class Routing {
     private Routing() {
     }
 
-    /** What happens when a request of a class runs twice. */
-    public enum Effect { RETRYABLE, DEDUP, FRAGILE }
+    /** Whether it is safe to run a request of a class more than once. */
+    public enum Effect {
+        /** Safe to run any number of times. */
+        RETRYABLE,
+        /** Safe to repeat within a time window, on servers that recognise and drop duplicates. */
+        DEDUP,
+        /** Must not run twice. */
+        FRAGILE
+    }
 
-    /** Which replicas recognise and drop a repeat of a {@link Effect#DEDUP} request. */
+    /** Which servers recognise and drop a duplicate of a {@link Effect#DEDUP} request. */
     public enum DedupGroup { ALL, ZONE, CELL }
 
-    /** State of a replica on the list. */
+    /** State of a server in the endpoint list. */
     public enum Lifecycle { READY, DRAINING, GONE }
 
-    /** FULL replaces the list, DELTA changes it, CACHED is an old one, FAILED: a call failed. */
-    public enum ListKind { FULL, DELTA, CACHED, FAILED }
+    /** What an endpoint list event carries. */
+    public enum ListKind {
+        /** The complete current list; replaces the known one. */
+        FULL,
+        /** Changes to the known list. */
+        DELTA,
+        /** A complete list from an earlier time; it may be out of date. */
+        CACHED,
+        /** No list: a discovery call failed. */
+        FAILED
+    }
 
-    /** How an attempt ended. */
+    /** How an attempt ended. FULL: the server rejected it for lack of capacity. */
     public enum Outcome {
         OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, NOT_SENT;
 
-        /** Whether this outcome proves that the attempt never ran. */
+        /** Returns whether this outcome proves that the server never ran the attempt. */
         public boolean neverRan() {
             return this == FULL || this == CONNECT_FAILED || this == NOT_SENT;
         }
     }
 
-    /** Where a class may run, at every attempt: the zones and the machine kinds; an empty set means any. */
+    /**
+     * The zones and machine kinds that a class may run on; applies to every attempt.
+     *
+     * @param zones indices of the allowed zones; empty allows any
+     * @param kinds indices of the allowed machine kinds; empty allows any
+     */
     public record Placement(Set<Integer> zones, Set<Integer> kinds) {
+        /** Allows every server. */
         public static final Placement ANYWHERE = new Placement(Set.of(), Set.of());
 
         public Placement {
@@ -51,7 +73,8 @@
             kinds = Set.copyOf(kinds);
         }
 
-        // by hand: what the compiler makes is linked by method handles, a tenth of a router's start
+        // Written by hand: the generated method is linked through method handles at run time, which takes
+        // a tenth of the router's start-up time.
         @Override
         public boolean equals(Object other) {
             return other instanceof Placement p && zones.equals(p.zones) && kinds.equals(p.kinds);
@@ -62,16 +85,24 @@
             return 31 * zones.hashCode() + kinds.hashCode();
         }
 
-        /** Whether a replica of this zone and kind may be sent the class. */
-        public boolean allows(Replica r) {
-            return (zones.isEmpty() || zones.contains(r.zone()))
-                    && (kinds.isEmpty() || kinds.contains(r.kind()));
+        /** Returns whether the class may be sent to this server. */
+        public boolean allows(Replica server) {
+            return (zones.isEmpty() || zones.contains(server.zone()))
+                    && (kinds.isEmpty() || kinds.contains(server.kind()));
         }
     }
 
     /**
-     * A class of requests. An answer whose first token comes within aim + aimPerKilotoken for each 1,000
-     * prompt tokens has its full worth; a later one, lateWorth of it. tokenAim is the aim between tokens.
+     * A class of requests and its latency targets.
+     *
+     * @param window how long after the first attempt a {@link Effect#DEDUP} duplicate is still dropped
+     * @param aim target for the time to the first token, for an empty prompt
+     * @param aimPerKilotoken added to the target for each 1,000 prompt tokens
+     * @param tokenAim target for the time between tokens
+     * @param giveUp the longest time that a client of this class waits
+     * @param worth value of an answer whose first token meets its target
+     * @param lateWorth the share of the worth, 0 to 1, that a later answer still has
+     * @param stream whether answers are streamed
      */
     public record RequestClass(String name, Effect effect, DedupGroup group, long window, long aim,
             long aimPerKilotoken, long tokenAim, long giveUp, double worth, double lateWorth,
@@ -91,7 +122,7 @@
         }
     }
 
-    /** A tenant and the requests a second, over all gateways, that are inside its share. */
+    /** A tenant and its quota of requests per second over all router instances. */
     public record Tenant(String name, double quotaPerSecond) {
         public Tenant {
             require(quotaPerSecond >= 0, "tenant quotaPerSecond");
@@ -99,8 +130,13 @@
     }
 
     /**
-     * Points that behaviour costs. crossZone: for each first try that leaves its zone; handshake: for a new
-     * connection each request; waste: for work that served nobody; lateFailure: for failing past the aim.
+     * What undesirable behaviour costs, in the same unit as a class's worth.
+     *
+     * @param crossZone for each first attempt that leaves the router's zone
+     * @param handshake for each request that opens a new connection
+     * @param probe for each probe of a server
+     * @param waste for work that no client received
+     * @param lateFailure for a request that fails after its target for the first token
      */
     public record Prices(double crossZone, double handshake, double probe, double waste, double lateFailure) {
         public Prices {
@@ -113,10 +149,13 @@
     }
 
     /**
-     * The attempts beyond requests' first (retries, hedges): in any window of this length, a gateway makes at
-     * most free of them plus ratio for each request that it took in the window. NONE: no such contract.
+     * Limit on the attempts beyond each request's first (retries and hedged attempts). In any window, a
+     * router sends at most free of them, plus ratio for each request that it accepted within the window.
+     *
+     * @param window length of the sliding window; 0 when the deployment states no budget
      */
     public record AttemptBudget(double free, double ratio, long window) {
+        /** The deployment states no budget. */
         public static final AttemptBudget NONE = new AttemptBudget(0, 0, 0);
 
         public AttemptBudget {
@@ -128,9 +167,14 @@
     }
 
     /**
-     * What slow start, drains and retries must respect: coldFor is the longest warm-up, coldFrom the least
-     * share of capacity at the start; a cold replica falls over when sent fallMultiple of its capacity for
-     * fallFor.
+     * Constraints of the deployment on slow start, drains and retries.
+     *
+     * @param drainGrace time that a draining server has left to finish its requests
+     * @param coldFor the longest time that a server takes to warm up
+     * @param coldFrom the least share of its full capacity, 0 to 1, that a server has when it starts
+     * @param fallMultiple a cold server fails when sent this multiple of its current capacity for fallFor
+     * @param askWithin the longest time between two discovery calls where the list is pulled
+     * @param attempts limit on retries and hedged attempts
      */
     public record Contract(long drainGrace, long coldFor, double coldFrom, double fallMultiple, long fallFor,
             long askWithin, AttemptBudget attempts) {
@@ -145,7 +189,16 @@
         }
     }
 
-    /** What the deployment allows. retryAfterMax is 0 where clients are given no advice. */
+    /**
+     * What the deployment allows.
+     *
+     * @param maxAttempts attempts of a request, the first included
+     * @param mayDuplicate whether a request may have two attempts in flight at once
+     * @param cancelling whether an attempt may be cancelled
+     * @param probes whether servers may be probed
+     * @param connectTimeout the longest time that opening a server connection may take
+     * @param retryAfterMax the longest retry-after advice to a refused client; 0: give none
+     */
     public record Limits(int maxAttempts, boolean mayDuplicate, boolean cancelling, boolean probes,
             long connectTimeout, long retryAfterMax) {
         public Limits {
@@ -155,7 +208,15 @@
         }
     }
 
-    /** What a gateway knows when it starts. instances counts all gateways that send to the same replicas. */
+    /**
+     * Configuration of a router.
+     *
+     * @param instances number of router instances that send to the same servers
+     * @param ordinal position of this instance among them, from 0
+     * @param zone the router's own zone
+     * @param overShareWorth factor, 0 to 1, on the worth of a request beyond its tenant's quota
+     * @param askForList whether the router has to call discovery for the endpoint list
+     */
     public record Settings(int instances, int ordinal, int zone, List<RequestClass> classes,
             List<Tenant> tenants, double overShareWorth, boolean askForList, Limits limits,
             Contract contract, Prices prices) {
@@ -175,9 +236,12 @@
     }
 
     /**
-     * What the design leaves open: the bound in hundredths of the average load, points of a replica on the
-     * ring
-     * the hash that places points and keys, and whether the bound is rounded by chance and not up.
+     * Parameters of consistent hashing with bounded loads.
+     *
+     * @param loadFactor the bound on a server's load, in percent of the average load
+     * @param virtualPoints ring points of a server of average weight
+     * @param hash places ring points and keys on the ring
+     * @param byChance whether the bound is rounded up or down at random and not always up
      */
     public record Tuning(int loadFactor, int virtualPoints, LongUnaryOperator hash, boolean byChance) {
         public Tuning {
@@ -187,96 +251,125 @@
         }
     }
 
-    /** A line of the list. weight is a size hint without a unit; startedAt is 0 when long ago. */
+    /**
+     * A server in the endpoint list.
+     *
+     * @param kind index of its machine kind
+     * @param cell index of the group of servers within which {@link DedupGroup#CELL} duplicates are dropped
+     * @param weight relative size, without a unit
+     * @param startedAt start time in microseconds; 0 when it is too long ago to matter
+     */
     public record Replica(long id, int zone, int kind, int cell, double weight, Lifecycle lifecycle,
             long startedAt) {
     }
 
     /**
-     * A client's request. session and sharedPrefix are 0 when absent; patience is how long the client still
-     * waits for this try; repeat says that the client marked it as one.
+     * A client's request.
+     *
+     * @param requestClass index into the settings' classes
+     * @param tenant index into the settings' tenants
+     * @param repeat whether the client marked it as a retry of an earlier request
+     * @param session id of the session; 0 when absent
+     * @param sharedPrefix id of the prompt prefix that it shares with other requests; 0 when absent
+     * @param promptTokens length of the whole prompt
+     * @param prefixTokens length of the shared prefix
+     * @param maxTokens limit on the answer's length
+     * @param patience how long the client still waits, in microseconds
      */
     public record Request(long id, int requestClass, int tenant, boolean repeat, long session,
             long sharedPrefix, double promptTokens, double prefixTokens, double maxTokens, long patience) {
     }
 
-    /** What a replica reports of its load; a value is NaN when the deployment does not report it. */
+    /** Load report of a server; a value is NaN when the deployment does not report it. */
     public record LoadReport(double inFlight, double queue, double utilisation, double latencyMillis,
             double requestsPerSecond, double errorsPerSecond, double memoryShare, double unreadKilotokens) {
     }
 
-    /** What a gateway tells the router. */
+    /** The events that a router delivers to the module. */
     public interface Events {
-        /** The gateway is up. Comes once, before all other events. */
+        /** The router has started. Delivered once, before all other events. */
         void started(long now);
 
-        /** A list, a change to it, or the news that a call for it failed. */
+        /** The endpoint list, a change to it, or the failure of a discovery call. */
         void listReceived(long now, ListKind kind, List<Replica> entries);
 
-        /** A request has come in; the router now owes it one final answer. Ids never repeat. */
+        /** A request has arrived; the module owes it exactly one final answer. Ids are never reused. */
         void requestArrived(long now, Request request);
 
-        /** The answer's first token was passed on; deadline and time-out no longer run. */
+        /** The answer's first token was forwarded; the deadline and the attempt's timeout no longer apply. */
         void firstToken(long now, long requestId, int attempt);
 
         /**
-         * An attempt ended after took. requestOver says that the request has had its final answer. keptTokens
-         * is how much of the prompt the replica still held. report may be null. Attempts that this router
-         * never sent, or that have ended before, are ignored.
+         * An attempt has ended. Attempts that the module never sent, or that have already ended, are ignored.
+         *
+         * @param took duration of the attempt in microseconds
+         * @param requestOver whether the request has had its final answer
+         * @param keptTokens prompt tokens that the server found in its prefix cache
+         * @param report the server's load report; may be null
          */
         void attemptEnded(long now, long requestId, int attempt, Outcome outcome, long took,
                 boolean requestOver, long keptTokens, LoadReport report);
 
-        /** The client has left; the request is over and is owed nothing. Unknown ids are ignored. */
+        /** The client has disconnected; the request is over and gets no answer. Unknown ids are ignored. */
         void requestGone(long now, long requestId);
 
-        /** A time asked for by {@link Actions#wakeAt} has come. */
+        /** A timer set by {@link Actions#wakeAt} has fired. */
         void woken(long now, int token);
 
-        /** The listed replicas that the router keeps off for now, though they are ready; changes nothing. */
+        /** Returns the ready servers that the module currently avoids, such as ejected ones. */
         default Set<Long> avoided(long now) {
             return Set.of();
         }
 
         /**
-         * Another process of this gateway has a request out at a replica: it counts as the gateway's own
-         * load. token is the other's name for it, and never that of a request of this one.
+         * Another generation of this instance has an attempt in flight at a server, which counts towards this
+         * instance's load.
+         *
+         * @param token identifies the attempt; never one of this generation's own
          */
-        default void otherSent(long now, String token, long replicaId) {
+        default void otherSent(long now, String token, long serverId) {
         }
 
-        /** What {@link #otherSent} told is over. Unknown tokens are ignored. */
+        /** An attempt announced by {@link #otherSent} has ended. Unknown tokens are ignored. */
         default void otherEnded(long now, String token) {
         }
     }
 
-    /** What the router asks of its gateway. */
+    /** The actions that the module asks of its router. */
     public interface Actions {
-        /** Send an attempt; attempts of a request number from 0. It times out after timeout. */
-        void send(long requestId, long replicaId, long timeout);
+        /**
+         * Sends the request's next attempt to a server. Attempts of a request are numbered from 0.
+         *
+         * @param timeout the attempt times out after so many microseconds
+         */
+        void send(long requestId, long serverId, long timeout);
 
-        /** Stop waiting for an attempt that has not begun to answer. */
+        /** Cancels an attempt that has not begun to answer. */
         void cancel(long requestId, int attempt);
 
-        /** Final answer: turned away, trying again is harmless. retryAfter 0: no advice. */
+        /**
+         * Final answer: refuses the request; a retry by the client is harmless.
+         *
+         * @param retryAfter advice on when to retry, in microseconds from now; 0: none
+         */
         void refuse(long requestId, long retryAfter);
 
-        /** Final answer: failed, with no promise about the effect. */
+        /** Final answer: fails the request, which may or may not have run. */
         void fail(long requestId);
 
-        /** Ask discovery for the list and all changes from now on. One listReceived answers each call. */
+        /** Requests the endpoint list and all later changes; one listReceived event answers each call. */
         void followList();
 
-        /** Ask for {@link Events#woken} with this token at or after this time. */
+        /** Sets a timer: {@link Events#woken} is delivered with this token at or after this time. */
         void wakeAt(long time, int token);
 
-        /** A line for the operator. */
+        /** Writes a line to the operator's log. */
         void log(String line);
     }
 
     private static void require(boolean holds, String field) {
         if (!holds) {
-            throw new IllegalArgumentException("impossible setting: " + field);
+            throw new IllegalArgumentException("invalid setting: " + field);
         }
     }
 }
--- a/src/main/java/umberspread/Sessions.java
+++ b/src/main/java/umberspread/Sessions.java
@@ -3,45 +3,49 @@
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import umberspread.BoundedLoadRouter.Node;
+import umberspread.BoundedLoadRouter.TrackedServer;
 
 /**
- * Which replica served each session last at this gateway, for it keeps the session's history: after a spill
- * that is not the one which the ring picks. Holds so many sessions at most, the latest ones.
+ * Remembers which server served each session last, because its prefix cache holds the session's history.
+ * After a spill, that is not the server that the ring picks. The size is bounded: the least recently served
+ * sessions are evicted.
  */
 final class Sessions {
-    private static final int MOST = 20_000;
+    private static final int MAX_SESSIONS = 20_000;
 
-    private record Place(Node node, long at) {
+    /** The server that served a session last, and when. */
+    private record LastServed(TrackedServer server, long at) {
     }
 
-    private final Map<Long, Place> latestLast = new LinkedHashMap<>();
+    /** In order of time, the earliest first. */
+    private final Map<Long, LastServed> byLastServed = new LinkedHashMap<>();
 
-    void served(long session, Node node, long now) {
+    /** Records that the server has served the session now; session 0 means none. */
+    void recordServed(long session, TrackedServer server, long now) {
         if (session != 0) {
-            latestLast.remove(session);
-            latestLast.put(session, new Place(node, now));
-            if (latestLast.size() > MOST) {
-                forgetFirst();
+            byLastServed.remove(session);
+            byLastServed.put(session, new LastServed(server, now));
+            if (byLastServed.size() > MAX_SESSIONS) {
+                removeEarliest();
             }
         }
     }
 
-    /** The replica that served the session last; null if none is known. */
-    Node last(long session) {
-        Place place = latestLast.get(session);
-        return place == null ? null : place.node;
+    /** Returns the server that served the session last; null if none is known. */
+    TrackedServer lastServer(long session) {
+        LastServed last = byLastServed.get(session);
+        return last == null ? null : last.server;
     }
 
-    /** Forgets the sessions that were served before then. */
-    void forget(long before) {
-        while (!latestLast.isEmpty() && latestLast.values().iterator().next().at < before) {
-            forgetFirst();
+    /** Removes the sessions that were last served before this time. */
+    void forgetBefore(long time) {
+        while (!byLastServed.isEmpty() && byLastServed.values().iterator().next().at < time) {
+            removeEarliest();
         }
     }
 
-    private void forgetFirst() {
-        Iterator<Place> first = latestLast.values().iterator();
+    private void removeEarliest() {
+        Iterator<LastServed> first = byLastServed.values().iterator();
         first.next();
         first.remove();
     }
--- a/src/test/java/umberspread/BoundedLoadRouterTest.java
+++ b/src/test/java/umberspread/BoundedLoadRouterTest.java
@@ -982,19 +982,19 @@
     @Test
     void sessionsAreForgottenAndNeverTooMany() {
         Sessions sessions = new Sessions();
-        BoundedLoadRouter.Node node = new BoundedLoadRouter.Node(
+        BoundedLoadRouter.TrackedServer server = new BoundedLoadRouter.TrackedServer(
                 Fixture.replica(1, 0, 0, Lifecycle.READY, 0), 1, 1);
         for (long s = 0; s <= 20_001; s++) {
-            sessions.served(s, node, s);
+            sessions.recordServed(s, server, s);
         }
-        assertEquals(null, sessions.last(0));
-        assertEquals(null, sessions.last(1));
-        assertEquals(node, sessions.last(2));
-        sessions.served(2, node, 30_000);
-        sessions.forget(20_001);
-        assertEquals(null, sessions.last(20_000));
-        assertEquals(node, sessions.last(20_001));
-        assertEquals(node, sessions.last(2));
+        assertEquals(null, sessions.lastServer(0));
+        assertEquals(null, sessions.lastServer(1));
+        assertEquals(server, sessions.lastServer(2));
+        sessions.recordServed(2, server, 30_000);
+        sessions.forgetBefore(20_001);
+        assertEquals(null, sessions.lastServer(20_000));
+        assertEquals(server, sessions.lastServer(20_001));
+        assertEquals(server, sessions.lastServer(2));
     }
 
     @Test
@@ -1055,7 +1055,7 @@
             f.serve(id, 1);
             f.end(id, 0, Outcome.CANCELLED, true);
         }
-        assertTrue(f.all.stream().anyMatch(line -> line.startsWith("log ejected replica " + silent)));
+        assertTrue(f.all.stream().anyMatch(line -> line.startsWith("log ejected server " + silent)));
         f.pass(SECOND / 2);
         assertFalse(f.reached(0, silent));
     }
