--- a/src/main/java/umberspread/BoundedLoadRouter.java
+++ b/src/main/java/umberspread/BoundedLoadRouter.java
@@ -144,7 +144,7 @@
     private static final int OVERTAKE_DIVISOR = 10;
     /** A request is hedged, where that is allowed, after its first-token target divided by this. */
     private static final int HEDGE_DIVISOR = 2;
-    /** A refused client is advised to retry after its target divided by this; one more attempt then fits in. */
+    /** A refused client is advised to retry after its target divided by this: one more attempt fits in. */
     private static final int RETRY_AFTER_DIVISOR = 8;
     /** Tolerance for floating-point rounding when a count is compared with a sum of fractions. */
     private static final double ROUNDING_TOLERANCE = 1e-9;
@@ -900,8 +900,8 @@
 
     private long coldSendInterval(TrackedServer server, long now) {
         double meterTime = RATE_WINDOW_TARGETS * planInterval * PLANS_PER_TARGET;
-        double perReplica = recentFirstTokens / meterTime / Math.max(1, unrestrictedPool.ready);
-        double rate = perReplica * capacityShare(server, now) * settings.contract().fallMultiple()
+        double perServer = recentFirstTokens / meterTime / Math.max(1, unrestrictedPool.ready);
+        double rate = perServer * capacityShare(server, now) * settings.contract().fallMultiple()
                 * COLD_MARGIN;
         return (long) Math.min(1 / rate, settings.contract().coldFor());
     }
--- a/src/main/java/umberspread/adapter/Host.java
+++ b/src/main/java/umberspread/adapter/Host.java
@@ -8,10 +8,13 @@
 import umberspread.BoundedLoadRouter;
 import umberspread.Routing;
 
-/** Hosts many gateways' routers and translates between the wire and {@link Routing}. */
+/**
+ * Hosts the routing modules of many simulated gateways and translates between the simulator's wire format and
+ * {@link Routing}.
+ */
 final class Host {
-    private static final int ENTRY_BYTES = 21;
-    private static final double MICROS = 1e6;
+    private static final int SERVER_BYTES = 21;
+    private static final double MICROS_PER_SECOND = 1e6;
     private static final Routing.Outcome[] OUTCOMES = {Routing.Outcome.ERROR, Routing.Outcome.OK,
         Routing.Outcome.FULL, Routing.Outcome.TIMEOUT, Routing.Outcome.CONNECT_FAILED, Routing.Outcome.RESET,
         Routing.Outcome.CANCELLED, Routing.Outcome.NOT_SENT};
@@ -23,36 +26,35 @@
     private final Map<Integer, Gateway> gateways = new HashMap<>();
     private final Reply reply;
     private final PrintStream err;
-
-    private final Main.Maker maker;
+    private final Main.Maker routerFactory;
 
     Host(Reply reply, PrintStream err) {
         this(reply, err, BoundedLoadRouter::new);
     }
 
-    Host(Reply reply, PrintStream err, Main.Maker maker) {
+    Host(Reply reply, PrintStream err, Main.Maker routerFactory) {
         this.reply = reply;
         this.err = err;
-        this.maker = maker;
+        this.routerFactory = routerFactory;
     }
 
-    /** One gateway: its router, and the router's actions on the wire. */
+    /** One simulated gateway: its routing module, whose actions it writes to the reply. */
     private static final class Gateway implements Routing.Actions {
         private final int number;
         private final Reply reply;
         private final List<String> reportNames;
         private final Routing.Events router;
 
-        Gateway(int number, SettingsParser.Parsed parsed, long seed, Reply reply, Main.Maker maker) {
+        Gateway(int number, SettingsParser.Parsed parsed, long seed, Reply reply, Main.Maker routerFactory) {
             this.number = number;
             this.reply = reply;
             this.reportNames = parsed.reportNames();
-            this.router = maker.make(parsed.settings(), seed, this);
+            this.router = routerFactory.make(parsed.settings(), seed, this);
         }
 
         @Override
-        public void send(long requestId, long replicaId, long timeout) {
-            reply.dispatch(number, requestId, replicaId, timeout / MICROS);
+        public void send(long requestId, long serverId, long timeout) {
+            reply.dispatch(number, requestId, serverId, timeout / MICROS_PER_SECOND);
         }
 
         @Override
@@ -62,7 +64,7 @@
 
         @Override
         public void refuse(long requestId, long retryAfter) {
-            reply.busy(number, requestId, retryAfter / MICROS);
+            reply.busy(number, requestId, retryAfter / MICROS_PER_SECOND);
         }
 
         @Override
@@ -77,7 +79,7 @@
 
         @Override
         public void wakeAt(long time, int token) {
-            reply.wakeAt(number, time / MICROS, token);
+            reply.wakeAt(number, time / MICROS_PER_SECOND, token);
         }
 
         @Override
@@ -86,7 +88,7 @@
         }
     }
 
-    /** Handles one batch; the actions are then in the reply. */
+    /** Delivers the events of one batch; the resulting actions are added to the reply. */
     void handle(Frame frame) throws WireException {
         long now = micros(frame.clock);
         for (int i = 0; i < frame.records; i++) {
@@ -97,38 +99,38 @@
                 err.println("event " + code + " for gateway " + number + ", which is not up, ignored");
             }
             switch (code) {
-                case 0 -> note(frame);
-                case 1 -> view(frame, now, gateway);
+                case 0 -> skipNote(frame);
+                case 1 -> endpointList(frame, now, gateway);
                 case 2 -> firstToken(frame, now, gateway);
                 case 3 -> {
                     long request = frame.u64();
-                    deliver(gateway, g -> g.requestGone(now, request));
+                    deliver(gateway, router -> router.requestGone(now, request));
                 }
-                case 4 -> echo(frame);
+                case 4 -> skipProbeResult(frame);
                 case 5 -> {
                     int token = (int) frame.u32();
-                    deliver(gateway, g -> g.woken(now, token));
+                    deliver(gateway, router -> router.woken(now, token));
                 }
-                case 6 -> finished(frame, now, gateway);
-                case 7 -> arrival(frame, now, gateway);
+                case 6 -> attemptEnded(frame, now, gateway);
+                case 7 -> requestArrived(frame, now, gateway);
                 case 8 -> gateways.remove(number);
                 case 9 -> init(frame, now, number);
-                default -> throw frame.bad("unknown event code " + code);
+                default -> throw frame.invalid("unknown event code " + code);
             }
         }
-        frame.end();
+        frame.requireEnd();
     }
 
-    private interface Call {
-        void on(Routing.Events router);
+    private interface Delivery {
+        void to(Routing.Events router);
     }
 
-    private void deliver(Gateway gateway, Call call) {
+    private void deliver(Gateway gateway, Delivery delivery) {
         if (gateway == null) {
             return;
         }
         try {
-            call.on(gateway.router);
+            delivery.to(gateway.router);
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
             String line = e + (trace.length > 0 ? " at " + trace[0] : "");
@@ -142,40 +144,40 @@
         byte[] text = frame.bytes(frame.u32());
         Gateway gateway;
         try {
-            gateway = new Gateway(number, SettingsParser.parse(text), seed, reply, maker);
+            gateway = new Gateway(number, SettingsParser.parse(text), seed, reply, routerFactory);
         } catch (WireException e) {
-            throw frame.bad(e.getMessage());
+            throw frame.invalid(e.getMessage());
         }
         gateways.put(number, gateway);
-        deliver(gateway, g -> g.started(now));
+        deliver(gateway, router -> router.started(now));
     }
 
-    private void view(Frame frame, long now, Gateway gateway) throws WireException {
+    private void endpointList(Frame frame, long now, Gateway gateway) throws WireException {
         frame.u64();
         int code = frame.u8();
-        Routing.ListKind kind = code < LIST_KINDS.length ? LIST_KINDS[code] : null;
-        if (kind == null) {
-            throw frame.bad("unknown list kind " + code);
+        Routing.ListKind listKind = code < LIST_KINDS.length ? LIST_KINDS[code] : null;
+        if (listKind == null) {
+            throw frame.invalid("unknown list kind " + code);
         }
-        int n = frame.count(frame.u32(), ENTRY_BYTES);
-        List<Routing.Replica> entries = new ArrayList<>(n);
-        for (int i = 0; i < n; i++) {
+        int count = frame.count(frame.u32(), SERVER_BYTES);
+        List<Routing.Replica> entries = new ArrayList<>(count);
+        for (int i = 0; i < count; i++) {
             int cell = frame.u16();
-            int shape = frame.u8();
+            int kind = frame.u8();
             int state = frame.u8();
             if (state >= LIFECYCLES.length) {
-                throw frame.bad("unknown lifecycle " + state);
+                throw frame.invalid("unknown lifecycle " + state);
             }
             double weight = frame.f32();
             int zone = frame.u8();
             long started = micros(frame.f64());
-            entries.add(new Routing.Replica(frame.u32(), zone, shape, cell, weight, LIFECYCLES[state],
+            entries.add(new Routing.Replica(frame.u32(), zone, kind, cell, weight, LIFECYCLES[state],
                     started));
         }
-        deliver(gateway, g -> g.listReceived(now, kind, entries));
+        deliver(gateway, router -> router.listReceived(now, listKind, entries));
     }
 
-    private void arrival(Frame frame, long now, Gateway gateway) throws WireException {
+    private void requestArrived(Frame frame, long now, Gateway gateway) throws WireException {
         long id = frame.u64();
         int tenant = (int) frame.u32();
         int flags = frame.u16();
@@ -189,7 +191,7 @@
         long prefix = frame.u64();
         Routing.Request request = new Routing.Request(id, requestClass, tenant, (flags & 2) != 0, session,
                 prefix, promptTokens, prefixTokens, maxTokens, patience);
-        deliver(gateway, g -> g.requestArrived(now, request));
+        deliver(gateway, router -> router.requestArrived(now, request));
     }
 
     private void firstToken(Frame frame, long now, Gateway gateway) throws WireException {
@@ -197,30 +199,31 @@
         int attempt = frame.u16();
         frame.u32();
         frame.f64();
-        deliver(gateway, g -> g.firstToken(now, request, attempt));
+        deliver(gateway, router -> router.firstToken(now, request, attempt));
     }
 
-    private void finished(Frame frame, long now, Gateway gateway) throws WireException {
+    private void attemptEnded(Frame frame, long now, Gateway gateway) throws WireException {
         long request = frame.u64();
         int attempt = frame.u16();
         frame.u32();
         Routing.Outcome outcome = outcome(frame);
         long took = micros(frame.f64());
-        boolean over = frame.u8() != 0;
-        long kept = frame.u32();
+        boolean requestOver = frame.u8() != 0;
+        long keptTokens = frame.u32();
         Routing.LoadReport report = report(frame, gateway);
-        deliver(gateway, g -> g.attemptEnded(now, request, attempt, outcome, took, over, kept, report));
+        deliver(gateway, router -> router.attemptEnded(now, request, attempt, outcome, took, requestOver,
+                keptTokens, report));
     }
 
-    /** The router never probes; the record is read and dropped. */
-    private static void echo(Frame frame) throws WireException {
+    /** Reads and drops a probe result: the module never sends probes. */
+    private static void skipProbeResult(Frame frame) throws WireException {
         frame.u32();
         outcome(frame);
         frame.f64();
         frame.bytes(4L * frame.u8());
     }
 
-    private static void note(Frame frame) throws WireException {
+    private static void skipNote(Frame frame) throws WireException {
         frame.u32();
         frame.bytes(frame.u16());
     }
@@ -228,32 +231,32 @@
     private static Routing.Outcome outcome(Frame frame) throws WireException {
         int code = frame.u16();
         if (code >= OUTCOMES.length) {
-            throw frame.bad("unknown outcome code " + code);
+            throw frame.invalid("unknown outcome code " + code);
         }
         return OUTCOMES[code];
     }
 
     private static Routing.LoadReport report(Frame frame, Gateway gateway) throws WireException {
-        int n = frame.count(frame.u8(), 4);
-        double[] v = new double[n];
-        for (int i = 0; i < n; i++) {
-            v[i] = frame.f32();
+        int count = frame.count(frame.u8(), 4);
+        double[] values = new double[count];
+        for (int i = 0; i < count; i++) {
+            values[i] = frame.f32();
         }
-        if (n == 0 || gateway == null) {
+        if (count == 0 || gateway == null) {
             return null;
         }
         List<String> names = gateway.reportNames;
-        return new Routing.LoadReport(value(names, v, "inflight"), value(names, v, "queue"),
-                value(names, v, "util"), value(names, v, "latency_ms"), value(names, v, "qps"),
-                value(names, v, "eps"), value(names, v, "x0"), value(names, v, "x1"));
+        return new Routing.LoadReport(value(names, values, "inflight"), value(names, values, "queue"),
+                value(names, values, "util"), value(names, values, "latency_ms"), value(names, values, "qps"),
+                value(names, values, "eps"), value(names, values, "x0"), value(names, values, "x1"));
     }
 
     private static double value(List<String> names, double[] values, String name) {
-        int i = names.indexOf(name);
-        return i >= 0 && i < values.length ? values[i] : Double.NaN;
+        int index = names.indexOf(name);
+        return index >= 0 && index < values.length ? values[index] : Double.NaN;
     }
 
     private static long micros(double seconds) {
-        return Math.round(seconds * MICROS);
+        return Math.round(seconds * MICROS_PER_SECOND);
     }
 }
--- a/src/main/java/umberspread/adapter/Main.java
+++ b/src/main/java/umberspread/adapter/Main.java
@@ -8,17 +8,17 @@
 import umberspread.BoundedLoadRouter;
 import umberspread.Routing;
 
-/** The command line: {@code adapter} hosts gateways on the simulator's wire. */
+/** The command line: {@code adapter} serves the simulator's wire protocol on standard input and output. */
 public final class Main {
-    private static final int USAGE = 2;
-    private static final int BUFFER = 1 << 16;
+    private static final int USAGE_ERROR = 2;
+    private static final int BUFFER_BYTES = 1 << 16;
 
     private Main() {
     }
 
-    /** Makes the router of one gateway. */
+    /** Creates the routing module of one gateway. */
     public interface Maker {
-        /** A router for these settings, with this seed, that asks this of its gateway. */
+        /** Creates a module with these settings and seed; it calls the actions of its gateway. */
         Routing.Events make(Routing.Settings settings, long seed, Routing.Actions actions);
     }
 
@@ -30,19 +30,21 @@
     static int run(String[] args, InputStream in, OutputStream out, PrintStream err) {
         if (args.length != 1 || !args[0].equals("adapter")) {
             err.println("usage: java -jar umberspread.jar adapter");
-            return USAGE;
+            return USAGE_ERROR;
         }
         return serve(in, out, err, BoundedLoadRouter::new);
     }
 
     /**
-     * Answers rounds until the input ends, with routers of this maker; 0, or 1 where a round can't be read.
+     * Answers batches of events until the input ends.
+     *
+     * @return the exit status: 0, or 1 if a batch can't be read or answered
      */
-    public static int serve(InputStream in, OutputStream out, PrintStream err, Maker maker) {
+    public static int serve(InputStream in, OutputStream out, PrintStream err, Maker routerFactory) {
         try {
-            InputStream buffered = new BufferedInputStream(in, BUFFER);
+            InputStream buffered = new BufferedInputStream(in, BUFFER_BYTES);
             Reply reply = new Reply();
-            Host host = new Host(reply, err, maker);
+            Host host = new Host(reply, err, routerFactory);
             for (Frame frame = Frame.read(buffered); frame != null; frame = Frame.read(buffered)) {
                 host.handle(frame);
                 reply.writeTo(out);
--- a/src/main/java/umberspread/adapter/SettingsParser.java
+++ b/src/main/java/umberspread/adapter/SettingsParser.java
@@ -10,9 +10,9 @@
 import java.util.Set;
 import umberspread.Routing;
 
-/** Reads the path=value lines that a gateway is handed at its start. */
+/** Parses the path=value lines that configure a gateway at its start. */
 final class SettingsParser {
-    private static final double MICROS = 1e6;
+    private static final double MICROS_PER_SECOND = 1e6;
 
     private final Map<String, String> values = new HashMap<>();
 
@@ -25,23 +25,24 @@
             if (trimmed.isEmpty()) {
                 continue;
             }
-            int eq = trimmed.indexOf('=');
-            if (eq <= 0) {
+            int equalsAt = trimmed.indexOf('=');
+            if (equalsAt <= 0) {
                 throw new WireException("settings line " + line + " is not path=value: "
-                        + shortened(trimmed));
+                        + truncated(trimmed));
             }
-            values.put(trimmed.substring(0, eq), trimmed.substring(eq + 1));
+            values.put(trimmed.substring(0, equalsAt), trimmed.substring(equalsAt + 1));
         }
     }
 
-    /** What the adapter needs to know: the router's settings and the order of load report values. */
+    /** The module's settings, and the names of the load report values in their wire order. */
     record Parsed(Routing.Settings settings, List<String> reportNames) {
     }
 
+    /** Parses UTF-8 settings; the exception names the line or setting that is invalid. */
     static Parsed parse(byte[] text) throws WireException {
-        SettingsParser p = new SettingsParser(text);
+        SettingsParser parser = new SettingsParser(text);
         try {
-            return new Parsed(p.settings(), p.list("report.names"));
+            return new Parsed(parser.settings(), parser.list("report.names"));
         } catch (IllegalArgumentException e) {
             throw new WireException(e.getMessage());
         }
@@ -49,64 +50,67 @@
 
     private Routing.Settings settings() throws WireException {
         List<Routing.RequestClass> classes = new ArrayList<>();
-        int n = whole("classes.count");
-        for (int i = 0; i < n; i++) {
-            String at = "classes." + i + ".";
-            classes.add(new Routing.RequestClass(text(at + "name"),
-                    named(Routing.Effect.class, at + "effect", "retryable"),
-                    named(Routing.DedupGroup.class, at + "group", "all"), time(at + "window", 0.0),
-                    time(at + "aim", null), item("domain.aim_us_per_1000_prompt_tokens", i, 1.0),
-                    item("domain.token_aim", i, MICROS), time(at + "give_up", null),
-                    number(at + "worth", 1.0), number(at + "late_worth", 0.0), flag(at + "stream", false),
-                    new Routing.Placement(indices(at + "confined_to", "zones"),
-                            indices(at + "runs_on", "shapes"))));
+        int classCount = integer("classes.count");
+        for (int i = 0; i < classCount; i++) {
+            String prefix = "classes." + i + ".";
+            classes.add(new Routing.RequestClass(string(prefix + "name"),
+                    enumValue(Routing.Effect.class, prefix + "effect", "retryable"),
+                    enumValue(Routing.DedupGroup.class, prefix + "group", "all"),
+                    micros(prefix + "window", 0.0), micros(prefix + "aim", null),
+                    listItem("domain.aim_us_per_1000_prompt_tokens", i, 1.0),
+                    listItem("domain.token_aim", i, MICROS_PER_SECOND), micros(prefix + "give_up", null),
+                    number(prefix + "worth", 1.0), number(prefix + "late_worth", 0.0),
+                    flag(prefix + "stream", false),
+                    new Routing.Placement(indices(prefix + "confined_to", "zones"),
+                            indices(prefix + "runs_on", "shapes"))));
         }
         List<Routing.Tenant> tenants = new ArrayList<>();
-        int m = values.containsKey("orgs.count") ? whole("orgs.count") : 0;
-        for (int i = 0; i < m; i++) {
-            String at = "orgs." + i + ".";
-            tenants.add(new Routing.Tenant(text(at + "name"), number(at + "quota_rps", null)));
+        int tenantCount = values.containsKey("orgs.count") ? integer("orgs.count") : 0;
+        for (int i = 0; i < tenantCount; i++) {
+            String prefix = "orgs." + i + ".";
+            tenants.add(new Routing.Tenant(string(prefix + "name"), number(prefix + "quota_rps", null)));
         }
-        Routing.Limits limits = new Routing.Limits(whole("limits.max_attempts"),
+        Routing.Limits limits = new Routing.Limits(integer("limits.max_attempts"),
                 flag("limits.may_duplicate", false), flag("limits.cancelling", false),
-                flag("limits.probes", false), time("limits.connect_timeout", 0.0),
-                flag("limits.retry_after", false) ? time("limits.max_retry_after", 0.0) : 0);
-        Routing.Contract contract = new Routing.Contract(time("contract.drain_grace", null),
-                time("contract.cold", null), number("contract.cold_from", null),
-                number("contract.fall_multiple", null), time("contract.fall", null),
-                time("contract.ask_within", 10.0), budget());
+                flag("limits.probes", false), micros("limits.connect_timeout", 0.0),
+                flag("limits.retry_after", false) ? micros("limits.max_retry_after", 0.0) : 0);
+        Routing.Contract contract = new Routing.Contract(micros("contract.drain_grace", null),
+                micros("contract.cold", null), number("contract.cold_from", null),
+                number("contract.fall_multiple", null), micros("contract.fall", null),
+                micros("contract.ask_within", 10.0), budget());
         Routing.Prices prices = new Routing.Prices(number("costs.cross_zone", 0.0),
                 number("costs.handshake", 0.0), number("costs.probe", 0.0), number("costs.waste", 0.0),
                 number("costs.late_fail", 0.0));
-        return new Routing.Settings(whole("instances"), whole("ordinal"), whole("zone"), classes, tenants,
-                number("over_share_worth", 1.0), "ask".equals(text("discovery")), limits, contract, prices);
+        return new Routing.Settings(integer("instances"), integer("ordinal"), integer("zone"), classes,
+                tenants, number("over_share_worth", 1.0), "ask".equals(string("discovery")),
+                limits, contract, prices);
     }
 
-    /** All three settings or none. */
+    /** Returns the attempt budget; either all three of its settings are given or none. */
     private Routing.AttemptBudget budget() throws WireException {
         if (!values.containsKey("contract.free_resends") && !values.containsKey("contract.further_ratio")
                 && !values.containsKey("contract.look_back")) {
             return Routing.AttemptBudget.NONE;
         }
         return new Routing.AttemptBudget(number("contract.free_resends", null),
-                number("contract.further_ratio", null), time("contract.look_back", null));
+                number("contract.further_ratio", null), micros("contract.look_back", null));
     }
 
-    /** Places in the list of names that another setting holds. */
+    /** Returns a list of indices into the list that another setting holds. */
     private Set<Integer> indices(String key, String namesKey) throws WireException {
-        Set<Integer> all = new HashSet<>();
+        Set<Integer> indices = new HashSet<>();
         for (String item : list(key)) {
-            double d = parsed(key, item);
-            if (d != Math.rint(d) || d < 0 || d >= list(namesKey).size()) {
+            double number = parseNumber(key, item);
+            if (number != Math.rint(number) || number < 0 || number >= list(namesKey).size()) {
                 throw new WireException("setting " + key + " names none of " + namesKey + ": "
-                        + shortened(item));
+                        + truncated(item));
             }
-            all.add((int) d);
+            indices.add((int) number);
         }
-        return all;
+        return indices;
     }
 
-    private String text(String key) throws WireException {
+    private String string(String key) throws WireException {
         String value = values.get(key);
         if (value == null) {
             throw new WireException("setting " + key + " is missing");
@@ -119,63 +123,64 @@
         return value.isEmpty() ? List.of() : List.of(value.split(","));
     }
 
-    private double number(String key, Double ifAbsent) throws WireException {
-        if (ifAbsent != null && !values.containsKey(key)) {
-            return ifAbsent;
+    private double number(String key, Double defaultValue) throws WireException {
+        if (defaultValue != null && !values.containsKey(key)) {
+            return defaultValue;
         }
-        return parsed(key, text(key));
+        return parseNumber(key, string(key));
     }
 
-    private double parsed(String key, String value) throws WireException {
+    private double parseNumber(String key, String value) throws WireException {
         try {
-            double d = Double.parseDouble(value);
-            if (Double.isFinite(d)) {
-                return d;
+            double number = Double.parseDouble(value);
+            if (Double.isFinite(number)) {
+                return number;
             }
         } catch (NumberFormatException e) {
-            // falls through to the one message for all unreadable numbers
+            // falls through to the exception for all invalid numbers
         }
-        throw new WireException("setting " + key + " is not a number: " + shortened(value));
+        throw new WireException("setting " + key + " is not a number: " + truncated(value));
     }
 
-    private long time(String key, Double ifAbsent) throws WireException {
-        return Math.round(number(key, ifAbsent) * MICROS);
+    private long micros(String key, Double defaultValue) throws WireException {
+        return Math.round(number(key, defaultValue) * MICROS_PER_SECOND);
     }
 
-    private int whole(String key) throws WireException {
-        double d = number(key, null);
-        if (d != Math.rint(d) || d < 0 || d > Integer.MAX_VALUE) {
-            throw new WireException("setting " + key + " is not a whole number: " + shortened(text(key)));
+    private int integer(String key) throws WireException {
+        double number = number(key, null);
+        if (number != Math.rint(number) || number < 0 || number > Integer.MAX_VALUE) {
+            throw new WireException("setting " + key + " is not a whole number: " + truncated(string(key)));
         }
-        return (int) d;
+        return (int) number;
     }
 
-    private long item(String key, int index, double scale) throws WireException {
+    private long listItem(String key, int index, double scale) throws WireException {
         List<String> items = list(key);
-        return index < items.size() ? Math.round(parsed(key, items.get(index)) * scale) : 0;
+        return index < items.size() ? Math.round(parseNumber(key, items.get(index)) * scale) : 0;
     }
 
-    private boolean flag(String key, boolean ifAbsent) throws WireException {
+    private boolean flag(String key, boolean defaultValue) throws WireException {
         String value = values.get(key);
         if (value == null) {
-            return ifAbsent;
+            return defaultValue;
         }
         if (!value.equals("true") && !value.equals("false")) {
-            throw new WireException("setting " + key + " is neither true nor false: " + shortened(value));
+            throw new WireException("setting " + key + " is neither true nor false: " + truncated(value));
         }
         return value.equals("true");
     }
 
-    private <E extends Enum<E>> E named(Class<E> type, String key, String ifAbsent) throws WireException {
-        String value = values.getOrDefault(key, ifAbsent);
+    private <E extends Enum<E>> E enumValue(Class<E> type, String key, String defaultValue)
+            throws WireException {
+        String value = values.getOrDefault(key, defaultValue);
         try {
             return Enum.valueOf(type, value.toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
-            throw new WireException("setting " + key + " has an unknown value: " + shortened(value));
+            throw new WireException("setting " + key + " has an unknown value: " + truncated(value));
         }
     }
 
-    private static String shortened(String s) {
-        return s.length() > 60 ? s.substring(0, 60) + "..." : s;
+    private static String truncated(String value) {
+        return value.length() > 60 ? value.substring(0, 60) + "..." : value;
     }
 }
--- a/src/main/java/umberspread/adapter/WireException.java
+++ b/src/main/java/umberspread/adapter/WireException.java
@@ -1,6 +1,6 @@
 package umberspread.adapter;
 
-/** Input that cannot be read; the message says what was found where. */
+/** Invalid input; the message says what was found and where. */
 final class WireException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/test/java/umberspread/ExampleTest.java
+++ b/src/test/java/umberspread/ExampleTest.java
@@ -8,12 +8,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The README's example: the text between the two marks stands there to the letter. */
+/** The README's example; the README quotes the lines between the two markers verbatim. */
 class ExampleTest {
     private final List<String> carriedOut = new ArrayList<>();
 
     @Test
-    void exampleOfTheReadmeRuns() {
+    void readmeExampleRuns() {
         // example begins
         Routing.Actions actions = new Routing.Actions() {
             @Override
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void readmeShowsTheExampleToTheLetter() throws Exception {
+    void readmeQuotesTheExampleVerbatim() throws Exception {
         String source = Files.readString(Path.of("src/test/java/umberspread/ExampleTest.java"));
         int from = source.indexOf('\n', source.indexOf("// example begins")) + 1;
         int to = source.lastIndexOf('\n', source.indexOf("// example ends"));
--- a/src/test/java/umberspread/Fixture.java
+++ b/src/test/java/umberspread/Fixture.java
@@ -13,24 +13,25 @@
 import umberspread.Routing.Outcome;
 import umberspread.Routing.Replica;
 
-/** A router with recorded actions and short ways to feed it. */
+/** A routing module that records its actions, with short methods to deliver events to it. */
 final class Fixture implements Routing.Actions {
     static final long SECOND = 1_000_000;
 
-    record Sent(long request, long replica, long timeout, long at) {
+    /** An attempt that the module sent; times are in microseconds. */
+    record Sent(long request, long server, long timeout, long at) {
     }
 
     final List<Sent> sent = new ArrayList<>();
     final List<Long> refused = new ArrayList<>();
     final List<Long> failed = new ArrayList<>();
     final List<String> cancelled = new ArrayList<>();
-    final List<long[]> wakes = new ArrayList<>();
-    final List<String> all = new ArrayList<>();
-    int follows;
+    final List<long[]> timers = new ArrayList<>();
+    final List<String> actionLog = new ArrayList<>();
+    int watchCalls;
     final BoundedLoadRouter router;
     long now = 1000 * SECOND;
     final List<Long> arrivals = new ArrayList<>();
-    long lastAdvice;
+    long lastRetryAfter;
     private long nextId = 1;
 
     Fixture(Routing.Settings settings) {
@@ -42,17 +43,17 @@
         router.started(now);
     }
 
-    /** Settings that a test changes where it matters. */
+    /** Default settings; a test overrides what it needs. */
     static final class Setup {
         int instances = 1;
         Effect effect = Effect.RETRYABLE;
         DedupGroup group = DedupGroup.ALL;
         double worth = 1;
-        boolean ask;
+        boolean pullsList;
         long retryAfterMax;
-        boolean duplicates = true;
+        boolean hedging = true;
         boolean cancelling = true;
-        int attempts = 4;
+        int maxAttempts = 4;
         List<Routing.Tenant> tenants = List.of();
         double secondWorth = 1;
         double lateWorth = 0.5;
@@ -60,41 +61,40 @@
         double coldFrom = 0.2;
         double fallMultiple = 3;
         Routing.Placement secondPlacement = Routing.Placement.ANYWHERE;
-        Routing.AttemptBudget budget = Routing.AttemptBudget.NONE;
+        Routing.AttemptBudget attemptBudget = Routing.AttemptBudget.NONE;
 
-        private Routing.RequestClass type(String name, double worth, Routing.Placement placement) {
+        private Routing.RequestClass requestClass(String name, double worth, Routing.Placement placement) {
             return new Routing.RequestClass(name, effect, group, 5 * SECOND, SECOND, 10_000, 50_000,
                     6 * SECOND, worth, lateWorth, true, placement);
         }
 
         Routing.Settings build() {
             return new Routing.Settings(instances, 0, 0,
-                    List.of(type("chat", worth, Routing.Placement.ANYWHERE),
-                            type("edit", secondWorth, secondPlacement)), tenants, 0.1, ask,
-                    new Routing.Limits(attempts, duplicates, cancelling, false, 250_000, retryAfterMax),
+                    List.of(requestClass("chat", worth, Routing.Placement.ANYWHERE),
+                            requestClass("edit", secondWorth, secondPlacement)), tenants, 0.1, pullsList,
+                    new Routing.Limits(maxAttempts, hedging, cancelling, false, 250_000, retryAfterMax),
                     new Routing.Contract(SECOND, coldFor, coldFrom, fallMultiple, 2 * SECOND,
-                            10 * SECOND,
-                            budget),
+                            10 * SECOND, attemptBudget),
                     new Routing.Prices(0, 0, 0, 0, 0));
         }
     }
 
-    static Replica replica(long id, int zone, int cell, Lifecycle state, long startedAt) {
+    static Replica server(long id, int zone, int cell, Lifecycle state, long startedAt) {
         return new Replica(id, zone, (int) id % 3, cell, 1, state, startedAt);
     }
 
-    /** A full list of so many warm replicas, in zones 0 and 1 and cells of two. */
-    Fixture list(int count) {
+    /** Delivers a full list of warm servers, ids from 1, in zones 0 and 1 and in cells of two. */
+    Fixture listServers(int count) {
         List<Replica> entries = new ArrayList<>();
         for (int i = 1; i <= count; i++) {
-            entries.add(replica(i, i % 2, i / 2, Lifecycle.READY, 0));
+            entries.add(server(i, i % 2, i / 2, Lifecycle.READY, 0));
         }
         router.listReceived(now, ListKind.FULL, entries);
         return this;
     }
 
-    void change(Replica r) {
-        router.listReceived(now, ListKind.DELTA, List.of(r));
+    void updateServer(Replica server) {
+        router.listReceived(now, ListKind.DELTA, List.of(server));
     }
 
     long arrive(long session, long prefix) {
@@ -121,106 +121,106 @@
         return nextId;
     }
 
-    /** Further attempts and arrivals of every window, counted from what was recorded. */
+    /** Checks the attempt budget in every window, from the recorded events; returns the extra attempts. */
     int assertInBudget(Routing.AttemptBudget budget) {
-        Set<Long> begun = new HashSet<>();
-        List<Long> further = new ArrayList<>();
+        Set<Long> seen = new HashSet<>();
+        List<Long> extra = new ArrayList<>();
         for (Sent s : sent) {
-            if (!begun.add(s.request())) {
-                further.add(s.at());
+            if (!seen.add(s.request())) {
+                extra.add(s.at());
                 long edge = s.at() - budget.window();
-                long made = further.stream().filter(t -> t >= edge).count();
-                long taken = arrivals.stream().filter(t -> t > edge && t <= s.at()).count();
-                assertTrue(made <= budget.free() + budget.ratio() * taken + 1e-9,
-                        made + " further attempts where " + taken + " were taken");
+                long sentInWindow = extra.stream().filter(t -> t >= edge).count();
+                long arrivedInWindow = arrivals.stream().filter(t -> t > edge && t <= s.at()).count();
+                assertTrue(sentInWindow <= budget.free() + budget.ratio() * arrivedInWindow + 1e-9,
+                        sentInWindow + " extra attempts for " + arrivedInWindow + " requests");
             }
         }
-        return further.size();
+        return extra.size();
     }
 
-    void end(long request, int attempt, Outcome outcome, boolean over) {
+    void endAttempt(long request, int attempt, Outcome outcome, boolean over) {
         router.attemptEnded(now, request, attempt, outcome, 0, over, 0, null);
     }
 
     void serve(long request, int attempt) {
         router.firstToken(now, request, attempt);
-        end(request, attempt, Outcome.OK, true);
+        endAttempt(request, attempt, Outcome.OK, true);
     }
 
-    /** Lets time pass and delivers what the router asked to be woken for. */
-    void pass(long span) {
+    /** Advances the clock by a span in microseconds and fires the timers that become due. */
+    void advance(long span) {
         long until = now + span;
         while (true) {
             long[] next = null;
-            for (long[] w : wakes) {
-                if (w[0] <= until && (next == null || w[0] < next[0])) {
-                    next = w;
+            for (long[] timer : timers) {
+                if (timer[0] <= until && (next == null || timer[0] < next[0])) {
+                    next = timer;
                 }
             }
             if (next == null) {
                 break;
             }
-            wakes.remove(next);
+            timers.remove(next);
             now = Math.max(now, next[0]);
             router.woken(now, (int) next[1]);
         }
         now = until;
     }
 
-    /** Whether any of a hundred new sessions of a class, all served at once, comes to the replica. */
-    boolean reached(int requestClass, long replica) {
+    /** Whether the server gets any of a hundred new sessions of a class that are all served at once. */
+    boolean receivesRequest(int requestClass, long server) {
         for (int i = 0; i < 100; i++) {
             serve(arriveAs(requestClass, 1_000_000 + nextId, 0), 0);
-            if (lastReplica() == replica) {
+            if (lastServer() == server) {
                 return true;
             }
         }
         return false;
     }
 
-    long lastReplica() {
-        return sent.get(sent.size() - 1).replica();
+    long lastServer() {
+        return sent.get(sent.size() - 1).server();
     }
 
     @Override
-    public void send(long requestId, long replicaId, long timeout) {
-        sent.add(new Sent(requestId, replicaId, timeout, now));
-        all.add("send " + requestId + " " + replicaId + " " + timeout);
+    public void send(long requestId, long serverId, long timeout) {
+        sent.add(new Sent(requestId, serverId, timeout, now));
+        actionLog.add("send " + requestId + " " + serverId + " " + timeout);
     }
 
     @Override
     public void cancel(long requestId, int attempt) {
         cancelled.add(requestId + "/" + attempt);
-        all.add("cancel " + requestId + " " + attempt);
+        actionLog.add("cancel " + requestId + " " + attempt);
     }
 
     @Override
     public void refuse(long requestId, long retryAfter) {
         refused.add(requestId);
-        lastAdvice = retryAfter;
-        all.add("refuse " + requestId);
+        lastRetryAfter = retryAfter;
+        actionLog.add("refuse " + requestId);
     }
 
     @Override
     public void fail(long requestId) {
         failed.add(requestId);
-        all.add("fail " + requestId);
+        actionLog.add("fail " + requestId);
     }
 
     @Override
     public void log(String line) {
-        all.add("log " + line);
+        actionLog.add("log " + line);
     }
 
     @Override
     public void followList() {
-        follows++;
-        all.add("follow");
+        watchCalls++;
+        actionLog.add("follow");
     }
 
     @Override
     public void wakeAt(long time, int token) {
-        wakes.add(new long[] {time, token});
-        all.add("wake " + time + " " + token);
+        timers.add(new long[] {time, token});
+        actionLog.add("wake " + time + " " + token);
     }
 }
--- a/src/test/java/umberspread/GenerationRouterTest.java
+++ b/src/test/java/umberspread/GenerationRouterTest.java
@@ -13,7 +13,7 @@
 import umberspread.Routing.Replica;
 import umberspread.Routing.Request;
 
-/** A router's memory in the next process, and load that other processes have out. */
+/** Learned state in the next generation, and load that other generations have in flight. */
 class GenerationRouterTest {
     private static final long SECOND = Fixture.SECOND;
     private static final Routing.Settings SETTINGS = new Fixture.Setup().build();
@@ -23,8 +23,8 @@
 
     private final Routing.Actions actions = new Routing.Actions() {
         @Override
-        public void send(long requestId, long replicaId, long timeout) {
-            sentTo.add(replicaId);
+        public void send(long requestId, long serverId, long timeout) {
+            sentTo.add(serverId);
         }
 
         @Override
@@ -49,7 +49,7 @@
 
         @Override
         public void wakeAt(long time, int token) {
-            // time stands still here
+            // no timer fires in this test
         }
 
         @Override
@@ -58,15 +58,15 @@
         }
     };
 
-    private static List<Replica> replicas(int count, long startedAt) {
-        List<Replica> all = new ArrayList<>();
+    private static List<Replica> servers(int count, long startedAt) {
+        List<Replica> servers = new ArrayList<>();
         for (int i = 1; i <= count; i++) {
-            all.add(Fixture.replica(i, 0, i, Lifecycle.READY, i == 1 ? startedAt : 0));
+            servers.add(Fixture.server(i, 0, i, Lifecycle.READY, i == 1 ? startedAt : 0));
         }
-        return all;
+        return servers;
     }
 
-    private GenerationRouter begun(Memory memory, long shift, long now, List<Replica> list) {
+    private GenerationRouter started(Memory memory, long shift, long now, List<Replica> list) {
         GenerationRouter router = memory == null ? new GenerationRouter(SETTINGS, 1, actions)
                 : new GenerationRouter(SETTINGS, 1, actions, memory, shift);
         router.started(now);
@@ -74,7 +74,7 @@
         return router;
     }
 
-    private long ask(GenerationRouter router, long now, long prefix) {
+    private long route(GenerationRouter router, long now, long prefix) {
         long id = ++lastId;
         sentTo.clear();
         router.requestArrived(now, new Request(id, 0, 0, false, prefix, prefix, 100, 50, 10, 6 * SECOND));
@@ -82,76 +82,78 @@
     }
 
     @Test
-    void theMemoryComesBackAsItWasAndTheRingWithIt() {
+    void learnedStateAndRingAreRestored() {
         long now = 1000 * SECOND;
-        GenerationRouter old = begun(null, 0, now, replicas(5, 0));
+        GenerationRouter previous = started(null, 0, now, servers(5, 0));
         for (int i = 0; i < 300; i++) {
-            ask(old, now + i, i % 7 + 1);
-            old.attemptEnded(now + i, lastId, 0, i % 50 == 0 ? Outcome.CONNECT_FAILED : Outcome.OK, 100,
-                    false,
-                    0, null);
+            route(previous, now + i, i % 7 + 1);
+            previous.attemptEnded(now + i, lastId, 0, i % 50 == 0 ? Outcome.CONNECT_FAILED : Outcome.OK, 100,
+                    false, 0, null);
         }
-        Memory memory = old.memory();
-        assertTrue(memory.replicas().stream().anyMatch(r -> r.ejectedUntil() > now), "one is ejected");
+        Memory memory = previous.memory();
+        assertTrue(memory.replicas().stream().anyMatch(server -> server.ejectedUntil() > now),
+                "one is ejected");
         long shift = 77 * SECOND;
-        GenerationRouter next = begun(memory, shift, now + 400 + shift, replicas(5, 0));
-        Memory again = next.memory();
+        GenerationRouter next = started(memory, shift, now + 400 + shift, servers(5, 0));
+        Memory restored = next.memory();
         assertEquals(memory.keys().stream().map(Memory.OfKey::tally).sorted().toList(),
-                again.keys().stream().map(Memory.OfKey::tally).sorted().toList());
-        assertEquals(memory.averageWorth(), again.averageWorth());
-        assertEquals(memory.taken().size(), again.taken().size());
+                restored.keys().stream().map(Memory.OfKey::tally).sorted().toList());
+        assertEquals(memory.averageWorth(), restored.averageWorth());
+        assertEquals(memory.taken().size(), restored.taken().size());
         for (int i = 0; i < memory.replicas().size(); i++) {
-            Memory.OfReplica was = memory.replicas().get(i);
-            Memory.OfReplica is = again.replicas().get(i);
-            assertEquals(was.points(), is.points());
-            assertEquals(was.ejectedUntil() == 0 ? 0 : was.ejectedUntil() + shift, is.ejectedUntil());
+            Memory.OfReplica before = memory.replicas().get(i);
+            Memory.OfReplica after = restored.replicas().get(i);
+            assertEquals(before.points(), after.points());
+            assertEquals(before.ejectedUntil() == 0 ? 0 : before.ejectedUntil() + shift,
+                    after.ejectedUntil());
         }
         for (long key = 1; key <= 7; key++) {
-            // both plan anew by then, which each does at times of its own
+            // both have updated their plans by then, which they do at different times
             long later = now + SECOND / 2 + 1000;
-            assertEquals(ask(old, later, key), ask(next, later + shift, key), "key " + key);
+            assertEquals(route(previous, later, key), route(next, later + shift, key), "key " + key);
         }
     }
 
-    /** Without this the bound and the cold budget would hold for each process and not for the router. */
+    /** Otherwise the load bound and the cold budget would apply to each process and not to the instance. */
     @Test
-    void whatOthersHaveOutCountsAsLoad() {
+    void attemptsOfOtherGenerationsCountAsLoad() {
         long now = 1000 * SECOND;
-        GenerationRouter router = begun(null, 0, now, replicas(4, 0));
-        long home = ask(router, now, 9);
-        // a prompt that is quickly read may spill
+        GenerationRouter router = started(null, 0, now, servers(4, 0));
+        long ringServer = route(router, now, 9);
+        // a prompt with a fast prefill may spill
         router.firstToken(now + 100, lastId, 0);
         router.attemptEnded(now + 100, lastId, 0, Outcome.OK, 1, false, 0, null);
         for (int i = 0; i < 5; i++) {
-            router.otherSent(now, "1/" + i, home);
+            router.otherSent(now, "1/" + i, ringServer);
         }
-        router.otherSent(now, "1/0", home);
-        assertNotEquals(home, ask(router, now, 9), "the other process fills its bound");
+        router.otherSent(now, "1/0", ringServer);
+        assertNotEquals(ringServer, route(router, now, 9),
+                "attempts of the other generation reach its load bound");
         router.attemptEnded(now, lastId, 0, Outcome.OK, 1, false, 0, null);
         for (int i = 0; i < 5; i++) {
             router.otherEnded(now, "1/" + i);
         }
         router.otherEnded(now, "never sent");
-        assertEquals(home, ask(router, now, 9));
+        assertEquals(ringServer, route(router, now, 9));
     }
 
     @Test
-    void whatOthersSendToAColdReplicaIsTakenFromItsBudget() {
+    void attemptsOfOtherGenerationsUseTheBudgetOfAColdServer() {
         long now = 1000 * SECOND;
         int alone = coldSends(now, 0);
-        assertTrue(alone > 0, "a cold replica gets something");
-        assertTrue(coldSends(now, 40) < alone, "and less where another process has sent to it");
+        assertTrue(alone > 0, "a cold server gets some requests");
+        assertTrue(coldSends(now, 40) < alone, "and fewer if another generation has sent to it");
     }
 
-    private int coldSends(long start, int byOthers) {
-        GenerationRouter router = begun(null, 0, start, replicas(3, start - SECOND));
+    private int coldSends(long start, int otherAttempts) {
+        GenerationRouter router = started(null, 0, start, servers(3, start - SECOND));
         int cold = 0;
         for (int i = 0; i < 2000; i++) {
             long now = start + i * 2_000L;
-            if (i % 50 == 0 && byOthers > i / 50) {
+            if (i % 50 == 0 && otherAttempts > i / 50) {
                 router.otherSent(now, "1/" + i, 1);
             }
-            cold += ask(router, now, i) == 1 ? 1 : 0;
+            cold += route(router, now, i) == 1 ? 1 : 0;
             router.attemptEnded(now, lastId, 0, Outcome.OK, 1, false, 0, null);
         }
         return cold;
--- a/src/test/java/umberspread/RandomEventsTest.java
+++ b/src/test/java/umberspread/RandomEventsTest.java
@@ -15,33 +15,33 @@
 import umberspread.Routing.Lifecycle;
 import umberspread.Routing.Outcome;
 
-/** Seeded random events: the rules that one gateway can keep alone hold after every one of them. */
+/** Delivers seeded random events and checks after each the rules that a single router can keep. */
 class RandomEventsTest {
-    private static final int REPLICAS = 8;
+    private static final int SERVERS = 8;
 
-    /** What the test knows of a request that is not over. */
-    private static final class Open {
+    /** What the test knows of a request. */
+    private static final class OpenRequest {
         private final long deadline;
         private final Routing.Placement placement;
-        private final List<Integer> out = new ArrayList<>();
-        private final List<Long> replicas = new ArrayList<>();
+        private final List<Integer> inFlight = new ArrayList<>();
+        private final List<Long> servers = new ArrayList<>();
         private long firstThatMayHaveRun = -1;
         private long firstSentAt;
-        private boolean over;
+        private boolean finished;
 
-        Open(long deadline, Routing.Placement placement) {
+        OpenRequest(long deadline, Routing.Placement placement) {
             this.deadline = deadline;
             this.placement = placement;
         }
     }
 
     private static Lifecycle[] freshStates() {
-        Lifecycle[] states = new Lifecycle[REPLICAS + 1];
+        Lifecycle[] states = new Lifecycle[SERVERS + 1];
         java.util.Arrays.fill(states, Lifecycle.READY);
         return states;
     }
 
-    private static List<String> play(long seed, Effect effect, DedupGroup group, boolean duplicates) {
+    private static List<String> run(long seed, Effect effect, DedupGroup group, boolean hedging) {
         Fixture.Setup setup = new Fixture.Setup();
         setup.secondWorth = 1 + seed % 3 * 5;
         if (seed % 2 == 0) {
@@ -49,14 +49,15 @@
                     seed % 3 == 0 ? Set.of() : Set.of(0, 1));
         }
         if (seed % 5 < 3) {
-            setup.budget = new Routing.AttemptBudget(seed % 5, 0.05 * seed, (1 + seed % 2) * Fixture.SECOND);
+            setup.attemptBudget = new Routing.AttemptBudget(seed % 5, 0.05 * seed,
+                    (1 + seed % 2) * Fixture.SECOND);
         }
         setup.effect = effect;
         setup.group = group;
-        setup.duplicates = duplicates;
-        Fixture f = new Fixture(setup.build()).list(REPLICAS);
+        setup.hedging = hedging;
+        Fixture f = new Fixture(setup.build()).listServers(SERVERS);
         Random random = new Random(seed);
-        Map<Long, Open> open = new HashMap<>();
+        Map<Long, OpenRequest> open = new HashMap<>();
         Lifecycle[] states = freshStates();
         Outcome[] outcomes = Outcome.values();
         int sent = 0;
@@ -64,100 +65,104 @@
             int kind = random.nextInt(10);
             if (kind < 4) {
                 int requestClass = random.nextInt(2);
-                open.put(f.nextId(), new Open(f.now + 6 * Fixture.SECOND,
+                open.put(f.nextId(), new OpenRequest(f.now + 6 * Fixture.SECOND,
                         requestClass == 0 ? Routing.Placement.ANYWHERE : setup.secondPlacement));
                 f.arriveAs(requestClass, random.nextInt(30) + 1, random.nextInt(4));
             } else if (kind == 4) {
-                int r = random.nextInt(REPLICAS) + 1;
-                states[r] = Lifecycle.values()[random.nextInt(3)];
-                f.change(Fixture.replica(r, r % 2, r / 2, states[r], random.nextBoolean() ? 0 : f.now));
+                int id = random.nextInt(SERVERS) + 1;
+                states[id] = Lifecycle.values()[random.nextInt(3)];
+                f.updateServer(Fixture.server(id, id % 2, id / 2, states[id],
+                        random.nextBoolean() ? 0 : f.now));
             } else if (kind == 5) {
-                f.pass(random.nextInt(300_000));
+                f.advance(random.nextInt(300_000));
             } else {
                 endOne(f, open, random, outcomes);
             }
-            sent = check(f, open, states, sent, effect, group, duplicates);
+            sent = checkActions(f, open, states, sent, effect, group, hedging);
             endOverdue(f, open);
-            sent = check(f, open, states, sent, effect, group, duplicates);
+            sent = checkActions(f, open, states, sent, effect, group, hedging);
         }
-        f.assertInBudget(setup.budget.window() > 0 ? setup.budget
+        f.assertInBudget(setup.attemptBudget.window() > 0 ? setup.attemptBudget
                 : new Routing.AttemptBudget(1, 0.2, 6 * Fixture.SECOND));
-        return f.all;
+        return f.actionLog;
     }
 
-    private static void endOne(Fixture f, Map<Long, Open> open, Random random, Outcome[] outcomes) {
+    private static void endOne(Fixture f, Map<Long, OpenRequest> open, Random random, Outcome[] outcomes) {
         for (long id : List.copyOf(new java.util.TreeSet<>(open.keySet()))) {
-            Open o = open.get(id);
-            if (!o.out.isEmpty()) {
+            OpenRequest request = open.get(id);
+            if (!request.inFlight.isEmpty()) {
                 Outcome outcome = outcomes[random.nextInt(outcomes.length)];
-                int attempt = o.out.remove(0);
+                int attempt = request.inFlight.remove(0);
                 if (outcome == Outcome.OK) {
-                    o.over = true;
+                    request.finished = true;
                 }
-                settle(o, attempt, outcome);
-                f.end(id, attempt, outcome, o.over);
+                recordEnd(request, attempt, outcome);
+                f.endAttempt(id, attempt, outcome, request.finished);
                 return;
             }
         }
     }
 
-    private static void endOverdue(Fixture f, Map<Long, Open> open) {
-        for (Map.Entry<Long, Open> e : open.entrySet()) {
-            Open o = e.getValue();
-            while (f.now >= o.deadline && !o.out.isEmpty()) {
-                int attempt = o.out.remove(0);
-                settle(o, attempt, Outcome.TIMEOUT);
-                f.end(e.getKey(), attempt, Outcome.TIMEOUT, o.over);
+    private static void endOverdue(Fixture f, Map<Long, OpenRequest> open) {
+        for (Map.Entry<Long, OpenRequest> entry : open.entrySet()) {
+            OpenRequest request = entry.getValue();
+            while (f.now >= request.deadline && !request.inFlight.isEmpty()) {
+                int attempt = request.inFlight.remove(0);
+                recordEnd(request, attempt, Outcome.TIMEOUT);
+                f.endAttempt(entry.getKey(), attempt, Outcome.TIMEOUT, request.finished);
             }
         }
     }
 
-    private static void settle(Open o, int attempt, Outcome outcome) {
-        if (outcome.neverRan() && o.firstThatMayHaveRun == o.replicas.get(attempt)) {
-            o.firstThatMayHaveRun = -1;
+    private static void recordEnd(OpenRequest request, int attempt, Outcome outcome) {
+        if (outcome.neverRan() && request.firstThatMayHaveRun == request.servers.get(attempt)) {
+            request.firstThatMayHaveRun = -1;
         }
     }
 
-    private static int check(Fixture f, Map<Long, Open> open, Lifecycle[] states, int from, Effect effect,
-            DedupGroup group, boolean duplicates) {
+    private static int checkActions(Fixture f, Map<Long, OpenRequest> open, Lifecycle[] states, int from,
+            Effect effect, DedupGroup group, boolean hedging) {
         for (int i = from; i < f.sent.size(); i++) {
             Fixture.Sent s = f.sent.get(i);
-            Open o = open.get(s.request());
-            assertTrue(!o.over, "sent after the request was over");
-            assertTrue(s.timeout() > 0 && s.at() + s.timeout() <= o.deadline, "outlives the client");
-            assertEquals(Lifecycle.READY, states[(int) s.replica()], "sent to a draining or gone replica");
-            assertTrue(!o.replicas.contains(s.replica()), "the same replica twice");
-            int r = (int) s.replica();
-            assertTrue(o.placement.allows(Fixture.replica(r, r % 2, r / 2, Lifecycle.READY, 0)),
+            OpenRequest request = open.get(s.request());
+            assertTrue(!request.finished, "sent after the request was finished");
+            assertTrue(s.timeout() > 0 && s.at() + s.timeout() <= request.deadline,
+                    "attempt outlives the client's timeout");
+            assertEquals(Lifecycle.READY, states[(int) s.server()], "sent to a draining or gone server");
+            assertTrue(!request.servers.contains(s.server()), "the same server twice");
+            int id = (int) s.server();
+            assertTrue(request.placement.allows(Fixture.server(id, id % 2, id / 2, Lifecycle.READY, 0)),
                     "sent where its class may not run");
-            assertTrue(duplicates || o.out.isEmpty(), "two attempts out");
-            if (o.firstThatMayHaveRun >= 0 && effect != Effect.RETRYABLE) {
-                assertEquals(Effect.DEDUP, effect, "a fragile request again");
-                assertTrue(s.at() < o.firstSentAt + 5 * Fixture.SECOND, "after the window");
+            assertTrue(hedging || request.inFlight.isEmpty(), "two attempts in flight");
+            if (request.firstThatMayHaveRun >= 0 && effect != Effect.RETRYABLE) {
+                assertEquals(Effect.DEDUP, effect, "a fragile request was sent again");
+                assertTrue(s.at() < request.firstSentAt + 5 * Fixture.SECOND, "sent after the dedup window");
                 assertTrue(group == DedupGroup.ALL
-                        || group == DedupGroup.ZONE && o.firstThatMayHaveRun % 2 == s.replica() % 2
-                        || group == DedupGroup.CELL && o.firstThatMayHaveRun / 2 == s.replica() / 2);
+                        || group == DedupGroup.ZONE && request.firstThatMayHaveRun % 2 == s.server() % 2
+                        || group == DedupGroup.CELL && request.firstThatMayHaveRun / 2 == s.server() / 2);
             } else {
-                o.firstThatMayHaveRun = s.replica();
-                o.firstSentAt = s.at();
+                request.firstThatMayHaveRun = s.server();
+                request.firstSentAt = s.at();
             }
-            o.out.add(o.replicas.size());
-            o.replicas.add(s.replica());
+            request.inFlight.add(request.servers.size());
+            request.servers.add(s.server());
         }
         for (List<Long> answers : List.of(f.refused, f.failed)) {
             for (long id : answers) {
-                Open o = open.get(id);
-                assertTrue(!o.over, "answered twice");
-                o.over = true;
+                OpenRequest request = open.get(id);
+                assertTrue(!request.finished, "answered twice");
+                request.finished = true;
                 if (answers == f.refused && effect != Effect.RETRYABLE) {
-                    assertTrue(o.firstThatMayHaveRun < 0 || effect == Effect.DEDUP && group == DedupGroup.ALL,
+                    assertTrue(request.firstThatMayHaveRun < 0
+                            || effect == Effect.DEDUP && group == DedupGroup.ALL,
                             "refused though it may have run");
                 }
             }
             answers.clear();
         }
-        for (Open o : open.values()) {
-            assertTrue(o.over || f.now < o.deadline || !o.out.isEmpty(), "no answer at the deadline");
+        for (OpenRequest request : open.values()) {
+            assertTrue(request.finished || f.now < request.deadline || !request.inFlight.isEmpty(),
+                    "no answer at the deadline");
         }
         return f.sent.size();
     }
@@ -165,11 +170,11 @@
     @Test
     void rulesHoldForEveryEffectAndGroup() {
         for (long seed = 1; seed <= 12; seed++) {
-            for (boolean duplicates : new boolean[] {true, false}) {
-                play(seed, Effect.RETRYABLE, DedupGroup.ALL, duplicates);
-                play(seed, Effect.FRAGILE, DedupGroup.ALL, duplicates);
+            for (boolean hedging : new boolean[] {true, false}) {
+                run(seed, Effect.RETRYABLE, DedupGroup.ALL, hedging);
+                run(seed, Effect.FRAGILE, DedupGroup.ALL, hedging);
                 for (DedupGroup group : DedupGroup.values()) {
-                    play(seed, Effect.DEDUP, group, duplicates);
+                    run(seed, Effect.DEDUP, group, hedging);
                 }
             }
         }
@@ -177,7 +182,7 @@
 
     @Test
     void sameEventsGiveSameActions() {
-        assertEquals(play(7, Effect.RETRYABLE, DedupGroup.ALL, true),
-                play(7, Effect.RETRYABLE, DedupGroup.ALL, true));
+        assertEquals(run(7, Effect.RETRYABLE, DedupGroup.ALL, true),
+                run(7, Effect.RETRYABLE, DedupGroup.ALL, true));
     }
 }
--- a/src/test/java/umberspread/adapter/FrameTest.java
+++ b/src/test/java/umberspread/adapter/FrameTest.java
@@ -12,6 +12,7 @@
 import java.util.HexFormat;
 import org.junit.jupiter.api.Test;
 
+/** Frames, replies and the error lines of the command line, byte by byte. */
 class FrameTest {
     private static byte[] hex(String s) {
         return HexFormat.of().parseHex(s.replace(" ", ""));
@@ -22,7 +23,7 @@
     }
 
     @Test
-    void emptyBatchIsReadAndAnswered() throws Exception {
+    void emptyBatchIsAnswered() throws Exception {
         Frame f = frame("0000000c 00000000 4020d3126e978d50");
         assertEquals(0, f.records);
         assertEquals(8.412250000000002, f.clock, 1e-3);
@@ -32,12 +33,12 @@
     }
 
     @Test
-    void cleanEndOfInputIsNoFrame() throws Exception {
+    void endOfInputReturnsNull() throws Exception {
         assertNull(Frame.read(new ByteArrayInputStream(new byte[0])));
     }
 
     @Test
-    void truncatedFrameIsNamed() {
+    void truncatedFrameIsRejected() {
         assertTrue(assertThrows(WireException.class, () -> frame("0000000c 0000"))
                 .getMessage().contains("truncated frame: 2 of 12"));
         assertThrows(WireException.class, () -> frame("0000"));
@@ -45,7 +46,7 @@
     }
 
     @Test
-    void actionsAreWrittenAsTheWireWantsThem() throws Exception {
+    void actionsAreEncodedInTheWireFormat() throws Exception {
         Reply r = new Reply();
         r.dispatch(3, 0x0009fb755d3a91c4L, 0x03124a07L, 0.08);
         r.wakeAt(3, 0.5, 0x4d);
@@ -83,7 +84,7 @@
     }
 
     @Test
-    void unknownEventCodeEndsWithOneLine() {
+    void unknownEventCodeEndsWithOneErrorLine() {
         String[] r = run(hex("0000000f 00000001 4020d3126e978d50 2a 0003"), "adapter");
         assertEquals("1", r[0]);
         assertEquals("", r[1]);
@@ -91,7 +92,7 @@
     }
 
     @Test
-    void recordThatOverrunsItsFrameEndsWithOneLine() {
+    void recordThatOverrunsItsFrameEndsWithOneErrorLine() {
         String[] r = run(hex("00000010 00000001 4020d3126e978d50 05 0003 00"), "adapter");
         assertEquals("1", r[0]);
         assertTrue(r[2].endsWith("umberspread: record overruns its frame in record 1 at byte 16\n"));
@@ -99,7 +100,7 @@
     }
 
     @Test
-    void eventForAGatewayThatIsNotUpIsIgnoredAloud() {
+    void eventForAnUnknownGatewayIsLoggedAndIgnored() {
         String[] r = run(hex("00000013 00000001 4020d3126e978d50 05 0003 0000004d"), "adapter");
         assertEquals("0", r[0]);
         assertEquals("0000000000000000", r[1]);
@@ -107,7 +108,7 @@
     }
 
     @Test
-    void missingSettingIsNamed() {
+    void missingSettingIsNamedInTheError() {
         String text = "instances=1\n";
         String init = "09 0003 0000000000000001 0000000c"
                 + HexFormat.of().formatHex(text.getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/umberspread/adapter/HostTest.java
+++ b/src/test/java/umberspread/adapter/HostTest.java
@@ -10,7 +10,7 @@
 import java.util.HexFormat;
 import org.junit.jupiter.api.Test;
 
-/** Whole batches through the adapter, their bytes worked out by hand. */
+/** Sends whole batches through the adapter; the bytes are encoded by hand. */
 class HostTest {
     private static final String SETTINGS = """
             classes.count=1
@@ -35,7 +35,7 @@
             """;
     private static final String ARRIVAL = "07 0003 0009fb755d3a91c4 00000000 0000 0000000000000000"
             + " 0000000000000000 43800000 00000000 4010000000000000 44e10000 %s 0000000000000000";
-    private static final String VIEW = "01 0003 0000000000000029 03 00000001"
+    private static final String LISTED_SERVER = "01 0003 0000000000000029 03 00000001"
             + " 0000 00 01 3f800000 00 0000000000000000 03124a07";
 
     private static String hex(byte[] bytes) {
@@ -66,27 +66,28 @@
     }
 
     @Test
-    void requestWithoutAnyKeyIsSentToTheListedReplica() {
-        String[] r = run(frame(init(SETTINGS), VIEW, String.format(ARRIVAL, "0000")));
+    void requestWithoutAnyKeyIsSentToTheListedServer() {
+        String[] r = run(frame(init(SETTINGS), LISTED_SERVER, String.format(ARRIVAL, "0000")));
         assertEquals("0", r[0]);
         assertEquals("", r[2]);
         assertTrue(r[1].contains("0700030009fb755d3a91c403124a074010000000000000"), r[1]);
     }
 
     @Test
-    void outcomeWithALoadReportAndAProbeResultAreRead() {
-        String finished = "06 0003 0009fb755d3a91c4 0000 03124a07 0001 3f92f1a9fbe76c8b 01 00000000 02"
+    void outcomeWithLoadReportAndProbeResultAreParsed() {
+        String attemptEnded = "06 0003 0009fb755d3a91c4 0000 03124a07 0001 3f92f1a9fbe76c8b 01 00000000 02"
                 + "40000000 3f800000";
-        String echo = "04 0003 03124a07 0001 3f56f0068db8bac7 01 40000000";
-        String[] r = run(frame(init(SETTINGS), VIEW, String.format(ARRIVAL, "0000")), frame(finished, echo));
+        String probeResult = "04 0003 03124a07 0001 3f56f0068db8bac7 01 40000000";
+        String[] r = run(frame(init(SETTINGS), LISTED_SERVER, String.format(ARRIVAL, "0000")),
+                frame(attemptEnded, probeResult));
         assertEquals("0", r[0]);
         assertEquals("", r[2]);
-        assertTrue(r[1].endsWith("0000000000000000"), "something was done for a request that is over");
+        assertTrue(r[1].endsWith("0000000000000000"), "an action followed the end of the request");
     }
 
     @Test
-    void exceptionInTheModuleIsReportedAsAFault() {
-        String[] r = run(frame(init(SETTINGS), VIEW, String.format(ARRIVAL, "0009")));
+    void moduleExceptionIsReportedAsAFault() {
+        String[] r = run(frame(init(SETTINGS), LISTED_SERVER, String.format(ARRIVAL, "0009")));
         assertEquals("0", r[0]);
         assertTrue(r[2].startsWith("gateway 3: java.lang.ArrayIndexOutOfBounds")
                 || r[2].startsWith("gateway 3: java.lang.IndexOutOfBounds"), r[2]);
@@ -94,40 +95,40 @@
     }
 
     @Test
-    void unreadableSettingsEndWithOneLine() {
+    void invalidSettingsEndWithOneErrorLine() {
         String[] line = run(frame(init(SETTINGS + "no value here\n")));
         assertEquals("1", line[0]);
         assertTrue(line[2].contains("settings line 20 is not path=value: no value here"), line[2]);
         String[] number = run(frame(init(SETTINGS.replace("zone=3", "zone=three"))));
         assertEquals("1", number[0]);
         assertTrue(number[2].contains("setting zone is not a number: three"), number[2]);
-        String[] impossible = run(frame(init(SETTINGS.replace("max_attempts=6", "max_attempts=0"))));
-        assertEquals("1", impossible[0]);
-        assertTrue(impossible[2].contains("limits maxAttempts"), impossible[2]);
+        String[] outOfRange = run(frame(init(SETTINGS.replace("max_attempts=6", "max_attempts=0"))));
+        assertEquals("1", outOfRange[0]);
+        assertTrue(outOfRange[2].contains("limits maxAttempts"), outOfRange[2]);
     }
 
     @Test
-    void boundClassGoesOnlyToTheZonesAndShapesOfItsSettings() {
+    void classIsSentOnlyToTheZonesAndShapesOfItsSettings() {
         String both = "01 0003 0000000000000029 03 00000002"
                 + " 0000 00 01 3f800000 00 0000000000000000 03124a07"
                 + " 0000 01 01 3f800000 02 0000000000000000 03124a08";
         String[] names = {"classes.0.confined_to=2", "classes.0.runs_on=1", "classes.0.confined_to=0",
             "classes.0.runs_on=0"};
-        String[] replicas = {"03124a08", "03124a08", "03124a07", "03124a07"};
+        String[] servers = {"03124a08", "03124a08", "03124a07", "03124a07"};
         for (int i = 0; i < names.length; i++) {
             String settings = SETTINGS + "zones=a,b,c,d\nshapes=std,fast\n" + names[i] + "\n";
             String[] r = run(frame(init(settings), both, String.format(ARRIVAL, "0000")));
             assertEquals("", r[2]);
-            assertTrue(r[1].contains("0700030009fb755d3a91c4" + replicas[i]), names[i] + ": " + r[1]);
+            assertTrue(r[1].contains("0700030009fb755d3a91c4" + servers[i]), names[i] + ": " + r[1]);
         }
         String nowhere = SETTINGS + "zones=a,b,c,d\nshapes=std,fast\nclasses.0.confined_to=1,3\n";
         String[] r = run(frame(init(nowhere), both, String.format(ARRIVAL, "0000")));
-        assertTrue(!r[1].contains("0700030009fb755d3a91c4"), "sent to a zone that it is not open to");
+        assertTrue(!r[1].contains("0700030009fb755d3a91c4"), "sent to a zone that its class may not use");
     }
 
     @Test
-    void budgetOfAttemptsComesFromTheSettings() {
-        String two = VIEW.replace("00000001 ", "00000002 ").replace("00000001", "00000002")
+    void attemptBudgetIsReadFromTheSettings() {
+        String two = LISTED_SERVER.replace("00000001 ", "00000002 ").replace("00000001", "00000002")
                 + " 0000 00 01 3f800000 00 0000000000000000 03124a08";
         String full = "06 0003 0009fb755d3a91c4 0000 %s 0002 3f92f1a9fbe76c8b 00 00000000 00";
         for (String free : new String[] {"0", "1"}) {
@@ -142,7 +143,7 @@
     }
 
     @Test
-    void impossiblePlacementsAndBudgetsEndWithOneLine() {
+    void invalidPlacementsAndBudgetsEndWithOneErrorLine() {
         String named = SETTINGS + "zones=a,b\nshapes=std\n";
         String[][] bad = {{"classes.0.confined_to=2", "setting classes.0.confined_to names none of zones: 2"},
             {"classes.0.runs_on=0.5", "setting classes.0.runs_on names none of shapes: 0.5"},
@@ -158,10 +159,10 @@
     }
 
     @Test
-    void restartUnderTheSameNumberForgetsTheOldLife() {
-        String[] r = run(frame(init(SETTINGS), VIEW), frame("08 0003", init(SETTINGS),
+    void gatewayRestartedUnderItsNumberStartsWithoutState() {
+        String[] r = run(frame(init(SETTINGS), LISTED_SERVER), frame("08 0003", init(SETTINGS),
                 String.format(ARRIVAL, "0000")));
         assertEquals("0", r[0]);
-        assertTrue(!r[1].contains("0700030009fb755d3a91c4"), "sent to a replica of the life before");
+        assertTrue(!r[1].contains("0700030009fb755d3a91c4"), "sent to a server listed before the restart");
     }
 }
