--- a/src/main/java/umberspread/BoundedLoadRouter.java
+++ b/src/main/java/umberspread/BoundedLoadRouter.java
@@ -359,20 +359,20 @@
         this.hash = tuning.hash();
         this.actions = actions;
         this.random = new SplittableRandom(seed);
-        long longest = 0;
-        long aim = Long.MAX_VALUE;
+        long longestTimeout = 0;
+        long shortestTarget = Long.MAX_VALUE;
         for (RequestClass requestClass : settings.classes()) {
-            longest = Math.max(longest, requestClass.giveUp());
-            aim = Math.min(aim, requestClass.aim());
+            longestTimeout = Math.max(longestTimeout, requestClass.giveUp());
+            shortestTarget = Math.min(shortestTarget, requestClass.aim());
         }
-        this.maxClientTimeout = longest;
-        this.planInterval = aim / PLANS_PER_TARGET;
+        this.maxClientTimeout = longestTimeout;
+        this.planInterval = shortestTarget / PLANS_PER_TARGET;
         this.classLatency = new double[settings.classes().size()];
         this.classFirstTokenLatency = new double[settings.classes().size()];
         this.tenantRequests = new double[settings.tenants().size()];
-        Routing.AttemptBudget stated = settings.contract().attempts();
-        this.attemptBudget = stated.window() > 0 ? stated
-                : new Routing.AttemptBudget(DEFAULT_BUDGET_FREE, DEFAULT_BUDGET_RATIO, longest);
+        Routing.AttemptBudget configured = settings.contract().attempts();
+        this.attemptBudget = configured.window() > 0 ? configured
+                : new Routing.AttemptBudget(DEFAULT_BUDGET_FREE, DEFAULT_BUDGET_RATIO, longestTimeout);
         this.unrestrictedPool = poolFor(Routing.Placement.ANYWHERE);
         this.poolOfClass = new Pool[settings.classes().size()];
         for (int i = 0; i < poolOfClass.length; i++) {
@@ -665,9 +665,9 @@
     }
 
     /**
-     * Decays the measurements and recomputes how far each key is spread. The bound is applied to recent
-     * traffic rather than open requests: with many instances, a router's own open requests give a bound of
-     * one or two, servers are skipped at random, and prefixes are scattered. A key whose share of the traffic
+     * Decays the measurements and recomputes how far each key is spread. That follows recent traffic
+     * rather than open requests: with many instances, a router's own open requests give a bound of one or
+     * two, so that servers are skipped at random and prefixes are scattered. A key whose share of the traffic
      * would fill more than one server is spread over several ring successors, in powers of two so that
      * instances with different counts mostly agree.
      */
@@ -805,8 +805,8 @@
      * a congested zone if the difference makes up for the prefill.
      */
     private void learnZoneDelay(PendingRequest pending, Attempt attempt, long now) {
-        int where = attempt.server.entry.zone() == settings.zone() ? 0 : 1;
-        zoneDelay[where] += ((double) (now - attempt.sentAt) / firstTokenTarget(pending) - zoneDelay[where])
+        int side = attempt.server.entry.zone() == settings.zone() ? 0 : 1;
+        zoneDelay[side] += ((double) (now - attempt.sentAt) / firstTokenTarget(pending) - zoneDelay[side])
                 * ZONE_DELAY_WEIGHT;
     }
 
@@ -856,6 +856,7 @@
         return server.entry.weight() > 0 ? server.entry.weight() : 1;
     }
 
+    /** Whether the server may be sent an attempt of this request now. */
     private boolean mayTake(PendingRequest pending, TrackedServer server, long now) {
         return pending.attempts.stream().noneMatch(attempt -> attempt.server.entry.id() == server.entry.id())
                 && !server.isAvoided(now)
@@ -866,8 +867,8 @@
 
     /**
      * Slow start: a cold server takes a share of its keys equal to its present share of capacity, the same
-     * keys at every instance. Otherwise it is overloaded: its prefix cache is empty, so each key costs a full
-     * prefill.
+     * keys at every instance. With all its keys it would be overloaded: its prefix cache is empty, so each
+     * key costs a full prefill.
      */
     private boolean takesKeyWhileCold(long key, TrackedServer server, long now) {
         double share = capacityShare(server, now);
@@ -886,8 +887,8 @@
         }
         if (server.coldBudgetStart != server.entry.startedAt()) {
             server.coldBudgetStart = server.entry.startedAt();
-            long turn = jittered(coldSendInterval(server, now));
-            server.nextColdSendAt = now + settings.contract().fallFor() / 2 + turn;
+            long startDelay = jittered(coldSendInterval(server, now));
+            server.nextColdSendAt = now + settings.contract().fallFor() / 2 + startDelay;
         }
         return server.nextColdSendAt - now <= settings.contract().fallFor() / 2;
     }
@@ -898,6 +899,7 @@
         }
     }
 
+    /** Returns the time in microseconds between two attempts that this router may send to a cold server. */
     private long coldSendInterval(TrackedServer server, long now) {
         double meterTime = RATE_WINDOW_TARGETS * planInterval * PLANS_PER_TARGET;
         double perServer = recentFirstTokens / meterTime / Math.max(1, unrestrictedPool.ready);
@@ -906,15 +908,16 @@
         return (long) Math.min(1 / rate, settings.contract().coldFor());
     }
 
+    /** Returns the share of its capacity, 0 to 1, that a server has; it grows linearly while it warms up. */
     private double capacityShare(TrackedServer server, long now) {
         long start = server.entry.startedAt();
         long age = now - start;
-        long coldFor = settings.contract().coldFor();
-        if (start == 0 || age >= coldFor) {
+        long warmUpTime = settings.contract().coldFor();
+        if (start == 0 || age >= warmUpTime) {
             return 1;
         }
-        double from = settings.contract().coldFrom();
-        return from + (1 - from) * Math.max(0, age) / coldFor;
+        double initialShare = settings.contract().coldFrom();
+        return initialShare + (1 - initialShare) * Math.max(0, age) / warmUpTime;
     }
 
     // ---- requests and attempts
@@ -951,6 +954,7 @@
         return random.nextDouble() < excess;
     }
 
+    /** Marks an attempt as no longer overdue; its server counts as slow for a while. */
     private static void clearOverdue(Attempt attempt, long now) {
         if (attempt.overdue) {
             attempt.server.lastFirstTokenDelay = now - attempt.sentAt;
@@ -960,11 +964,13 @@
         }
     }
 
+    /** Returns the target for the time to the first token, in microseconds, for this prompt length. */
     private static long firstTokenTarget(PendingRequest pending) {
         return pending.requestClass.aim()
                 + (long) (pending.requestClass.aimPerKilotoken() * pending.request.promptTokens() / 1000);
     }
 
+    /** Sends an attempt, queues the request, or gives the final answer if no attempt is in flight. */
     private void dispatch(PendingRequest pending, long now) {
         TrackedServer server = pickServer(pending, false, now);
         if (server == null && pending.attempts.isEmpty()) {
@@ -1012,7 +1018,7 @@
     private void countSent(PendingRequest pending) {
         pending.pool.arrivals++;
         if (pending.request.sharedPrefix() != 0) {
-            KeyTraffic traffic = trafficByKey.computeIfAbsent(pending.key, k -> new KeyTraffic());
+            KeyTraffic traffic = trafficByKey.computeIfAbsent(pending.key, key -> new KeyTraffic());
             traffic.pool = pending.pool;
             traffic.requests++;
         } else {
@@ -1301,6 +1307,7 @@
 
     // ---- protection from duplicate execution
 
+    /** Whether sending to this server cannot make the request take effect twice. */
     private boolean mayRepeatOn(PendingRequest pending, TrackedServer server, long now) {
         if (!settings.limits().mayDuplicate() && pending.anyInFlight()) {
             return false;
@@ -1320,6 +1327,7 @@
         };
     }
 
+    /** Whether a retry by the client is harmless, which a refusal promises. */
     private boolean mayRefuse(PendingRequest pending) {
         return pending.requestClass.effect() == Effect.RETRYABLE || pending.firstThatMayHaveRun() == null
                 || pending.requestClass.effect() == Effect.DEDUP
@@ -1328,6 +1336,7 @@
 
     // ---- queue
 
+    /** Returns the time at which a request that is still queued is answered. */
     private long queueUntil(PendingRequest pending) {
         return pending.deadline - pending.request.patience() / QUEUE_RESERVE_DIVISOR;
     }
@@ -1385,6 +1394,7 @@
         return latestTime;
     }
 
+    /** Returns a random duration of less than span. */
     private long jittered(long span) {
         return span <= 0 ? 0 : random.nextLong(span);
     }
--- a/src/main/java/umberspread/Routing.java
+++ b/src/main/java/umberspread/Routing.java
@@ -28,7 +28,10 @@
         FRAGILE
     }
 
-    /** Which servers recognise and drop a duplicate of a {@link Effect#DEDUP} request. */
+    /**
+     * Which servers recognise and drop a duplicate of a {@link Effect#DEDUP} request: all servers, those of the
+     * zone of the first attempt, or those of its cell.
+     */
     public enum DedupGroup { ALL, ZONE, CELL }
 
     /** State of a server in the endpoint list. */
@@ -85,7 +88,7 @@
             return 31 * zones.hashCode() + kinds.hashCode();
         }
 
-        /** Returns whether the class may be sent to this server. */
+        /** Returns whether requests of the class may be sent to this server. */
         public boolean allows(Replica server) {
             return (zones.isEmpty() || zones.contains(server.zone()))
                     && (kinds.isEmpty() || kinds.contains(server.kind()));
@@ -169,10 +172,11 @@
     /**
      * Constraints of the deployment on slow start, drains and retries.
      *
-     * @param drainGrace time that a draining server has left to finish its requests
+     * @param drainGrace how long after a drain is announced new attempts may still reach the server
      * @param coldFor the longest time that a server takes to warm up
      * @param coldFrom the least share of its full capacity, 0 to 1, that a server has when it starts
      * @param fallMultiple a cold server fails when sent this multiple of its current capacity for fallFor
+     * @param fallFor the window over which that load is measured
      * @param askWithin the longest time between two discovery calls where the list is pulled
      * @param attempts limit on retries and hedged attempts
      */
@@ -212,7 +216,7 @@
      * Configuration of a router.
      *
      * @param instances number of router instances that send to the same servers
-     * @param ordinal position of this instance among them, from 0
+     * @param ordinal index of this instance among them, from 0
      * @param zone the router's own zone
      * @param overShareWorth factor, 0 to 1, on the worth of a request beyond its tenant's quota
      * @param askForList whether the router has to call discovery for the endpoint list
--- a/src/main/java/umberspread/adapter/Host.java
+++ b/src/main/java/umberspread/adapter/Host.java
@@ -185,12 +185,12 @@
         frame.f64();
         double maxTokens = frame.f32();
         double prefixTokens = frame.f32();
-        long patience = micros(frame.f64());
+        long clientTimeout = micros(frame.f64());
         double promptTokens = frame.f32();
         int requestClass = frame.u16();
         long prefix = frame.u64();
         Routing.Request request = new Routing.Request(id, requestClass, tenant, (flags & 2) != 0, session,
-                prefix, promptTokens, prefixTokens, maxTokens, patience);
+                prefix, promptTokens, prefixTokens, maxTokens, clientTimeout);
         deliver(gateway, router -> router.requestArrived(now, request));
     }
 
