--- a/src/main/java/umberspread/Routing.java
+++ b/src/main/java/umberspread/Routing.java
@@ -29,8 +29,8 @@
     }
 
     /**
-     * Which servers recognise and drop a duplicate of a {@link Effect#DEDUP} request: all servers, those of the
-     * zone of the first attempt, or those of its cell.
+     * Which servers recognise and drop a duplicate of a {@link Effect#DEDUP} request: all servers, those of
+     * the zone of the first attempt, or those of its cell.
      */
     public enum DedupGroup { ALL, ZONE, CELL }
 
