--- a/src/main/java/umberspread/BoundedLoadRouter.java
+++ b/src/main/java/umberspread/BoundedLoadRouter.java
@@ -8,14 +8,14 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.LongUnaryOperator;
-import umberspread.Routing.Effect;
 import umberspread.Routing.Lifecycle;
 import umberspread.Routing.ListKind;
 import umberspread.Routing.LoadReport;
 import umberspread.Routing.Outcome;
-import umberspread.Routing.Replica;
 import umberspread.Routing.Request;
 import umberspread.Routing.RequestClass;
+import umberspread.Routing.RetrySafety;
+import umberspread.Routing.ServerState;
 import umberspread.Routing.Settings;
 
 /**
@@ -247,7 +247,7 @@
 
     /** What this router knows of a server. Times are in microseconds; 0 means never. */
     static final class TrackedServer {
-        Replica entry;
+        ServerState entry;
         int points;
         List<Pool> pools = List.of();
         int inFlight;
@@ -271,7 +271,7 @@
         double otherInFlight;
         long otherInFlightUntil;
 
-        TrackedServer(Replica entry, int points, int classes) {
+        TrackedServer(ServerState entry, int points, int classes) {
             this.classBackoffUntil = new long[classes];
             this.classFailures = new int[classes];
             this.entry = entry;
@@ -325,7 +325,7 @@
             this.requestClass = requestClass;
             this.pool = pool;
             this.arrivedAt = now;
-            this.deadline = now + request.patience();
+            this.deadline = now + request.clientTimeout();
             long named = request.sharedPrefix() != 0 ? request.sharedPrefix() : request.session();
             this.key = named != 0 ? named : request.id();
         }
@@ -362,15 +362,15 @@
         long longestTimeout = 0;
         long shortestTarget = Long.MAX_VALUE;
         for (RequestClass requestClass : settings.classes()) {
-            longestTimeout = Math.max(longestTimeout, requestClass.giveUp());
-            shortestTarget = Math.min(shortestTarget, requestClass.aim());
+            longestTimeout = Math.max(longestTimeout, requestClass.maxClientTimeout());
+            shortestTarget = Math.min(shortestTarget, requestClass.firstTokenTarget());
         }
         this.maxClientTimeout = longestTimeout;
         this.planInterval = shortestTarget / PLANS_PER_TARGET;
         this.classLatency = new double[settings.classes().size()];
         this.classFirstTokenLatency = new double[settings.classes().size()];
         this.tenantRequests = new double[settings.tenants().size()];
-        Routing.AttemptBudget configured = settings.contract().attempts();
+        Routing.AttemptBudget configured = settings.contract().attemptBudget();
         this.attemptBudget = configured.window() > 0 ? configured
                 : new Routing.AttemptBudget(DEFAULT_BUDGET_FREE, DEFAULT_BUDGET_RATIO, longestTimeout);
         this.unrestrictedPool = poolFor(Routing.Placement.ANYWHERE);
@@ -393,22 +393,22 @@
     @Override
     public void started(long time) {
         long now = latestTime(time);
-        if (settings.askForList()) {
+        if (settings.pullsEndpointList()) {
             scheduleDiscoveryCall(now
-                    + jittered(settings.contract().askWithin() / FIRST_CALL_SPREAD_DIVISOR));
+                    + jittered(settings.contract().maxDiscoveryInterval() / FIRST_CALL_SPREAD_DIVISOR));
         }
     }
 
     // ---- discovery
 
     @Override
-    public void listReceived(long time, ListKind kind, List<Replica> entries) {
+    public void listReceived(long time, ListKind kind, List<ServerState> entries) {
         long now = latestTime(time);
         if (kind == ListKind.FAILED) {
             discoveryCallPending = false;
             watching = false;
             long wait = Math.min(MAX_DISCOVERY_BACKOFF_MICROS,
-                    settings.contract().askWithin() / DISCOVERY_BACKOFF_DIVISOR
+                    settings.contract().maxDiscoveryInterval() / DISCOVERY_BACKOFF_DIVISOR
                     << Math.min(failedDiscoveryCalls++, 3));
             scheduleDiscoveryCall(now + wait / 2 + jittered(wait / 2));
             return;
@@ -431,7 +431,7 @@
             referenceWeight = sum > 0 ? Math.pow(2, Math.rint(Math.log(sum / entries.size()) / Math.log(2)))
                     : 1;
         }
-        for (Replica entry : entries) {
+        for (ServerState entry : entries) {
             changed |= updateServer(entry);
         }
         if (changed) {
@@ -440,7 +440,7 @@
         retryQueued(now);
     }
 
-    private boolean updateServer(Replica entry) {
+    private boolean updateServer(ServerState entry) {
         TrackedServer server = servers.get(entry.id());
         if (entry.lifecycle() == Lifecycle.GONE) {
             return server != null && removeServer(server);
@@ -463,17 +463,17 @@
         return wasReady != ready || ready && moved;
     }
 
-    private List<Pool> poolsOf(Replica entry) {
+    private List<Pool> poolsOf(ServerState entry) {
         List<Pool> found = new ArrayList<>(pools);
         found.removeIf(pool -> !pool.placement.allows(entry));
         return found;
     }
 
     /** Returns a server's number of ring points, in proportion to the weight it was first listed with. */
-    private int pointsFor(Replica entry) {
+    private int pointsFor(ServerState entry) {
         double times = entry.weight() > 0 ? Math.min(MAX_RELATIVE_WEIGHT, entry.weight() / referenceWeight)
                 : 1;
-        return Math.max(1, (int) Math.rint(tuning.virtualPoints() * times));
+        return Math.max(1, (int) Math.rint(tuning.virtualNodes() * times));
     }
 
     private boolean removeServer(TrackedServer server) {
@@ -556,8 +556,8 @@
             return;
         }
         discoveryCallPending = true;
-        actions.followList();
-        scheduleDiscoveryCall(now + settings.contract().askWithin());
+        actions.watchEndpointList();
+        scheduleDiscoveryCall(now + settings.contract().maxDiscoveryInterval());
     }
 
     // ---- choice of a server
@@ -611,7 +611,7 @@
             // a machine kind keeps a share of its keys on the ring that is its speed relative to the fastest
             // kind's
             if (spread == 1 && speed(server)
-                    < fastestKindSpeed * Mixing.unit(pending.key ^ Mixing.mix(~server.entry.id()))) {
+                    < fastestKindSpeed * Mixing.uniform(pending.key ^ Mixing.mix(~server.entry.id()))) {
                 slower = slower == null ? server : slower;
                 continue;
             }
@@ -620,7 +620,7 @@
                 continue;
             }
             double score = -capacityShare(server, now) * speed(server)
-                    / Math.log(Mixing.unit(session ^ server.entry.id()));
+                    / Math.log(Mixing.uniform(session ^ server.entry.id()));
             if (best == null || score > bestScore) {
                 best = server;
                 bestScore = score;
@@ -659,9 +659,10 @@
         }
         double average = (pending.pool.inFlight + 1) * weight(server) * capacityShare(server, now)
                 / pending.pool.capacity;
-        double fair = average * (tuning.loadFactor() / 100.0);
-        return server.inFlight + 1 > (tuning.byChance()
-                ? Math.floor(fair + Mixing.unit(pending.request.id() ^ server.entry.id())) : Math.ceil(fair));
+        double fair = average * (tuning.loadFactorPercent() / 100.0);
+        return server.inFlight + 1 > (tuning.randomRounding()
+                ? Math.floor(fair + Mixing.uniform(pending.request.id() ^ server.entry.id()))
+                        : Math.ceil(fair));
     }
 
     /**
@@ -757,7 +758,7 @@
      * refused at a server congested by a large one.
      */
     private boolean spillPays(PendingRequest pending) {
-        return prefillTime(pending) * averageWorth < CHEAP_PREFILL_SHARE * pending.requestClass.aim()
+        return prefillTime(pending) * averageWorth < CHEAP_PREFILL_SHARE * pending.requestClass.firstTokenTarget()
                 * pending.worth;
     }
 
@@ -776,7 +777,7 @@
     }
 
     private boolean cheapToPrefill(PendingRequest pending) {
-        return prefillTime(pending) < CHEAP_PREFILL_SHARE * pending.requestClass.aim();
+        return prefillTime(pending) < CHEAP_PREFILL_SHARE * pending.requestClass.firstTokenTarget();
     }
 
     /**
@@ -872,7 +873,7 @@
      */
     private boolean takesKeyWhileCold(long key, TrackedServer server, long now) {
         double share = capacityShare(server, now);
-        return share >= 1 || Mixing.unit(key ^ Mixing.mix(server.entry.id() ^ Mixing.COLD_SALT)) < share;
+        return share >= 1 || Mixing.uniform(key ^ Mixing.mix(server.entry.id() ^ Mixing.COLD_SALT)) < share;
     }
 
     /**
@@ -888,9 +889,9 @@
         if (server.coldBudgetStart != server.entry.startedAt()) {
             server.coldBudgetStart = server.entry.startedAt();
             long startDelay = jittered(coldSendInterval(server, now));
-            server.nextColdSendAt = now + settings.contract().fallFor() / 2 + startDelay;
+            server.nextColdSendAt = now + settings.contract().overloadWindow() / 2 + startDelay;
         }
-        return server.nextColdSendAt - now <= settings.contract().fallFor() / 2;
+        return server.nextColdSendAt - now <= settings.contract().overloadWindow() / 2;
     }
 
     void spendColdBudget(TrackedServer server, long now) {
@@ -903,20 +904,20 @@
     private long coldSendInterval(TrackedServer server, long now) {
         double meterTime = RATE_WINDOW_TARGETS * planInterval * PLANS_PER_TARGET;
         double perServer = recentFirstTokens / meterTime / Math.max(1, unrestrictedPool.ready);
-        double rate = perServer * capacityShare(server, now) * settings.contract().fallMultiple()
+        double rate = perServer * capacityShare(server, now) * settings.contract().overloadMultiple()
                 * COLD_MARGIN;
-        return (long) Math.min(1 / rate, settings.contract().coldFor());
+        return (long) Math.min(1 / rate, settings.contract().warmUpTime());
     }
 
     /** Returns the share of its capacity, 0 to 1, that a server has; it grows linearly while it warms up. */
     private double capacityShare(TrackedServer server, long now) {
         long start = server.entry.startedAt();
         long age = now - start;
-        long warmUpTime = settings.contract().coldFor();
+        long warmUpTime = settings.contract().warmUpTime();
         if (start == 0 || age >= warmUpTime) {
             return 1;
         }
-        double initialShare = settings.contract().coldFrom();
+        double initialShare = settings.contract().coldCapacityShare();
         return initialShare + (1 - initialShare) * Math.max(0, age) / warmUpTime;
     }
 
@@ -934,7 +935,7 @@
         if (planStale || now >= plannedAt + planInterval) {
             updatePlan(now);
         }
-        pending.worth = pending.requestClass.worth() * (overQuota(request) ? settings.overShareWorth() : 1);
+        pending.worth = pending.requestClass.worth() * (overQuota(request) ? settings.overQuotaWorth() : 1);
         averageWorth += (pending.worth - averageWorth) * MOVING_AVERAGE_WEIGHT;
         dispatch(pending, now);
     }
@@ -966,8 +967,8 @@
 
     /** Returns the target for the time to the first token, in microseconds, for this prompt length. */
     private static long firstTokenTarget(PendingRequest pending) {
-        return pending.requestClass.aim()
-                + (long) (pending.requestClass.aimPerKilotoken() * pending.request.promptTokens() / 1000);
+        return pending.requestClass.firstTokenTarget()
+                + (long) (pending.requestClass.targetPerKilotoken() * pending.request.promptTokens() / 1000);
     }
 
     /** Sends an attempt, queues the request, or gives the final answer if no attempt is in flight. */
@@ -1000,7 +1001,7 @@
         if (pending.attempts.size() == 1) {
             countSent(pending);
             scheduleReview(pending, now + firstTokenTarget(pending) / OVERDUE_DIVISOR);
-            if (settings.limits().mayDuplicate()) {
+            if (settings.limits().allowsHedging()) {
                 scheduleReview(pending, now + firstTokenTarget(pending) / HEDGE_DIVISOR);
             }
         }
@@ -1071,7 +1072,7 @@
 
     /** Handles a request that has no first token yet: its server may be slow, or its attempt lost. */
     private void review(PendingRequest pending, long now) {
-        boolean hedge = settings.limits().mayDuplicate()
+        boolean hedge = settings.limits().allowsHedging()
                 && now >= pending.arrivedAt + firstTokenTarget(pending) / HEDGE_DIVISOR
                 && fewAreSlow(pending, now);
         boolean firstReview = !pending.reviewed;
@@ -1104,12 +1105,12 @@
     /** Sends a hedged attempt or, where that isn't allowed, cancels the first one so that it is retried. */
     private void hedge(PendingRequest pending, Attempt first, long now) {
         pending.hedged = true;
-        if (settings.limits().mayDuplicate()) {
+        if (settings.limits().allowsHedging()) {
             TrackedServer server = pickServer(pending, false, now);
             if (server != null && !isSlow(pending, server, now) && capacityShare(server, now) >= 1) {
                 send(pending, server, now);
             }
-        } else if (settings.limits().cancelling()) {
+        } else if (settings.limits().allowsCancelling()) {
             actions.cancel(pending.request.id(), pending.attempts.indexOf(first));
         }
     }
@@ -1263,7 +1264,7 @@
     }
 
     @Override
-    public void requestGone(long now, long requestId) {
+    public void requestAbandoned(long now, long requestId) {
         PendingRequest pending = openRequests.get(requestId);
         if (pending != null) {
             pending.finished = true;
@@ -1274,7 +1275,7 @@
 
     private void cancelOthers(PendingRequest pending, int kept) {
         for (int i = 0; i < pending.attempts.size(); i++) {
-            if (i != kept && pending.attempts.get(i).inFlight && settings.limits().cancelling()) {
+            if (i != kept && pending.attempts.get(i).inFlight && settings.limits().allowsCancelling()) {
                 actions.cancel(pending.request.id(), i);
             }
         }
@@ -1309,18 +1310,18 @@
 
     /** Whether sending to this server cannot make the request take effect twice. */
     private boolean mayRepeatOn(PendingRequest pending, TrackedServer server, long now) {
-        if (!settings.limits().mayDuplicate() && pending.anyInFlight()) {
+        if (!settings.limits().allowsHedging() && pending.anyInFlight()) {
             return false;
         }
         Attempt ran = pending.firstThatMayHaveRun();
-        if (ran == null || pending.requestClass.effect() == Effect.RETRYABLE) {
+        if (ran == null || pending.requestClass.retrySafety() == RetrySafety.RETRYABLE) {
             return true;
         }
         // it may have to open a connection first, and must still arrive within the dedup window
         long arrives = now + settings.limits().connectTimeout();
-        return pending.requestClass.effect() == Effect.DEDUP
-                && arrives < ran.sentAt + pending.requestClass.window()
-                && switch (pending.requestClass.group()) {
+        return pending.requestClass.retrySafety() == RetrySafety.DEDUP
+                && arrives < ran.sentAt + pending.requestClass.dedupWindow()
+                && switch (pending.requestClass.dedupGroup()) {
             case ALL -> true;
             case ZONE -> ran.server.entry.zone() == server.entry.zone();
             case CELL -> ran.server.entry.cell() == server.entry.cell();
@@ -1329,16 +1330,17 @@
 
     /** Whether a retry by the client is harmless, which a refusal promises. */
     private boolean mayRefuse(PendingRequest pending) {
-        return pending.requestClass.effect() == Effect.RETRYABLE || pending.firstThatMayHaveRun() == null
-                || pending.requestClass.effect() == Effect.DEDUP
-                && pending.requestClass.group() == Routing.DedupGroup.ALL;
+        return pending.requestClass.retrySafety() == RetrySafety.RETRYABLE
+                || pending.firstThatMayHaveRun() == null
+                || pending.requestClass.retrySafety() == RetrySafety.DEDUP
+                && pending.requestClass.dedupGroup() == Routing.DedupGroup.ALL;
     }
 
     // ---- queue
 
     /** Returns the time at which a request that is still queued is answered. */
     private long queueUntil(PendingRequest pending) {
-        return pending.deadline - pending.request.patience() / QUEUE_RESERVE_DIVISOR;
+        return pending.deadline - pending.request.clientTimeout() / QUEUE_RESERVE_DIVISOR;
     }
 
     private void enqueue(PendingRequest pending, long now) {
@@ -1350,7 +1352,7 @@
             }
             queue.add(pending);
         }
-        scheduleReview(pending, Math.min(now + pending.request.patience() / QUEUE_CHECKS,
+        scheduleReview(pending, Math.min(now + pending.request.clientTimeout() / QUEUE_CHECKS,
                 queueUntil(pending)));
     }
 
--- a/src/main/java/umberspread/GenerationRouter.java
+++ b/src/main/java/umberspread/GenerationRouter.java
@@ -8,13 +8,13 @@
 import java.util.Map;
 import java.util.Set;
 import umberspread.BoundedLoadRouter.KeyTraffic;
-import umberspread.BoundedLoadRouter.TrackedServer;
 import umberspread.BoundedLoadRouter.Pool;
+import umberspread.BoundedLoadRouter.TrackedServer;
 import umberspread.Routing.ListKind;
 import umberspread.Routing.LoadReport;
 import umberspread.Routing.Outcome;
-import umberspread.Routing.Replica;
 import umberspread.Routing.Request;
+import umberspread.Routing.ServerState;
 import umberspread.Routing.Settings;
 
 /**
@@ -25,7 +25,7 @@
  */
 public final class GenerationRouter implements Routing.Events {
     private final BoundedLoadRouter router;
-    private final Memory memory;
+    private final LearnedState learnedState;
     private final long shift;
     private final Map<String, OtherAttempt> otherAttempts = new HashMap<>();
     private boolean restored;
@@ -44,16 +44,16 @@
      *
      * @param shift added to the times in memory, in microseconds: this process's clock minus the other's
      */
-    public GenerationRouter(Settings settings, long seed, Routing.Actions actions, Memory memory,
+    public GenerationRouter(Settings settings, long seed, Routing.Actions actions, LearnedState memory,
             long shift) {
         this.router = new BoundedLoadRouter(settings, seed, actions);
-        this.memory = memory;
+        this.learnedState = memory;
         this.shift = shift;
     }
 
     /** Returns what this module has learned so far. */
-    public Memory memory() {
-        return memory(true);
+    public LearnedState learnedState() {
+        return learnedState(true);
     }
 
     /**
@@ -61,21 +61,21 @@
      *
      * @param withKeys whether to include the keys, of which there may be tens of thousands
      */
-    public Memory memory(boolean withKeys) {
-        List<Memory.OfReplica> replicas = new ArrayList<>();
+    public LearnedState learnedState(boolean withKeys) {
+        List<LearnedState.LearnedServer> replicas = new ArrayList<>();
         for (TrackedServer server : router.servers.values()) {
-            replicas.add(new Memory.OfReplica(server.entry.id(), server.points,
+            replicas.add(new LearnedState.LearnedServer(server.entry.id(), server.points,
                     list(server.classBackoffUntil), Arrays.stream(server.classFailures).boxed().toList(),
                     server.ejectedUntil, server.ejections, server.consecutiveResets, server.slowUntil,
                     server.lastFirstTokenDelay, server.nextColdSendAt, server.coldBudgetStart));
         }
-        List<Memory.OfKey> keys = new ArrayList<>();
+        List<LearnedState.LearnedKey> keys = new ArrayList<>();
         if (withKeys) {
             router.trafficByKey.forEach((key, traffic) ->
-                    keys.add(new Memory.OfKey(key, traffic.requests, traffic.spread,
+                    keys.add(new LearnedState.LearnedKey(key, traffic.requests, traffic.spread,
                             router.pools.indexOf(traffic.pool))));
         }
-        return new Memory(router.referenceWeight, router.averageWorth, router.recentFirstTokens,
+        return new LearnedState(router.referenceWeight, router.averageWorth, router.recentFirstTokens,
                 router.prefillRate, router.unkeyedRequests, router.plannedAt, list(router.classLatency),
                 router.kindLatencyRatio, list(router.tenantRequests), List.copyOf(router.recentArrivals),
                 List.copyOf(router.recentExtraAttempts), replicas, keys,
@@ -84,35 +84,37 @@
 
     /** Restores the learned state; drops state of unknown servers and of settings that have changed. */
     private void restore(long now) {
-        router.referenceWeight = memory.unitWeight();
-        router.averageWorth = memory.averageWorth();
-        router.recentFirstTokens = memory.firstTokenTally();
-        router.prefillRate = memory.readRate();
-        router.unkeyedRequests = memory.unnamed();
-        router.plannedAt = Math.min(now, memory.plannedAt() + shift);
-        router.kindLatencyRatio.putAll(memory.kindTime());
-        copyInto(router.classLatency, memory.classTime());
-        copyInto(router.tenantRequests, memory.tenantTally());
-        memory.taken().forEach(arrival -> router.recentArrivals.add(Math.min(now, arrival + shift)));
-        memory.further().forEach(attempt -> router.recentExtraAttempts.add(Math.min(now, attempt + shift)));
-        boolean samePools = memory.poolArrivals().size() == router.pools.size();
+        router.referenceWeight = learnedState.referenceWeight();
+        router.averageWorth = learnedState.averageWorth();
+        router.recentFirstTokens = learnedState.recentFirstTokens();
+        router.prefillRate = learnedState.prefillRate();
+        router.unkeyedRequests = learnedState.unkeyedRequests();
+        router.plannedAt = Math.min(now, learnedState.plannedAt() + shift);
+        router.kindLatencyRatio.putAll(learnedState.kindLatencyRatio());
+        copyInto(router.classLatency, learnedState.classLatency());
+        copyInto(router.tenantRequests, learnedState.tenantRequests());
+        learnedState.recentArrivals().forEach(arrival ->
+                router.recentArrivals.add(Math.min(now, arrival + shift)));
+        learnedState.recentExtraAttempts().forEach(attempt ->
+                router.recentExtraAttempts.add(Math.min(now, attempt + shift)));
+        boolean samePools = learnedState.poolArrivals().size() == router.pools.size();
         for (int i = 0; samePools && i < router.pools.size(); i++) {
-            router.pools.get(i).arrivals = memory.poolArrivals().get(i);
+            router.pools.get(i).arrivals = learnedState.poolArrivals().get(i);
         }
-        for (Memory.OfKey learned : memory.keys()) {
-            if (samePools && learned.pool() >= 0 && learned.pool() < router.pools.size()) {
+        for (LearnedState.LearnedKey learned : learnedState.keys()) {
+            if (samePools && learned.poolIndex() >= 0 && learned.poolIndex() < router.pools.size()) {
                 KeyTraffic traffic = router.trafficByKey.computeIfAbsent(learned.key(),
                         key -> new KeyTraffic());
-                traffic.pool = router.pools.get(learned.pool());
-                traffic.requests = learned.tally();
+                traffic.pool = router.pools.get(learned.poolIndex());
+                traffic.requests = learned.recentRequests();
                 traffic.spread = Math.max(1, learned.spread());
             }
         }
-        memory.replicas().forEach(this::restoreServer);
+        learnedState.servers().forEach(this::restoreServer);
         router.rebuildRing();
     }
 
-    private void restoreServer(Memory.OfReplica learned) {
+    private void restoreServer(LearnedState.LearnedServer learned) {
         TrackedServer server = router.servers.get(learned.id());
         if (server == null) {
             return;
@@ -120,17 +122,17 @@
         server.points = Math.max(1, learned.points());
         server.ejectedUntil = shifted(learned.ejectedUntil());
         server.ejections = learned.ejections();
-        server.consecutiveResets = learned.breaks();
+        server.consecutiveResets = learned.consecutiveResets();
         server.slowUntil = shifted(learned.slowUntil());
-        server.lastFirstTokenDelay = learned.lastDelay();
+        server.lastFirstTokenDelay = learned.lastFirstTokenDelay();
         // Not shifted: compared with the listed start time. A server that has restarted gets a new budget.
-        server.nextColdSendAt = shifted(learned.coldBudgetAt());
-        server.coldBudgetStart = learned.budgetedStart();
-        if (learned.restUntil().size() == server.classBackoffUntil.length
-                && learned.strikes().size() == server.classFailures.length) {
+        server.nextColdSendAt = shifted(learned.nextColdSendAt());
+        server.coldBudgetStart = learned.coldBudgetStart();
+        if (learned.classBackoffUntil().size() == server.classBackoffUntil.length
+                && learned.classFailures().size() == server.classFailures.length) {
             for (int c = 0; c < server.classBackoffUntil.length; c++) {
-                server.classBackoffUntil[c] = shifted(learned.restUntil().get(c));
-                server.classFailures[c] = learned.strikes().get(c);
+                server.classBackoffUntil[c] = shifted(learned.classBackoffUntil().get(c));
+                server.classFailures[c] = learned.classFailures().get(c);
             }
         }
     }
@@ -155,7 +157,7 @@
 
     /** Returns the ejected servers, which may be sent no request, or only one as a trial. */
     @Override
-    public Set<Long> avoided(long now) {
+    public Set<Long> unavailableServers(long now) {
         Set<Long> avoided = new HashSet<>();
         for (TrackedServer server : router.servers.values()) {
             if (server.isAvoided(now)) {
@@ -166,7 +168,7 @@
     }
 
     @Override
-    public void otherSent(long time, String token, long serverId) {
+    public void otherGenerationSent(long time, String token, long serverId) {
         long now = router.latestTime(time);
         TrackedServer server = router.servers.get(serverId);
         if (server == null || otherAttempts.containsKey(token)) {
@@ -180,7 +182,7 @@
     }
 
     @Override
-    public void otherEnded(long now, String token) {
+    public void otherGenerationEnded(long now, String token) {
         OtherAttempt other = otherAttempts.remove(token);
         if (other != null) {
             other.server.inFlight--;
@@ -194,9 +196,9 @@
     }
 
     @Override
-    public void listReceived(long now, ListKind kind, List<Replica> entries) {
+    public void listReceived(long now, ListKind kind, List<ServerState> entries) {
         router.listReceived(now, kind, entries);
-        if (!restored && memory != null) {
+        if (!restored && learnedState != null) {
             restored = true;
             restore(router.latestTime(now));
         }
@@ -219,8 +221,8 @@
     }
 
     @Override
-    public void requestGone(long now, long requestId) {
-        router.requestGone(now, requestId);
+    public void requestAbandoned(long now, long requestId) {
+        router.requestAbandoned(now, requestId);
     }
 
     @Override
--- a/src/main/java/umberspread/Mixing.java
+++ b/src/main/java/umberspread/Mixing.java
@@ -19,7 +19,7 @@
     }
 
     /** Hashes to a number that is at least 0 and less than 1. */
-    public static double unit(long x) {
+    public static double uniform(long x) {
         return (mix(x) >>> 11) * 0x1.0p-53;
     }
 }
--- a/src/main/java/umberspread/Routing.java
+++ b/src/main/java/umberspread/Routing.java
@@ -19,7 +19,7 @@
     }
 
     /** Whether it is safe to run a request of a class more than once. */
-    public enum Effect {
+    public enum RetrySafety {
         /** Safe to run any number of times. */
         RETRYABLE,
         /** Safe to repeat within a time window, on servers that recognise and drop duplicates. */
@@ -29,7 +29,8 @@
     }
 
     /**
-     * Which servers recognise and drop a duplicate of a {@link Effect#DEDUP} request: all servers, those of
+     * Which servers recognise and drop a duplicate of a {@link RetrySafety#DEDUP} request: all servers, those
+     * of
      * the zone of the first attempt, or those of its cell.
      */
     public enum DedupGroup { ALL, ZONE, CELL }
@@ -89,7 +90,7 @@
         }
 
         /** Returns whether requests of the class may be sent to this server. */
-        public boolean allows(Replica server) {
+        public boolean allows(ServerState server) {
             return (zones.isEmpty() || zones.contains(server.zone()))
                     && (kinds.isEmpty() || kinds.contains(server.kind()));
         }
@@ -98,27 +99,30 @@
     /**
      * A class of requests and its latency targets.
      *
-     * @param window how long after the first attempt a {@link Effect#DEDUP} duplicate is still dropped
-     * @param aim target for the time to the first token, for an empty prompt
-     * @param aimPerKilotoken added to the target for each 1,000 prompt tokens
-     * @param tokenAim target for the time between tokens
-     * @param giveUp the longest time that a client of this class waits
+     * @param dedupWindow how long after the first attempt a {@link RetrySafety#DEDUP} duplicate is still
+     * dropped
+     * @param firstTokenTarget target for the time to the first token, for an empty prompt
+     * @param targetPerKilotoken added to the target for each 1,000 prompt tokens
+     * @param interTokenTarget target for the time between tokens
+     * @param maxClientTimeout the longest time that a client of this class waits
      * @param worth value of an answer whose first token meets its target
      * @param lateWorth the share of the worth, 0 to 1, that a later answer still has
      * @param stream whether answers are streamed
      */
-    public record RequestClass(String name, Effect effect, DedupGroup group, long window, long aim,
-            long aimPerKilotoken, long tokenAim, long giveUp, double worth, double lateWorth,
+    public record RequestClass(String name, RetrySafety retrySafety, DedupGroup dedupGroup, long dedupWindow,
+            long firstTokenTarget,
+            long targetPerKilotoken, long interTokenTarget, long maxClientTimeout, double worth,
+                    double lateWorth,
             boolean stream, Placement placement) {
         public RequestClass {
             require(name != null, "class name");
-            require(effect != null, "class effect");
-            require(group != null, "class group");
-            require(window >= 0, "class window");
-            require(aim > 0, "class aim");
-            require(aimPerKilotoken >= 0, "class aimPerKilotoken");
-            require(tokenAim >= 0, "class tokenAim");
-            require(giveUp > 0, "class giveUp");
+            require(retrySafety != null, "class effect");
+            require(dedupGroup != null, "class group");
+            require(dedupWindow >= 0, "class window");
+            require(firstTokenTarget > 0, "class aim");
+            require(targetPerKilotoken >= 0, "class aimPerKilotoken");
+            require(interTokenTarget >= 0, "class tokenAim");
+            require(maxClientTimeout > 0, "class giveUp");
             require(worth >= 0 && worth < Double.MAX_VALUE, "class worth");
             require(lateWorth >= 0 && lateWorth <= 1, "class lateWorth");
             require(placement != null, "class placement");
@@ -173,23 +177,24 @@
      * Constraints of the deployment on slow start, drains and retries.
      *
      * @param drainGrace how long after a drain is announced new attempts may still reach the server
-     * @param coldFor the longest time that a server takes to warm up
-     * @param coldFrom the least share of its full capacity, 0 to 1, that a server has when it starts
-     * @param fallMultiple a cold server fails when sent this multiple of its current capacity for fallFor
-     * @param fallFor the window over which that load is measured
-     * @param askWithin the longest time between two discovery calls where the list is pulled
-     * @param attempts limit on retries and hedged attempts
+     * @param warmUpTime the longest time that a server takes to warm up
+     * @param coldCapacityShare the least share of its full capacity, 0 to 1, that a server has when it starts
+     * @param overloadMultiple a cold server fails when sent this multiple of its current capacity for fallFor
+     * @param overloadWindow the window over which that load is measured
+     * @param maxDiscoveryInterval the longest time between two discovery calls where the list is pulled
+     * @param attemptBudget limit on retries and hedged attempts
      */
-    public record Contract(long drainGrace, long coldFor, double coldFrom, double fallMultiple, long fallFor,
-            long askWithin, AttemptBudget attempts) {
+    public record Contract(long drainGrace, long warmUpTime, double coldCapacityShare,
+            double overloadMultiple, long overloadWindow,
+            long maxDiscoveryInterval, AttemptBudget attemptBudget) {
         public Contract {
             require(drainGrace >= 0, "contract drainGrace");
-            require(coldFor >= 0, "contract coldFor");
-            require(coldFrom >= 0 && coldFrom <= 1, "contract coldFrom");
-            require(fallMultiple > 0, "contract fallMultiple");
-            require(fallFor >= 0, "contract fallFor");
-            require(askWithin > 0, "contract askWithin");
-            require(attempts != null, "contract attempts");
+            require(warmUpTime >= 0, "contract coldFor");
+            require(coldCapacityShare >= 0 && coldCapacityShare <= 1, "contract coldFrom");
+            require(overloadMultiple > 0, "contract fallMultiple");
+            require(overloadWindow >= 0, "contract fallFor");
+            require(maxDiscoveryInterval > 0, "contract askWithin");
+            require(attemptBudget != null, "contract attempts");
         }
     }
 
@@ -197,13 +202,13 @@
      * What the deployment allows.
      *
      * @param maxAttempts attempts of a request, the first included
-     * @param mayDuplicate whether a request may have two attempts in flight at once
-     * @param cancelling whether an attempt may be cancelled
+     * @param allowsHedging whether a request may have two attempts in flight at once
+     * @param allowsCancelling whether an attempt may be cancelled
      * @param probes whether servers may be probed
      * @param connectTimeout the longest time that opening a server connection may take
      * @param retryAfterMax the longest retry-after advice to a refused client; 0: give none
      */
-    public record Limits(int maxAttempts, boolean mayDuplicate, boolean cancelling, boolean probes,
+    public record Limits(int maxAttempts, boolean allowsHedging, boolean allowsCancelling, boolean probes,
             long connectTimeout, long retryAfterMax) {
         public Limits {
             require(maxAttempts >= 1, "limits maxAttempts");
@@ -218,11 +223,11 @@
      * @param instances number of router instances that send to the same servers
      * @param ordinal index of this instance among them, from 0
      * @param zone the router's own zone
-     * @param overShareWorth factor, 0 to 1, on the worth of a request beyond its tenant's quota
-     * @param askForList whether the router has to call discovery for the endpoint list
+     * @param overQuotaWorth factor, 0 to 1, on the worth of a request beyond its tenant's quota
+     * @param pullsEndpointList whether the router has to call discovery for the endpoint list
      */
     public record Settings(int instances, int ordinal, int zone, List<RequestClass> classes,
-            List<Tenant> tenants, double overShareWorth, boolean askForList, Limits limits,
+            List<Tenant> tenants, double overQuotaWorth, boolean pullsEndpointList, Limits limits,
             Contract contract, Prices prices) {
         public Settings {
             require(instances >= 1, "instances");
@@ -230,7 +235,7 @@
             require(zone >= 0, "zone");
             require(classes != null && !classes.isEmpty(), "classes");
             require(tenants != null, "tenants");
-            require(overShareWorth >= 0 && overShareWorth <= 1, "overShareWorth");
+            require(overQuotaWorth >= 0 && overQuotaWorth <= 1, "overShareWorth");
             require(limits != null, "limits");
             require(contract != null, "contract");
             require(prices != null, "prices");
@@ -242,15 +247,16 @@
     /**
      * Parameters of consistent hashing with bounded loads.
      *
-     * @param loadFactor the bound on a server's load, in percent of the average load
-     * @param virtualPoints ring points of a server of average weight
+     * @param loadFactorPercent the bound on a server's load, in percent of the average load
+     * @param virtualNodes ring points of a server of average weight
      * @param hash places ring points and keys on the ring
-     * @param byChance whether the bound is rounded up or down at random and not always up
+     * @param randomRounding whether the bound is rounded up or down at random and not always up
      */
-    public record Tuning(int loadFactor, int virtualPoints, LongUnaryOperator hash, boolean byChance) {
+    public record Tuning(int loadFactorPercent, int virtualNodes, LongUnaryOperator hash,
+            boolean randomRounding) {
         public Tuning {
-            require(loadFactor > 100, "tuning loadFactor");
-            require(virtualPoints >= 1, "tuning virtualPoints");
+            require(loadFactorPercent > 100, "tuning loadFactor");
+            require(virtualNodes >= 1, "tuning virtualPoints");
             require(hash != null, "tuning hash");
         }
     }
@@ -263,7 +269,7 @@
      * @param weight relative size, without a unit
      * @param startedAt start time in microseconds; 0 when it is too long ago to matter
      */
-    public record Replica(long id, int zone, int kind, int cell, double weight, Lifecycle lifecycle,
+    public record ServerState(long id, int zone, int kind, int cell, double weight, Lifecycle lifecycle,
             long startedAt) {
     }
 
@@ -272,16 +278,17 @@
      *
      * @param requestClass index into the settings' classes
      * @param tenant index into the settings' tenants
-     * @param repeat whether the client marked it as a retry of an earlier request
+     * @param clientRetry whether the client marked it as a retry of an earlier request
      * @param session id of the session; 0 when absent
      * @param sharedPrefix id of the prompt prefix that it shares with other requests; 0 when absent
      * @param promptTokens length of the whole prompt
      * @param prefixTokens length of the shared prefix
      * @param maxTokens limit on the answer's length
-     * @param patience how long the client still waits, in microseconds
+     * @param clientTimeout how long the client still waits, in microseconds
      */
-    public record Request(long id, int requestClass, int tenant, boolean repeat, long session,
-            long sharedPrefix, double promptTokens, double prefixTokens, double maxTokens, long patience) {
+    public record Request(long id, int requestClass, int tenant, boolean clientRetry, long session,
+            long sharedPrefix, double promptTokens, double prefixTokens, double maxTokens,
+                    long clientTimeout) {
     }
 
     /** Load report of a server; a value is NaN when the deployment does not report it. */
@@ -295,7 +302,7 @@
         void started(long now);
 
         /** The endpoint list, a change to it, or the failure of a discovery call. */
-        void listReceived(long now, ListKind kind, List<Replica> entries);
+        void listReceived(long now, ListKind kind, List<ServerState> entries);
 
         /** A request has arrived; the module owes it exactly one final answer. Ids are never reused. */
         void requestArrived(long now, Request request);
@@ -315,13 +322,13 @@
                 boolean requestOver, long keptTokens, LoadReport report);
 
         /** The client has disconnected; the request is over and gets no answer. Unknown ids are ignored. */
-        void requestGone(long now, long requestId);
+        void requestAbandoned(long now, long requestId);
 
         /** A timer set by {@link Actions#wakeAt} has fired. */
         void woken(long now, int token);
 
         /** Returns the ready servers that the module currently avoids, such as ejected ones. */
-        default Set<Long> avoided(long now) {
+        default Set<Long> unavailableServers(long now) {
             return Set.of();
         }
 
@@ -331,11 +338,11 @@
          *
          * @param token identifies the attempt; never one of this generation's own
          */
-        default void otherSent(long now, String token, long serverId) {
+        default void otherGenerationSent(long now, String token, long serverId) {
         }
 
-        /** An attempt announced by {@link #otherSent} has ended. Unknown tokens are ignored. */
-        default void otherEnded(long now, String token) {
+        /** An attempt announced by {@link #otherGenerationSent} has ended. Unknown tokens are ignored. */
+        default void otherGenerationEnded(long now, String token) {
         }
     }
 
@@ -362,7 +369,7 @@
         void fail(long requestId);
 
         /** Requests the endpoint list and all later changes; one listReceived event answers each call. */
-        void followList();
+        void watchEndpointList();
 
         /** Sets a timer: {@link Events#woken} is delivered with this token at or after this time. */
         void wakeAt(long time, int token);
--- a/src/main/java/umberspread/adapter/Host.java
+++ b/src/main/java/umberspread/adapter/Host.java
@@ -26,13 +26,13 @@
     private final Map<Integer, Gateway> gateways = new HashMap<>();
     private final Reply reply;
     private final PrintStream err;
-    private final Main.Maker routerFactory;
+    private final Main.RouterFactory routerFactory;
 
     Host(Reply reply, PrintStream err) {
         this(reply, err, BoundedLoadRouter::new);
     }
 
-    Host(Reply reply, PrintStream err, Main.Maker routerFactory) {
+    Host(Reply reply, PrintStream err, Main.RouterFactory routerFactory) {
         this.reply = reply;
         this.err = err;
         this.routerFactory = routerFactory;
@@ -45,11 +45,12 @@
         private final List<String> reportNames;
         private final Routing.Events router;
 
-        Gateway(int number, SettingsParser.Parsed parsed, long seed, Reply reply, Main.Maker routerFactory) {
+        Gateway(int number, SettingsParser.Parsed parsed, long seed, Reply reply,
+                Main.RouterFactory routerFactory) {
             this.number = number;
             this.reply = reply;
             this.reportNames = parsed.reportNames();
-            this.router = routerFactory.make(parsed.settings(), seed, this);
+            this.router = routerFactory.create(parsed.settings(), seed, this);
         }
 
         @Override
@@ -73,7 +74,7 @@
         }
 
         @Override
-        public void followList() {
+        public void watchEndpointList() {
             reply.follow(number);
         }
 
@@ -104,7 +105,7 @@
                 case 2 -> firstToken(frame, now, gateway);
                 case 3 -> {
                     long request = frame.u64();
-                    deliver(gateway, router -> router.requestGone(now, request));
+                    deliver(gateway, router -> router.requestAbandoned(now, request));
                 }
                 case 4 -> skipProbeResult(frame);
                 case 5 -> {
@@ -160,7 +161,7 @@
             throw frame.invalid("unknown list kind " + code);
         }
         int count = frame.count(frame.u32(), SERVER_BYTES);
-        List<Routing.Replica> entries = new ArrayList<>(count);
+        List<Routing.ServerState> entries = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             int cell = frame.u16();
             int kind = frame.u8();
@@ -171,7 +172,7 @@
             double weight = frame.f32();
             int zone = frame.u8();
             long started = micros(frame.f64());
-            entries.add(new Routing.Replica(frame.u32(), zone, kind, cell, weight, LIFECYCLES[state],
+            entries.add(new Routing.ServerState(frame.u32(), zone, kind, cell, weight, LIFECYCLES[state],
                     started));
         }
         deliver(gateway, router -> router.listReceived(now, listKind, entries));
--- a/src/main/java/umberspread/adapter/Main.java
+++ b/src/main/java/umberspread/adapter/Main.java
@@ -17,9 +17,9 @@
     }
 
     /** Creates the routing module of one gateway. */
-    public interface Maker {
+    public interface RouterFactory {
         /** Creates a module with these settings and seed; it calls the actions of its gateway. */
-        Routing.Events make(Routing.Settings settings, long seed, Routing.Actions actions);
+        Routing.Events create(Routing.Settings settings, long seed, Routing.Actions actions);
     }
 
     /** Runs the command and exits with its status. */
@@ -40,7 +40,7 @@
      *
      * @return the exit status: 0, or 1 if a batch can't be read or answered
      */
-    public static int serve(InputStream in, OutputStream out, PrintStream err, Maker routerFactory) {
+    public static int serve(InputStream in, OutputStream out, PrintStream err, RouterFactory routerFactory) {
         try {
             InputStream buffered = new BufferedInputStream(in, BUFFER_BYTES);
             Reply reply = new Reply();
--- a/src/main/java/umberspread/adapter/SettingsParser.java
+++ b/src/main/java/umberspread/adapter/SettingsParser.java
@@ -54,7 +54,7 @@
         for (int i = 0; i < classCount; i++) {
             String prefix = "classes." + i + ".";
             classes.add(new Routing.RequestClass(string(prefix + "name"),
-                    enumValue(Routing.Effect.class, prefix + "effect", "retryable"),
+                    enumValue(Routing.RetrySafety.class, prefix + "effect", "retryable"),
                     enumValue(Routing.DedupGroup.class, prefix + "group", "all"),
                     micros(prefix + "window", 0.0), micros(prefix + "aim", null),
                     listItem("domain.aim_us_per_1000_prompt_tokens", i, 1.0),
--- a/src/test/java/umberspread/BoundedLoadRouterTest.java
+++ b/src/test/java/umberspread/BoundedLoadRouterTest.java
@@ -14,10 +14,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import umberspread.Routing.DedupGroup;
-import umberspread.Routing.Effect;
 import umberspread.Routing.Lifecycle;
 import umberspread.Routing.ListKind;
 import umberspread.Routing.Outcome;
+import umberspread.Routing.RetrySafety;
 
 /** Tests of single routing decisions, by the actions that follow recorded events. */
 class BoundedLoadRouterTest {
@@ -217,7 +217,7 @@
         f.endAttempt(id, 0, Outcome.ERROR, true);
         f.endAttempt(id, 5, Outcome.ERROR, false);
         f.endAttempt(999, 0, Outcome.OK, true);
-        f.router.requestGone(f.now, id);
+        f.router.requestAbandoned(f.now, id);
         f.router.woken(f.now, 12345);
         assertEquals(before, f.actionLog.size());
     }
@@ -226,7 +226,7 @@
     void disconnectedClientGetsNoAnswerAndItsAttemptIsCancelled() {
         Fixture f = fixture(3);
         long id = f.arrive(1, 0);
-        f.router.requestGone(f.now, id);
+        f.router.requestAbandoned(f.now, id);
         assertEquals(List.of(id + "/0"), f.cancelled);
         f.endAttempt(id, 0, Outcome.CANCELLED, true);
         assertTrue(f.refused.isEmpty() && f.failed.isEmpty());
@@ -237,7 +237,7 @@
         Fixture.Setup setup = new Fixture.Setup();
         setup.cancelling = false;
         Fixture f = fixture(setup, 3);
-        f.router.requestGone(f.now, f.arrive(1, 0));
+        f.router.requestAbandoned(f.now, f.arrive(1, 0));
         assertTrue(f.cancelled.isEmpty());
     }
 
@@ -255,7 +255,7 @@
     @Test
     void fragileRequestThatMayHaveRunFailsAndIsNotRefused() {
         Fixture.Setup setup = new Fixture.Setup();
-        setup.effect = Effect.FRAGILE;
+        setup.effect = RetrySafety.FRAGILE;
         for (Outcome o : List.of(Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)) {
             Fixture f = fixture(setup, 3);
             long id = f.arrive(1, 0);
@@ -269,7 +269,7 @@
     @Test
     void fragileRequestThatNeverRanIsRetried() {
         Fixture.Setup setup = new Fixture.Setup();
-        setup.effect = Effect.FRAGILE;
+        setup.effect = RetrySafety.FRAGILE;
         Fixture f = fixture(setup, 3);
         long id = f.arrive(1, 0);
         f.endAttempt(id, 0, Outcome.CONNECT_FAILED, false);
@@ -281,7 +281,7 @@
     void dedupRetryStaysInItsGroup() {
         for (DedupGroup group : DedupGroup.values()) {
             Fixture.Setup setup = new Fixture.Setup();
-            setup.effect = Effect.DEDUP;
+            setup.effect = RetrySafety.DEDUP;
             setup.group = group;
             for (int key = 1; key < 30; key++) {
                 Fixture f = fixture(setup, 8);
@@ -303,7 +303,7 @@
     @Test
     void dedupRequestIsNotRetriedAfterItsWindow() {
         Fixture.Setup setup = new Fixture.Setup();
-        setup.effect = Effect.DEDUP;
+        setup.effect = RetrySafety.DEDUP;
         Fixture f = fixture(setup, 8);
         long id = f.arrive(1, 0);
         f.now += 5 * SECOND;
@@ -316,7 +316,7 @@
     @Test
     void dedupRetryLeavesTimeToConnectWithinItsWindow() {
         Fixture.Setup setup = new Fixture.Setup();
-        setup.effect = Effect.DEDUP;
+        setup.effect = RetrySafety.DEDUP;
         for (long early : new long[] {1, 0}) {
             Fixture f = fixture(setup, 8);
             long id = f.arrive(1, 0);
@@ -746,8 +746,8 @@
         Fixture f = withPlacement(Set.of(1), Set.of(), 2);
         f.serve(f.arriveAs(1, 7, 0), 0);
         assertEquals(1, f.lastServer());
-        f.updateServer(new Routing.Replica(1, 0, 1, 0, 1, Lifecycle.READY, 0));
-        f.updateServer(new Routing.Replica(2, 1, 1, 0, 1, Lifecycle.READY, 0));
+        f.updateServer(new Routing.ServerState(1, 0, 1, 0, 1, Lifecycle.READY, 0));
+        f.updateServer(new Routing.ServerState(2, 1, 1, 0, 1, Lifecycle.READY, 0));
         f.serve(f.arriveAs(1, 7, 0), 0);
         assertEquals(2, f.lastServer());
     }
--- a/src/test/java/umberspread/Fixture.java
+++ b/src/test/java/umberspread/Fixture.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import java.util.Set;
 import umberspread.Routing.DedupGroup;
-import umberspread.Routing.Effect;
 import umberspread.Routing.Lifecycle;
 import umberspread.Routing.ListKind;
 import umberspread.Routing.Outcome;
-import umberspread.Routing.Replica;
+import umberspread.Routing.RetrySafety;
+import umberspread.Routing.ServerState;
 
 /** A routing module that records its actions, with short methods to deliver events to it. */
 final class Fixture implements Routing.Actions {
@@ -46,7 +46,7 @@
     /** Default settings; a test overrides what it needs. */
     static final class Setup {
         int instances = 1;
-        Effect effect = Effect.RETRYABLE;
+        RetrySafety effect = RetrySafety.RETRYABLE;
         DedupGroup group = DedupGroup.ALL;
         double worth = 1;
         boolean pullsList;
@@ -79,13 +79,13 @@
         }
     }
 
-    static Replica server(long id, int zone, int cell, Lifecycle state, long startedAt) {
-        return new Replica(id, zone, (int) id % 3, cell, 1, state, startedAt);
+    static ServerState server(long id, int zone, int cell, Lifecycle state, long startedAt) {
+        return new ServerState(id, zone, (int) id % 3, cell, 1, state, startedAt);
     }
 
     /** Delivers a full list of warm servers, ids from 1, in zones 0 and 1 and in cells of two. */
     Fixture listServers(int count) {
-        List<Replica> entries = new ArrayList<>();
+        List<ServerState> entries = new ArrayList<>();
         for (int i = 1; i <= count; i++) {
             entries.add(server(i, i % 2, i / 2, Lifecycle.READY, 0));
         }
@@ -93,7 +93,7 @@
         return this;
     }
 
-    void updateServer(Replica server) {
+    void updateServer(ServerState server) {
         router.listReceived(now, ListKind.DELTA, List.of(server));
     }
 
@@ -213,7 +213,7 @@
     }
 
     @Override
-    public void followList() {
+    public void watchEndpointList() {
         watchCalls++;
         actionLog.add("follow");
     }
--- a/src/test/java/umberspread/GenerationRouterTest.java
+++ b/src/test/java/umberspread/GenerationRouterTest.java
@@ -10,8 +10,8 @@
 import umberspread.Routing.Lifecycle;
 import umberspread.Routing.ListKind;
 import umberspread.Routing.Outcome;
-import umberspread.Routing.Replica;
 import umberspread.Routing.Request;
+import umberspread.Routing.ServerState;
 
 /** Learned state in the next generation, and load that other generations have in flight. */
 class GenerationRouterTest {
@@ -43,7 +43,7 @@
         }
 
         @Override
-        public void followList() {
+        public void watchEndpointList() {
             // not of interest
         }
 
@@ -58,15 +58,15 @@
         }
     };
 
-    private static List<Replica> servers(int count, long startedAt) {
-        List<Replica> servers = new ArrayList<>();
+    private static List<ServerState> servers(int count, long startedAt) {
+        List<ServerState> servers = new ArrayList<>();
         for (int i = 1; i <= count; i++) {
             servers.add(Fixture.server(i, 0, i, Lifecycle.READY, i == 1 ? startedAt : 0));
         }
         return servers;
     }
 
-    private GenerationRouter started(Memory memory, long shift, long now, List<Replica> list) {
+    private GenerationRouter started(LearnedState memory, long shift, long now, List<ServerState> list) {
         GenerationRouter router = memory == null ? new GenerationRouter(SETTINGS, 1, actions)
                 : new GenerationRouter(SETTINGS, 1, actions, memory, shift);
         router.started(now);
@@ -90,19 +90,19 @@
             previous.attemptEnded(now + i, lastId, 0, i % 50 == 0 ? Outcome.CONNECT_FAILED : Outcome.OK, 100,
                     false, 0, null);
         }
-        Memory memory = previous.memory();
-        assertTrue(memory.replicas().stream().anyMatch(server -> server.ejectedUntil() > now),
+        LearnedState memory = previous.learnedState();
+        assertTrue(memory.servers().stream().anyMatch(server -> server.ejectedUntil() > now),
                 "one is ejected");
         long shift = 77 * SECOND;
         GenerationRouter next = started(memory, shift, now + 400 + shift, servers(5, 0));
-        Memory restored = next.memory();
-        assertEquals(memory.keys().stream().map(Memory.OfKey::tally).sorted().toList(),
-                restored.keys().stream().map(Memory.OfKey::tally).sorted().toList());
+        LearnedState restored = next.learnedState();
+        assertEquals(memory.keys().stream().map(LearnedState.LearnedKey::recentRequests).sorted().toList(),
+                restored.keys().stream().map(LearnedState.LearnedKey::recentRequests).sorted().toList());
         assertEquals(memory.averageWorth(), restored.averageWorth());
-        assertEquals(memory.taken().size(), restored.taken().size());
-        for (int i = 0; i < memory.replicas().size(); i++) {
-            Memory.OfReplica before = memory.replicas().get(i);
-            Memory.OfReplica after = restored.replicas().get(i);
+        assertEquals(memory.recentArrivals().size(), restored.recentArrivals().size());
+        for (int i = 0; i < memory.servers().size(); i++) {
+            LearnedState.LearnedServer before = memory.servers().get(i);
+            LearnedState.LearnedServer after = restored.servers().get(i);
             assertEquals(before.points(), after.points());
             assertEquals(before.ejectedUntil() == 0 ? 0 : before.ejectedUntil() + shift,
                     after.ejectedUntil());
@@ -124,16 +124,16 @@
         router.firstToken(now + 100, lastId, 0);
         router.attemptEnded(now + 100, lastId, 0, Outcome.OK, 1, false, 0, null);
         for (int i = 0; i < 5; i++) {
-            router.otherSent(now, "1/" + i, ringServer);
+            router.otherGenerationSent(now, "1/" + i, ringServer);
         }
-        router.otherSent(now, "1/0", ringServer);
+        router.otherGenerationSent(now, "1/0", ringServer);
         assertNotEquals(ringServer, route(router, now, 9),
                 "attempts of the other generation reach its load bound");
         router.attemptEnded(now, lastId, 0, Outcome.OK, 1, false, 0, null);
         for (int i = 0; i < 5; i++) {
-            router.otherEnded(now, "1/" + i);
+            router.otherGenerationEnded(now, "1/" + i);
         }
-        router.otherEnded(now, "never sent");
+        router.otherGenerationEnded(now, "never sent");
         assertEquals(ringServer, route(router, now, 9));
     }
 
@@ -151,7 +151,7 @@
         for (int i = 0; i < 2000; i++) {
             long now = start + i * 2_000L;
             if (i % 50 == 0 && otherAttempts > i / 50) {
-                router.otherSent(now, "1/" + i, 1);
+                router.otherGenerationSent(now, "1/" + i, 1);
             }
             cold += route(router, now, i) == 1 ? 1 : 0;
             router.attemptEnded(now, lastId, 0, Outcome.OK, 1, false, 0, null);
--- a/src/test/java/umberspread/RandomEventsTest.java
+++ b/src/test/java/umberspread/RandomEventsTest.java
@@ -11,9 +11,9 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import umberspread.Routing.DedupGroup;
-import umberspread.Routing.Effect;
 import umberspread.Routing.Lifecycle;
 import umberspread.Routing.Outcome;
+import umberspread.Routing.RetrySafety;
 
 /** Delivers seeded random events and checks after each the rules that a single router can keep. */
 class RandomEventsTest {
@@ -41,7 +41,7 @@
         return states;
     }
 
-    private static List<String> run(long seed, Effect effect, DedupGroup group, boolean hedging) {
+    private static List<String> run(long seed, RetrySafety effect, DedupGroup group, boolean hedging) {
         Fixture.Setup setup = new Fixture.Setup();
         setup.secondWorth = 1 + seed % 3 * 5;
         if (seed % 2 == 0) {
@@ -121,7 +121,7 @@
     }
 
     private static int checkActions(Fixture f, Map<Long, OpenRequest> open, Lifecycle[] states, int from,
-            Effect effect, DedupGroup group, boolean hedging) {
+            RetrySafety effect, DedupGroup group, boolean hedging) {
         for (int i = from; i < f.sent.size(); i++) {
             Fixture.Sent s = f.sent.get(i);
             OpenRequest request = open.get(s.request());
@@ -134,8 +134,8 @@
             assertTrue(request.placement.allows(Fixture.server(id, id % 2, id / 2, Lifecycle.READY, 0)),
                     "sent where its class may not run");
             assertTrue(hedging || request.inFlight.isEmpty(), "two attempts in flight");
-            if (request.firstThatMayHaveRun >= 0 && effect != Effect.RETRYABLE) {
-                assertEquals(Effect.DEDUP, effect, "a fragile request was sent again");
+            if (request.firstThatMayHaveRun >= 0 && effect != RetrySafety.RETRYABLE) {
+                assertEquals(RetrySafety.DEDUP, effect, "a fragile request was sent again");
                 assertTrue(s.at() < request.firstSentAt + 5 * Fixture.SECOND, "sent after the dedup window");
                 assertTrue(group == DedupGroup.ALL
                         || group == DedupGroup.ZONE && request.firstThatMayHaveRun % 2 == s.server() % 2
@@ -152,9 +152,9 @@
                 OpenRequest request = open.get(id);
                 assertTrue(!request.finished, "answered twice");
                 request.finished = true;
-                if (answers == f.refused && effect != Effect.RETRYABLE) {
+                if (answers == f.refused && effect != RetrySafety.RETRYABLE) {
                     assertTrue(request.firstThatMayHaveRun < 0
-                            || effect == Effect.DEDUP && group == DedupGroup.ALL,
+                            || effect == RetrySafety.DEDUP && group == DedupGroup.ALL,
                             "refused though it may have run");
                 }
             }
@@ -171,10 +171,10 @@
     void rulesHoldForEveryEffectAndGroup() {
         for (long seed = 1; seed <= 12; seed++) {
             for (boolean hedging : new boolean[] {true, false}) {
-                run(seed, Effect.RETRYABLE, DedupGroup.ALL, hedging);
-                run(seed, Effect.FRAGILE, DedupGroup.ALL, hedging);
+                run(seed, RetrySafety.RETRYABLE, DedupGroup.ALL, hedging);
+                run(seed, RetrySafety.FRAGILE, DedupGroup.ALL, hedging);
                 for (DedupGroup group : DedupGroup.values()) {
-                    run(seed, Effect.DEDUP, group, hedging);
+                    run(seed, RetrySafety.DEDUP, group, hedging);
                 }
             }
         }
@@ -182,7 +182,7 @@
 
     @Test
     void sameEventsGiveSameActions() {
-        assertEquals(run(7, Effect.RETRYABLE, DedupGroup.ALL, true),
-                run(7, Effect.RETRYABLE, DedupGroup.ALL, true));
+        assertEquals(run(7, RetrySafety.RETRYABLE, DedupGroup.ALL, true),
+                run(7, RetrySafety.RETRYABLE, DedupGroup.ALL, true));
     }
 }
