--- a/src/main/java/umberspread/BoundedLoadRouter.java
+++ b/src/main/java/umberspread/BoundedLoadRouter.java
@@ -8,14 +8,14 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.LongUnaryOperator;
-import umberspread.Routing.Effect;
 import umberspread.Routing.Lifecycle;
 import umberspread.Routing.ListKind;
 import umberspread.Routing.LoadReport;
 import umberspread.Routing.Outcome;
-import umberspread.Routing.Replica;
 import umberspread.Routing.Request;
 import umberspread.Routing.RequestClass;
+import umberspread.Routing.RetrySafety;
+import umberspread.Routing.ServerState;
 import umberspread.Routing.Settings;
 
 /**
@@ -201,7 +201,7 @@
 
     /** A replica as this gateway knows it. */
     static final class Node {
-        Replica replica;
+        ServerState replica;
         int points;
         List<Pool> pools = List.of();
         int load;
@@ -222,7 +222,7 @@
         double others;
         long othersUntil;
 
-        Node(Replica replica, int points, int classes) {
+        Node(ServerState replica, int points, int classes) {
             this.restUntil = new long[classes];
             this.strikes = new int[classes];
             this.replica = replica;
@@ -350,7 +350,7 @@
     // ---- discovery
 
     @Override
-    public void listReceived(long time, ListKind kind, List<Replica> entries) {
+    public void listReceived(long time, ListKind kind, List<ServerState> entries) {
         long now = latest(time);
         if (kind == ListKind.FAILED) {
             calling = false;
@@ -377,7 +377,7 @@
             double sum = entries.stream().mapToDouble(r -> Math.max(0, r.weight())).sum();
             unitWeight = sum > 0 ? Math.pow(2, Math.rint(Math.log(sum / entries.size()) / Math.log(2))) : 1;
         }
-        for (Replica r : entries) {
+        for (ServerState r : entries) {
             changed |= update(r);
         }
         if (changed) {
@@ -386,7 +386,7 @@
         retryHeld(now);
     }
 
-    private boolean update(Replica r) {
+    private boolean update(ServerState r) {
         Node n = nodes.get(r.id());
         if (r.lifecycle() == Lifecycle.GONE) {
             return n != null && remove(n);
@@ -409,14 +409,14 @@
         return was != ready || ready && moved;
     }
 
-    private List<Pool> poolsOf(Replica r) {
+    private List<Pool> poolsOf(ServerState r) {
         List<Pool> found = new ArrayList<>(pools);
         found.removeIf(p -> !p.placement.allows(r));
         return found;
     }
 
     /** More points for a larger replica, by the weight that it was first listed with. */
-    private int pointsFor(Replica r) {
+    private int pointsFor(ServerState r) {
         double times = r.weight() > 0 ? Math.min(MOST_WEIGHT, r.weight() / unitWeight) : 1;
         return Math.max(1, (int) Math.rint(tuning.virtualPoints() * times));
     }
@@ -1176,12 +1176,12 @@
             return false;
         }
         Attempt ran = p.firstThatMayHaveRun();
-        if (ran == null || p.type.effect() == Effect.RETRYABLE) {
+        if (ran == null || p.type.effect() == RetrySafety.RETRYABLE) {
             return true;
         }
         // sent over a connection that may have to be made first, it must arrive in its window
         long arrives = now + settings.limits().connectTimeout();
-        return p.type.effect() == Effect.DEDUP && arrives < ran.sentAt + p.type.window()
+        return p.type.effect() == RetrySafety.DEDUP && arrives < ran.sentAt + p.type.window()
                 && switch (p.type.group()) {
             case ALL -> true;
             case ZONE -> ran.node.replica.zone() == n.replica.zone();
@@ -1190,8 +1190,8 @@
     }
 
     private boolean mayRefuse(Pending p) {
-        return p.type.effect() == Effect.RETRYABLE || p.firstThatMayHaveRun() == null
-                || p.type.effect() == Effect.DEDUP && p.type.group() == Routing.DedupGroup.ALL;
+        return p.type.effect() == RetrySafety.RETRYABLE || p.firstThatMayHaveRun() == null
+                || p.type.effect() == RetrySafety.DEDUP && p.type.group() == Routing.DedupGroup.ALL;
     }
 
     // ---- holding
--- a/src/main/java/umberspread/GenerationRouter.java
+++ b/src/main/java/umberspread/GenerationRouter.java
@@ -13,8 +13,8 @@
 import umberspread.Routing.ListKind;
 import umberspread.Routing.LoadReport;
 import umberspread.Routing.Outcome;
-import umberspread.Routing.Replica;
 import umberspread.Routing.Request;
+import umberspread.Routing.ServerState;
 import umberspread.Routing.Settings;
 
 /**
@@ -24,7 +24,7 @@
  */
 public final class GenerationRouter implements Routing.Events {
     private final BoundedLoadRouter router;
-    private final Memory memory;
+    private final LearnedState memory;
     private final long shift;
     private final Map<String, Lent> lent = new HashMap<>();
     private boolean recalled;
@@ -38,7 +38,7 @@
     }
 
     /** A router that goes on with a memory, whose times are moved by shift. */
-    public GenerationRouter(Settings settings, long seed, Routing.Actions actions, Memory memory,
+    public GenerationRouter(Settings settings, long seed, Routing.Actions actions, LearnedState memory,
             long shift) {
         this.router = new BoundedLoadRouter(settings, seed, actions);
         this.memory = memory;
@@ -46,24 +46,26 @@
     }
 
     /** What this router has learnt so far. */
-    public Memory memory() {
+    public LearnedState memory() {
         return memory(true);
     }
 
     /** The same; with no keys where they are not wanted, for there may be tens of thousands. */
-    public Memory memory(boolean withKeys) {
-        List<Memory.OfReplica> replicas = new ArrayList<>();
+    public LearnedState memory(boolean withKeys) {
+        List<LearnedState.LearnedServer> replicas = new ArrayList<>();
         for (Node n : router.nodes.values()) {
-            replicas.add(new Memory.OfReplica(n.replica.id(), n.points, list(n.restUntil),
+            replicas.add(new LearnedState.LearnedServer(n.replica.id(), n.points, list(n.restUntil),
                     Arrays.stream(n.strikes).boxed().toList(), n.ejectedUntil, n.ejections, n.breaks,
                     n.slowUntil, n.lastDelay, n.coldBudgetAt, n.budgetedStart));
         }
-        List<Memory.OfKey> keys = new ArrayList<>();
+        List<LearnedState.LearnedKey> keys = new ArrayList<>();
         if (withKeys) {
             router.hot.forEach((key, h) ->
-                    keys.add(new Memory.OfKey(key, h.tally, h.spread, router.pools.indexOf(h.pool))));
+                    keys.add(new LearnedState.LearnedKey(key, h.tally, h.spread,
+                            router.pools.indexOf(h.pool))));
         }
-        return new Memory(router.unitWeight, router.averageWorth, router.firstTokenTally, router.readRate,
+        return new LearnedState(router.unitWeight, router.averageWorth, router.firstTokenTally,
+                router.readRate,
                 router.unnamed, router.plannedAt,
                 list(router.classTime), router.kindTime, list(router.tenantTally), List.copyOf(router.taken),
                 List.copyOf(router.further), replicas, keys,
@@ -87,7 +89,7 @@
         for (int i = 0; samePools && i < router.pools.size(); i++) {
             router.pools.get(i).arrivals = memory.poolArrivals().get(i);
         }
-        for (Memory.OfKey k : memory.keys()) {
+        for (LearnedState.LearnedKey k : memory.keys()) {
             if (samePools && k.pool() >= 0 && k.pool() < router.pools.size()) {
                 Hot h = router.hot.computeIfAbsent(k.key(), key -> new Hot());
                 h.pool = router.pools.get(k.pool());
@@ -99,7 +101,7 @@
         router.rebuildRing();
     }
 
-    private void recall(Memory.OfReplica m) {
+    private void recall(LearnedState.LearnedServer m) {
         Node n = router.nodes.get(m.id());
         if (n == null) {
             return;
@@ -180,7 +182,7 @@
     }
 
     @Override
-    public void listReceived(long now, ListKind kind, List<Replica> entries) {
+    public void listReceived(long now, ListKind kind, List<ServerState> entries) {
         router.listReceived(now, kind, entries);
         if (!recalled && memory != null) {
             recalled = true;
--- a/src/main/java/umberspread/Memory.java
+++ b/src/main/java/umberspread/LearnedState.java
@@ -7,25 +7,25 @@
  * What a router has learnt and another of the same gateway may go on with. Times are microseconds on the
  * clock of the one that learnt it. Open requests are no part of it: they stay where they were taken.
  */
-public record Memory(double unitWeight, double averageWorth, double firstTokenTally, double readRate,
+public record LearnedState(double unitWeight, double averageWorth, double firstTokenTally, double readRate,
         double unnamed, long plannedAt,
         List<Double> classTime, Map<Integer, Double> kindTime, List<Double> tenantTally, List<Long> taken,
-        List<Long> further, List<OfReplica> replicas, List<OfKey> keys, List<Double> poolArrivals) {
+        List<Long> further, List<LearnedServer> replicas, List<LearnedKey> keys, List<Double> poolArrivals) {
     /** A replica's standing: points on the ring, rests by class, ejections, the cold budget. */
-    public record OfReplica(long id, int points, List<Long> restUntil, List<Integer> strikes,
+    public record LearnedServer(long id, int points, List<Long> restUntil, List<Integer> strikes,
             long ejectedUntil, int ejections, int breaks, long slowUntil, long lastDelay, long coldBudgetAt,
             long budgetedStart) {
-        public OfReplica {
+        public LearnedServer {
             restUntil = List.copyOf(restUntil);
             strikes = List.copyOf(strikes);
         }
     }
 
     /** A key's recent traffic; pool is its place in the order of the settings' placements. */
-    public record OfKey(long key, double tally, int spread, int pool) {
+    public record LearnedKey(long key, double tally, int spread, int pool) {
     }
 
-    public Memory {
+    public LearnedState {
         classTime = List.copyOf(classTime);
         kindTime = Map.copyOf(kindTime);
         tenantTally = List.copyOf(tenantTally);
--- a/src/main/java/umberspread/Routing.java
+++ b/src/main/java/umberspread/Routing.java
@@ -19,9 +19,9 @@
     }
 
     /** What happens when a request of a class runs twice. */
-    public enum Effect { RETRYABLE, DEDUP, FRAGILE }
+    public enum RetrySafety { RETRYABLE, DEDUP, FRAGILE }
 
-    /** Which replicas recognise and drop a repeat of a {@link Effect#DEDUP} request. */
+    /** Which replicas recognise and drop a repeat of a {@link RetrySafety#DEDUP} request. */
     public enum DedupGroup { ALL, ZONE, CELL }
 
     /** State of a replica on the list. */
@@ -63,7 +63,7 @@
         }
 
         /** Whether a replica of this zone and kind may be sent the class. */
-        public boolean allows(Replica r) {
+        public boolean allows(ServerState r) {
             return (zones.isEmpty() || zones.contains(r.zone()))
                     && (kinds.isEmpty() || kinds.contains(r.kind()));
         }
@@ -73,7 +73,7 @@
      * A class of requests. An answer whose first token comes within aim + aimPerKilotoken for each 1,000
      * prompt tokens has its full worth; a later one, lateWorth of it. tokenAim is the aim between tokens.
      */
-    public record RequestClass(String name, Effect effect, DedupGroup group, long window, long aim,
+    public record RequestClass(String name, RetrySafety effect, DedupGroup group, long window, long aim,
             long aimPerKilotoken, long tokenAim, long giveUp, double worth, double lateWorth,
             boolean stream, Placement placement) {
         public RequestClass {
@@ -188,7 +188,7 @@
     }
 
     /** A line of the list. weight is a size hint without a unit; startedAt is 0 when long ago. */
-    public record Replica(long id, int zone, int kind, int cell, double weight, Lifecycle lifecycle,
+    public record ServerState(long id, int zone, int kind, int cell, double weight, Lifecycle lifecycle,
             long startedAt) {
     }
 
@@ -211,7 +211,7 @@
         void started(long now);
 
         /** A list, a change to it, or the news that a call for it failed. */
-        void listReceived(long now, ListKind kind, List<Replica> entries);
+        void listReceived(long now, ListKind kind, List<ServerState> entries);
 
         /** A request has come in; the router now owes it one final answer. Ids never repeat. */
         void requestArrived(long now, Request request);
--- a/src/main/java/yewdock/door/Door.java
+++ b/src/main/java/yewdock/admin/AdminInterface.java
@@ -1,14 +1,14 @@
-package yewdock.door;
+package yewdock.admin;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import yewdock.desk.Call;
-import yewdock.desk.Effect;
-import yewdock.desk.Event;
-import yewdock.desk.Figures;
-import yewdock.platform.Front;
-import yewdock.platform.Side;
-import yewdock.platform.Wire;
+import yewdock.core.Effect;
+import yewdock.core.Event;
+import yewdock.core.OperatorCommand;
+import yewdock.core.RouterStatistics;
+import yewdock.platform.Connection;
+import yewdock.platform.ConnectionHandler;
+import yewdock.platform.ConnectionManager;
 
 /**
  * The operators' door: one line to a connection, and one answer. It reads calls and prints answers; what they
@@ -17,7 +17,7 @@
  * <p>Callers that say nothing cost no good one its place: beyond a few, the one that has been silent longest
  * makes room.
  */
-public final class Door {
+public final class AdminInterface {
     /** So many callers at once; more take descriptors that clients and boxes need. */
     public static final int MOST_CALLERS = 16;
     /** Those that are being given up still hold a descriptor for a moment. */
@@ -26,19 +26,19 @@
     public static final int PATIENCE_SECONDS = 3;
     private static final String PREFIX = "edge_proxy.";
 
-    private final Front front;
-    private final Map<Long, Caller> callers = new LinkedHashMap<>();
+    private final ConnectionManager front;
+    private final Map<Long, AdminConnection> callers = new LinkedHashMap<>();
     private long last;
 
     /** A door whose calls go through this front. */
-    public Door(Front front) {
+    public AdminInterface(ConnectionManager front) {
         this.front = front;
         front.answerCallsBy(this::answer);
     }
 
     /** An operator has connected. */
-    public Side accept(Wire wire) {
-        Caller caller = new Caller(this, ++last, wire);
+    public ConnectionHandler accept(Connection wire) {
+        AdminConnection caller = new AdminConnection(this, ++last, wire);
         callers.put(last, caller);
         if (callers.size() > MOST_CALLERS) {
             callers.values().iterator().next().makeRoom();
@@ -46,8 +46,8 @@
         return caller;
     }
 
-    void called(long caller, Call call, String box) {
-        front.happened(new Event.Called(caller, call, box));
+    void called(long caller, OperatorCommand call, String box) {
+        front.happened(new Event.OperatorCommandReceived(caller, call, box));
     }
 
     void forget(long caller) {
@@ -55,24 +55,24 @@
     }
 
     private void answer(Effect effect) {
-        if (effect instanceof Effect.AnswerCall e) {
+        if (effect instanceof Effect.AnswerCommand e) {
             answer(e.caller(), (e.yes() ? "YES " : "NO ") + e.text() + "\n");
-        } else if (effect instanceof Effect.AnswerFigures e) {
+        } else if (effect instanceof Effect.AnswerStatistics e) {
             answer(e.caller(), print(e.figures()));
         }
     }
 
     private void answer(long caller, String text) {
-        Caller to = callers.get(caller);
+        AdminConnection to = callers.get(caller);
         if (to != null) {
             to.answer(text);
         }
     }
 
     /** The figures, one a line, and a last line that tells that none is missing. */
-    static String print(Figures figures) {
+    static String print(RouterStatistics figures) {
         StringBuilder text = new StringBuilder();
-        for (Figures.OfClass c : figures.classes()) {
+        for (RouterStatistics.ClassStatistics c : figures.classes()) {
             String name = "downstream_requests." + c.name() + '.';
             line(text, name + "completed", c.completed());
             line(text, name + "rejected", c.rejected());
--- a/src/main/java/yewdock/textbook/Textbook.java
+++ b/src/main/java/yewdock/baseline/Textbook.java
@@ -1,4 +1,4 @@
-package yewdock.textbook;
+package yewdock.baseline;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -13,8 +13,8 @@
 import umberspread.Routing.ListKind;
 import umberspread.Routing.LoadReport;
 import umberspread.Routing.Outcome;
-import umberspread.Routing.Replica;
 import umberspread.Routing.Request;
+import umberspread.Routing.ServerState;
 
 /**
  * What every textbook policy does alike, as common balancers do it: it follows the list, leaves out what
@@ -38,13 +38,13 @@
 
     /** A box as the policy knows it. */
     static final class Box {
-        Replica replica;
+        ServerState replica;
         int open;
         double tokens;
         LoadReport report;
         int sinceReport;
 
-        Box(Replica replica) {
+        Box(ServerState replica) {
             this.replica = replica;
         }
     }
@@ -83,7 +83,7 @@
     }
 
     @Override
-    public void listReceived(long now, ListKind kind, List<Replica> entries) {
+    public void listReceived(long now, ListKind kind, List<ServerState> entries) {
         if (kind == ListKind.FAILED) {
             following = false;
             actions.wakeAt(now + settings.contract().askWithin() / 10, LIST_TOKEN);
@@ -95,7 +95,7 @@
             entries.forEach(r -> listed.add(r.id()));
             boxes.keySet().retainAll(listed);
         }
-        for (Replica r : entries) {
+        for (ServerState r : entries) {
             if (r.lifecycle() == Lifecycle.GONE) {
                 boxes.remove(r.id());
             } else {
@@ -120,7 +120,8 @@
         if (box == null) {
             open.remove(o.request.id());
             boolean mayRefuse = !o.mayHaveRun
-                    || settings.classes().get(o.request.requestClass()).effect() == Routing.Effect.RETRYABLE;
+                    || settings.classes().get(o.request.requestClass()).effect()
+                            == Routing.RetrySafety.RETRYABLE;
             if (mayRefuse) {
                 actions.refuse(o.request.id(), 0);
             } else {
--- a/src/main/java/yewdock/council/Council.java
+++ b/src/main/java/yewdock/consensus/ConsensusNode.java
@@ -1,4 +1,4 @@
-package yewdock.council;
+package yewdock.consensus;
 
 import com.google.protobuf.ByteString;
 import com.google.protobuf.InvalidProtocolBufferException;
@@ -11,12 +11,12 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Consumer;
-import yewdock.lease.Grants;
 import yewdock.lease.Lease;
-import yewdock.lease.LeaseTerms;
-import yewdock.rules.Refusal;
-import yewdock.rules.Rules;
-import yewdock.rules.View;
+import yewdock.lease.LeaseGrantor;
+import yewdock.lease.LeaseTiming;
+import yewdock.rules.ChangeRejection;
+import yewdock.rules.RuleStateMachine;
+import yewdock.rules.RulesView;
 import yewdock.wire.CouncilFrame;
 import yewdock.wire.Feed;
 import yewdock.wire.Founding;
@@ -33,7 +33,7 @@
  * of the council it votes on changes, and grants leases while it leads. Everything happens on one loop; no
  * decision about a request waits for any of it.
  */
-public final class Council {
+public final class ConsensusNode {
     private static final long SECOND = 1_000_000;
     private static final long ROUND_TIMEOUT = SECOND;
     private static final long PROPOSAL_TIMEOUT = 2 * SECOND;
@@ -49,22 +49,22 @@
      * @param self this instance's
      * @param members the instances that vote
      */
-    public record Terms(String cluster, String self, List<String> members, LeaseTerms lease) {
-        public Terms {
+    public record ConsensusConfig(String cluster, String self, List<String> members, LeaseTiming lease) {
+        public ConsensusConfig {
             members = members.stream().sorted().toList();
         }
     }
 
     /** What an instance does for its part. */
-    public interface Instance {
+    public interface ConsensusHost {
         /** Sends a frame to another instance, if it can be reached; never waits. */
         void send(String instance, CouncilFrame frame);
 
         /** Whether a connection to it stands. */
         boolean reaches(String instance);
 
-        /** Act by this from now on; {@link Council#takenUp} once everything here does. */
-        void actBy(View view);
+        /** Act by this from now on; {@link ConsensusNode#takenUp} once everything here does. */
+        void actBy(RulesView view);
 
         /** The lease holds until then, by the loop's clock. */
         void leaseUntil(long until);
@@ -76,16 +76,16 @@
         void note(String event, Object... fields);
     }
 
-    private final Terms terms;
-    private final Loop loop;
-    private final Instance instance;
-    private RaftDisk disk;
+    private final ConsensusConfig terms;
+    private final TaskScheduler loop;
+    private final ConsensusHost instance;
+    private DurableRaftStore disk;
     private final Endpoint self;
     /** Drawn anew with each start, and so what this process is told apart by. */
     private final long incarnation;
-    private final Rules held = new Rules();
+    private final RuleStateMachine held = new RuleStateMachine();
     private final Lease lease;
-    private final Grants grants;
+    private final LeaseGrantor grants;
     private final Feeds feeds = new Feeds();
     private final Lists lists = new Lists();
     private final Map<String, Long> fed = new HashMap<>();
@@ -122,14 +122,15 @@
      * @param disk where a member's log lies; null for one that doesn't vote
      * @param seed for what is drawn; another one with each start
      */
-    public Council(Terms terms, Loop loop, Instance instance, RaftDisk disk, long seed) throws IOException {
+    public ConsensusNode(ConsensusConfig terms, TaskScheduler loop, ConsensusHost instance,
+            DurableRaftStore disk, long seed) throws IOException {
         this.terms = terms;
         this.loop = loop;
         this.instance = instance;
         this.disk = disk;
         this.incarnation = seed;
         this.lease = new Lease(terms.lease());
-        this.grants = new Grants(terms.lease());
+        this.grants = new LeaseGrantor(terms.lease());
         this.self = disk == null ? null : Endpoint.of(terms.self(), disk.number(Long.toHexString(seed)));
         if (disk != null && disk.restored() != null) {
             start(List.of());
@@ -200,12 +201,12 @@
     // ---- the router's side: what it holds, and until when
 
     /** What this instance holds of the rules. */
-    public Rules held() {
+    public RuleStateMachine held() {
         return held;
     }
 
     /** What the council has agreed, as far as this member knows; null at one that doesn't vote. */
-    public Rules agreed() {
+    public RuleStateMachine agreed() {
         return member == null ? null : member.rules();
     }
 
@@ -305,7 +306,7 @@
             int known = (int) Math.min(feed.getCommandsCount(), held.step() - feed.getAfter());
             for (ByteString bytes : feed.getCommandsList().subList(known, feed.getCommandsCount())) {
                 try {
-                    held.take(Rules.read(bytes.toByteArray()));
+                    held.take(RuleStateMachine.read(bytes.toByteArray()));
                 } catch (InvalidProtocolBufferException e) {
                     instance.note("agreement.unreadable", "from", from, "why", e.getMessage());
                     return;
@@ -324,7 +325,7 @@
      * took it, in which case the same change may be asked for again.
      */
     public void propose(RuleChange change, Consumer<Proposed> answer) {
-        Refusal flaw = Rules.flaw(change);
+        ChangeRejection flaw = RuleStateMachine.flaw(change);
         if (flaw != null) {
             answer.accept(Proposed.newBuilder().setOutcome(RuleOutcome.newBuilder().setId(change.getId())
                     .setRefusal(flaw.number())).build());
@@ -423,7 +424,8 @@
             return;
         }
         feed(from, call.getStep());
-        grants.asked(new Grants.Ask(from, call.getIncarnation(), call.getNumber(), call.getStep()));
+        grants.asked(new LeaseGrantor.LeaseRequest(from, call.getIncarnation(), call.getNumber(),
+                call.getStep()));
         round();
     }
 
@@ -458,7 +460,7 @@
                 grants.roundFailed();
                 return;
             }
-            for (Grants.Ask ask : grants.confirmed(member.rules().prepared(), loop.now())) {
+            for (LeaseGrantor.LeaseRequest ask : grants.confirmed(member.rules().prepared(), loop.now())) {
                 send(ask.router(), CouncilFrame.newBuilder().setGranted(Granted.newBuilder()
                         .setNumber(ask.number()).setIncarnation(ask.incarnation())
                         .setListVersion(lists.newestFor(ask.router()))).build());
--- a/src/main/java/yewdock/council/Member.java
+++ b/src/main/java/yewdock/consensus/Member.java
@@ -1,4 +1,4 @@
-package yewdock.council;
+package yewdock.consensus;
 
 import io.microraft.MembershipChangeMode;
 import io.microraft.Ordered;
@@ -27,7 +27,7 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import java.util.stream.Collectors;
-import yewdock.rules.Rules;
+import yewdock.rules.RuleStateMachine;
 import yewdock.wire.NewTerm;
 import yewdock.wire.RaftFrame;
 import yewdock.wire.RuleCommand;
@@ -51,10 +51,10 @@
     private static final long STUCK = 5_000_000;
     private static final Object CONFIRM = new Object();
 
-    private final Loop loop;
-    private final Rules rules = new Rules();
+    private final TaskScheduler loop;
+    private final RuleStateMachine rules = new RuleStateMachine();
     private final Hearer hearer;
-    private final RaftDisk disk;
+    private final DurableRaftStore disk;
     private final RaftNode node;
     private final String group;
     private final List<String> founders;
@@ -81,7 +81,8 @@
      * @param send sends a frame to the instance of this name
      * @param up whether the instance of this name can be reached
      */
-    Member(Loop loop, String cluster, Endpoint self, List<String> founders, RaftDisk disk, long seed,
+    Member(TaskScheduler loop, String cluster, Endpoint self, List<String> founders, DurableRaftStore disk,
+            long seed,
             Hearer hearer, Sender send, Predicate<String> up) {
         this.loop = loop;
         this.disk = disk;
@@ -133,7 +134,7 @@
     }
 
     /** The rules as agreed, to the last command that this member knows to be. */
-    Rules rules() {
+    RuleStateMachine rules() {
         return rules;
     }
 
--- a/src/main/java/yewdock/council/Loop.java
+++ b/src/main/java/yewdock/consensus/TaskScheduler.java
@@ -1,10 +1,10 @@
-package yewdock.council;
+package yewdock.consensus;
 
 /**
  * One loop on one thread, as the council sees it: a monotonic clock and tasks to be done later.
  * Microseconds.
  */
-public interface Loop {
+public interface TaskScheduler {
     /** The clock, which never goes back and stands for no time of day. */
     long now();
 
--- a/src/main/java/yewdock/desk/Answers.java
+++ b/src/main/java/yewdock/core/Answers.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -14,7 +14,7 @@
     private static final long ANSWER_SLACK = 10_000;
 
     private final Turn turn;
-    private final Bounds bounds;
+    private final ResourceLimits bounds;
     private final List<String> classes;
     private final Others others;
     private final Tries tries;
@@ -25,7 +25,8 @@
     private long lastRequest;
     private int heldBytes;
 
-    Answers(Turn turn, Terms terms, Bounds bounds, KnownServers boxes, Lines lines, Others others) {
+    Answers(Turn turn, CoreSettings terms, ResourceLimits bounds, KnownServers boxes, Lines lines,
+            Others others) {
         this.turn = turn;
         this.bounds = bounds;
         this.classes = terms.classes();
@@ -83,7 +84,7 @@
     }
 
     /** Takes a request that has waited so long to be taken. */
-    void admit(Event.Asked e, long waited) {
+    void admit(Event.RequestReceived e, long waited) {
         ModelRequest r = e.request();
         if (owed.size() >= bounds.requests() || heldBytes + r.size() > bounds.bytes()) {
             turn.count("answers.refused_for_room");
@@ -104,10 +105,10 @@
                 r.beginningTokens(), r.mostTokens(), patience)));
     }
 
-    void twin(Event.Asked e) {
+    void twin(Event.RequestReceived e) {
         turn.count("answers.twin");
         ended(e.request(), Ending.FAILED);
-        turn.effect(new Effect.TurnDownTwin(e.client()));
+        turn.effect(new Effect.RejectDuplicate(e.client()));
     }
 
     void clientLeft(long client) {
@@ -145,7 +146,7 @@
         }
         turn.count(o.begun() ? "answers.cut_off" : "answers.failed");
         finish(o, Ending.FAILED);
-        turn.effect(o.begun() ? new Effect.CutOff(o.client) : new Effect.Fail(o.client));
+        turn.effect(o.begun() ? new Effect.AbortResponse(o.client) : new Effect.Fail(o.client));
         tries.hangUpAll(o, triesEndAs);
     }
 
@@ -159,7 +160,7 @@
     void served(Try t) {
         Owed o = t.owed;
         turn.count("answers.served");
-        turn.effect(new Effect.EndAnswer(o.client));
+        turn.effect(new Effect.EndResponse(o.client));
         finish(o, Ending.COMPLETED);
         tries.hangUpAllBut(t);
     }
@@ -169,7 +170,7 @@
         Owed o = t.owed;
         if (t.begun() && !o.over) {
             turn.count("answers.cut_off");
-            turn.effect(new Effect.CutOff(o.client));
+            turn.effect(new Effect.AbortResponse(o.client));
             finish(o, Ending.FAILED);
         }
     }
@@ -191,7 +192,7 @@
 
     private void release(String id) {
         if (others.asking()) {
-            turn.effect(new Effect.TellOthers(new OtherNews.Released(id)));
+            turn.effect(new Effect.SendToGenerations(new GenerationMessage.RequestReleased(id)));
         }
     }
 }
--- a/src/main/java/yewdock/desk/Terms.java
+++ b/src/main/java/yewdock/core/CoreSettings.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 import java.util.List;
 import umberspread.Routing;
@@ -18,20 +18,21 @@
  * @param classes the classes' names
  * @param coldFor the longest time in which a box that has started is cold
  */
-public record Terms(long connectTimeout, long keepalive, boolean listPushed, long drainGrace, long askWithin,
+public record CoreSettings(long connectTimeout, long keepalive, boolean listPushed, long drainGrace,
+        long askWithin,
         boolean copies, int mostTries, List<Boolean> repeatable, List<String> classes, long coldFor) {
-    public Terms {
+    public CoreSettings {
         repeatable = List.copyOf(repeatable);
         classes = List.copyOf(classes);
     }
 
     /** The terms that a deployment's settings make; keepalive is not the module's business. */
-    public static Terms of(Routing.Settings settings, long keepalive) {
+    public static CoreSettings of(Routing.Settings settings, long keepalive) {
         Routing.Contract contract = settings.contract();
-        return new Terms(settings.limits().connectTimeout(), keepalive, !settings.askForList(),
+        return new CoreSettings(settings.limits().connectTimeout(), keepalive, !settings.askForList(),
                 contract.drainGrace(), contract.askWithin(), settings.limits().mayDuplicate(),
                 settings.limits().maxAttempts(),
-                settings.classes().stream().map(c -> c.effect() != Routing.Effect.FRAGILE).toList(),
+                settings.classes().stream().map(c -> c.effect() != Routing.RetrySafety.FRAGILE).toList(),
                 settings.classes().stream().map(Routing.RequestClass::name).toList(), contract.coldFor());
     }
 
--- a/src/main/java/yewdock/desk/DiscoveryWatch.java
+++ b/src/main/java/yewdock/core/DiscoveryWatch.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
@@ -62,7 +62,7 @@
     private static final long SERIES = 2_000_000;
     private static final long REST = 1_000_000;
 
-    private final Terms terms;
+    private final CoreSettings terms;
     private final LongSupplier now;
     private final Timers timers;
     private final Counters counters;
@@ -79,7 +79,8 @@
     private boolean catchesUp;
     private long newsAt = -SERIES;
 
-    DiscoveryWatch(Terms terms, LongSupplier now, Timers timers, Counters counters, Consumer<Effect> effects,
+    DiscoveryWatch(CoreSettings terms, LongSupplier now, Timers timers, Counters counters,
+            Consumer<Effect> effects,
             Runnable whenLate) {
         this.terms = terms;
         this.now = now;
@@ -128,7 +129,7 @@
 
     private void hangUpAndAsk() {
         if (out) {
-            effects.accept(new Effect.HangUpList());
+            effects.accept(new Effect.CancelDiscoveryCall());
         }
         ask(0);
     }
@@ -208,7 +209,7 @@
         long mine = ++call;
         calledAt = now.getAsLong();
         counters.add("list.calls");
-        effects.accept(new Effect.AskList(address, versions.since(), wait));
+        effects.accept(new Effect.CallDiscovery(address, versions.since(), wait));
         timers.at(calledAt + wait + patience, () -> {
             if (out && call == mine) {
                 silent(wait > 0);
@@ -224,7 +225,7 @@
      */
     private void silent(boolean watched) {
         boolean mayComeLate = watched && !terms.listPushed();
-        effects.accept(mayComeLate ? new Effect.SetListCallAside() : new Effect.HangUpList());
+        effects.accept(mayComeLate ? new Effect.SetDiscoveryCallAside() : new Effect.CancelDiscoveryCall());
         if (!terms.listPushed() && silences < SILENT_CALLS) {
             silences++;
             counters.add("list.silent");
--- a/src/main/java/yewdock/desk/OtherNews.java
+++ b/src/main/java/yewdock/core/GenerationMessage.java
@@ -1,31 +1,31 @@
-package yewdock.desk;
+package yewdock.core;
 
 /**
  * What the processes of one router tell each other while more than one of them lives: an old generation that
  * finishes what it has, and the new one that has taken its place.
  */
-public sealed interface OtherNews {
+public sealed interface GenerationMessage {
     /** A finishing generation asks whether it may take a request of this id. */
-    record Claim(String id, long number) implements OtherNews {
+    record Claim(String id, long number) implements GenerationMessage {
     }
 
     /** The answer to a claim of the generation to. */
-    record Claimed(int to, String id, long number, boolean granted) implements OtherNews {
+    record ClaimAnswer(int to, String id, long number, boolean granted) implements GenerationMessage {
     }
 
     /** No request of this id is open here any more. */
-    record Released(String id) implements OtherNews {
+    record RequestReleased(String id) implements GenerationMessage {
     }
 
     /** A try has gone out to a box. */
-    record Sent(long token, long box) implements OtherNews {
+    record AttemptSent(long token, long box) implements GenerationMessage {
     }
 
     /** A try that was told as sent is over. */
-    record Ended(long token) implements OtherNews {
+    record AttemptEnded(long token) implements GenerationMessage {
     }
 
     /** What the box list at this address has told. */
-    record Told(EndpointList list, String address) implements OtherNews {
+    record EndpointListRelayed(EndpointList list, String address) implements GenerationMessage {
     }
 }
--- a/src/main/java/yewdock/desk/ModelRequest.java
+++ b/src/main/java/yewdock/core/ModelRequest.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 /**
  * What the desk needs to know of a client's request. id is the client's own name for it; session and
--- a/src/main/java/yewdock/desk/Older.java
+++ b/src/main/java/yewdock/core/OlderGeneration.java
@@ -1,7 +1,7 @@
-package yewdock.desk;
+package yewdock.core;
 
 /** What an older process of this router does beside this one. */
-public enum Older {
+public enum OlderGeneration {
     /** There is none, or it is nobody's business any more. */
     NONE,
     /** It serves, and this one waits to take over. */
--- a/src/main/java/yewdock/desk/Call.java
+++ b/src/main/java/yewdock/core/OperatorCommand.java
@@ -1,12 +1,12 @@
-package yewdock.desk;
+package yewdock.core;
 
 /** What an operator can call for at the door. */
-public enum Call {
+public enum OperatorCommand {
     HEALTH(false), COUNTERS(false), CORDON(true), UNCORDON(true), QUIESCE(false), RESUME(false);
 
     private final boolean namesBox;
 
-    Call(boolean namesBox) {
+    OperatorCommand(boolean namesBox) {
         this.namesBox = namesBox;
     }
 
--- a/src/main/java/yewdock/desk/Figures.java
+++ b/src/main/java/yewdock/core/RouterStatistics.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 import java.util.List;
 
@@ -11,12 +11,13 @@
  * @param boxes model boxes on the list
  * @param avoided those of them that get nothing new now, by an operator's word, the list's or by choice
  */
-public record Figures(List<OfClass> classes, long tries, int pending, int boxes, int avoided) {
+public record RouterStatistics(List<ClassStatistics> classes, long tries, int pending, int boxes,
+        int avoided) {
     /** Ended requests of one class. */
-    public record OfClass(String name, long completed, long rejected, long failed) {
+    public record ClassStatistics(String name, long completed, long rejected, long failed) {
     }
 
-    public Figures {
+    public RouterStatistics {
         classes = List.copyOf(classes);
     }
 }
--- a/src/main/java/yewdock/daemon/Agreement.java
+++ b/src/main/java/yewdock/daemon/ConsensusService.java
@@ -18,17 +18,17 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import yewdock.council.Council;
-import yewdock.council.Loop;
-import yewdock.council.RaftDisk;
-import yewdock.lease.LeaseTerms;
-import yewdock.log.Say;
-import yewdock.rules.Kind;
-import yewdock.rules.Refusal;
-import yewdock.rules.Rules;
-import yewdock.rules.View;
+import yewdock.consensus.ConsensusNode;
+import yewdock.consensus.DurableRaftStore;
+import yewdock.consensus.TaskScheduler;
+import yewdock.lease.LeaseTiming;
+import yewdock.logging.EventLog;
+import yewdock.rules.ChangeRejection;
+import yewdock.rules.RuleKind;
+import yewdock.rules.RuleStateMachine;
+import yewdock.rules.RulesView;
 import yewdock.settings.OperatorSettings;
-import yewdock.store.Store;
+import yewdock.store.RecordFile;
 import yewdock.wire.Agreed;
 import yewdock.wire.Answer;
 import yewdock.wire.AskListAnew;
@@ -47,7 +47,7 @@
  * generations are told by which rules and until when they may act, and say when they do; a generation that
  * hangs holds the lease up, for nobody knows by what it acts.
  */
-final class Agreement implements Council.Instance, Loop, Closeable {
+final class ConsensusService implements ConsensusNode.ConsensusHost, TaskScheduler, Closeable {
     /** An operator's word for a mark of this instance's own, without asking the others. */
     static final String HERE = "--here";
     private static final String LOG = "council";
@@ -63,18 +63,18 @@
     private final SecureRandom random = new SecureRandom();
     private final Map<Integer, Told> generations = new HashMap<>();
     private final List<Asked> waiting = new ArrayList<>();
-    private Peers peers;
-    private Council council;
-    private View view = View.NOTHING;
+    private PeerConnections peers;
+    private ConsensusNode council;
+    private RulesView view = RulesView.NOTHING;
     private long chain;
     private long until = Long.MIN_VALUE;
 
     /** A generation that acts by what it is told, and the step that it has said it acts by. */
     private static final class Told {
-        private final Link link;
+        private final ControlConnection link;
         private long step;
 
-        Told(Link link) {
+        Told(ControlConnection link) {
             this.link = link;
         }
     }
@@ -84,7 +84,7 @@
     }
 
     /** For this operator's file; boxes that get nothing new go to boxesOut. */
-    Agreement(OperatorSettings settings, Consumer<Set<String>> boxesOut) {
+    ConsensusService(OperatorSettings settings, Consumer<Set<String>> boxesOut) {
         this.settings = settings;
         this.boxesOut = boxesOut;
         this.loop = new ScheduledThreadPoolExecutor(1, task -> {
@@ -93,32 +93,33 @@
             return thread;
         });
         loop.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
-        after(0, Say::onlyEvents);
+        after(0, EventLog::onlyEvents);
     }
 
     /** Begins to take part, over these connections. */
-    void begin(Peers over) throws IOException {
+    void begin(PeerConnections over) throws IOException {
         peers = over;
-        OperatorSettings.Agreement a = settings.agreement();
+        OperatorSettings.ConsensusSettings a = settings.agreement();
         String self = settings.copies().instance();
-        RaftDisk disk = null;
+        DurableRaftStore disk = null;
         if (a.members().contains(self)) {
             Path folder = settings.store().folder().resolve(LOG);
             try {
-                disk = new RaftDisk(() -> Store.open(folder));
+                disk = new DurableRaftStore(() -> RecordFile.open(folder));
             } catch (IOException e) {
                 throw new IOException(e.getMessage() + ", in " + folder
                         + "; an instance that has lost it is put in anew with an empty folder", e);
             }
         }
-        RaftDisk mine = disk;
+        DurableRaftStore mine = disk;
         long seed = random.nextLong() >>> 1;
         after(0, () -> {
             try {
-                council = new Council(new Council.Terms(settings.copies().cluster(), self, a.members(),
-                        LeaseTerms.within(a.agreedWithin(), a.drift())), this, this, mine, seed);
+                council = new ConsensusNode(new ConsensusNode.ConsensusConfig(settings.copies().cluster(),
+                        self, a.members(),
+                        LeaseTiming.within(a.agreedWithin(), a.drift())), this, this, mine, seed);
             } catch (IOException e) {
-                Say.warn("agreement.broken", "why", e.getMessage());
+                EventLog.warn("agreement.broken", "why", e.getMessage());
             }
         });
     }
@@ -137,7 +138,7 @@
                 try {
                     task.run();
                 } catch (RuntimeException e) {
-                    Say.warn("agreement.fault", "why", e, "at", e.getStackTrace().length > 0
+                    EventLog.warn("agreement.fault", "why", e, "at", e.getStackTrace().length > 0
                             ? e.getStackTrace()[0] : "");
                 }
             }, micros, TimeUnit.MICROSECONDS);
@@ -178,20 +179,20 @@
 
     @Override
     public void listBehind(long newest) {
-        Say.info("list.behind", "newest", newest);
+        EventLog.info("list.behind", "newest", newest);
         generations.values().forEach(t -> t.link.send(Frame.newBuilder().setAskListAnew(
                 AskListAnew.getDefaultInstance()).build()));
     }
 
     @Override
     public void note(String event, Object... fields) {
-        Say.info(event, fields);
+        EventLog.info(event, fields);
     }
 
     // ---- generations
 
     /** A generation that is ready is told; one that says what it acts by is believed. */
-    void heard(int generation, Link link, Frame frame) {
+    void heard(int generation, ControlConnection link, Frame frame) {
         if (frame.hasReady()) {
             after(0, () -> {
                 Told told = new Told(link);
@@ -225,7 +226,7 @@
     }
 
     @Override
-    public void actBy(View next) {
+    public void actBy(RulesView next) {
         view = next;
         chain = council.held().chain();
         // the marks first, on the same connections: who has heard of the step acts by it
@@ -259,7 +260,7 @@
             return false;
         }
         if (words.size() == 2 && words.get(1).equals(HERE)) {
-            Say.warn("mark.without_agreement", "box", words.get(0), "command", command);
+            EventLog.warn("mark.without_agreement", "box", words.get(0), "command", command);
             return false;
         }
         if (words.isEmpty()) {
@@ -275,7 +276,7 @@
         random.nextBytes(id);
         RuleChange.Builder change = RuleChange.newBuilder().setId(HexFormat.of().formatHex(id))
                 .setWho(settings.copies().instance()).setWall(System.currentTimeMillis() * 1000)
-                .setWhy(words.size() > 1 ? words.get(1) : "").setSubject(Kind.BOX.subject(box));
+                .setWhy(words.size() > 1 ? words.get(1) : "").setSubject(RuleKind.BOX.subject(box));
         if (drain) {
             change.setValue(RuleValue.newBuilder().setOut(true));
         }
@@ -300,9 +301,9 @@
                 asked.answer.accept(last("not known to be agreed: " + said.getNobody()
                         + "; see the council in status, or mark the box at each instance with " + HERE, 1));
             } else if (outcome.getRefusal() != 0) {
-                Refusal refusal = Refusal.of(outcome.getRefusal());
+                ChangeRejection refusal = ChangeRejection.of(outcome.getRefusal());
                 asked.answer.accept(last("not agreed: " + (refusal == null ? "refused by a later program"
-                        : refusal.text()), refusal == Refusal.SAME ? 0 : 1));
+                        : refusal.text()), refusal == ChangeRejection.SAME ? 0 : 1));
             } else {
                 waiting.add(asked);
                 settle();
@@ -316,7 +317,7 @@
         waiting.removeIf(asked -> {
             RuleOutcome outcome = council.held().outcome(asked.change.getId());
             if (outcome != null && outcome.getRevision() > 0) {
-                asked.answer.accept(last(Kind.name(asked.change.getSubject())
+                asked.answer.accept(last(RuleKind.name(asked.change.getSubject())
                         + (asked.change.hasValue() ? " drains" : " has no mark any more")
                         + " by agreement, revision " + outcome.getRevision(), 0));
                 return true;
@@ -331,7 +332,7 @@
 
     private void show(Consumer<Answer> answer) {
         if (council != null) {
-            Rules held = council.held();
+            RuleStateMachine held = council.held();
             for (SubjectState s : held.subjects()) {
                 answer.accept(line(s.getSubject() + " = " + text(s.hasValue() ? s.getValue() : null)
                         + ", revision " + s.getRevision() + (s.hasPending() ? ", under way: "
--- a/src/main/java/yewdock/daemon/NoWire.java
+++ b/src/main/java/yewdock/daemon/NoOpConnection.java
@@ -1,10 +1,10 @@
 package yewdock.daemon;
 
 import java.nio.ByteBuffer;
-import yewdock.platform.Wire;
+import yewdock.platform.Connection;
 
 /** A connection that is none: what is written to it goes nowhere, and closing it closes nothing. */
-class NoWire implements Wire {
+class NoOpConnection implements Connection {
     @Override
     public void write(ByteBuffer bytes) {
         // nobody reads it
--- a/src/main/java/yewdock/daemon/Operator.java
+++ b/src/main/java/yewdock/daemon/OperatorClient.java
@@ -12,8 +12,8 @@
 import yewdock.wire.Frame;
 
 /** An operator's side of the control socket. */
-public final class Operator {
-    private Operator() {
+public final class OperatorClient {
+    private OperatorClient() {
     }
 
     /**
@@ -23,7 +23,7 @@
      */
     public static int ask(Path control, String command, List<String> words, long millis, Consumer<String> out)
             throws IOException {
-        Link link = Link.to(control);
+        ControlConnection link = ControlConnection.to(control);
         BlockingQueue<Frame> answers = new LinkedBlockingQueue<>();
         link.start("daemon", answers::add, why -> answers.add(Frame.getDefaultInstance()));
         link.send(Frame.newBuilder().setAsk(Ask.newBuilder().setCommand(command).addAllWords(words)).build());
--- a/src/main/java/yewdock/experiment/Plan.java
+++ b/src/main/java/yewdock/experiment/Plan.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import yewdock.model.Scenario;
 import yewdock.scenario.ScenarioFile;
-import yewdock.settings.BadSettingsException;
+import yewdock.settings.InvalidSettingsException;
 import yewdock.settings.Section;
 
 /**
@@ -37,7 +37,7 @@
     }
 
     /** Reads a file and the scenario that it names, beside it; throws with one line for each mistake. */
-    public static Plan read(Path file) throws IOException, BadSettingsException {
+    public static Plan read(Path file) throws IOException, InvalidSettingsException {
         String text = Files.readString(file);
         List<String> mistakes = new ArrayList<>();
         Section all = Section.read(file.toString(), text, mistakes);
@@ -71,12 +71,12 @@
             e.wrong("scenario", "the name of a file beside this one, not \"" + name + "\"");
         }
         if (!mistakes.isEmpty()) {
-            throw new BadSettingsException(mistakes);
+            throw new InvalidSettingsException(mistakes);
         }
         String scenarioText = Files.readString(scenario);
         List<Map<String, Object>> cells = grid(set, vary);
         if (cells.size() > MOST_CELLS) {
-            throw new BadSettingsException(List.of(file + ": " + cells.size() + " cells, at most "
+            throw new InvalidSettingsException(List.of(file + ": " + cells.size() + " cells, at most "
                     + MOST_CELLS));
         }
         List<Long> seeds = new ArrayList<>();
@@ -115,7 +115,7 @@
     }
 
     /** The scenario of a cell. */
-    public Scenario scenario(Map<String, Object> cell) throws BadSettingsException {
+    public Scenario scenario(Map<String, Object> cell) throws InvalidSettingsException {
         return ScenarioFile.parse(scenarioName, scenarioText, cell);
     }
 
--- a/src/main/java/yewdock/http/Head.java
+++ b/src/main/java/yewdock/http/MessageHead.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /** The head of a message: its first line, split at blanks into three parts, and its fields in order. */
-public record Head(String first, String second, String third, List<Field> fields) {
+public record MessageHead(String first, String second, String third, List<Field> fields) {
     /** One header field. */
     public record Field(String name, String value) {
     }
 
-    public Head {
+    public MessageHead {
         fields = List.copyOf(fields);
     }
 
--- a/src/main/java/yewdock/http/MessageReader.java
+++ b/src/main/java/yewdock/http/MessageReader.java
@@ -23,7 +23,7 @@
     /** Takes what was read. */
     public interface Sink {
         /** The head is whole. */
-        void head(Head head) throws BadMessageException;
+        void head(MessageHead head) throws BadMessageException;
 
         /** A piece of the body, without its framing. */
         void body(ByteBuffer piece) throws BadMessageException;
@@ -175,7 +175,7 @@
                 || !request && !start[1].matches("[1-5][0-9][0-9]")) {
             throw new BadMessageException(400, "the first line is malformed");
         }
-        List<Head.Field> fields = new ArrayList<>();
+        List<MessageHead.Field> fields = new ArrayList<>();
         for (String row : lines.subList(1, lines.size())) {
             int colon = row.indexOf(':');
             if (colon <= 0 || !row.substring(0, colon).matches("[!#-'*+.^-z|~0-9A-Z-]+")) {
@@ -185,9 +185,9 @@
                 // a lone CR is a line's end to some readers
                 throw new BadMessageException(400, "a header line is malformed");
             }
-            fields.add(new Head.Field(row.substring(0, colon), row.substring(colon + 1).strip()));
+            fields.add(new MessageHead.Field(row.substring(0, colon), row.substring(colon + 1).strip()));
         }
-        Head head = new Head(start[0], start[1], start.length > 2 ? start[2] : "", fields);
+        MessageHead head = new MessageHead(start[0], start[1], start.length > 2 ? start[2] : "", fields);
         lines.clear();
         if (!request && head.status() < 200) {
             // the answer is yet to come; all heads before it together have the bound of one
@@ -197,9 +197,9 @@
     }
 
     /** Tells from the head where the body ends. Two ways of telling would let a second request hide in it. */
-    private void frame(Head head) throws BadMessageException {
+    private void frame(MessageHead head) throws BadMessageException {
         List<String> lengths = head.fields().stream().filter(f -> f.name().equalsIgnoreCase("Content-Length"))
-                .map(Head.Field::value).toList();
+                .map(MessageHead.Field::value).toList();
         String coding = head.field("Transfer-Encoding");
         if (coding != null && !lengths.isEmpty() || lengths.size() > 1
                 || head.count("Transfer-Encoding") > 1) {
--- a/src/main/java/yewdock/lease/Lease.java
+++ b/src/main/java/yewdock/lease/Lease.java
@@ -7,7 +7,7 @@
  * granted, so neither the way nor the council's clock has a say. Pure: times of one monotonic clock go in.
  */
 public final class Lease {
-    private final LeaseTerms terms;
+    private final LeaseTiming terms;
     private final ArrayDeque<Call> calls = new ArrayDeque<>();
     private long numbers;
     private long until = Long.MIN_VALUE;
@@ -15,7 +15,7 @@
     private record Call(long number, long sentAt) {
     }
 
-    public Lease(LeaseTerms terms) {
+    public Lease(LeaseTiming terms) {
         this.terms = terms;
     }
 
--- a/src/main/java/yewdock/lease/Grants.java
+++ b/src/main/java/yewdock/lease/LeaseGrantor.java
@@ -15,12 +15,12 @@
  * prepared knows of it, and all other leases are over one length after that. A leader that took over less
  * than one length ago doesn't know who holds leases, and lets that length pass.
  */
-public final class Grants {
-    private final LeaseTerms terms;
+public final class LeaseGrantor {
+    private final LeaseTiming terms;
     private final Map<String, Holder> holders = new HashMap<>();
     private final Map<String, Long> seen = new HashMap<>();
-    private List<Ask> waiting = new ArrayList<>();
-    private List<Ask> confirming = List.of();
+    private List<LeaseRequest> waiting = new ArrayList<>();
+    private List<LeaseRequest> confirming = List.of();
     private boolean leading;
     private long since;
 
@@ -36,13 +36,13 @@
      * @param number the call's number
      * @param step the step of the rules that all its parts have taken up
      */
-    public record Ask(String router, long incarnation, long number, long step) {
+    public record LeaseRequest(String router, long incarnation, long number, long step) {
         private String holder() {
             return router + "/" + incarnation;
         }
     }
 
-    public Grants(LeaseTerms terms) {
+    public LeaseGrantor(LeaseTiming terms) {
         this.terms = terms;
     }
 
@@ -67,7 +67,7 @@
     }
 
     /** A router asks; answered once a majority has confirmed the leader, in a round that begins later. */
-    public void asked(Ask ask) {
+    public void asked(LeaseRequest ask) {
         if (leading) {
             waiting.add(ask);
         }
@@ -93,10 +93,10 @@
      *
      * @param lastPrepared the step of the last change that was prepared, as the leader's rules have it now
      */
-    public List<Ask> confirmed(long lastPrepared, long now) {
-        List<Ask> granted = new ArrayList<>();
+    public List<LeaseRequest> confirmed(long lastPrepared, long now) {
+        List<LeaseRequest> granted = new ArrayList<>();
         if (leading) {
-            for (Ask ask : confirming) {
+            for (LeaseRequest ask : confirming) {
                 if (ask.step >= lastPrepared) {
                     holders.put(ask.holder(), new Holder(ask.step, now + terms.runOut()));
                     granted.add(ask);
--- a/src/main/java/yewdock/platform/ClientSide.java
+++ b/src/main/java/yewdock/platform/ClientConnectionHandler.java
@@ -6,28 +6,28 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.Locale;
-import yewdock.desk.Event;
-import yewdock.desk.ModelRequest;
+import yewdock.core.Event;
+import yewdock.core.ModelRequest;
 import yewdock.http.BadMessageException;
-import yewdock.http.Head;
+import yewdock.http.MessageHead;
 import yewdock.http.MessageReader;
 
 /** A client's connection: reads one request at a time, writes its answer. */
-final class ClientSide implements Side, MessageReader.Sink {
+final class ClientConnectionHandler implements ConnectionHandler, MessageReader.Sink {
     private static final String LAST_CHUNK = "0\r\n\r\n";
     private static final double MICROS = 1e6;
     /** What a client sends on while its request is open is kept up to so many bytes. */
     private static final int MOST_AHEAD = 64 * 1024;
 
-    private final Front front;
+    private final ConnectionManager front;
     private final long id;
-    private final Wire wire;
+    private final Connection wire;
     private final MessageReader reader = new MessageReader(MessageReader.Kind.REQUEST, this);
     private final Deque<Arrived> ahead = new ArrayDeque<>();
     private int aheadBytes;
     /** When the first byte came of the request that is read: its client's time runs since before that. */
     private Arrival requestArrival;
-    private Head head;
+    private MessageHead head;
     private ByteArrayOutputStream body;
     private ClientRequest request;
     /** Whether a request is open: taken, and not yet answered to its end. */
@@ -46,7 +46,7 @@
     private record Arrived(ByteBuffer bytes, Arrival when) {
     }
 
-    ClientSide(Front front, long id, Wire wire) {
+    ClientConnectionHandler(ConnectionManager front, long id, Connection wire) {
         this.front = front;
         this.id = id;
         this.wire = wire;
@@ -95,7 +95,7 @@
                     aheadBytes += next.remaining();
                     if (fresh && !reader.untouched()) {
                         requestArrival = ahead.peek().when;
-                        front.happened(new Event.ClientBegan(id));
+                        front.happened(new Event.ClientRequestStarted(id));
                     }
                 }
                 if (!next.hasRemaining()) {
@@ -147,7 +147,7 @@
     }
 
     @Override
-    public void head(Head read) {
+    public void head(MessageHead read) {
         head = read;
         body = new ByteArrayOutputStream();
         if (read.says("Expect", "100-continue")) {
@@ -192,7 +192,7 @@
                     request = new ClientRequest(head, body.toByteArray());
                     forgetBody();
                     ModelRequest read = request.read(front.names(), requestArrival, front.now());
-                    front.happened(new Event.Asked(id, read));
+                    front.happened(new Event.RequestReceived(id, read));
                 }
             }
             case "/ready" -> {
@@ -285,7 +285,7 @@
             closeIfIdle();
             return;
         }
-        front.happened(new Event.ClientQuiet(id));
+        front.happened(new Event.ClientIdle(id));
         readOn();
     }
 
@@ -307,7 +307,7 @@
     @Override
     public void written(int bytes) {
         if (busy && begun) {
-            front.happened(new Event.ClientTook(id, bytes));
+            front.happened(new Event.ClientBytesWritten(id, bytes));
         }
     }
 
--- a/src/main/java/yewdock/platform/Config.java
+++ b/src/main/java/yewdock/platform/Config.java
@@ -10,15 +10,15 @@
 import org.json.JSONException;
 import org.json.JSONObject;
 import umberspread.Routing;
-import yewdock.desk.Bounds;
-import yewdock.desk.EndpointList;
+import yewdock.core.EndpointList;
+import yewdock.core.ResourceLimits;
 
 /**
  * What the router is told at its start. keepalive is in microseconds; operator is where operators call, or ""
  * where they don't.
  */
 public record Config(String name, String listen, String operator, String discovery, long seed, long keepalive,
-        Routing.Settings settings, Names names, Bounds bounds, EndpointList known) {
+        Routing.Settings settings, NameIndexes names, ResourceLimits bounds, EndpointList known) {
     private static final double MICROS = 1e6;
     /** What a configuration without limits is taken to allow: the most that a router gets. */
     private static final int SOCKETS = 1024;
@@ -42,10 +42,11 @@
         for (JSONObject org : objects(s.optJSONArray("orgs"))) {
             tenants.add(new Routing.Tenant(org.getString("name"), org.getDouble("quota_rps")));
         }
-        Names names = new Names(Names.places(classes.stream().map(Routing.RequestClass::name).toList()),
-                Names.places(tenants.stream().map(Routing.Tenant::name).toList()),
-                Names.places(strings(s.optJSONArray("zones"))),
-                Names.places(strings(s.optJSONArray("shapes"))));
+        NameIndexes names = new NameIndexes(
+                NameIndexes.places(classes.stream().map(Routing.RequestClass::name).toList()),
+                NameIndexes.places(tenants.stream().map(Routing.Tenant::name).toList()),
+                NameIndexes.places(strings(s.optJSONArray("zones"))),
+                NameIndexes.places(strings(s.optJSONArray("shapes"))));
         JSONObject l = s.getJSONObject("limits");
         Routing.Limits limits = new Routing.Limits(l.getInt("max_attempts"),
                 l.optBoolean("may_duplicate"), l.optBoolean("cancelling"), l.optBoolean("probes"),
@@ -94,13 +95,13 @@
         }
     }
 
-    private static Bounds bounds(JSONObject limits) {
+    private static ResourceLimits bounds(JSONObject limits) {
         int sockets = limits.optInt("sockets", SOCKETS);
         int megabytes = limits.optInt("memory_mb", MEMORY_MB);
         if (sockets < LEAST_SOCKETS || megabytes < LEAST_MEMORY_MB) {
             throw new IllegalArgumentException("limits are too small: " + limits);
         }
-        return Bounds.within(sockets, Math.min(megabytes, MEMORY_MB));
+        return ResourceLimits.within(sockets, Math.min(megabytes, MEMORY_MB));
     }
 
     private static List<Routing.RequestClass> classes(JSONObject s) {
@@ -111,7 +112,7 @@
         for (JSONObject c : objects(s.getJSONArray("classes"))) {
             int i = classes.size();
             classes.add(new Routing.RequestClass(c.getString("name"),
-                    named(Routing.Effect.class, c.optString("effect", "retryable")),
+                    named(Routing.RetrySafety.class, c.optString("effect", "retryable")),
                     named(Routing.DedupGroup.class, c.optString("group", "all")), time(c, "window", 0),
                     time(c, "aim"), Math.round(item(domain, "aim_us_per_1000_prompt_tokens", i)),
                     Math.round(item(domain, "token_aim", i) * MICROS), time(c, "give_up"),
--- a/src/main/java/yewdock/platform/Wire.java
+++ b/src/main/java/yewdock/platform/Connection.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 
 /** A connection as the transport gives it. Its calls return at once; what comes of them reaches its side. */
-public interface Wire {
+public interface Connection {
     /** Writes, in the order of the calls. */
     void write(ByteBuffer bytes);
 
--- a/src/main/java/yewdock/platform/Side.java
+++ b/src/main/java/yewdock/platform/ConnectionHandler.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 
 /** Our end of a connection: what the transport tells of it. */
-public interface Side {
+public interface ConnectionHandler {
     /** The connection is made. */
     void up();
 
@@ -15,7 +15,7 @@
         received(bytes);
     }
 
-    /** All that was written up to some call of {@link Wire#write}, this many bytes of it, has left. */
+    /** All that was written up to some call of {@link Connection#write}, this many bytes of it, has left. */
     void written(int bytes);
 
     /** Of what was written last nothing has left, since it came too late; the connection closes. */
--- a/src/main/java/yewdock/platform/Deployment.java
+++ b/src/main/java/yewdock/platform/DeploymentSummary.java
@@ -11,7 +11,7 @@
 import umberspread.Routing;
 
 /** What a configuration switches on at a deployment, and what of it this program can't use, line by line. */
-public final class Deployment {
+public final class DeploymentSummary {
     private static final double MICROS = 1e6;
     /** The settings that {@link Config} takes up, by their paths without the places in lists. */
     private static final Set<String> USED = Set.of("instances", "ordinal", "zone", "discovery", "zones",
@@ -28,7 +28,7 @@
             "domain.notes", "domain.report_x0", "domain.report_x1", "goal.whole", "goal.worst_class",
             "goal.worst_tenant", "goal.worst_window", "orgs.share");
 
-    private Deployment() {
+    private DeploymentSummary() {
     }
 
     /** The lines for a configuration's text; throws IllegalArgumentException where it can't be read. */
@@ -67,7 +67,7 @@
     }
 
     private static String copied(Routing.Settings s) {
-        List<String> classes = s.classes().stream().filter(c -> c.effect() != Routing.Effect.FRAGILE)
+        List<String> classes = s.classes().stream().filter(c -> c.effect() != Routing.RetrySafety.FRAGILE)
                 .map(Routing.RequestClass::name).toList();
         return classes.isEmpty() ? "no class" : String.join(", ", classes);
     }
--- a/src/main/java/yewdock/platform/DiscoveryConnection.java
+++ b/src/main/java/yewdock/platform/DiscoveryConnectionHandler.java
@@ -4,30 +4,31 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import org.json.JSONException;
-import yewdock.desk.EndpointList;
-import yewdock.desk.Event;
+import yewdock.core.EndpointList;
+import yewdock.core.Event;
 import yewdock.http.BadMessageException;
-import yewdock.http.Head;
+import yewdock.http.MessageHead;
 import yewdock.http.MessageReader;
 
 /** The connection on which the box list is watched. */
-final class DiscoveryConnection implements Side, MessageReader.Sink {
+final class DiscoveryConnectionHandler implements ConnectionHandler, MessageReader.Sink {
     private static final int MOST_LIST = 4 << 20;
     private static final int OK = 200;
 
-    private final Front front;
+    private final ConnectionManager front;
     private final EndpointListReader lists;
     private final String host;
-    private final Wire wire;
+    private final Connection wire;
     private final MessageReader reader = new MessageReader(MessageReader.Kind.ANSWER, this);
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-    private Head head;
+    private MessageHead head;
     private String waiting;
     private boolean up;
     private boolean out;
     private boolean gone;
 
-    DiscoveryConnection(Front front, EndpointListReader lists, String host, Wire wire) {
+    DiscoveryConnectionHandler(ConnectionManager front, EndpointListReader lists, String host,
+            Connection wire) {
         this.front = front;
         this.lists = lists;
         this.host = host;
@@ -123,7 +124,7 @@
     }
 
     @Override
-    public void head(Head read) {
+    public void head(MessageHead read) {
         head = read;
         body.reset();
     }
@@ -167,7 +168,7 @@
         EndpointList last = endOfConnection();
         if (last == null) {
             front.listClosed(this);
-            front.happened(new Event.DiscoveryLost());
+            front.happened(new Event.DiscoveryConnectionLost());
             if (out) {
                 front.listFailed(this);
             }
--- a/src/main/java/yewdock/platform/Names.java
+++ b/src/main/java/yewdock/platform/NameIndexes.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /** The names that the settings give to what the module knows by numbers. */
-public record Names(Map<String, Integer> classes, Map<String, Integer> municipalities,
+public record NameIndexes(Map<String, Integer> classes, Map<String, Integer> municipalities,
         Map<String, Integer> sites, Map<String, Integer> kinds) {
     /** Each name's place in its list. */
     static Map<String, Integer> places(List<String> names) {
--- a/src/main/java/yewdock/replica/Replica.java
+++ b/src/main/java/yewdock/replication/Replicator.java
@@ -1,4 +1,4 @@
-package yewdock.replica;
+package yewdock.replication;
 
 import com.google.protobuf.InvalidProtocolBufferException;
 import java.util.ArrayList;
@@ -10,9 +10,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import yewdock.log.Fields;
-import yewdock.state.Keys;
-import yewdock.state.Records;
+import yewdock.logging.LogFields;
+import yewdock.state.RecordKeys;
+import yewdock.state.ReplicatedRecords;
 import yewdock.wire.AskSnapshot;
 import yewdock.wire.Batch;
 import yewdock.wire.Buckets;
@@ -34,7 +34,7 @@
  * <p>To a peer only keys wait, never records, and one batch at most is out: a peer that is slow, silent or
  * stale costs a name for each record and no more.
  */
-public final class Replica {
+public final class Replicator {
     /** The version of the frames that are sent, and the least that a reader must know. */
     public static final int VERSION = 1;
     static final long COMPARE_EVERY = 1_000_000;
@@ -45,10 +45,10 @@
     static final int MOST_ENTRIES = 2_000;
 
     private final String cluster;
-    private final Records records;
+    private final ReplicatedRecords records;
     private final int mostTombstones;
     private final Map<String, Peer> peers = new TreeMap<>();
-    private List<ReplicaEffect> effects = new ArrayList<>();
+    private List<ReplicationEffect> effects = new ArrayList<>();
     private Set<String> toStore = new LinkedHashSet<>();
     private long now;
     /** The stamp known when the records last equalled a peer's. */
@@ -84,7 +84,7 @@
     }
 
     /** How a peer stands: keys that wait, when it was last heard and last equal (microseconds; 0: never). */
-    public record Standing(String peer, boolean up, int waiting, long lastHeard, long equalAt, long sent,
+    public record PeerStatus(String peer, boolean up, int waiting, long lastHeard, long equalAt, long sent,
             long got, String trouble) {
     }
 
@@ -94,7 +94,8 @@
      * @param joined what {@link #joined()} was when the records were stored, 0 with an empty disk
      * @param mostTombstones so many removals are remembered even when all peers know them
      */
-    public Replica(String cluster, Set<String> named, Records records, long joined, int mostTombstones) {
+    public Replicator(String cluster, Set<String> named, ReplicatedRecords records, long joined,
+            int mostTombstones) {
         this.cluster = cluster;
         this.records = records;
         this.joined = joined;
@@ -104,28 +105,28 @@
     }
 
     /** Takes one event and tells what to do about it. */
-    public List<ReplicaEffect> reduce(ReplicaEvent event, long time) {
+    public List<ReplicationEffect> reduce(ReplicationEvent event, long time) {
         now = Math.max(now, time);
         effects = new ArrayList<>();
         toStore = new LinkedHashSet<>();
-        if (event instanceof ReplicaEvent.Heard e) {
+        if (event instanceof ReplicationEvent.PeerFrameReceived e) {
             heard(peers.get(e.peer()), e.frame());
-        } else if (event instanceof ReplicaEvent.Changed e) {
+        } else if (event instanceof ReplicationEvent.RecordsChanged e) {
             spread(e.keys());
-        } else if (event instanceof ReplicaEvent.Up e) {
+        } else if (event instanceof ReplicationEvent.PeerConnected e) {
             up(peers.get(e.peer()));
-        } else if (event instanceof ReplicaEvent.Down e) {
+        } else if (event instanceof ReplicationEvent.PeerDisconnected e) {
             down(peers.get(e.peer()), e.why());
-        } else if (event instanceof ReplicaEvent.Tick) {
+        } else if (event instanceof ReplicationEvent.Tick) {
             tick();
         }
         if (!toStore.isEmpty()) {
-            effects.add(new ReplicaEffect.Store(List.copyOf(toStore)));
+            effects.add(new ReplicationEffect.StoreRecords(List.copyOf(toStore)));
         }
         return effects;
     }
 
-    /** When the next {@link ReplicaEvent.Tick} is due. */
+    /** When the next {@link ReplicationEvent.Tick} is due. */
     public long nextDue() {
         return nextCompare;
     }
@@ -140,8 +141,8 @@
         return needsAll;
     }
 
-    public List<Standing> standings() {
-        return peers.values().stream().map(p -> new Standing(p.name, p.up && p.greeted, p.dirty.size(),
+    public List<PeerStatus> standings() {
+        return peers.values().stream().map(p -> new PeerStatus(p.name, p.up && p.greeted, p.dirty.size(),
                 p.lastHeard, p.equalAt, p.sent, p.got, p.trouble)).toList();
     }
 
@@ -186,7 +187,7 @@
 
     private void close(Peer p, String why) {
         send(p, PeerFrame.newBuilder().setRefused(Refused.newBuilder().setWhy(why)));
-        effects.add(new ReplicaEffect.Close(p.name, why));
+        effects.add(new ReplicationEffect.ClosePeer(p.name, why));
         down(p, why);
     }
 
@@ -227,7 +228,8 @@
             return;
         }
         if (frame.hasRefused()) {
-            effects.add(new ReplicaEffect.Close(p.name, "refused there: " + frame.getRefused().getWhy()));
+            effects.add(new ReplicationEffect.ClosePeer(p.name, "refused there: "
+                    + frame.getRefused().getWhy()));
             down(p, "refused there: " + frame.getRefused().getWhy());
             return;
         }
@@ -294,7 +296,7 @@
     }
 
     private void digest(Peer p, Digest digest) {
-        if (digest.getSumsCount() != Records.BUCKETS) {
+        if (digest.getSumsCount() != ReplicatedRecords.BUCKETS) {
             close(p, "a digest of " + digest.getSumsCount() + " sums");
             return;
         }
@@ -336,7 +338,7 @@
     }
 
     private void buckets(Peer p, Buckets theirs) {
-        if (theirs.getIndexesList().stream().anyMatch(i -> i < 0 || i >= Records.BUCKETS)) {
+        if (theirs.getIndexesList().stream().anyMatch(i -> i < 0 || i >= ReplicatedRecords.BUCKETS)) {
             close(p, "buckets that there are not");
             return;
         }
@@ -362,7 +364,7 @@
     }
 
     private static int order(Buckets.Entry theirs, Kept mine) {
-        return Records.order(theirs.getStamp(), theirs.getInstance(), mine);
+        return ReplicatedRecords.order(theirs.getStamp(), theirs.getInstance(), mine);
     }
 
     private void want(Peer p, Collection<String> keys) {
@@ -427,13 +429,13 @@
     private boolean take(Peer p, List<Kept> all) {
         List<String> asserted = new ArrayList<>();
         for (Kept kept : all) {
-            String flaw = Records.flaw(kept);
+            String flaw = ReplicatedRecords.flaw(kept);
             if (flaw != null) {
                 close(p, "a record with " + flaw);
                 return false;
             }
             Kept mine = records.raw(kept.getKey());
-            if (mine != null && Keys.isOf(records.instance(), kept.getKey())
+            if (mine != null && RecordKeys.isOf(records.instance(), kept.getKey())
                     && kept.getStamp() >= mine.getStamp() && !kept.equals(mine)) {
                 // of an earlier life under this name, which this instance does not remember: it knows better
                 Kept.Builder again = mine.toBuilder();
@@ -442,12 +444,12 @@
                 toStore.add(kept.getKey());
                 continue;
             }
-            Records.Merged merged = records.merge(kept);
-            if (merged == Records.Merged.REFUSED) {
+            ReplicatedRecords.MergeResult merged = records.merge(kept);
+            if (merged == ReplicatedRecords.MergeResult.REFUSED) {
                 close(p, "more records than this instance keeps");
                 return false;
             }
-            if (merged == Records.Merged.TAKEN) {
+            if (merged == ReplicatedRecords.MergeResult.TAKEN) {
                 toStore.add(kept.getKey());
                 p.got++;
             }
@@ -519,7 +521,7 @@
             // first of all: what is here and not there was removed while this instance was away; but what is
             // its own nobody else can have removed
             note("replica.replaced", p, "records", records.size());
-            toStore.addAll(records.clear(key -> Keys.isOf(records.instance(), key)));
+            toStore.addAll(records.clear(key -> RecordKeys.isOf(records.instance(), key)));
             needsAll = true;
         }
         if (!take(p, all)) {
@@ -558,7 +560,7 @@
     }
 
     private void send(Peer p, PeerFrame.Builder frame) {
-        effects.add(new ReplicaEffect.Send(p.name, frame.build()));
+        effects.add(new ReplicationEffect.SendToPeer(p.name, frame.build()));
     }
 
     private void note(String event, Peer p, Object... more) {
@@ -566,6 +568,6 @@
         all[0] = "peer";
         all[1] = p.name;
         System.arraycopy(more, 0, all, 2, more.length);
-        effects.add(new ReplicaEffect.Note(event, Fields.of(all)));
+        effects.add(new ReplicationEffect.LogEvent(event, LogFields.of(all)));
     }
 }
--- a/src/main/java/yewdock/rules/Refusal.java
+++ b/src/main/java/yewdock/rules/ChangeRejection.java
@@ -1,7 +1,7 @@
 package yewdock.rules;
 
 /** Why a change of the rules is refused, and what whoever wants it can do. */
-public enum Refusal {
+public enum ChangeRejection {
     /** The subject has changed since. */
     STALE(1, "the subject has been changed since it was looked at",
             "look at it again, and ask for the change from there"),
@@ -25,7 +25,7 @@
     private final String why;
     private final String advice;
 
-    Refusal(int number, String why, String advice) {
+    ChangeRejection(int number, String why, String advice) {
         this.number = number;
         this.why = why;
         this.advice = advice;
@@ -42,8 +42,8 @@
     }
 
     /** The one of this number, null for none that this program knows. */
-    public static Refusal of(int number) {
-        for (Refusal r : values()) {
+    public static ChangeRejection of(int number) {
+        for (ChangeRejection r : values()) {
             if (r.number == number) {
                 return r;
             }
--- a/src/main/java/yewdock/rules/Kind.java
+++ b/src/main/java/yewdock/rules/RuleKind.java
@@ -9,7 +9,7 @@
  * <p>Between a change's preparing and its force a router acts by {@link #between}: by nothing that the old
  * or the new value would contradict.
  */
-public enum Kind {
+public enum RuleKind {
     /** A box that gets no new work by agreement. Compatible: to send it nothing. */
     BOX("box", true) {
         @Override
@@ -59,7 +59,7 @@
     private final String word;
     private final boolean hard;
 
-    Kind(String word, boolean hard) {
+    RuleKind(String word, boolean hard) {
         this.word = word;
         this.hard = hard;
     }
@@ -80,9 +80,9 @@
     }
 
     /** The kind of a subject, or null where this program knows none such. */
-    public static Kind of(String subject) {
+    public static RuleKind of(String subject) {
         int end = subject.indexOf('/');
-        for (Kind k : values()) {
+        for (RuleKind k : values()) {
             if (end > 0 && end < subject.length() - 1 && subject.length() <= LONGEST_NAME
                     && k.word.equals(subject.substring(0, end))) {
                 return k;
@@ -101,7 +101,7 @@
      * one.
      */
     public static boolean fits(String subject, RuleValue value) {
-        Kind kind = of(subject);
+        RuleKind kind = of(subject);
         return kind != null && (value == null || kind.fits(value));
     }
 
--- a/src/main/java/yewdock/rules/Rules.java
+++ b/src/main/java/yewdock/rules/RuleStateMachine.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.TreeMap;
-import yewdock.state.Records;
+import yewdock.state.ReplicatedRecords;
 import yewdock.wire.HistoryLine;
 import yewdock.wire.RuleChange;
 import yewdock.wire.RuleCommand;
@@ -30,7 +30,7 @@
  * <p>Each command is a step. The chain is a hash over all of them and their outcomes: two instances at one
  * step with different chains do not hold the same rules, and that is a fault.
  */
-public final class Rules {
+public final class RuleStateMachine {
     /** So many subjects may have a value or a change under way. */
     public static final int MOST_SUBJECTS = 10_000;
     /** A change with more bytes is refused. */
@@ -50,15 +50,15 @@
     private final LinkedHashMap<String, RuleOutcome> outcomes = new LinkedHashMap<>();
     private final ArrayDeque<HistoryLine> history = new ArrayDeque<>();
     private final ArrayDeque<ByteString> unread = new ArrayDeque<>();
-    private View view = View.NOTHING;
+    private RulesView view = RulesView.NOTHING;
 
     /** What is wrong with a change before anybody is asked, or null: kinds are the proposer's to know. */
-    public static Refusal flaw(RuleChange change) {
+    public static ChangeRejection flaw(RuleChange change) {
         if (change.getSerializedSize() > MOST_BYTES) {
-            return Refusal.TOO_LARGE;
+            return ChangeRejection.TOO_LARGE;
         }
-        return change.getId().isEmpty() || !Kind.fits(change.getSubject(),
-                change.hasValue() ? change.getValue() : null) ? Refusal.UNFIT : null;
+        return change.getId().isEmpty() || !RuleKind.fits(change.getSubject(),
+                change.hasValue() ? change.getValue() : null) ? ChangeRejection.UNFIT : null;
     }
 
     /** Takes one command; the outcome is that of its change. */
@@ -71,7 +71,7 @@
             default -> unread(command);
         };
         HashStream64 hash = Hashing.xxh3_64().hashStream();
-        byte[] bytes = Records.bytes(command);
+        byte[] bytes = ReplicatedRecords.bytes(command);
         hash.putLong(chain).putBytes(bytes).putInt(bytes.length);
         hash.putInt(outcome.getRefusal()).putLong(outcome.getRevision());
         chain = hash.getAsLong();
@@ -97,7 +97,7 @@
             return before;
         }
         SubjectState state = subjects.get(change.getSubject());
-        Refusal refusal = refusal(change, state);
+        ChangeRejection refusal = refusal(change, state);
         if (refusal == null) {
             SubjectState.Builder next = state == null
                     ? SubjectState.newBuilder().setSubject(change.getSubject()) : state.toBuilder();
@@ -110,21 +110,21 @@
     }
 
     /** Nothing here may depend on the kinds that a program knows. */
-    private Refusal refusal(RuleChange change, SubjectState state) {
+    private ChangeRejection refusal(RuleChange change, SubjectState state) {
         if (change.getSerializedSize() > MOST_BYTES) {
-            return Refusal.TOO_LARGE;
+            return ChangeRejection.TOO_LARGE;
         }
         if (state != null && state.hasPending()) {
-            return Refusal.UNDER_WAY;
+            return ChangeRejection.UNDER_WAY;
         }
         if (change.getBase() != (state == null ? 0 : state.getRevision())) {
-            return Refusal.STALE;
+            return ChangeRejection.STALE;
         }
         RuleValue now = state != null && state.hasValue() ? state.getValue() : null;
         if (Objects.equals(now, change.hasValue() ? change.getValue() : null)) {
-            return Refusal.SAME;
+            return ChangeRejection.SAME;
         }
-        return state == null && subjects.size() >= MOST_SUBJECTS ? Refusal.FULL : null;
+        return state == null && subjects.size() >= MOST_SUBJECTS ? ChangeRejection.FULL : null;
     }
 
     /** Once: a second force of the same change, by a leader who did not see the first, changes nothing. */
@@ -162,7 +162,7 @@
     private RuleOutcome notUnderWay(String id) {
         RuleOutcome known = outcomes.get(id);
         return known != null ? known : RuleOutcome.newBuilder().setId(id).setStep(step)
-                .setRefusal(Refusal.NOT_UNDER_WAY.number()).build();
+                .setRefusal(ChangeRejection.NOT_UNDER_WAY.number()).build();
     }
 
     /** A change that is under way is never forgotten: its outcome is yet to come. */
@@ -228,9 +228,9 @@
     }
 
     /** What a router acts by. */
-    public View view() {
+    public RulesView view() {
         if (view == null) {
-            view = View.of(step, revision, subjects.values());
+            view = RulesView.of(step, revision, subjects.values());
         }
         return view;
     }
@@ -265,7 +265,7 @@
         view = null;
     }
 
-    /** A command as {@link Records#bytes} wrote it; one of a later program is kept whole. */
+    /** A command as {@link ReplicatedRecords#bytes} wrote it; one of a later program is kept whole. */
     public static RuleCommand read(byte[] bytes) throws InvalidProtocolBufferException {
         return RuleCommand.parseFrom(bytes);
     }
--- a/src/main/java/yewdock/rules/View.java
+++ b/src/main/java/yewdock/rules/RulesView.java
@@ -18,17 +18,17 @@
  * @param shares requests a second, by municipality
  * @param settings the texts that keys of the operators' files have to have
  */
-public record View(long step, long revision, Set<String> out, Map<String, Double> shares,
+public record RulesView(long step, long revision, Set<String> out, Map<String, Double> shares,
         Map<String, String> settings) {
     /** Before anything is agreed. */
-    public static final View NOTHING = new View(0, 0, Set.of(), Map.of(), Map.of());
+    public static final RulesView NOTHING = new RulesView(0, 0, Set.of(), Map.of(), Map.of());
 
-    static View of(long step, long revision, Collection<SubjectState> subjects) {
+    static RulesView of(long step, long revision, Collection<SubjectState> subjects) {
         Set<String> out = new TreeSet<>();
         Map<String, Double> shares = new TreeMap<>();
         Map<String, String> settings = new TreeMap<>();
         for (SubjectState s : subjects) {
-            Kind kind = Kind.of(s.getSubject());
+            RuleKind kind = RuleKind.of(s.getSubject());
             if (kind == null) {
                 continue;
             }
@@ -36,7 +36,7 @@
             if (value == null) {
                 continue;
             }
-            String name = Kind.name(s.getSubject());
+            String name = RuleKind.name(s.getSubject());
             switch (kind) {
                 case BOX -> out.add(name);
                 case SHARE -> shares.put(name, value.getShare());
@@ -46,10 +46,10 @@
                 }
             }
         }
-        return new View(step, revision, Set.copyOf(out), Map.copyOf(shares), Map.copyOf(settings));
+        return new RulesView(step, revision, Set.copyOf(out), Map.copyOf(shares), Map.copyOf(settings));
     }
 
-    private static RuleValue acted(Kind kind, SubjectState s) {
+    private static RuleValue acted(RuleKind kind, SubjectState s) {
         RuleValue now = s.hasValue() ? s.getValue() : null;
         if (!s.hasPending()) {
             return now;
--- a/src/main/java/yewdock/scenario/ScenarioFile.java
+++ b/src/main/java/yewdock/scenario/ScenarioFile.java
@@ -8,12 +8,12 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.stream.Stream;
+import yewdock.baseline.Options;
+import yewdock.baseline.Policies;
 import yewdock.model.Range;
 import yewdock.model.Scenario;
-import yewdock.settings.BadSettingsException;
+import yewdock.settings.InvalidSettingsException;
 import yewdock.settings.Section;
-import yewdock.textbook.Options;
-import yewdock.textbook.Policies;
 
 /** Reads a scenario from HCL: either all of a file is taken or none of it. What is left out has a default. */
 public final class ScenarioFile {
@@ -28,13 +28,13 @@
 
     /** Reads a file; throws with one line for each mistake. */
     public static Scenario read(Path file, Map<String, Object> instead) throws IOException,
-            BadSettingsException {
+            InvalidSettingsException {
         return parse(file.toString(), Files.readString(file), instead);
     }
 
     /** Reads a text that came from there, with some values put in place of its own. */
     public static Scenario parse(String where, String text, Map<String, Object> instead)
-            throws BadSettingsException {
+            throws InvalidSettingsException {
         List<String> mistakes = new ArrayList<>();
         Section all = Section.read(where, text, instead, mistakes);
         Scenario scenario = null;
@@ -44,7 +44,7 @@
             mistakes.add(where + ": " + e.getMessage());
         }
         if (!mistakes.isEmpty()) {
-            throw new BadSettingsException(mistakes);
+            throw new InvalidSettingsException(mistakes);
         }
         return scenario;
     }
--- a/src/main/java/yewdock/settings/BadSettingsException.java
+++ b/src/main/java/yewdock/settings/InvalidSettingsException.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /** Settings that can't be taken; each mistake is one line with the file, the key and what is allowed. */
-public final class BadSettingsException extends Exception {
+public final class InvalidSettingsException extends Exception {
     private static final long serialVersionUID = 1;
 
     private final transient List<String> mistakes;
 
-    public BadSettingsException(List<String> mistakes) {
+    public InvalidSettingsException(List<String> mistakes) {
         super(String.join("\n", mistakes));
         this.mistakes = List.copyOf(mistakes);
     }
--- a/src/main/java/yewdock/settings/OperatorSettings.java
+++ b/src/main/java/yewdock/settings/OperatorSettings.java
@@ -14,8 +14,9 @@
  * The operator's own settings, read from HCL. Either all of a file is taken or none of it. Durations are
  * microseconds here and seconds in the file.
  */
-public record OperatorSettings(Daemon daemon, Upgrade upgrade, Log log, Store store, Copies copies,
-        Agreement agreement) {
+public record OperatorSettings(DaemonSettings daemon, UpgradeSettings upgrade, LogSettings log,
+        StoreSettings store, ReplicationSettings copies,
+        ConsensusSettings agreement) {
     private static final double LONGEST_STAGE = 600;
     private static final double LONGEST_FINISH = 86_400;
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9.-]{1,64}");
@@ -25,20 +26,21 @@
      * How the daemon runs: the platform's configuration file, the folder of the control socket, the class
      * path of a generation (empty: that of the daemon itself) and the flags of its JVM.
      */
-    public record Daemon(Path config, Path control, String program, List<String> java) {
-        public Daemon {
+    public record DaemonSettings(Path config, Path control, String program, List<String> java) {
+        public DaemonSettings {
             java = List.copyOf(java);
         }
     }
 
     /** How long the stages of an upgrade may take, and the old generation after it. */
-    public record Upgrade(long start, long check, long state, long ready, long take, long share, long go,
+    public record UpgradeSettings(long start, long check, long state, long ready, long take, long share,
+            long go,
             long letGo,
             long finish, int mostFinishing) {
     }
 
     /** The form of log lines: text or json. */
-    public record Log(String form) {
+    public record LogSettings(String form) {
     }
 
     /**
@@ -46,7 +48,7 @@
      * after how long a store that failed is tried again, after how long a kept drain that no list has told
      * again is doubted at a start, and how many records are kept.
      */
-    public record Store(Path folder, long gather, long retry, long doubt, int mostRecords) {
+    public record StoreSettings(Path folder, long gather, long retry, long doubt, int mostRecords) {
         /** Whether there is one. */
         public boolean on() {
             return folder != null;
@@ -57,9 +59,10 @@
      * The copies: the installation's name, this instance's, where it listens, and the others with their
      * addresses; megabytes read of a peer in a second, and removals remembered though all peers know them.
      */
-    public record Copies(String cluster, String instance, String listen, Map<String, String> peers,
+    public record ReplicationSettings(String cluster, String instance, String listen, Map<String,
+            String> peers,
             double readMegabytes, int mostRemovals) {
-        public Copies {
+        public ReplicationSettings {
             peers = Collections.unmodifiableMap(new TreeMap<>(peers));
         }
     }
@@ -68,8 +71,9 @@
      * The agreement: the instances that vote, the stated time in which no router acts any more by what has
      * changed (microseconds), how far clocks drift, and whether a router in doubt serves on.
      */
-    public record Agreement(List<String> members, long agreedWithin, double drift, boolean serveInDoubt) {
-        public Agreement {
+    public record ConsensusSettings(List<String> members, long agreedWithin, double drift,
+            boolean serveInDoubt) {
+        public ConsensusSettings {
             members = List.copyOf(members);
         }
 
@@ -80,7 +84,7 @@
     }
 
     /** The same with another form of log lines. */
-    public OperatorSettings with(Log other) {
+    public OperatorSettings with(LogSettings other) {
         return new OperatorSettings(daemon, upgrade, other, store, copies, agreement);
     }
 
@@ -91,46 +95,47 @@
     }
 
     /** Reads a file; throws with one line for each mistake. */
-    public static OperatorSettings read(Path file) throws IOException, BadSettingsException {
+    public static OperatorSettings read(Path file) throws IOException, InvalidSettingsException {
         return parse(file.toString(), Files.readString(file));
     }
 
     /** Reads a text that came from there. */
-    public static OperatorSettings parse(String where, String text) throws BadSettingsException {
+    public static OperatorSettings parse(String where, String text) throws InvalidSettingsException {
         List<String> mistakes = new ArrayList<>();
         OperatorSettings settings = of(Section.read(where, text, mistakes));
         if (!mistakes.isEmpty()) {
-            throw new BadSettingsException(mistakes);
+            throw new InvalidSettingsException(mistakes);
         }
         return settings;
     }
 
     private static OperatorSettings of(Section all) {
         Section d = all.section("daemon");
-        Daemon daemon = new Daemon(Path.of(d.text("config", "deploy/local.json")),
+        DaemonSettings daemon = new DaemonSettings(Path.of(d.text("config", "deploy/local.json")),
                 Path.of(d.text("control", "run")), d.text("program", ""),
                 d.texts("java", List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx80m")));
         d.nothingElse();
         Section u = all.section("upgrade");
-        Upgrade upgrade = new Upgrade(stage(u, "start_s", 20), stage(u, "check_s", 10), stage(u, "state_s",
+        UpgradeSettings upgrade = new UpgradeSettings(stage(u, "start_s", 20), stage(u, "check_s", 10),
+                stage(u, "state_s",
                 5),
                 stage(u, "ready_s", 10), stage(u, "take_s", 5), stage(u, "share_s", 1), stage(u, "go_s", 1),
                 stage(u, "let_go_s", 2),
                 u.seconds("finish_s", 600, 1, LONGEST_FINISH), u.whole("most_finishing", 4, 1, 64));
         u.nothingElse();
         Section l = all.section("log");
-        Log log = new Log(l.oneOf("form", "text", List.of("text", "json")));
+        LogSettings log = new LogSettings(l.oneOf("form", "text", List.of("text", "json")));
         l.nothingElse();
-        Store store = store(all.section("store"));
-        Copies copies = copies(all.section("copies"), store);
-        Agreement agreement = agreement(all.section("agreement"), copies);
+        StoreSettings store = store(all.section("store"));
+        ReplicationSettings copies = copies(all.section("copies"), store);
+        ConsensusSettings agreement = agreement(all.section("agreement"), copies);
         all.nothingElse();
         return new OperatorSettings(daemon, upgrade, log, store, copies, agreement);
     }
 
-    private static Store store(Section s) {
+    private static StoreSettings store(Section s) {
         String folder = s.text("folder", "");
-        Store store = new Store(folder.isEmpty() ? null : Path.of(folder),
+        StoreSettings store = new StoreSettings(folder.isEmpty() ? null : Path.of(folder),
                 s.seconds("gather_s", 0.02, 0.001, 0.08), s.seconds("retry_s", 5, 0.1, LONGEST_STAGE),
                 s.seconds("doubt_s", 3600, 10, LONGEST_FINISH * 30),
                 s.whole("most_records", 100_000, 100, 1_000_000));
@@ -138,7 +143,7 @@
         return store;
     }
 
-    private static Copies copies(Section c, Store store) {
+    private static ReplicationSettings copies(Section c, StoreSettings store) {
         String name = c.text("instance", "");
         String listen = c.text("listen", "");
         Map<String, String> peers = new TreeMap<>();
@@ -163,13 +168,14 @@
                 c.wrong("listen", "host:port where there are peers, not \"" + listen + "\"");
             }
         }
-        Copies copies = new Copies(c.text("cluster", "yewdock"), name.isEmpty() ? "here" : name, listen,
+        ReplicationSettings copies = new ReplicationSettings(c.text("cluster", "yewdock"), name.isEmpty()
+                ? "here" : name, listen,
                 peers, c.number("read_mb_s", 1, 0.1, 1000), c.whole("most_removals", 10_000, 0, 1_000_000));
         c.nothingElse();
         return copies;
     }
 
-    private static Agreement agreement(Section a, Copies copies) {
+    private static ConsensusSettings agreement(Section a, ReplicationSettings copies) {
         List<String> members = a.texts("members", List.of()).stream().sorted().toList();
         if (!members.isEmpty()) {
             if (members.stream().distinct().count() != members.size()
@@ -182,7 +188,8 @@
                 }
             }
         }
-        Agreement agreement = new Agreement(members, a.seconds("agreed_within_s", 3, 1, LONGEST_STAGE),
+        ConsensusSettings agreement = new ConsensusSettings(members, a.seconds("agreed_within_s", 3, 1,
+                LONGEST_STAGE),
                 a.number("drift", 0.001, 0, 0.01),
                 a.oneOf("in_doubt", "refuse", List.of("refuse", "serve")).equals("serve"));
         a.nothingElse();
--- a/src/main/java/yewdock/settings/Section.java
+++ b/src/main/java/yewdock/settings/Section.java
@@ -27,7 +27,8 @@
     }
 
     /** The whole of a text that came from there. */
-    public static Section read(String where, String text, List<String> mistakes) throws BadSettingsException {
+    public static Section read(String where, String text, List<String> mistakes)
+            throws InvalidSettingsException {
         return read(where, text, Map.of(), mistakes);
     }
 
@@ -36,13 +37,13 @@
      * dots between them.
      */
     public static Section read(String where, String text, Map<String, Object> instead, List<String> mistakes)
-            throws BadSettingsException {
+            throws InvalidSettingsException {
         Map<String, Object> values;
         try {
             values = new HCLParser().parse(text);
         } catch (HCLParserException | IOException | RuntimeException e) {
             String why = String.valueOf(e.getMessage()).lines().findFirst().orElse("").strip();
-            throw new BadSettingsException(List.of(where + ": not HCL: " + why));
+            throw new InvalidSettingsException(List.of(where + ": not HCL: " + why));
         }
         // the parser takes some texts that are no HCL for empty ones
         boolean saysSomething = text.lines().map(String::strip)
--- a/src/main/java/yewdock/sockets/SessionEvents.java
+++ b/src/main/java/yewdock/sockets/SessionEvents.java
@@ -10,7 +10,7 @@
 import org.apache.mina.core.session.IoSession;
 import org.tinylog.Logger;
 import yewdock.platform.Arrival;
-import yewdock.platform.Side;
+import yewdock.platform.ConnectionHandler;
 
 /** Puts what MINA sees on connections into the dispatcher's queue. */
 class SessionEvents extends IoHandlerAdapter {
@@ -33,7 +33,7 @@
 
     @Override
     public void sessionOpened(IoSession session) {
-        SessionWire.of(session).postToSide(Side::up);
+        SessionWire.of(session).postToSide(ConnectionHandler::up);
     }
 
     @Override
@@ -80,7 +80,7 @@
     /** Only a connection that lingers has an idle time, and one that operators made. */
     @Override
     public void sessionIdle(IoSession session, IdleStatus status) {
-        SessionWire.of(session).postToSide(Side::idle);
+        SessionWire.of(session).postToSide(ConnectionHandler::idle);
     }
 
     @Override
--- a/src/main/java/yewdock/state/Keys.java
+++ b/src/main/java/yewdock/state/RecordKeys.java
@@ -4,14 +4,14 @@
  * The keys of records. What an instance has been told or has found out is its own and has its name in the
  * key: no other writes it. Operators' marks are everybody's.
  */
-public final class Keys {
+public final class RecordKeys {
     /** What the key of a record begins with in a store, where other things lie beside the records. */
     public static final String STORED = "r/";
     private static final String MARKS = "mark/";
     private static final String BOXES = "box/";
     private static final String NODES = "node/";
 
-    private Keys() {
+    private RecordKeys() {
     }
 
     /** An operator's mark on the box of this name. */
--- a/src/main/java/yewdock/state/Records.java
+++ b/src/main/java/yewdock/state/ReplicatedRecords.java
@@ -24,7 +24,7 @@
  * bytes; so merging gives the same in any order and however often, and no clock of a machine has a say. Pure:
  * no I/O, no clock. Not thread-safe.
  */
-public final class Records {
+public final class ReplicatedRecords {
     /** Keys are dealt out to so many buckets; each has a sum, so that a difference is found by them. */
     public static final int BUCKETS = 256;
     /** A record with more bytes than this is refused. */
@@ -45,10 +45,10 @@
     }
 
     /** What became of a record that came. */
-    public enum Merged { TAKEN, KNOWN, OLDER, REFUSED }
+    public enum MergeResult { TAKEN, KNOWN, OLDER, REFUSED }
 
     /** Records of this instance, so many of them at most. */
-    public Records(String instance, int most) {
+    public ReplicatedRecords(String instance, int most) {
         this.instance = instance;
         this.most = most;
     }
@@ -72,28 +72,28 @@
     }
 
     /** Takes a record that another instance, or the disk, has brought. */
-    public Merged merge(Kept kept) {
+    public MergeResult merge(Kept kept) {
         String why = flaw(kept);
         if (why != null) {
-            return Merged.REFUSED;
+            return MergeResult.REFUSED;
         }
         Entry before = entries.get(kept.getKey());
         if (before == null && kept.hasDropped() && kept.getStamp() <= horizon) {
-            return Merged.KNOWN;
+            return MergeResult.KNOWN;
         }
         if (before == null && entries.size() >= most) {
-            return Merged.REFUSED;
+            return MergeResult.REFUSED;
         }
         clock = Math.max(clock, kept.getStamp());
         Entry after = entry(kept);
         if (before != null) {
             int order = order(before, after);
             if (order >= 0) {
-                return order == 0 ? Merged.KNOWN : Merged.OLDER;
+                return order == 0 ? MergeResult.KNOWN : MergeResult.OLDER;
             }
         }
         put(after);
-        return Merged.TAKEN;
+        return MergeResult.TAKEN;
     }
 
     /** What is wrong with a record, or null. A stamp near the end of the numbers would end all order. */
--- a/src/main/java/yewdock/state/Keeping.java
+++ b/src/main/java/yewdock/state/StateRecorder.java
@@ -21,20 +21,20 @@
  * are microseconds since 1970 as this machine has them; they serve for ages, and an age below zero, of a
  * clock that was moved back, counts as zero.
  */
-public final class Keeping {
+public final class StateRecorder {
     /** What the module has learnt is worth nothing after so long. */
     static final long MODULE_HOLDS = 3_600_000_000L;
     /** A kept ejection or rest that would last longer than this from now is of a clock that was moved. */
     static final long LONGEST_REST = 600_000_000L;
 
-    private final Records records;
+    private final ReplicatedRecords records;
     private final long doubt;
 
     /**
      * Over these records. doubt: a drain that the list told so long ago, and that no list has told again, is
      * no longer believed at a start.
      */
-    public Keeping(Records records, long doubt) {
+    public StateRecorder(ReplicatedRecords records, long doubt) {
         this.records = records;
         this.doubt = doubt;
     }
@@ -47,10 +47,10 @@
         List<Kept> changed = new ArrayList<>();
         Map<String, Box> named = new LinkedHashMap<>();
         for (Box box : news.getBoxesList()) {
-            named.put(Keys.box(me, box.getId()), box);
+            named.put(RecordKeys.box(me, box.getId()), box);
         }
         if (news.getFull()) {
-            for (Kept kept : records.prefix(Keys.boxes(me))) {
+            for (Kept kept : records.prefix(RecordKeys.boxes(me))) {
                 if (!named.containsKey(kept.getKey())) {
                     changed.add(records.drop(kept.getKey(), wall));
                     forgetNode(kept.getBox().getId(), wall, changed);
@@ -81,15 +81,15 @@
         });
         ListHead head = ListHead.newBuilder().setAddress(news.getAddress()).setVersion(news.getVersion())
                 .build();
-        Kept before = records.get(Keys.list(me));
+        Kept before = records.get(RecordKeys.list(me));
         if (before == null || !before.getList().equals(head)) {
-            changed.add(records.write(Keys.list(me), Kept.newBuilder().setList(head), wall));
+            changed.add(records.write(RecordKeys.list(me), Kept.newBuilder().setList(head), wall));
         }
         return changed;
     }
 
     private void forgetNode(long box, long wall, List<Kept> changed) {
-        Kept dropped = records.drop(Keys.node(records.instance(), box), wall);
+        Kept dropped = records.drop(RecordKeys.node(records.instance(), box), wall);
         if (dropped != null) {
             changed.add(dropped);
         }
@@ -100,10 +100,10 @@
         String me = records.instance();
         List<Kept> changed = new ArrayList<>();
         for (NodeMemory node : module.getNodesList()) {
-            if (records.get(Keys.box(me, node.getId())) == null) {
+            if (records.get(RecordKeys.box(me, node.getId())) == null) {
                 continue;
             }
-            String key = Keys.node(me, node.getId());
+            String key = RecordKeys.node(me, node.getId());
             NodeMemory now = moved(node, shift).clearLastDelay().build();
             Kept before = records.get(key);
             if (before == null ? tells(now) : !sameTrouble(before.getNode(), now)) {
@@ -111,9 +111,9 @@
             }
         }
         Memory rest = module.toBuilder().clearNodes().clearKeys().clearTaken().clearFurther().build();
-        Kept before = records.get(Keys.module(me));
+        Kept before = records.get(RecordKeys.module(me));
         if (before == null || wall - before.getWall() > MODULE_HOLDS / 360 || before.getWall() > wall) {
-            changed.add(records.write(Keys.module(me), Kept.newBuilder().setModule(rest), wall));
+            changed.add(records.write(RecordKeys.module(me), Kept.newBuilder().setModule(rest), wall));
         }
         return changed;
     }
@@ -144,17 +144,17 @@
 
     /** The configuration that is in force; null if it is the one kept. */
     public Kept applied(String text, long wall) {
-        Kept before = records.get(Keys.settings(records.instance()));
+        Kept before = records.get(RecordKeys.settings(records.instance()));
         if (before != null && before.getApplied().getText().equals(text)) {
             return null;
         }
-        return records.write(Keys.settings(records.instance()), Kept.newBuilder()
+        return records.write(RecordKeys.settings(records.instance()), Kept.newBuilder()
                 .setApplied(Applied.newBuilder().setText(text)), wall);
     }
 
     /** An operator marks a box, or with NONE takes the mark back. */
     public Kept mark(String box, Mark.Kind kind, String by, long wall) {
-        String key = Keys.mark(box);
+        String key = RecordKeys.mark(box);
         if (kind == Mark.Kind.NONE) {
             return records.drop(key, wall);
         }
@@ -165,14 +165,15 @@
 
     /** What is known of a box of this name, by whichever instance. */
     public List<Box> known(String box) {
-        return records.prefix(Keys.allBoxes()).stream().map(Kept::getBox)
+        return records.prefix(RecordKeys.allBoxes()).stream().map(Kept::getBox)
                 .filter(b -> b.getName().equals(box)).toList();
     }
 
     /** The marks that hold, by the boxes' names. */
     public Map<String, Mark> marks() {
         Map<String, Mark> marks = new LinkedHashMap<>();
-        records.prefix(Keys.marks()).forEach(k -> marks.put(Keys.markedBox(k.getKey()), k.getMark()));
+        records.prefix(RecordKeys.marks()).forEach(k -> marks.put(RecordKeys.markedBox(k.getKey()),
+                k.getMark()));
         return marks;
     }
 
@@ -180,12 +181,12 @@
     public List<Kept> dropOutlived(long wall) {
         List<Kept> dropped = new ArrayList<>();
         Map<String, Long> starts = new HashMap<>();
-        records.prefix(Keys.boxes(records.instance())).forEach(k -> starts.merge(k.getBox().getName(),
+        records.prefix(RecordKeys.boxes(records.instance())).forEach(k -> starts.merge(k.getBox().getName(),
                 k.getBox().getStartedAt(), Math::max));
         marks().forEach((box, mark) -> {
             if (mark.getKind() == Mark.Kind.GONE
                     && starts.getOrDefault(box, Long.MIN_VALUE) > mark.getStartedAt()) {
-                dropped.add(records.drop(Keys.mark(box), wall));
+                dropped.add(records.drop(RecordKeys.mark(box), wall));
             }
         });
         return dropped;
@@ -199,8 +200,8 @@
      */
     public State state(int version, int leastReader, long wall, long monoNanos) {
         String me = records.instance();
-        Kept head = records.get(Keys.list(me));
-        List<Kept> mine = records.prefix(Keys.boxes(me));
+        Kept head = records.get(RecordKeys.list(me));
+        List<Kept> mine = records.prefix(RecordKeys.boxes(me));
         boolean own = !mine.isEmpty();
         List<Kept> boxes = own ? mine : newestOfOthers();
         if (boxes.isEmpty()) {
@@ -218,7 +219,7 @@
         }
         State.Builder state = State.newBuilder().setVersion(version).setLeastReader(leastReader)
                 .setClock(wall).setMonoNanos(monoNanos).setBoxes(all);
-        Kept module = records.get(Keys.module(me));
+        Kept module = records.get(RecordKeys.module(me));
         if (module != null && wall - module.getWall() <= MODULE_HOLDS) {
             state.setModule(memory(module.getModule(), wall));
         }
@@ -227,7 +228,7 @@
 
     private Memory memory(Memory module, long wall) {
         Memory.Builder memory = module.toBuilder();
-        for (Kept kept : records.prefix(Keys.nodes(records.instance()))) {
+        for (Kept kept : records.prefix(RecordKeys.nodes(records.instance()))) {
             NodeMemory node = kept.getNode();
             if (node.getEjectedUntil() < wall + LONGEST_REST && node.getColdBudgetAt() < wall
                     + LONGEST_REST) {
@@ -240,7 +241,7 @@
     /** With an empty disk: what the other instances knew, a drain that any of them knew included. */
     private List<Kept> newestOfOthers() {
         Map<String, Kept> found = new LinkedHashMap<>();
-        for (Kept kept : records.prefix(Keys.allBoxes())) {
+        for (Kept kept : records.prefix(RecordKeys.allBoxes())) {
             found.merge(kept.getBox().getName(), kept, (a, b) -> {
                 if (a.getBox().getStartedAt() != b.getBox().getStartedAt()) {
                     return a.getBox().getStartedAt() > b.getBox().getStartedAt() ? a : b;
--- a/src/main/java/yewdock/store/Shelf.java
+++ b/src/main/java/yewdock/store/KeyValueStore.java
@@ -4,11 +4,13 @@
 import java.util.Map;
 import java.util.SortedMap;
 
-/** Where records lie, as the committer sees it: a {@link Store}, or in tests one that fails when told. */
-public interface Shelf extends Closeable {
+/**
+ * Where records lie, as the committer sees it: a {@link RecordFile}, or in tests one that fails when told.
+ */
+public interface KeyValueStore extends Closeable {
     /** Opens it. */
-    interface Opening {
-        Shelf open() throws StoreException;
+    interface StoreOpener {
+        KeyValueStore open() throws StoreException;
     }
 
     /** All that is kept, in the order of the keys. */
--- a/src/main/java/yewdock/store/Store.java
+++ b/src/main/java/yewdock/store/RecordFile.java
@@ -24,7 +24,7 @@
  * hash of its key and bytes, and every commit holds the number and the sum of all seals. A file whose records
  * don't add up to a sum that was committed is refused and left as it is.
  */
-public final class Store implements Shelf {
+public final class RecordFile implements KeyValueStore {
     /** The layout that is written. 1: records without seals; 2: sealed, with their sum. */
     static final int VERSION = 2;
     private static final String FILE = "records.mv";
@@ -45,7 +45,7 @@
     private long missing;
     private volatile long number;
 
-    private Store(Path file, MVStore store) {
+    private RecordFile(Path file, MVStore store) {
         this.file = file;
         this.store = store;
         this.records = store.openMap(RECORDS);
@@ -53,7 +53,7 @@
     }
 
     /** Opens the store in this folder, or makes one; brings one of an older version up in one commit. */
-    public static Store open(Path folder) throws StoreException {
+    public static RecordFile open(Path folder) throws StoreException {
         Path file = fileIn(folder);
         try {
             if (!Files.exists(folder)) {
@@ -86,7 +86,7 @@
             throw new StoreException(StoreException.Kind.READ_ONLY, file + " can't be written");
         }
         return guarded(file, () -> {
-            Store opened = new Store(file, builder(file).autoCommitDisabled().open());
+            RecordFile opened = new RecordFile(file, builder(file).autoCommitDisabled().open());
             try {
                 opened.check();
                 opened.compareNumber();
@@ -100,13 +100,13 @@
     }
 
     /** Opens it for reading only, and checks all of it. */
-    public static Store look(Path folder) throws StoreException {
+    public static RecordFile look(Path folder) throws StoreException {
         Path file = fileIn(folder);
         if (!Files.exists(file)) {
             throw new StoreException(StoreException.Kind.UNWRITABLE, "there is no store in " + folder);
         }
         return guarded(file, () -> {
-            Store opened = new Store(file, builder(file).readOnly().open());
+            RecordFile opened = new RecordFile(file, builder(file).readOnly().open());
             try {
                 opened.check();
                 opened.compareNumber();
--- a/src/main/java/yewdock/standin/FaultyGeneration.java
+++ b/src/main/java/yewdock/testbed/FaultyGeneration.java
@@ -1,4 +1,4 @@
-package yewdock.standin;
+package yewdock.testbed;
 
 import java.nio.file.Path;
 import yewdock.daemon.Generation;
--- a/src/main/java/yewdock/upgrade/Upgrade.java
+++ b/src/main/java/yewdock/upgrade/SupervisorReducer.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import yewdock.log.Fields;
+import yewdock.logging.LogFields;
 import yewdock.wire.Boxes;
 import yewdock.wire.Frame;
 import yewdock.wire.GiveState;
@@ -32,7 +32,7 @@
  * process has died. A new generation that fails in any way at any stage is killed, and the old one told to
  * take back what it had given.
  */
-public final class Upgrade {
+public final class SupervisorReducer {
     /** A serving process that died is replaced after so long, doubled with each death in a row. */
     static final long RESTART_AFTER = 100_000;
     static final int MOST_DOUBLINGS = 6;
@@ -42,13 +42,13 @@
     static final long FINISH_SLACK = 5_000_000;
     private static final double MICROS_A_MILLI = 1000.0;
 
-    private final Limits limits;
-    private final Map<Integer, Generation> generations = new TreeMap<>();
-    private List<KeeperEffect> effects = new ArrayList<>();
+    private final UpgradeLimits limits;
+    private final Map<Integer, SupervisedGeneration> generations = new TreeMap<>();
+    private List<SupervisorEffect> effects = new ArrayList<>();
     private long now;
     private int last;
-    private Generation serving;
-    private Generation next;
+    private SupervisedGeneration serving;
+    private SupervisedGeneration next;
     private Stage stage;
     private long stageBegan;
     private long upgradeBegan;
@@ -67,7 +67,7 @@
     private long failures;
     private String lastFailure = "";
 
-    private static final class Generation {
+    private static final class SupervisedGeneration {
         private final int number;
         private final List<String> program;
         private final long startedAt;
@@ -76,19 +76,19 @@
         private long servesSince;
         private long killAt = Long.MAX_VALUE;
 
-        Generation(int number, List<String> program, long startedAt) {
+        SupervisedGeneration(int number, List<String> program, long startedAt) {
             this.number = number;
             this.program = program;
             this.startedAt = startedAt;
         }
     }
 
-    public Upgrade(Limits limits) {
+    public SupervisorReducer(UpgradeLimits limits) {
         this.limits = limits;
     }
 
     /** Takes one event and tells what to do about it. */
-    public List<KeeperEffect> reduce(KeeperEvent event, long time) {
+    public List<SupervisorEffect> reduce(SupervisorEvent event, long time) {
         now = Math.max(now, time);
         effects = new ArrayList<>();
         take(event);
@@ -98,10 +98,10 @@
         return effects;
     }
 
-    /** When the next {@link KeeperEvent.Tick} is due. */
+    /** When the next {@link SupervisorEvent.Tick} is due. */
     public long nextDue() {
         long due = next == null ? restartAt : stageBegan + limits.stages().get(stage);
-        for (Generation g : generations.values()) {
+        for (SupervisedGeneration g : generations.values()) {
             due = Math.min(due, g.killAt);
         }
         return due;
@@ -117,33 +117,33 @@
         return next == null ? 0 : next.number;
     }
 
-    private void take(KeeperEvent event) {
-        if (event instanceof KeeperEvent.Heard e) {
+    private void take(SupervisorEvent event) {
+        if (event instanceof SupervisorEvent.FrameReceived e) {
             heard(e.generation(), e.frame());
-        } else if (event instanceof KeeperEvent.Begun e) {
+        } else if (event instanceof SupervisorEvent.ListenerOpened e) {
             program = List.copyOf(e.program());
             begin(program, 0);
-        } else if (event instanceof KeeperEvent.Asked e) {
+        } else if (event instanceof SupervisorEvent.UpgradeRequested e) {
             asked(e);
-        } else if (event instanceof KeeperEvent.StatusAsked e) {
+        } else if (event instanceof SupervisorEvent.StatusRequested e) {
             status(e.command());
-        } else if (event instanceof KeeperEvent.Lost e) {
+        } else if (event instanceof SupervisorEvent.ConnectionLost e) {
             lost(e);
-        } else if (event instanceof KeeperEvent.Ended e) {
+        } else if (event instanceof SupervisorEvent.ProcessEnded e) {
             ended(e.generation(), e.how());
-        } else if (event instanceof KeeperEvent.HungUp) {
+        } else if (event instanceof SupervisorEvent.ReloadRequested) {
             generations.values().stream().filter(g -> g.connected).forEach(g -> tell(g,
                     Frame.newBuilder().setReconfigure(Reconfigure.getDefaultInstance())));
-        } else if (event instanceof KeeperEvent.Leave) {
+        } else if (event instanceof SupervisorEvent.ShutdownRequested) {
             leave();
-        } else if (event instanceof KeeperEvent.Tick) {
+        } else if (event instanceof SupervisorEvent.Tick) {
             tick();
         }
     }
 
     // ---- an upgrade, stage by stage
 
-    private void asked(KeeperEvent.Asked e) {
+    private void asked(SupervisorEvent.UpgradeRequested e) {
         String refusal = null;
         if (leaving) {
             refusal = "the router is leaving";
@@ -155,7 +155,7 @@
             refusal = finishing() + " older generations are still finishing what they have";
         }
         if (refusal != null) {
-            effects.add(new KeeperEffect.Reply(e.command(), "not now: " + refusal, true, 1));
+            effects.add(new SupervisorEffect.Reply(e.command(), "not now: " + refusal, true, 1));
             return;
         }
         begin(e.program().isEmpty() ? program : List.copyOf(e.program()), e.command());
@@ -166,7 +166,7 @@
     }
 
     private void begin(List<String> what, long asker) {
-        next = new Generation(++last, what, now);
+        next = new SupervisedGeneration(++last, what, now);
         generations.put(last, next);
         command = asker;
         restartAt = Long.MAX_VALUE;
@@ -177,7 +177,7 @@
         stage = Stage.START;
         stageBegan = now;
         note("generation.start", "generation", last, "program", String.join(" ", what));
-        effects.add(new KeeperEffect.Start(last, what));
+        effects.add(new SupervisorEffect.StartProcess(last, what));
     }
 
     private void enter(Stage s) {
@@ -188,7 +188,7 @@
     }
 
     private void heard(int number, Frame frame) {
-        Generation g = generations.get(number);
+        SupervisedGeneration g = generations.get(number);
         if (g == null) {
             return;
         }
@@ -243,7 +243,7 @@
 
     private void askToShare() {
         enter(Stage.SHARE);
-        for (Generation g : generations.values()) {
+        for (SupervisedGeneration g : generations.values()) {
             if (g != next && g.connected) {
                 awaited.add(g.number);
                 tell(g, Frame.newBuilder().setShare(Share.getDefaultInstance()));
@@ -253,7 +253,7 @@
     }
 
     /** What a generation holds goes to the one that owns the ids next, and all it says after that, too. */
-    private void sharing(Generation g, Sharing held) {
+    private void sharing(SupervisedGeneration g, Sharing held) {
         Frame.Builder named = Frame.newBuilder().setSharing(held.toBuilder().setGeneration(g.number));
         if (next != null && awaited.remove(g.number)) {
             shared.add(g.number);
@@ -283,7 +283,7 @@
 
     private void arrived(String remark) {
         took.put(stage, now - stageBegan);
-        Generation old = serving;
+        SupervisedGeneration old = serving;
         if (old != null) {
             old.killAt = now + limits.finish() + FINISH_SLACK;
         }
@@ -306,7 +306,7 @@
 
     /** The new generation is given up, and everything is again as it was before. */
     private void fail(String why) {
-        Generation failed = next;
+        SupervisedGeneration failed = next;
         Stage at = stage;
         next = null;
         failed.connected = false;
@@ -314,7 +314,7 @@
         failures++;
         lastFailure = "generation " + failed.number + " at stage " + at + ": " + why;
         note("upgrade.failed", "generation", failed.number, "stage", at, "why", why);
-        effects.add(new KeeperEffect.Kill(failed.number));
+        effects.add(new SupervisorEffect.KillProcess(failed.number));
         if (serving != null) {
             if (at.compareTo(Stage.SHARE) >= 0) {
                 takeBack(failed.number);
@@ -335,7 +335,7 @@
         tell(serving, Frame.newBuilder().setTakeBack(TakeBack.getDefaultInstance()));
         tell(serving, Frame.newBuilder().setOtherGone(
                 OtherGone.newBuilder().setGeneration(failed)));
-        for (Generation g : generations.values()) {
+        for (SupervisedGeneration g : generations.values()) {
             // what these have told the failed one since, the one that owns the ids again doesn't know
             if (g != serving && g.number != failed && g.connected) {
                 tell(g, Frame.newBuilder().setShare(Share.getDefaultInstance()));
@@ -345,19 +345,19 @@
 
     // ---- what generations tell each other
 
-    private void news(Generation from, News told) {
+    private void news(SupervisedGeneration from, News told) {
         News named = told.toBuilder().setGeneration(from.number).build();
         Frame.Builder frame = Frame.newBuilder().setNews(named);
         switch (told.getWhatCase()) {
             case GRANTED, DENIED -> {
-                Generation to = generations.get(told.getOf());
+                SupervisedGeneration to = generations.get(told.getOf());
                 if (to != null) {
                     tell(to, frame);
                 }
             }
             case BOXES -> toAllBut(from, frame, named.getBoxes());
             default -> {
-                Generation owner = ownerFor(from);
+                SupervisedGeneration owner = ownerFor(from);
                 if (owner != null && owner != from) {
                     tell(owner, frame);
                 }
@@ -365,8 +365,8 @@
         }
     }
 
-    private void toAllBut(Generation from, Frame.Builder frame, Boxes boxes) {
-        for (Generation g : generations.values()) {
+    private void toAllBut(SupervisedGeneration from, Frame.Builder frame, Boxes boxes) {
+        for (SupervisedGeneration g : generations.values()) {
             boolean knowsNothingYet = g == next && stage.compareTo(Stage.READY) < 0;
             if (g != from && g.connected && !knowsNothingYet && boxes.getBoxesCount() > 0) {
                 tell(g, frame);
@@ -375,7 +375,7 @@
     }
 
     /** Who owns the ids as far as this generation is concerned. */
-    private Generation ownerFor(Generation from) {
+    private SupervisedGeneration ownerFor(SupervisedGeneration from) {
         if (next != null && (shared.contains(from.number) || stage == Stage.LET_GO)) {
             return next;
         }
@@ -384,8 +384,8 @@
 
     // ---- ends
 
-    private void lost(KeeperEvent.Lost e) {
-        Generation g = generations.get(e.generation());
+    private void lost(SupervisorEvent.ConnectionLost e) {
+        SupervisedGeneration g = generations.get(e.generation());
         if (g == null) {
             return;
         }
@@ -401,7 +401,7 @@
     }
 
     private void ended(int number, String how) {
-        Generation g = generations.get(number);
+        SupervisedGeneration g = generations.get(number);
         if (g == null) {
             return;
         }
@@ -422,7 +422,7 @@
     }
 
     private void toldGone(int number) {
-        for (Generation other : generations.values()) {
+        for (SupervisedGeneration other : generations.values()) {
             if (other.connected) {
                 tell(other, Frame.newBuilder().setOtherGone(
                         OtherGone.newBuilder().setGeneration(number)));
@@ -451,7 +451,7 @@
 
     /** The newest of those that still finish serves again: it is there at once, and it served well before. */
     private boolean fallBack(int dead) {
-        for (Generation g : generations.values()) {
+        for (SupervisedGeneration g : generations.values()) {
             if (g.connected && (serving == null || g.number > serving.number)) {
                 serving = g;
             }
@@ -484,11 +484,11 @@
         if (now >= restartAt) {
             begin(program, 0);
         }
-        for (Generation g : List.copyOf(generations.values())) {
+        for (SupervisedGeneration g : List.copyOf(generations.values())) {
             if (now >= g.killAt) {
                 g.killAt = Long.MAX_VALUE;
                 note("generation.killed", "generation", g.number, "why", "over its limit");
-                effects.add(new KeeperEffect.Kill(g.number));
+                effects.add(new SupervisorEffect.KillProcess(g.number));
             }
         }
     }
@@ -503,7 +503,7 @@
         if (next != null && stage != Stage.LET_GO) {
             fail("the router was told to leave");
         }
-        for (Generation g : generations.values()) {
+        for (SupervisedGeneration g : generations.values()) {
             g.killAt = Math.min(g.killAt, now + limits.finish() + FINISH_SLACK);
             tell(g, Frame.newBuilder().setLeave(Leave.getDefaultInstance()));
         }
@@ -512,37 +512,37 @@
     private void stop(int exit) {
         if (!stopped) {
             stopped = true;
-            effects.add(new KeeperEffect.Stop(exit));
+            effects.add(new SupervisorEffect.ExitSupervisor(exit));
         }
     }
 
     // ---- words
 
     private void status(long asker) {
-        for (Generation g : generations.values()) {
+        for (SupervisedGeneration g : generations.values()) {
             String role = g == serving ? "serves" : g == next ? "comes, at stage " + stage
                     : g.failed ? "failed and is being ended" : "finishes";
-            effects.add(new KeeperEffect.Reply(asker, String.format(Locale.ROOT,
+            effects.add(new SupervisorEffect.Reply(asker, String.format(Locale.ROOT,
                     "generation %d %s, started %.1f s ago", g.number, role, (now - g.startedAt) / 1e6),
                     false, 0));
         }
-        effects.add(new KeeperEffect.Reply(asker, "upgrades done " + upgrades + ", failed " + failures
+        effects.add(new SupervisorEffect.Reply(asker, "upgrades done " + upgrades + ", failed " + failures
                 + (lastFailure.isEmpty() ? "" : "; last failure: " + lastFailure), true,
                 serving == null ? 1 : 0));
     }
 
     private void reply(String line, int exit) {
         if (command != 0) {
-            effects.add(new KeeperEffect.Reply(command, line, true, exit));
+            effects.add(new SupervisorEffect.Reply(command, line, true, exit));
             command = 0;
         }
     }
 
-    private void tell(Generation g, Frame.Builder frame) {
-        effects.add(new KeeperEffect.Tell(g.number, frame.build()));
+    private void tell(SupervisedGeneration g, Frame.Builder frame) {
+        effects.add(new SupervisorEffect.SendFrame(g.number, frame.build()));
     }
 
     private void note(String event, Object... fields) {
-        effects.add(new KeeperEffect.Note(event, Fields.of(fields)));
+        effects.add(new SupervisorEffect.WriteLog(event, LogFields.of(fields)));
     }
 }
--- a/src/main/java/yewdock/proof/CouncilSim.java
+++ b/src/main/java/yewdock/verification/CouncilSim.java
@@ -1,4 +1,4 @@
-package yewdock.proof;
+package yewdock.verification;
 
 import com.google.protobuf.InvalidProtocolBufferException;
 import java.io.IOException;
@@ -13,15 +13,15 @@
 import java.util.SortedMap;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import yewdock.council.Council;
-import yewdock.council.Loop;
-import yewdock.council.RaftDisk;
-import yewdock.lease.LeaseTerms;
-import yewdock.log.Say;
+import yewdock.consensus.ConsensusNode;
+import yewdock.consensus.DurableRaftStore;
+import yewdock.consensus.TaskScheduler;
+import yewdock.lease.LeaseTiming;
+import yewdock.logging.EventLog;
 import yewdock.model.Calendar;
-import yewdock.rules.Kind;
-import yewdock.rules.View;
-import yewdock.store.Shelf;
+import yewdock.rules.RuleKind;
+import yewdock.rules.RulesView;
+import yewdock.store.KeyValueStore;
 import yewdock.store.StoreException;
 import yewdock.wire.CouncilFrame;
 import yewdock.wire.Proposed;
@@ -62,7 +62,7 @@
 
     /** So many members and followers. */
     public CouncilSim(int members, int followers, long seed, Plant plant) {
-        Say.onlyEvents();
+        EventLog.onlyEvents();
         this.random = new SplittableRandom(seed);
         this.plant = plant;
         List<String> names = new ArrayList<>();
@@ -208,7 +208,7 @@
             return;
         }
         String box = "b" + random.nextInt(BOXES);
-        String subject = Kind.BOX.subject(box);
+        String subject = RuleKind.BOX.subject(box);
         RuleChange.Builder change = RuleChange.newBuilder().setId("c" + ++changes).setWho("staff")
                 .setSubject(subject).setBase(at.council.held().revision(subject));
         if (!at.council.held().view().out().contains(box)) {
@@ -245,14 +245,14 @@
     }
 
     /** An instance: its clock, its disk, its process. */
-    public final class Host implements Loop, Council.Instance {
+    public final class Host implements TaskScheduler, ConsensusNode.ConsensusHost {
         private final String name;
         private final double rate;
         private final long offset;
         private final List<Runnable> held = new ArrayList<>();
         private Disk disk = new Disk();
-        private Council council;
-        private View view = View.NOTHING;
+        private ConsensusNode council;
+        private RulesView view = RulesView.NOTHING;
         private boolean paused;
         private boolean leased;
         private int life;
@@ -270,27 +270,29 @@
         }
 
         /** Its process, null while it is dead. */
-        public Council council() {
+        public ConsensusNode council() {
             return council;
         }
 
-        private LeaseTerms lease() {
-            LeaseTerms right = LeaseTerms.within(AGREED_WITHIN, DRIFT);
+        private LeaseTiming lease() {
+            LeaseTiming right = LeaseTiming.within(AGREED_WITHIN, DRIFT);
             if (plant == Plant.LEASE_TWICE && name.equals("r001")) {
-                return new LeaseTerms(2 * right.length(), DRIFT);
+                return new LeaseTiming(2 * right.length(), DRIFT);
             }
             return plant == Plant.LEASE_CUT_SHORT_AT_MEMBERS && members.contains(name)
-                    ? new LeaseTerms(right.length() / 20, DRIFT) : right;
+                    ? new LeaseTiming(right.length() / 20, DRIFT) : right;
         }
 
         /** A new process on the disk that is there. */
         public void start() {
             life++;
-            view = View.NOTHING;
+            view = RulesView.NOTHING;
             leased = false;
             try {
-                council = new Council(new Council.Terms("sim", name, members, lease()), this, this,
-                        members.contains(name) ? new RaftDisk(() -> disk) : null, random.nextLong() >>> 1);
+                council = new ConsensusNode(new ConsensusNode.ConsensusConfig("sim", name, members, lease()),
+                        this, this,
+                        members.contains(name) ? new DurableRaftStore(() -> disk) : null,
+                                random.nextLong() >>> 1);
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
@@ -405,7 +407,7 @@
         }
 
         @Override
-        public void actBy(View next) {
+        public void actBy(RulesView next) {
             view = next;
             council.takenUp(next.step(), council.held().chain());
         }
@@ -433,7 +435,7 @@
     /**
      * A disk in memory; where writes are answered before the sync, a crash finds that none has come to it.
      */
-    private final class Disk implements Shelf {
+    private final class Disk implements KeyValueStore {
         private final TreeMap<String, byte[]> kept = new TreeMap<>();
         private boolean full;
         private long writes;
--- a/src/main/java/yewdock/proof/DeploymentsProof.java
+++ b/src/main/java/yewdock/verification/DeploymentsProof.java
@@ -1,11 +1,11 @@
-package yewdock.proof;
+package yewdock.verification;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import yewdock.desk.Counters;
+import yewdock.core.Counters;
 
 /** Plays many drawn deployments, sums them up by what they allow, and plants faults for the judge to find. */
 public final class DeploymentsProof {
--- a/src/test/java/umberspread/GenerationRouterTest.java
+++ b/src/test/java/umberspread/GenerationRouterTest.java
@@ -10,8 +10,8 @@
 import umberspread.Routing.Lifecycle;
 import umberspread.Routing.ListKind;
 import umberspread.Routing.Outcome;
-import umberspread.Routing.Replica;
 import umberspread.Routing.Request;
+import umberspread.Routing.ServerState;
 
 /** A router's memory in the next process, and load that other processes have out. */
 class GenerationRouterTest {
@@ -58,15 +58,15 @@
         }
     };
 
-    private static List<Replica> replicas(int count, long startedAt) {
-        List<Replica> all = new ArrayList<>();
+    private static List<ServerState> replicas(int count, long startedAt) {
+        List<ServerState> all = new ArrayList<>();
         for (int i = 1; i <= count; i++) {
             all.add(Fixture.replica(i, 0, i, Lifecycle.READY, i == 1 ? startedAt : 0));
         }
         return all;
     }
 
-    private GenerationRouter begun(Memory memory, long shift, long now, List<Replica> list) {
+    private GenerationRouter begun(LearnedState memory, long shift, long now, List<ServerState> list) {
         GenerationRouter router = memory == null ? new GenerationRouter(SETTINGS, 1, actions)
                 : new GenerationRouter(SETTINGS, 1, actions, memory, shift);
         router.started(now);
@@ -91,18 +91,18 @@
                     false,
                     0, null);
         }
-        Memory memory = old.memory();
+        LearnedState memory = old.memory();
         assertTrue(memory.replicas().stream().anyMatch(r -> r.ejectedUntil() > now), "one is ejected");
         long shift = 77 * SECOND;
         GenerationRouter next = begun(memory, shift, now + 400 + shift, replicas(5, 0));
-        Memory again = next.memory();
-        assertEquals(memory.keys().stream().map(Memory.OfKey::tally).sorted().toList(),
-                again.keys().stream().map(Memory.OfKey::tally).sorted().toList());
+        LearnedState again = next.memory();
+        assertEquals(memory.keys().stream().map(LearnedState.LearnedKey::tally).sorted().toList(),
+                again.keys().stream().map(LearnedState.LearnedKey::tally).sorted().toList());
         assertEquals(memory.averageWorth(), again.averageWorth());
         assertEquals(memory.taken().size(), again.taken().size());
         for (int i = 0; i < memory.replicas().size(); i++) {
-            Memory.OfReplica was = memory.replicas().get(i);
-            Memory.OfReplica is = again.replicas().get(i);
+            LearnedState.LearnedServer was = memory.replicas().get(i);
+            LearnedState.LearnedServer is = again.replicas().get(i);
             assertEquals(was.points(), is.points());
             assertEquals(was.ejectedUntil() == 0 ? 0 : was.ejectedUntil() + shift, is.ejectedUntil());
         }
--- a/src/test/java/yewdock/InOrderModule.java
+++ b/src/test/java/yewdock/InOrderModule.java
@@ -27,9 +27,9 @@
     }
 
     @Override
-    public void listReceived(long now, ListKind kind, List<Routing.Replica> entries) {
+    public void listReceived(long now, ListKind kind, List<Routing.ServerState> entries) {
         StringBuilder line = new StringBuilder("told list " + kind);
-        for (Routing.Replica r : entries) {
+        for (Routing.ServerState r : entries) {
             boolean gone = r.lifecycle() == Routing.Lifecycle.GONE;
             line.append(' ').append(gone ? "" : r.cell()).append(r.lifecycle());
             if (!gone) {
--- a/src/test/java/yewdock/PackagesTest.java
+++ b/src/test/java/yewdock/PackagesTest.java
@@ -15,14 +15,15 @@
 
 /** Each package uses only what stands after it in this list, so none imports in a circle. */
 class PackagesTest {
-    private static final List<String> DOWNWARD = List.of("yewdock", "umberspread.adapter", "yewdock.proof",
-            "yewdock.standin", "yewdock.experiment", "yewdock.scenario", "yewdock.model", "yewdock.textbook",
-            "yewdock.daemon", "yewdock.upgrade", "yewdock.replica",
-            "yewdock.council", "yewdock.lease", "yewdock.rules",
+    private static final List<String> DOWNWARD = List.of("yewdock", "umberspread.adapter",
+            "yewdock.verification", "yewdock.testbed", "yewdock.experiment", "yewdock.scenario",
+            "yewdock.model", "yewdock.baseline",
+            "yewdock.daemon", "yewdock.upgrade", "yewdock.replication",
+            "yewdock.consensus", "yewdock.lease", "yewdock.rules",
             "yewdock.state", "yewdock.wire", "yewdock.store", "yewdock.settings",
-            "yewdock.sockets", "yewdock.door", "yewdock.platform",
-            "yewdock.http", "yewdock.desk", "umberspread",
-            "yewdock.log");
+            "yewdock.sockets", "yewdock.admin", "yewdock.platform",
+            "yewdock.http", "yewdock.core", "umberspread",
+            "yewdock.logging");
     private static final Pattern USE = Pattern.compile("\\b((?:yewdock|umberspread)(?:\\.[a-z]+)*)\\.[A-Z]");
     private static final Path SOURCES = Path.of("src/main/java");
 
--- a/src/test/java/yewdock/Exchange.java
+++ b/src/test/java/yewdock/RecordedExchange.java
@@ -14,26 +14,26 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Function;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Event;
-import yewdock.desk.Terms;
-import yewdock.door.Door;
+import yewdock.admin.AdminInterface;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Event;
+import yewdock.core.Reducer;
 import yewdock.http.BadMessageException;
-import yewdock.http.Head;
+import yewdock.http.MessageHead;
 import yewdock.http.MessageReader;
 import yewdock.platform.Config;
-import yewdock.platform.Front;
-import yewdock.platform.Side;
-import yewdock.platform.Wire;
-import yewdock.platform.Wires;
+import yewdock.platform.Connection;
+import yewdock.platform.ConnectionHandler;
+import yewdock.platform.ConnectionManager;
+import yewdock.platform.Transport;
 
 /**
  * Plays a recorded exchange against the front and the desk, on a clock of its own, and records what comes of
  * it. A line is "&gt; ms who what" for what happens to the router and "&lt; ms who what" for what it does;
  * "|" stands for CR LF and "\n" for LF, "$name" for what a line "= name text" says.
  */
-final class Exchange implements Wires {
+final class RecordedExchange implements Transport {
     static final Path FOLDER = Path.of("src/test/resources/exchanges");
     private static final long START = 1_000_000_000_000L;
 
@@ -43,19 +43,19 @@
     private final Set<String> stuck = new HashSet<>();
     private final List<Runnable> leaving = new ArrayList<>();
     private final Counters counters = new Counters();
-    private final Desk desk;
-    private final Front front;
-    private final Door door;
+    private final Reducer desk;
+    private final ConnectionManager front;
+    private final AdminInterface door;
     private long micros;
     private int lines;
     private int lists;
 
-    private Exchange() throws IOException {
+    private RecordedExchange() throws IOException {
         Config config = Config.read(Files.readString(FOLDER.resolve("config.json")), this::log);
-        desk = new Desk(Terms.of(config.settings(), config.keepalive()), config.bounds(), counters,
+        desk = new Reducer(CoreSettings.of(config.settings(), config.keepalive()), config.bounds(), counters,
                 InOrderModule::new);
-        front = new Front(config, desk, counters, this, () -> START + micros, this::log);
-        door = new Door(front);
+        front = new ConnectionManager(config, desk, counters, this, () -> START + micros, this::log);
+        door = new AdminInterface(front);
         front.start();
     }
 
@@ -85,8 +85,8 @@
     }
 
     /** Plays the inputs among the lines, what is sent cut in two at this offset; returns what was seen. */
-    static Exchange play(List<String> lines, int cut) throws IOException {
-        Exchange exchange = new Exchange();
+    static RecordedExchange play(List<String> lines, int cut) throws IOException {
+        RecordedExchange exchange = new RecordedExchange();
         for (String line : lines) {
             if (line.startsWith("> ")) {
                 exchange.input(line, cut);
@@ -112,7 +112,7 @@
         StringBuilder all = new StringBuilder();
         MessageReader reader = new MessageReader(MessageReader.Kind.ANSWER, new MessageReader.Sink() {
             @Override
-            public void head(Head head) {
+            public void head(MessageHead head) {
                 all.append(head);
             }
 
@@ -175,7 +175,7 @@
                 wire.writeOut();
             }
             case "reconfigures" -> front.reconfigure(reconfigured(parts[4]));
-            case "leaves" -> front.happened(new Event.Leave());
+            case "leaves" -> front.happened(new Event.ShutdownRequested());
             case "passes" -> { }
             case "sends" -> {
                 byte[] bytes = bytes(parts[4]);
@@ -214,7 +214,7 @@
     }
 
     @Override
-    public <S extends Side> S connect(String address, Function<Wire, S> makeSide) {
+    public <S extends ConnectionHandler> S connect(String address, Function<Connection, S> makeSide) {
         boolean toList = address.endsWith(":8500") || address.endsWith(":8501");
         FakeWire wire = new FakeWire(toList ? "list" + ++lists : "line" + ++lines);
         saw(wire.name, "connects " + address);
@@ -228,10 +228,10 @@
         saw("router", "stops");
     }
 
-    private final class FakeWire implements Wire {
+    private final class FakeWire implements Connection {
         private final String name;
         private final List<Integer> unwritten = new ArrayList<>();
-        private Side side;
+        private ConnectionHandler side;
         private boolean broken;
 
         FakeWire(String name) {
--- a/src/test/java/yewdock/door/DoorTest.java
+++ b/src/test/java/yewdock/admin/DoorTest.java
@@ -1,4 +1,4 @@
-package yewdock.door;
+package yewdock.admin;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,30 +12,31 @@
 import java.util.function.Function;
 import org.junit.jupiter.api.Test;
 import umberspread.GenerationRouter;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Terms;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Reducer;
 import yewdock.platform.Config;
-import yewdock.platform.Front;
-import yewdock.platform.Side;
-import yewdock.platform.Wire;
-import yewdock.platform.Wires;
+import yewdock.platform.Connection;
+import yewdock.platform.ConnectionHandler;
+import yewdock.platform.ConnectionManager;
+import yewdock.platform.Transport;
 
 /** The door against callers that hold it open, and what it prints under load. */
 class DoorTest {
     private long micros = 1_000_000_000_000L;
     private final Counters counters = new Counters();
     private final Config config;
-    private final Front front;
-    private final Door door;
+    private final ConnectionManager front;
+    private final AdminInterface door;
 
     DoorTest() throws Exception {
         config = Config.read(Files.readString(Path.of("src/test/resources/exchanges/config.json")),
                 line -> { });
-        Desk desk = new Desk(Terms.of(config.settings(), config.keepalive()), config.bounds(), counters,
+        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepalive()), config.bounds(),
+                counters,
                 actions -> new GenerationRouter(config.settings(), 1, actions));
-        front = new Front(config, desk, counters, new NoNetwork(), () -> micros, line -> { });
-        door = new Door(front);
+        front = new ConnectionManager(config, desk, counters, new NoNetwork(), () -> micros, line -> { });
+        door = new AdminInterface(front);
         front.start();
     }
 
@@ -51,7 +52,7 @@
             }
             silent.add(wire);
         }
-        assertEquals(Door.MOST_CALLERS, silent.stream().filter(w -> !w.closed).count());
+        assertEquals(AdminInterface.MOST_CALLERS, silent.stream().filter(w -> !w.closed).count());
         assertEquals("YES ready\n", call("health"));
         assertTrue(silent.stream().allMatch(w -> w.text.isEmpty()));
     }
@@ -86,7 +87,7 @@
             } else if (i % 5 == 0) {
                 client.side.down();
             } else {
-                front.happened(new yewdock.desk.Event.Tick());
+                front.happened(new yewdock.core.Event.Tick());
             }
             long sum = 0;
             for (String line : call("counters").split("\n")) {
@@ -115,9 +116,9 @@
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private static final class Heard implements Wire {
+    private static final class Heard implements Connection {
         private final StringBuilder text = new StringBuilder();
-        private Side side;
+        private ConnectionHandler side;
         private boolean closed;
 
         @Override
@@ -158,9 +159,9 @@
     }
 
     /** Connections that never come up. */
-    private static final class NoNetwork implements Wires {
+    private static final class NoNetwork implements Transport {
         @Override
-        public <S extends Side> S connect(String address, Function<Wire, S> makeSide) {
+        public <S extends ConnectionHandler> S connect(String address, Function<Connection, S> makeSide) {
             return makeSide.apply(new Heard());
         }
 
--- a/src/test/java/yewdock/council/CouncilSimTest.java
+++ b/src/test/java/yewdock/consensus/CouncilSimTest.java
@@ -1,4 +1,4 @@
-package yewdock.council;
+package yewdock.consensus;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import yewdock.proof.CouncilSim;
-import yewdock.proof.CouncilSim.Plant;
+import yewdock.verification.CouncilSim;
+import yewdock.verification.CouncilSim.Plant;
 import yewdock.wire.Append;
 import yewdock.wire.Appended;
 import yewdock.wire.RaftFrame;
--- a/src/test/java/yewdock/lease/GrantsTest.java
+++ b/src/test/java/yewdock/lease/GrantsTest.java
@@ -10,15 +10,16 @@
 
 class GrantsTest {
     private static final long SECOND = 1_000_000;
-    private static final LeaseTerms TERMS = new LeaseTerms(2 * SECOND, 0.001);
-    private final Grants grants = new Grants(TERMS);
+    private static final LeaseTiming TERMS = new LeaseTiming(2 * SECOND, 0.001);
+    private final LeaseGrantor grants = new LeaseGrantor(TERMS);
 
-    private static Grants.Ask ask(String router, long step) {
-        return new Grants.Ask(router, 1, 1, step);
+    private static LeaseGrantor.LeaseRequest ask(String router, long step) {
+        return new LeaseGrantor.LeaseRequest(router, 1, 1, step);
     }
 
-    private List<Grants.Ask> granted(long lastPrepared, long now, Grants.Ask... asks) {
-        for (Grants.Ask a : asks) {
+    private List<LeaseGrantor.LeaseRequest> granted(long lastPrepared, long now,
+            LeaseGrantor.LeaseRequest... asks) {
+        for (LeaseGrantor.LeaseRequest a : asks) {
             grants.asked(a);
         }
         assertTrue(grants.beginRound());
@@ -81,8 +82,8 @@
     void anotherProcessOfTheSameRouterIsAnotherHolder() {
         grants.leads(0);
         long now = TERMS.runOut();
-        granted(0, now, new Grants.Ask("a", 1, 1, 0));
-        granted(1, now, new Grants.Ask("a", 2, 1, 1));
+        granted(0, now, new LeaseGrantor.LeaseRequest("a", 1, 1, 0));
+        granted(1, now, new LeaseGrantor.LeaseRequest("a", 2, 1, 1));
         assertEquals(List.of(), grants.due(Map.of("c", 1L), now));
     }
 
--- a/src/test/java/yewdock/settings/OperatorSettingsTest.java
+++ b/src/test/java/yewdock/settings/OperatorSettingsTest.java
@@ -17,7 +17,7 @@
 
     @Test
     void eachMistakeIsALineOfItsOwn() {
-        BadSettingsException bad = assertThrows(BadSettingsException.class,
+        InvalidSettingsException bad = assertThrows(InvalidSettingsException.class,
                 () -> OperatorSettings.parse("f.hcl",
                 """
                 daemon {
@@ -45,7 +45,8 @@
 
     @Test
     void aCouncilOfWhoIsNotThereIsAMistake() {
-        BadSettingsException bad = assertThrows(BadSettingsException.class, () -> OperatorSettings.parse("f",
+        InvalidSettingsException bad = assertThrows(InvalidSettingsException.class, () ->
+                OperatorSettings.parse("f",
                 "agreement {\n members = [\"a\", \"b\"]\n agreed_within_s = 0.5\n in_doubt = \"hope\"\n}\n"));
         assertEquals(List.of("f: agreement.members: three or five instances, each once, not [a, b]",
                 "f: agreement.members: this instance and copies.peers, and a is none of them",
@@ -60,7 +61,7 @@
         for (String text : List.of("daemon { = ", "daemon {\n config = \"x\"\n", "{\"name\":",
                 "daemon { }\ndaemon"
                 + " { config = \"a\" }\n")) {
-            assertThrows(BadSettingsException.class, () -> OperatorSettings.parse("f", text), text);
+            assertThrows(InvalidSettingsException.class, () -> OperatorSettings.parse("f", text), text);
         }
     }
 }
--- a/src/test/java/yewdock/sockets/ForeignSettingsTest.java
+++ b/src/test/java/yewdock/sockets/ForeignSettingsTest.java
@@ -12,11 +12,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import umberspread.BoundedLoadRouter;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Terms;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Reducer;
 import yewdock.platform.Config;
-import yewdock.platform.Front;
+import yewdock.platform.ConnectionManager;
 
 /**
  * One build under the settings of two unlike customers: what it knows of one it must not show to the
@@ -60,12 +60,14 @@
         List<String> log = new ArrayList<>();
         Config config = Config.read(text, log::add);
         Counters counters = new Counters();
-        Sockets sockets = new Sockets(config.bounds().clients(),
+        MinaTransport sockets = new MinaTransport(config.bounds().clients(),
                 config.settings().contract().drainGrace());
-        Desk desk = new Desk(Terms.of(config.settings(), config.keepalive()), config.bounds(), counters,
+        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepalive()), config.bounds(),
+                counters,
                 actions -> new BoundedLoadRouter(config.settings(), config.seed(), actions));
         return new Running(Listening.start(sockets,
-                new Front(config, desk, counters, sockets, sockets.clock(), log::add), desk), log);
+                new ConnectionManager(config, desk, counters, sockets, sockets.clock(), log::add), desk),
+                        log);
     }
 
     private static void showsOnlyItsOwn(Running router, String own, String tenant, String foreign,
--- a/src/test/java/yewdock/sockets/LingeringTest.java
+++ b/src/test/java/yewdock/sockets/LingeringTest.java
@@ -18,8 +18,8 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import yewdock.platform.Side;
-import yewdock.platform.Wire;
+import yewdock.platform.Connection;
+import yewdock.platform.ConnectionHandler;
 
 /** A connection is closed while its other side is still sending. */
 class LingeringTest {
@@ -28,11 +28,11 @@
     /** With room for no client at all, so many are accepted: those that are being closed. */
     private static final int ACCEPTED = 24;
 
-    private Sockets sockets;
+    private MinaTransport sockets;
     private Listening listening;
 
     private void serve(int seconds) throws Exception {
-        sockets = new Sockets(0, 1_000_000, seconds);
+        sockets = new MinaTransport(0, 1_000_000, seconds);
         listening = Listening.start(sockets,
                 Files.readString(Path.of("src/test/resources/exchanges/config.json"))
                 .replaceFirst("\\{", "{\"limits\":{\"sockets\":1024,\"memory_mb\":160},"));
@@ -44,10 +44,10 @@
     }
 
     /** Answers nothing by itself, and closes when it has lingered long enough. */
-    private static final class Quiet implements Side {
+    private static final class Quiet implements ConnectionHandler {
         private final CountDownLatch up = new CountDownLatch(1);
         private final CountDownLatch down = new CountDownLatch(1);
-        private final CompletableFuture<Wire> wire = new CompletableFuture<>();
+        private final CompletableFuture<Connection> wire = new CompletableFuture<>();
         private int received;
 
         @Override
@@ -96,7 +96,7 @@
         serve(LONG);
         Quiet side = new Quiet();
         try (Socket peer = connected(side)) {
-            Wire wire = side.wire.get();
+            Connection wire = side.wire.get();
             listening.onDesk(() -> wire.hold(true));
             peer.getOutputStream().write(new byte[1000]);
             listening.onDesk(() -> {
--- a/src/test/java/yewdock/sockets/ResetBehindBytesTest.java
+++ b/src/test/java/yewdock/sockets/ResetBehindBytesTest.java
@@ -15,18 +15,18 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import yewdock.platform.Side;
-import yewdock.platform.Wire;
+import yewdock.platform.Connection;
+import yewdock.platform.ConnectionHandler;
 
 /** A server writes the last of its answer and resets the connection: what it wrote still counts. */
 class ResetBehindBytesTest {
     private static final String ANSWER = "data: [DONE]\n\n";
 
-    private final Sockets sockets = new Sockets(4, 1_000_000);
+    private final MinaTransport sockets = new MinaTransport(4, 1_000_000);
     private Listening listening;
 
     /** What comes over the connection, and then its end. */
-    private static final class Reader implements Side {
+    private static final class Reader implements ConnectionHandler {
         private final StringBuilder came = new StringBuilder();
         private final CompletableFuture<String> atEnd = new CompletableFuture<>();
         private final CountDownLatch up = new CountDownLatch(1);
@@ -72,7 +72,7 @@
     @Test
     void whatCameBeforeAResetIsPassedOn() throws Exception {
         Reader reader = new Reader();
-        CompletableFuture<Wire> wire = new CompletableFuture<>();
+        CompletableFuture<Connection> wire = new CompletableFuture<>();
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
             sockets.post(() -> sockets.connect("127.0.0.1:" + server.getLocalPort(), made -> {
                 wire.complete(made);
@@ -80,7 +80,7 @@
             }));
             Socket accepted = server.accept();
             reader.up.await(10, TimeUnit.SECONDS);
-            Wire held = wire.get(10, TimeUnit.SECONDS);
+            Connection held = wire.get(10, TimeUnit.SECONDS);
             listening.onDesk(() -> held.hold(true));
             accepted.getOutputStream().write(ANSWER.getBytes(StandardCharsets.US_ASCII));
             accepted.setSoLinger(true, 0);
--- a/src/test/java/yewdock/state/KeepingTest.java
+++ b/src/test/java/yewdock/state/KeepingTest.java
@@ -21,8 +21,8 @@
     private static final long NOW = 1_700_000_000 * SECOND;
     private static final long DOUBT = 3600 * SECOND;
 
-    private final Records records = new Records("here", 1000);
-    private final Keeping keeping = new Keeping(records, DOUBT);
+    private final ReplicatedRecords records = new ReplicatedRecords("here", 1000);
+    private final StateRecorder keeping = new StateRecorder(records, DOUBT);
 
     private static Box box(long id, Lifecycle lifecycle, long startedAt) {
         return Box.newBuilder().setId(id).setName("s-" + id).setAddress("10.0.0.1:" + (8000 + id))
@@ -83,7 +83,7 @@
         keeping.learnt(Memory.newBuilder().addNodes(NodeMemory.newBuilder().setId(1).setEjections(3)
                 .setEjectedUntil(NOW + SECOND).setBudgetedStart(5)).build(), 0, NOW);
         keeping.told(list(4, false, box(1, Lifecycle.READY, 9)), 0, NOW);
-        assertNull(records.get(Keys.node("here", 1)));
+        assertNull(records.get(RecordKeys.node("here", 1)));
     }
 
     @Test
@@ -92,7 +92,7 @@
         Memory learnt = Memory.newBuilder().addNodes(NodeMemory.newBuilder().setId(1).setEjections(1)
                 .setEjectedUntil(700)).build();
         keeping.learnt(learnt, 50, NOW);
-        assertEquals(750, records.get(Keys.node("here", 1)).getNode().getEjectedUntil());
+        assertEquals(750, records.get(RecordKeys.node("here", 1)).getNode().getEjectedUntil());
         assertTrue(keeping.learnt(learnt, 50, NOW + SECOND).isEmpty(), "the same again is not written");
         // an ejection of hours is one of a clock that was moved
         keeping.learnt(learnt, NOW + 7200 * SECOND, NOW + 2 * SECOND);
@@ -122,13 +122,14 @@
 
     @Test
     void withAnEmptyDiskADrainThatAnyOtherKnowsHolds() {
-        Records north = new Records("north", 100);
-        Records south = new Records("south", 100);
-        new Keeping(north, DOUBT).told(list(3, true, box(1, Lifecycle.READY, 5), box(2, Lifecycle.READY, 9)),
+        ReplicatedRecords north = new ReplicatedRecords("north", 100);
+        ReplicatedRecords south = new ReplicatedRecords("south", 100);
+        new StateRecorder(north, DOUBT).told(list(3, true, box(1, Lifecycle.READY, 5), box(2, Lifecycle.READY,
+                9)),
                 0, NOW);
-        new Keeping(south, DOUBT).told(list(4, true, box(1, Lifecycle.DRAINING, 5), box(2,
+        new StateRecorder(south, DOUBT).told(list(4, true, box(1, Lifecycle.DRAINING, 5), box(2,
                 Lifecycle.DRAINING, 5)), 0, NOW);
-        for (Records other : List.of(north, south)) {
+        for (ReplicatedRecords other : List.of(north, south)) {
             for (Kept kept : other.after("")) {
                 records.merge(kept);
             }
