--- a/src/main/java/umberspread/LearnedState.java
+++ b/src/main/java/umberspread/LearnedState.java
@@ -7,31 +7,36 @@
  * What a router has learnt and another of the same gateway may go on with. Times are microseconds on the
  * clock of the one that learnt it. Open requests are no part of it: they stay where they were taken.
  */
-public record LearnedState(double unitWeight, double averageWorth, double firstTokenTally, double readRate,
-        double unnamed, long plannedAt,
-        List<Double> classTime, Map<Integer, Double> kindTime, List<Double> tenantTally, List<Long> taken,
-        List<Long> further, List<LearnedServer> replicas, List<LearnedKey> keys, List<Double> poolArrivals) {
+public record LearnedState(double referenceWeight, double averageWorth, double recentFirstTokens,
+        double prefillRate,
+        double unkeyedRequests, long plannedAt,
+        List<Double> classLatency, Map<Integer, Double> kindLatencyRatio, List<Double> tenantRequests,
+                List<Long> recentArrivals,
+        List<Long> recentExtraAttempts, List<LearnedServer> servers, List<LearnedKey> keys,
+                List<Double> poolArrivals) {
     /** A replica's standing: points on the ring, rests by class, ejections, the cold budget. */
-    public record LearnedServer(long id, int points, List<Long> restUntil, List<Integer> strikes,
-            long ejectedUntil, int ejections, int breaks, long slowUntil, long lastDelay, long coldBudgetAt,
-            long budgetedStart) {
+    public record LearnedServer(long id, int points, List<Long> classBackoffUntil,
+            List<Integer> classFailures,
+            long ejectedUntil, int ejections, int consecutiveResets, long slowUntil, long lastFirstTokenDelay,
+                    long nextColdSendAt,
+            long coldBudgetStart) {
         public LearnedServer {
-            restUntil = List.copyOf(restUntil);
-            strikes = List.copyOf(strikes);
+            classBackoffUntil = List.copyOf(classBackoffUntil);
+            classFailures = List.copyOf(classFailures);
         }
     }
 
     /** A key's recent traffic; pool is its place in the order of the settings' placements. */
-    public record LearnedKey(long key, double tally, int spread, int pool) {
+    public record LearnedKey(long key, double recentRequests, int spread, int poolIndex) {
     }
 
     public LearnedState {
-        classTime = List.copyOf(classTime);
-        kindTime = Map.copyOf(kindTime);
-        tenantTally = List.copyOf(tenantTally);
-        taken = List.copyOf(taken);
-        further = List.copyOf(further);
-        replicas = List.copyOf(replicas);
+        classLatency = List.copyOf(classLatency);
+        kindLatencyRatio = Map.copyOf(kindLatencyRatio);
+        tenantRequests = List.copyOf(tenantRequests);
+        recentArrivals = List.copyOf(recentArrivals);
+        recentExtraAttempts = List.copyOf(recentExtraAttempts);
+        servers = List.copyOf(servers);
         keys = List.copyOf(keys);
         poolArrivals = List.copyOf(poolArrivals);
     }
--- a/src/main/java/umberspread/adapter/Host.java
+++ b/src/main/java/umberspread/adapter/Host.java
@@ -47,7 +47,7 @@
             this.number = number;
             this.reply = reply;
             this.reportNames = parsed.reportNames();
-            this.router = maker.make(parsed.settings(), seed, this);
+            this.router = maker.create(parsed.settings(), seed, this);
         }
 
         @Override
@@ -71,7 +71,7 @@
         }
 
         @Override
-        public void followList() {
+        public void watchEndpointList() {
             reply.follow(number);
         }
 
@@ -102,7 +102,7 @@
                 case 2 -> firstToken(frame, now, gateway);
                 case 3 -> {
                     long request = frame.u64();
-                    deliver(gateway, g -> g.requestGone(now, request));
+                    deliver(gateway, g -> g.requestAbandoned(now, request));
                 }
                 case 4 -> echo(frame);
                 case 5 -> {
--- a/src/main/java/umberspread/adapter/Main.java
+++ b/src/main/java/umberspread/adapter/Main.java
@@ -19,7 +19,7 @@
     /** Makes the router of one gateway. */
     public interface RouterFactory {
         /** A router for these settings, with this seed, that asks this of its gateway. */
-        Routing.Events make(Routing.Settings settings, long seed, Routing.Actions actions);
+        Routing.Events create(Routing.Settings settings, long seed, Routing.Actions actions);
     }
 
     /** Runs the command and exits with its status. */
--- a/src/main/java/yewdock/Commands.java
+++ b/src/main/java/yewdock/Commands.java
@@ -145,8 +145,9 @@
             if (log != null && !List.of("text", "json").contains(log)) {
                 throw new IllegalArgumentException("--log: text or json, not " + log);
             }
-            OperatorSettings chosen = log == null ? read : read.with(new OperatorSettings.LogSettings(log));
-            EventLog.as(chosen.log().form().equals("json") ? EventLog.LogFormat.JSON
+            OperatorSettings chosen = log == null ? read
+                    : read.withLog(new OperatorSettings.LogSettings(log));
+            EventLog.setFormat(chosen.log().form().equals("json") ? EventLog.LogFormat.JSON
                     : EventLog.LogFormat.TEXT);
             return new Supervisor(chosen, List.of(MAIN, "generation")).run();
         }
@@ -169,10 +170,12 @@
                 throw new IOException("the program can't be read: " + program);
             }
             OperatorSettings.UpgradeSettings u = read.upgrade();
-            long longest = (u.start() + u.check() + u.state() + u.ready() + u.take() + u.share() + u.go()
-                    + u.letGo())
+            long longest = (u.startMicros() + u.checkMicros() + u.stateMicros() + u.readyMicros()
+                    + u.takeMicros() + u.shareMicros() + u.goMicros()
+                    + u.letGoMicros())
                     / 1000 + SLACK_MILLIS;
-            return OperatorClient.ask(read.daemon().control(), "upgrade", program == null ? List.of()
+            return OperatorClient.sendCommand(read.daemon().controlFolder(), "upgrade", program == null
+                    ? List.of()
                     : List.of(program.toAbsolutePath().toString()), longest, System.out::println);
         }
     }
@@ -195,7 +198,8 @@
 
         @Override
         public final Integer call() throws Exception {
-            return OperatorClient.ask(settings.read().daemon().control(), word(), words(), answerMillis(),
+            return OperatorClient.sendCommand(settings.read().daemon().controlFolder(), word(), words(),
+                    answerMillis(),
                     System.out::println);
         }
     }
@@ -227,7 +231,7 @@
         @Override
         public Integer call() throws Exception {
             Path config = file.toString().endsWith(".json") ? file
-                    : OperatorSettings.read(file).daemon().config();
+                    : OperatorSettings.read(file).daemon().configFile();
             DeploymentSummary.describe(Files.readString(config),
                     System.out::println).forEach(System.out::println);
             System.out.println("good");
@@ -302,7 +306,7 @@
             if (connections < 1 || !(rate > 0) || seconds < 1 || tokens < 1 || pace < 0) {
                 throw new IllegalArgumentException("connections, rate, seconds and tokens are at least 1");
             }
-            InetSocketAddress address = Addresses.of(to);
+            InetSocketAddress address = Addresses.parse(to);
             if (!address.getAddress().isLoopbackAddress()) {
                 throw new IllegalArgumentException("load is sent to this machine only, not to " + to);
             }
--- a/src/main/java/yewdock/Main.java
+++ b/src/main/java/yewdock/Main.java
@@ -22,7 +22,7 @@
             case "serve" -> System.exit(StandaloneRouter.run(System.getenv("PROXY_CONFIG"),
                     ProcessHandover::new));
             case "generation" -> {
-                EventLog.as("json".equals(System.getenv("YEWDOCK_LOG")) ? EventLog.LogFormat.JSON
+                EventLog.setFormat("json".equals(System.getenv("YEWDOCK_LOG")) ? EventLog.LogFormat.JSON
                         : EventLog.LogFormat.TEXT);
                 System.exit(Generation.run(System.getenv()));
             }
--- a/src/main/java/yewdock/StoreCommands.java
+++ b/src/main/java/yewdock/StoreCommands.java
@@ -110,20 +110,20 @@
         @Override
         public final Integer call() throws Exception {
             OperatorSettings.StoreSettings store = settings.read().store();
-            if (!store.on()) {
+            if (!store.enabled()) {
                 throw new IOException("store.folder is not set in the settings: nothing is kept");
             }
-            with(store.folder(), store.mostRecords());
+            with(store.folder(), store.maxRecords());
             return 0;
         }
     }
 
     private static Map<String, Kept> records(RecordFile store, String beginning) throws IOException {
         Map<String, Kept> all = new TreeMap<>();
-        for (Map.Entry<String, byte[]> e : store.prefix(RecordKeys.STORED + beginning).entrySet()) {
+        for (Map.Entry<String, byte[]> e : store.prefix(RecordKeys.STORE_PREFIX + beginning).entrySet()) {
             try {
-                all.put(e.getKey().substring(RecordKeys.STORED.length()),
-                        ReplicatedRecords.read(e.getValue()));
+                all.put(e.getKey().substring(RecordKeys.STORE_PREFIX.length()),
+                        ReplicatedRecords.parse(e.getValue()));
             } catch (InvalidProtocolBufferException broken) {
                 throw new IOException("the record " + e.getKey() + " can't be read: " + broken.getMessage(),
                         broken);
@@ -140,10 +140,11 @@
     static final class Verify extends OfFolder {
         @Override
         void with(Path folder, int mostRecords) throws IOException, StoreException {
-            try (RecordFile store = RecordFile.look(folder)) {
-                String good = store.missing() > 0 ? store.missing()
+            try (RecordFile store = RecordFile.openReadOnly(folder)) {
+                String good = store.missingCommits() > 0 ? store.missingCommits()
                         + " commits are missing; what is left is good: " : "good: ";
-                System.out.println(good + "version " + store.version() + ", commit " + store.number() + ", "
+                System.out.println(good + "version " + store.version() + ", commit "
+                        + store.lastCommitNumber() + ", "
                         + records(store, "").size() + " records, " + store.bytes() + " bytes");
             }
         }
@@ -157,7 +158,7 @@
 
         @Override
         void with(Path folder, int mostRecords) throws IOException, StoreException {
-            try (RecordFile store = RecordFile.look(folder)) {
+            try (RecordFile store = RecordFile.openReadOnly(folder)) {
                 records(store, beginning).values().forEach(kept -> System.out.println(line(kept)));
             }
         }
@@ -171,7 +172,7 @@
 
         @Override
         void with(Path folder, int mostRecords) throws IOException, StoreException {
-            try (RecordFile store = RecordFile.look(folder); PrintWriter out = new PrintWriter(
+            try (RecordFile store = RecordFile.openReadOnly(folder); PrintWriter out = new PrintWriter(
                     Files.newBufferedWriter(file))) {
                 Map<String, Kept> all = records(store, "");
                 all.values().forEach(kept -> out.println(line(kept)));
@@ -201,13 +202,14 @@
                         number++;
                         Kept kept = read(line, number);
                         ReplicatedRecords.MergeResult merged = known.merge(kept);
-                        if (merged == ReplicatedRecords.MergeResult.REFUSED) {
+                        if (merged == ReplicatedRecords.MergeResult.REJECTED) {
                             throw new IOException(file + ": line " + number + ": "
-                                    + (ReplicatedRecords.flaw(kept) == null ? "more records than are kept"
-                                    : ReplicatedRecords.flaw(kept)));
+                                    + (ReplicatedRecords.validate(kept) == null ? "more records than are kept"
+                                    : ReplicatedRecords.validate(kept)));
                         }
-                        if (merged == ReplicatedRecords.MergeResult.TAKEN) {
-                            changes.put(RecordKeys.STORED + kept.getKey(), ReplicatedRecords.bytes(kept));
+                        if (merged == ReplicatedRecords.MergeResult.APPLIED) {
+                            changes.put(RecordKeys.STORE_PREFIX + kept.getKey(),
+                                    ReplicatedRecords.bytes(kept));
                         }
                     }
                 }
--- a/src/main/java/yewdock/admin/AdminConnection.java
+++ b/src/main/java/yewdock/admin/AdminConnection.java
@@ -25,12 +25,12 @@
     }
 
     @Override
-    public void up() {
+    public void onConnected() {
         // a caller's connection is up from the first
     }
 
     @Override
-    public void received(ByteBuffer bytes) {
+    public void onReceived(ByteBuffer bytes) {
         if (called) {
             return;
         }
@@ -51,7 +51,7 @@
     private void call(String text) {
         String[] words = text.strip().split("\\s+");
         OperatorCommand call = named(words[0]);
-        int wanted = call != null && call.namesBox() ? 2 : 1;
+        int wanted = call != null && call.namesServer() ? 2 : 1;
         if (call == null) {
             turnDown("unknown call; there are health, counters, cordon ID, uncordon ID, quiesce, resume");
         } else if (words.length != wanted) {
@@ -78,7 +78,7 @@
 
     void answer(String text) {
         wire.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
-        wire.linger();
+        wire.closeLingering();
     }
 
     /** Others need the place: one that is being answered goes by itself, one that says nothing goes now. */
@@ -91,19 +91,19 @@
     }
 
     @Override
-    public void written(int bytes) {
+    public void onWritten(int bytes) {
         // the close waits for it
     }
 
     /** No call came for long, or it has lingered long enough. */
     @Override
-    public void idle() {
+    public void onIdle() {
         called = true;
         wire.close();
     }
 
     @Override
-    public void down() {
+    public void onClosed() {
         called = true;
         door.forget(id);
     }
--- a/src/main/java/yewdock/admin/AdminInterface.java
+++ b/src/main/java/yewdock/admin/AdminInterface.java
@@ -19,11 +19,11 @@
  */
 public final class AdminInterface {
     /** So many callers at once; more take descriptors that clients and boxes need. */
-    public static final int MOST_CALLERS = 16;
+    public static final int MAX_CONNECTIONS = 16;
     /** Those that are being given up still hold a descriptor for a moment. */
-    public static final int MOST_ACCEPTED = MOST_CALLERS + 8;
+    public static final int MAX_ACCEPTED_CONNECTIONS = MAX_CONNECTIONS + 8;
     /** A caller that sends nothing for so long is given up. */
-    public static final int PATIENCE_SECONDS = 3;
+    public static final int IDLE_TIMEOUT_SECONDS = 3;
     private static final String PREFIX = "edge_proxy.";
 
     private final ConnectionManager front;
@@ -33,21 +33,21 @@
     /** A door whose calls go through this front. */
     public AdminInterface(ConnectionManager front) {
         this.front = front;
-        front.answerCallsBy(this::answer);
+        front.forwardOperatorAnswersTo(this::answer);
     }
 
     /** An operator has connected. */
     public ConnectionHandler accept(Connection wire) {
         AdminConnection caller = new AdminConnection(this, ++last, wire);
         callers.put(last, caller);
-        if (callers.size() > MOST_CALLERS) {
+        if (callers.size() > MAX_CONNECTIONS) {
             callers.values().iterator().next().makeRoom();
         }
         return caller;
     }
 
     void called(long caller, OperatorCommand call, String box) {
-        front.happened(new Event.OperatorCommandReceived(caller, call, box));
+        front.dispatch(new Event.OperatorCommandReceived(caller, call, box));
     }
 
     void forget(long caller) {
@@ -56,9 +56,9 @@
 
     private void answer(Effect effect) {
         if (effect instanceof Effect.AnswerCommand e) {
-            answer(e.caller(), (e.yes() ? "YES " : "NO ") + e.text() + "\n");
+            answer(e.caller(), (e.accepted() ? "YES " : "NO ") + e.text() + "\n");
         } else if (effect instanceof Effect.AnswerStatistics e) {
-            answer(e.caller(), print(e.figures()));
+            answer(e.caller(), print(e.statistics()));
         }
     }
 
@@ -78,10 +78,10 @@
             line(text, name + "rejected", c.rejected());
             line(text, name + "failed", c.failed());
         }
-        line(text, "upstream_requests", figures.tries());
+        line(text, "upstream_requests", figures.attempts());
         line(text, "pending", figures.pending());
-        line(text, "members", figures.boxes());
-        line(text, "members_unavailable", figures.avoided());
+        line(text, "members", figures.servers());
+        line(text, "members_unavailable", figures.unavailableServers());
         return text.append("END\n").toString();
     }
 
--- a/src/main/java/yewdock/baseline/Textbook.java
+++ b/src/main/java/yewdock/baseline/Textbook.java
@@ -78,15 +78,15 @@
 
     @Override
     public void started(long now) {
-        actions.followList();
-        actions.wakeAt(now + settings.contract().askWithin(), LIST_TOKEN);
+        actions.watchEndpointList();
+        actions.wakeAt(now + settings.contract().maxDiscoveryInterval(), LIST_TOKEN);
     }
 
     @Override
     public void listReceived(long now, ListKind kind, List<ServerState> entries) {
         if (kind == ListKind.FAILED) {
             following = false;
-            actions.wakeAt(now + settings.contract().askWithin() / 10, LIST_TOKEN);
+            actions.wakeAt(now + settings.contract().maxDiscoveryInterval() / 10, LIST_TOKEN);
             return;
         }
         following |= kind != ListKind.CACHED;
@@ -109,7 +109,7 @@
 
     @Override
     public void requestArrived(long now, Request request) {
-        Open o = new Open(request, now + request.patience());
+        Open o = new Open(request, now + request.clientTimeout());
         open.put(request.id(), o);
         send(o, now);
     }
@@ -120,7 +120,7 @@
         if (box == null) {
             open.remove(o.request.id());
             boolean mayRefuse = !o.mayHaveRun
-                    || settings.classes().get(o.request.requestClass()).effect()
+                    || settings.classes().get(o.request.requestClass()).retrySafety()
                             == Routing.RetrySafety.RETRYABLE;
             if (mayRefuse) {
                 actions.refuse(o.request.id(), 0);
@@ -148,11 +148,11 @@
     boolean warmEnough(Box box, long now) {
         long started = box.replica.startedAt();
         long age = now - started;
-        long coldFor = settings.contract().coldFor();
+        long coldFor = settings.contract().warmUpTime();
         if (started == 0 || age >= coldFor) {
             return true;
         }
-        double from = settings.contract().coldFrom();
+        double from = settings.contract().coldCapacityShare();
         return random.nextDouble() < COLD_PART * (from + (1 - from) * Math.max(0, age) / coldFor);
     }
 
@@ -189,7 +189,7 @@
     }
 
     @Override
-    public void requestGone(long now, long requestId) {
+    public void requestAbandoned(long now, long requestId) {
         Open o = open.remove(requestId);
         if (o != null && o.out) {
             Box box = o.tried.get(o.tried.size() - 1);
@@ -203,8 +203,8 @@
     @Override
     public void woken(long now, int token) {
         if (!following) {
-            actions.followList();
-            actions.wakeAt(now + settings.contract().askWithin(), LIST_TOKEN);
+            actions.watchEndpointList();
+            actions.wakeAt(now + settings.contract().maxDiscoveryInterval(), LIST_TOKEN);
         }
     }
 }
--- a/src/main/java/yewdock/consensus/Member.java
+++ b/src/main/java/yewdock/consensus/Member.java
@@ -106,7 +106,7 @@
         } else {
             builder.setLocalEndpoint(self).setInitialGroupMembers(RaftCodec.endpoints(founders));
         }
-        ledAt = loop.now();
+        ledAt = loop.nowMicros();
         node = builder.build();
         node.start();
     }
@@ -154,7 +154,7 @@
      * asks.
      */
     boolean stuck() {
-        return !leading && loop.now() - ledAt >= STUCK;
+        return !leading && loop.nowMicros() - ledAt >= STUCK;
     }
 
     /**
@@ -167,7 +167,7 @@
             return false;
         }
         if (frame.hasAppend() || frame.hasInstall()) {
-            ledAt = loop.now();
+            ledAt = loop.nowMicros();
         }
         if (!disk.broken() && !outdated(frame, node.getTerm().getTerm())) {
             node.handle(RaftCodec.message(frame));
@@ -212,17 +212,17 @@
     private final class OnLoop implements RaftNodeExecutor {
         @Override
         public void execute(Runnable task) {
-            loop.after(0, guarded(task));
+            loop.schedule(0, guarded(task));
         }
 
         @Override
         public void submit(Runnable task) {
-            loop.after(0, guarded(task));
+            loop.schedule(0, guarded(task));
         }
 
         @Override
         public void schedule(Runnable task, long delay, TimeUnit unit) {
-            loop.after(unit.toMicros(delay) / SPEED, guarded(task));
+            loop.schedule(unit.toMicros(delay) / SPEED, guarded(task));
         }
 
         /**
@@ -256,7 +256,7 @@
 
         @Override
         public long millis() {
-            return loop.now() / 1000 * SPEED;
+            return loop.nowMicros() / 1000 * SPEED;
         }
     }
 
@@ -289,9 +289,9 @@
             if (!(operation instanceof RuleCommand command)) {
                 return null;
             }
-            RuleOutcome outcome = rules.take(command);
+            RuleOutcome outcome = rules.apply(command);
             hearer.agreed(command);
-            loop.after(0, hearer::stepped);
+            loop.schedule(0, hearer::stepped);
             return outcome;
         }
 
@@ -303,7 +303,7 @@
         @Override
         public void installSnapshot(long index, List<Object> chunks) {
             rules.install((RulesSnapshot) chunks.get(0));
-            loop.after(0, hearer::stepped);
+            loop.schedule(0, hearer::stepped);
         }
 
         @Override
--- a/src/main/java/yewdock/consensus/TaskScheduler.java
+++ b/src/main/java/yewdock/consensus/TaskScheduler.java
@@ -6,8 +6,8 @@
  */
 public interface TaskScheduler {
     /** The clock, which never goes back and stands for no time of day. */
-    long now();
+    long nowMicros();
 
     /** Does this on the loop's thread, after so long at the earliest; in the order of their times. */
-    void after(long micros, Runnable task);
+    void schedule(long micros, Runnable task);
 }
--- a/src/main/java/yewdock/core/Answers.java
+++ b/src/main/java/yewdock/core/Answers.java
@@ -29,7 +29,7 @@
             Others others) {
         this.turn = turn;
         this.bounds = bounds;
-        this.classes = terms.classes();
+        this.classes = terms.classNames();
         this.others = others;
         this.tries = new Tries(turn, terms, boxes, lines, others, this::forgetIfDone);
     }
@@ -86,14 +86,14 @@
     /** Takes a request that has waited so long to be taken. */
     void admit(Event.RequestReceived e, long waited) {
         ModelRequest r = e.request();
-        if (owed.size() >= bounds.requests() || heldBytes + r.size() > bounds.bytes()) {
+        if (owed.size() >= bounds.maxRequests() || heldBytes + r.memoryBytes() > bounds.maxRequestBytes()) {
             turn.count("answers.refused_for_room");
             ended(r, Ending.REJECTED);
             turn.effect(new Effect.Refuse(e.client(), 0));
             release(r.id());
             return;
         }
-        long patience = Math.max(0, r.patience() - waited);
+        long patience = Math.max(0, r.timeoutMicros() - waited);
         Owed o = new Owed(++lastRequest, r, e.client(), turn.now() + patience);
         heldBytes += o.size;
         owed.put(o.id, o);
@@ -101,8 +101,8 @@
         ofClient.put(o.client, o);
         turn.at(o.deadline + ANSWER_SLACK, () -> overdue(o));
         turn.tell(o.id, m -> m.requestArrived(turn.now(), new Routing.Request(o.id, r.requestClass(),
-                r.municipality(), r.repeat(), r.session(), r.sharedBeginning(), r.promptTokens(),
-                r.beginningTokens(), r.mostTokens(), patience)));
+                r.tenant(), r.markedAsRetry(), r.session(), r.sharedPrefix(), r.promptTokens(),
+                r.prefixTokens(), r.maxOutputTokens(), patience)));
     }
 
     void twin(Event.RequestReceived e) {
@@ -116,7 +116,7 @@
         if (o != null) {
             turn.count(o.begun() ? "answers.left_midway" : "answers.left_before");
             finish(o, Ending.FAILED);
-            turn.tell(o.id, m -> m.requestGone(turn.now(), o.id));
+            turn.tell(o.id, m -> m.requestAbandoned(turn.now(), o.id));
             tries.hangUpAll(o, Outcome.CANCELLED);
         }
     }
@@ -153,7 +153,7 @@
     /** The same, of which the module knows nothing yet. */
     void failOurselves(Owed o, Outcome triesEndAs) {
         fail(o, triesEndAs);
-        turn.tell(o.id, m -> m.requestGone(turn.now(), o.id));
+        turn.tell(o.id, m -> m.requestAbandoned(turn.now(), o.id));
     }
 
     /** The try's stream is whole. */
--- a/src/main/java/yewdock/core/Calls.java
+++ b/src/main/java/yewdock/core/Calls.java
@@ -44,14 +44,14 @@
     }
 
     void called(Event.OperatorCommandReceived e, boolean leaving) {
-        turn.count("calls." + e.call().name().toLowerCase(Locale.ROOT));
-        switch (e.call()) {
+        turn.count("calls." + e.command().name().toLowerCase(Locale.ROOT));
+        switch (e.command()) {
             case HEALTH -> {
                 String why = unready.get();
                 answer(e, why.isEmpty(), why.isEmpty() ? "ready" : why);
             }
             case COUNTERS -> turn.tell(0, m -> turn.effect(new Effect.AnswerStatistics(e.caller(),
-                    figures(m.avoided(turn.now())))));
+                    figures(m.unavailableServers(turn.now())))));
             case CORDON -> cordon(e);
             case UNCORDON -> uncordon(e);
             case QUIESCE -> quiesce(e);
@@ -64,7 +64,7 @@
     }
 
     private void cordon(Event.OperatorCommandReceived e) {
-        String box = e.box();
+        String box = e.server();
         if (boxes.cordoned(box)) {
             answer(e, true, box + " was cordoned before");
         } else if (!boxes.named(box)) {
@@ -78,7 +78,7 @@
     }
 
     private void uncordon(Event.OperatorCommandReceived e) {
-        String box = e.box();
+        String box = e.server();
         if (boxes.cordoned(box)) {
             boxes.uncordon(box);
             changed(box);
@@ -122,7 +122,7 @@
     }
 
     private RouterStatistics figures(Set<Long> avoidedByChoice) {
-        List<RouterStatistics.ClassStatistics> classes = terms.classes().stream().map(name ->
+        List<RouterStatistics.ClassStatistics> classes = terms.classNames().stream().map(name ->
                 new RouterStatistics.ClassStatistics(name,
                 count(name, Ending.COMPLETED), count(name, Ending.REJECTED),
                 count(name, Ending.FAILED))).toList();
--- a/src/main/java/yewdock/core/Effect.java
+++ b/src/main/java/yewdock/core/Effect.java
@@ -5,19 +5,19 @@
 /** All that the desk can ask for. Times are microseconds. */
 public sealed interface Effect {
     /** Connect to a box. */
-    record OpenServerConnection(long line, String address) implements Effect {
+    record OpenServerConnection(long connection, String address) implements Effect {
     }
 
     /** Send the client's request over a line that is up; the box is told how long the router waits. */
-    record SendAttempt(long line, long client, long patience) implements Effect {
+    record SendAttempt(long connection, long client, long timeoutMicros) implements Effect {
     }
 
     /** Close a line at once; {@link Event.ServerDisconnected} tells when it is closed. */
-    record CloseServerConnection(long line) implements Effect {
+    record CloseServerConnection(long connection) implements Effect {
     }
 
     /** Stop reading from a box, or go on. */
-    record PauseReading(long line, boolean held) implements Effect {
+    record PauseReading(long connection, boolean paused) implements Effect {
     }
 
     /** Pass a piece of a stream on; the first begins the answer. */
@@ -33,7 +33,7 @@
     }
 
     /** Turn a request away: trying again is harmless, after retryAfter if that is not 0. */
-    record Refuse(long client, long retryAfter) implements Effect {
+    record Refuse(long client, long retryAfterMicros) implements Effect {
     }
 
     /** Tell a client that its request has failed. */
@@ -41,7 +41,7 @@
     }
 
     /** Call there for what is newer than this version, waiting so long for it; -1: for the whole list. */
-    record CallDiscovery(String address, long since, long longest) implements Effect {
+    record CallDiscovery(String address, long sinceVersion, long maxWaitMicros) implements Effect {
     }
 
     /**
@@ -68,27 +68,27 @@
     }
 
     /** Answer an operator's call. */
-    record AnswerCommand(long caller, boolean yes, String text) implements Effect {
+    record AnswerCommand(long caller, boolean accepted, String text) implements Effect {
     }
 
     /** Answer an operator's call with the figures. */
-    record AnswerStatistics(long caller, RouterStatistics figures) implements Effect {
+    record AnswerStatistics(long caller, RouterStatistics statistics) implements Effect {
     }
 
     /** An operator has said something of a box: keep it, and tell this router's other processes. */
-    record PublishOverride(String box, OperatorOverride mark) implements Effect {
+    record PublishOverride(String server, OperatorOverride override) implements Effect {
     }
 
     /** Tell this router's other generations. */
-    record SendToGenerations(GenerationMessage news) implements Effect {
+    record SendToGenerations(GenerationMessage message) implements Effect {
     }
 
     /** Tell the generation that takes over what this one holds. */
-    record SendGenerationState(GenerationState held) implements Effect {
+    record SendGenerationState(GenerationState state) implements Effect {
     }
 
     /** A line for the operator. */
-    record Log(String line) implements Effect {
+    record Log(String message) implements Effect {
     }
 
     /** Nothing is owed any more: stop the program. */
--- a/src/main/java/yewdock/core/Event.java
+++ b/src/main/java/yewdock/core/Event.java
@@ -7,7 +7,7 @@
 /** All that can happen to the desk. Clients and lines to boxes go by numbers. */
 public sealed interface Event {
     /** The router is up; this is the list as it was last held, and where news of it is to be had. */
-    record Started(EndpointList known, String listAddress) implements Event {
+    record Started(EndpointList endpointList, String discoveryAddress) implements Event {
     }
 
     /** A new configuration says that the list is to be had here. */
@@ -39,39 +39,39 @@
     }
 
     /** The connection to a box is made. */
-    record ServerConnected(long line) implements Event {
+    record ServerConnected(long connection) implements Event {
     }
 
     /**
      * What was written to this line was too late to be begun, and none of it has gone out: the process stood
      * still since it was decided. The connection closes, through no fault of the box.
      */
-    record AttemptNotStarted(long line) implements Event {
+    record AttemptNotStarted(long connection) implements Event {
     }
 
     /** The connection to a box is truly closed, or was never made. */
-    record ServerDisconnected(long line) implements Event {
+    record ServerDisconnected(long connection) implements Event {
     }
 
     /** The last byte of a try has been written to its line. */
-    record AttemptWritten(long line) implements Event {
+    record AttemptWritten(long connection) implements Event {
     }
 
     /** An answer has begun to come, and neither it nor its first event is whole yet. */
-    record ResponseStarted(long line) implements Event {
+    record ResponseStarted(long connection) implements Event {
     }
 
     /** What came over a line can't be read: the rest of it is of no use. */
-    record ResponseMalformed(long line) implements Event {
+    record ResponseMalformed(long connection) implements Event {
     }
 
     /** A piece of a box's stream. */
-    record ResponseChunk(long line, ByteBuffer bytes) implements Event {
+    record ResponseChunk(long connection, ByteBuffer bytes) implements Event {
     }
 
     /** A box's answer is whole. report may be null; reusable tells whether the line can take another try. */
-    record ResponseCompleted(long line, Routing.Outcome outcome, boolean reusable, long keptTokens,
-            Routing.LoadReport report) implements Event {
+    record ResponseCompleted(long connection, Routing.Outcome outcome, boolean reusable, long cachedTokens,
+            Routing.LoadReport loadReport) implements Event {
     }
 
     /** The box list has answered. */
@@ -94,11 +94,11 @@
      * The agreed rules may be acted by until then; past that this router is in doubt and takes nothing new.
      * A client that is refused for it is told to come back after so long; 0: no advice.
      */
-    record LeaseGranted(long until, long comeBack) implements Event {
+    record LeaseGranted(long untilMicros, long retryAfterMicros) implements Event {
     }
 
     /** The process stood still for about so long, and did nothing meanwhile. */
-    record ProcessResumed(long stalled) implements Event {
+    record ProcessResumed(long pausedMicros) implements Event {
     }
 
     /** Another router acts on a newer box list than this one. */
@@ -110,19 +110,19 @@
     }
 
     /** What another generation holds; it takes the place of what was known of that one. */
-    record GenerationStateReceived(int who, GenerationState held) implements Event {
+    record GenerationStateReceived(int generation, GenerationState state) implements Event {
     }
 
     /** Another generation tells something. */
-    record GenerationMessageReceived(int who, GenerationMessage news) implements Event {
+    record GenerationMessageReceived(int generation, GenerationMessage message) implements Event {
     }
 
     /** Another generation has ended, and what it had out with it. */
-    record GenerationGone(int who) implements Event {
+    record GenerationGone(int generation) implements Event {
     }
 
     /** Another generation serves: no new connections come, the rest ends by itself or after so long. */
-    record HandedOver(long limit) implements Event {
+    record HandedOver(long limitMicros) implements Event {
     }
 
     /** The generation that was to take over is gone: this one owns the ids and serves as before. */
@@ -134,15 +134,15 @@
     }
 
     /** All the operators' marks that hold from now on, by the boxes' names. */
-    record OverridesReplaced(Map<String, OperatorOverride> marks) implements Event {
+    record OverridesReplaced(Map<String, OperatorOverride> overrides) implements Event {
     }
 
     /** An operator has called; box is the name that the call says, or "". */
-    record OperatorCommandReceived(long caller, OperatorCommand call, String box) implements Event {
+    record OperatorCommandReceived(long caller, OperatorCommand command, String server) implements Event {
     }
 
     /** Another process of this router was told something of a box, which holds here too. */
-    record OverrideChanged(String box, OperatorOverride mark) implements Event {
+    record OverrideChanged(String server, OperatorOverride override) implements Event {
     }
 
     /** An older process of this router is there, or no more. */
--- a/src/main/java/yewdock/core/GenerationMessage.java
+++ b/src/main/java/yewdock/core/GenerationMessage.java
@@ -6,11 +6,12 @@
  */
 public sealed interface GenerationMessage {
     /** A finishing generation asks whether it may take a request of this id. */
-    record Claim(String id, long number) implements GenerationMessage {
+    record Claim(String id, long claimNumber) implements GenerationMessage {
     }
 
     /** The answer to a claim of the generation to. */
-    record ClaimAnswer(int to, String id, long number, boolean granted) implements GenerationMessage {
+    record ClaimAnswer(int generation, String id, long claimNumber, boolean granted)
+            implements GenerationMessage {
     }
 
     /** No request of this id is open here any more. */
@@ -18,7 +19,7 @@
     }
 
     /** A try has gone out to a box. */
-    record AttemptSent(long token, long box) implements GenerationMessage {
+    record AttemptSent(long token, long server) implements GenerationMessage {
     }
 
     /** A try that was told as sent is over. */
@@ -26,6 +27,6 @@
     }
 
     /** What the box list at this address has told. */
-    record EndpointListRelayed(EndpointList list, String address) implements GenerationMessage {
+    record EndpointListRelayed(EndpointList list, String discoveryAddress) implements GenerationMessage {
     }
 }
--- a/src/main/java/yewdock/core/KnownServers.java
+++ b/src/main/java/yewdock/core/KnownServers.java
@@ -35,11 +35,11 @@
     void keep(EndpointList list) {
         if (list.full()) {
             Set<Long> named = new HashSet<>();
-            list.boxes().forEach(box -> named.add(box.id()));
+            list.servers().forEach(box -> named.add(box.id()));
             told.keySet().retainAll(named);
             boxes.keySet().retainAll(named);
         }
-        for (ModelServer box : list.boxes()) {
+        for (ModelServer box : list.servers()) {
             ModelServer before = box.isGone() ? told.remove(box.id()) : told.put(box.id(), box);
             if (before == null || before.replica().lifecycle() != box.replica().lifecycle()) {
                 toldAt.put(box.id(), now.getAsLong());
@@ -56,7 +56,7 @@
     List<ModelServer> endingsIn(EndpointList list, Lifecycle unnamed) {
         List<ModelServer> ending = new ArrayList<>();
         Set<Long> named = new HashSet<>();
-        for (ModelServer server : list.boxes()) {
+        for (ModelServer server : list.servers()) {
             named.add(server.id());
             if (!server.takesWork() && told.containsKey(server.id())) {
                 ending.add(server);
@@ -109,7 +109,7 @@
 
     private void marksChanged() {
         marks.values().removeIf(mark -> mark.kind() == OperatorOverride.Kind.BACK
-                && mark.at() + coldFor < now.getAsLong());
+                && mark.atEpochMicros() + coldFor < now.getAsLong());
         told.values().forEach(this::place);
     }
 
@@ -144,9 +144,10 @@
         long startedAt = box.replica().startedAt();
         return switch (mark.kind()) {
             case DRAINS -> as(box, Lifecycle.DRAINING);
-            case GONE -> startedAt <= mark.at() ? as(box, Lifecycle.GONE) : box;
+            case GONE -> startedAt <= mark.atEpochMicros() ? as(box, Lifecycle.GONE) : box;
             // a box whose restart the list tells is as old as the list says
-            case BACK -> startedAt >= mark.at() ? box : as(box, box.replica().lifecycle(), mark.at());
+            case BACK -> startedAt >= mark.atEpochMicros() ? box : as(box, box.replica().lifecycle(),
+                    mark.atEpochMicros());
         };
     }
 
@@ -165,7 +166,7 @@
     /** What the list tells, as it holds under the marks. */
     EndpointList over(EndpointList list) {
         List<ModelServer> over = new ArrayList<>();
-        for (ModelServer box : list.boxes()) {
+        for (ModelServer box : list.servers()) {
             ModelServer next = over(box);
             // a whole list says that a box is gone by not naming it
             if (!list.full() || !next.isGone()) {
--- a/src/main/java/yewdock/core/ModelRequest.java
+++ b/src/main/java/yewdock/core/ModelRequest.java
@@ -5,7 +5,8 @@
  * sharedBeginning are 0 when absent; patience is how long the client still waits for the first token; size is
  * what it holds in memory.
  */
-public record ModelRequest(String id, int requestClass, int municipality, boolean repeat, long session,
-        long sharedBeginning, double promptTokens, double beginningTokens, double mostTokens, long patience,
-        int size) {
+public record ModelRequest(String id, int requestClass, int tenant, boolean markedAsRetry, long session,
+        long sharedPrefix, double promptTokens, double prefixTokens, double maxOutputTokens,
+                long timeoutMicros,
+        int memoryBytes) {
 }
--- a/src/main/java/yewdock/core/OperatorCommand.java
+++ b/src/main/java/yewdock/core/OperatorCommand.java
@@ -4,14 +4,14 @@
 public enum OperatorCommand {
     HEALTH(false), COUNTERS(false), CORDON(true), UNCORDON(true), QUIESCE(false), RESUME(false);
 
-    private final boolean namesBox;
+    private final boolean namesServer;
 
     OperatorCommand(boolean namesBox) {
-        this.namesBox = namesBox;
+        this.namesServer = namesBox;
     }
 
     /** Whether the call names a model box. */
-    public boolean namesBox() {
-        return namesBox;
+    public boolean namesServer() {
+        return namesServer;
     }
 }
--- a/src/main/java/yewdock/core/Others.java
+++ b/src/main/java/yewdock/core/Others.java
@@ -99,9 +99,9 @@
     }
 
     void adopt(int who, GenerationState held) {
-        ids.put(who, new HashSet<>(held.ids()));
+        ids.put(who, new HashSet<>(held.requestIds()));
         Set<Long> tokens = outs.computeIfAbsent(who, w -> new HashSet<>());
-        held.out().forEach(sent -> tokens.add(sent.token()));
+        held.attemptsInFlight().forEach(sent -> tokens.add(sent.token()));
     }
 
     /** The tries that a generation had out, which are out no more now that it is gone. */
@@ -165,12 +165,12 @@
             ids.computeIfAbsent(who, w -> new HashSet<>()).add(claim.id());
         }
         effects.accept(new Effect.SendToGenerations(
-                new GenerationMessage.ClaimAnswer(who, claim.id(), claim.number(), granted)));
+                new GenerationMessage.ClaimAnswer(who, claim.id(), claim.claimNumber(), granted)));
     }
 
     void answered(GenerationMessage.ClaimAnswer answer) {
         Claim c = claims.get(answer.id());
-        if (c == null || c.number != answer.number()) {
+        if (c == null || c.number != answer.claimNumber()) {
             return;
         }
         claims.remove(answer.id());
--- a/src/main/java/yewdock/core/Reducer.java
+++ b/src/main/java/yewdock/core/Reducer.java
@@ -40,8 +40,8 @@
     private final Calls calls;
     /** Whether the module has yet to be told of any box, since the agent has not answered. */
     private boolean unheard;
-    private boolean leaving;
-    private boolean lettingGo;
+    private boolean isShuttingDown;
+    private boolean isHandedOver;
     private OlderGeneration older = OlderGeneration.NONE;
     /** What the list tells is told on, to be kept. */
     private boolean keeping;
@@ -53,18 +53,19 @@
     public Reducer(CoreSettings terms, ResourceLimits bounds, Counters counters,
             Function<Routing.Actions, Routing.Events> makeModule) {
         this.turn = new Turn(counters);
-        this.boxes = new KnownServers(turn::now, terms.coldFor());
-        this.clients = new Clients(bounds.clients(), turn::now, turn.timers(), counters, turn::effect);
+        this.boxes = new KnownServers(turn::now, terms.maxColdMicros());
+        this.clients = new Clients(bounds.maxClientConnections(), turn::now, turn.timers(), counters,
+                turn::effect);
         this.watch = new DiscoveryWatch(terms, turn::now, turn.timers(), counters, turn::effect,
                 this::listFailed);
         this.others = new Others(turn::now, turn.timers(), counters, turn::effect, new Door());
-        this.lines = new Lines(turn, bounds.lines(), terms.keepalive(), boxes);
+        this.lines = new Lines(turn, bounds.maxServerConnections(), terms.keepaliveMicros(), boxes);
         this.answers = new Answers(turn, terms, bounds, boxes, lines, others);
         this.tries = answers.tries();
         this.streams = new Streams(turn, lines, answers);
         this.calls = new Calls(turn, terms, counters, boxes, () -> answers.open() + others.claims(),
-                () -> lettingGo ? "a newer process serves"
-                        : older == OlderGeneration.FINISHES ? "an older process finishes" : unready(),
+                () -> isHandedOver ? "a newer process serves"
+                        : older == OlderGeneration.FINISHING ? "an older process finishes" : notReadyReason(),
                 this::changedHere);
         turn.module(makeModule.apply(new Collector()));
     }
@@ -76,11 +77,11 @@
         for (Turn.Step step = turn.next(); step != null; step = turn.next()) {
             run(step);
         }
-        if (leaving && !stopped && answers.none() && !others.claiming() && turn.now() >= leaveAt) {
+        if (isShuttingDown && !stopped && answers.none() && !others.claiming() && turn.now() >= leaveAt) {
             stopped = true;
             turn.effect(new Effect.Stop());
         }
-        if (lettingGo && !stopped && answers.none() && !others.claiming()
+        if (isHandedOver && !stopped && answers.none() && !others.claiming()
                 && (clients.count() == 0 || turn.now() >= letGoUntil)) {
             stopped = true;
             turn.effect(new Effect.Stop());
@@ -89,19 +90,19 @@
     }
 
     /** When the next {@link Event.Tick} is due. */
-    public long nextDue() {
+    public long nextTimerDue() {
         return turn.timers().next();
     }
 
     /** Why a request that came now could not be served; empty if it could. */
-    public String unready() {
-        if (leaving && !lettingGo) {
+    public String notReadyReason() {
+        if (isShuttingDown && !isHandedOver) {
             return "leaving";
         }
         if (calls.quiesced()) {
             return "quiesced";
         }
-        if (older == OlderGeneration.SERVES) {
+        if (older == OlderGeneration.SERVING) {
             return "an older process serves";
         }
         if (turn.inDoubt()) {
@@ -114,41 +115,41 @@
     }
 
     /** Whether an operator has told it to send clients away. */
-    public boolean quiesced() {
+    public boolean isQuiesced() {
         return calls.quiesced();
     }
 
     /** How much is kept of requests, clients, lines and times to come: at rest, as much as at the start. */
-    public int kept() {
+    public int retainedEntries() {
         return answers.kept() + lines.kept() + boxes.kept() + clients.count() + turn.kept() + others.kept();
     }
 
     /** Whether discovery is asked for what a pause may have hidden: nothing new should go out before that. */
-    public boolean catchesUp() {
+    public boolean isCatchingUp() {
         return watch.catchesUp();
     }
 
-    public boolean leaving() {
-        return leaving;
+    public boolean isShuttingDown() {
+        return isShuttingDown;
     }
 
     /** Whether another generation serves new connections, and this one only finishes. */
-    public boolean lettingGo() {
-        return lettingGo;
+    public boolean isHandedOver() {
+        return isHandedOver;
     }
 
     /** When an earlier generation was told of the boxes' states; what is known already stands. */
-    public void recallTold(Map<Long, Long> earlier) {
+    public void restoreToldAt(Map<Long, Long> earlier) {
         boxes.recallTold(earlier);
     }
 
     /** All that operators have said of boxes, by their names. */
-    public Map<String, OperatorOverride> marks() {
+    public Map<String, OperatorOverride> operatorOverrides() {
         return Map.copyOf(boxes.marks());
     }
 
     /** What this generation holds that no other may double. */
-    public GenerationState holdings() {
+    public GenerationState generationState() {
         List<String> ids = answers.names();
         ids.addAll(others.claimed());
         return new GenerationState(ids, Tries.sent(answers.all()),
@@ -165,17 +166,17 @@
         } else if (event instanceof Event.ResponseCompleted e) {
             streams.answered(e);
         } else if (event instanceof Event.ResponseStarted e) {
-            streams.answerBegan(e.line());
+            streams.answerBegan(e.connection());
         } else if (event instanceof Event.ResponseMalformed e) {
-            streams.answerSpoilt(e.line());
+            streams.answerSpoilt(e.connection());
         } else if (event instanceof Event.AttemptWritten e) {
-            tries.written(e.line());
+            tries.written(e.connection());
         } else if (event instanceof Event.AttemptNotStarted e) {
-            tries.notBegun(e.line());
+            tries.notBegun(e.connection());
         } else if (event instanceof Event.ServerConnected e) {
-            tries.lineUp(e.line());
+            tries.lineUp(e.connection());
         } else if (event instanceof Event.ServerDisconnected e) {
-            streams.lineDown(e.line());
+            streams.lineDown(e.connection());
         } else if (event instanceof Event.ClientConnected e) {
             clients.came(e.client());
         } else if (event instanceof Event.ClientRequestStarted e) {
@@ -204,37 +205,37 @@
         } else if (event instanceof Event.DiscoveryAddressChanged e) {
             watch.move(e.address());
         } else if (event instanceof Event.GenerationMessageReceived e) {
-            fromOther(e.who(), e.news());
+            fromOther(e.generation(), e.message());
         } else if (event instanceof Event.HandoverStarted) {
-            turn.effect(new Effect.SendGenerationState(holdings()));
+            turn.effect(new Effect.SendGenerationState(generationState()));
             others.share();
         } else if (event instanceof Event.GenerationStateReceived e) {
-            adopt(e.who(), e.held());
+            adopt(e.generation(), e.state());
         } else if (event instanceof Event.GenerationGone e) {
-            others.gone(e.who()).forEach(token -> otherEnded(e.who(), token));
+            others.gone(e.generation()).forEach(token -> otherEnded(e.generation(), token));
         } else if (event instanceof Event.HandedOver e) {
-            letGo(e.limit());
+            letGo(e.limitMicros());
         } else if (event instanceof Event.HandoverAborted) {
-            lettingGo = false;
+            isHandedOver = false;
             clients.hurry(false);
             others.own();
         } else if (event instanceof Event.OverridesReplaced e) {
-            marked(e.marks());
+            marked(e.overrides());
         } else if (event instanceof Event.LeaseGranted e) {
-            turn.leased(e.until(), e.comeBack());
+            turn.leased(e.untilMicros(), e.retryAfterMicros());
         } else if (event instanceof Event.ProcessResumed e) {
-            watch.resumed(e.stalled());
+            watch.resumed(e.pausedMicros());
         } else if (event instanceof Event.EndpointListOutdated) {
             watch.askAnew();
         } else if (event instanceof Event.OverrideChanged e) {
-            boxes.mark(e.box(), e.mark());
+            boxes.mark(e.server(), e.override());
             changedHere();
         } else if (event instanceof Event.OlderGenerationChanged e) {
             older = e.older();
         } else if (event instanceof Event.EndpointListRelayEnabled) {
             keeping = true;
         } else if (event instanceof Event.OperatorCommandReceived e) {
-            calls.called(e, leaving);
+            calls.called(e, isShuttingDown);
         } else if (event instanceof Event.ShutdownRequested) {
             leave();
         }
@@ -260,10 +261,10 @@
             Owed o = answers.ofClient(e.client());
             return o == null ? 0 : o.id;
         }
-        Line line = event instanceof Event.ResponseChunk p ? lines.get(p.line())
-                : event instanceof Event.ResponseCompleted a ? lines.get(a.line())
-                : event instanceof Event.ServerConnected u ? lines.get(u.line())
-                : event instanceof Event.ServerDisconnected d ? lines.get(d.line()) : null;
+        Line line = event instanceof Event.ResponseChunk p ? lines.get(p.connection())
+                : event instanceof Event.ResponseCompleted a ? lines.get(a.connection())
+                : event instanceof Event.ServerConnected u ? lines.get(u.connection())
+                : event instanceof Event.ServerDisconnected d ? lines.get(d.connection()) : null;
         return line != null && line.current != null ? line.current.owed.id : 0;
     }
 
@@ -307,7 +308,7 @@
         }
 
         @Override
-        public void followList() {
+        public void watchEndpointList() {
             turn.ask(0, watch::follow);
         }
 
@@ -348,8 +349,8 @@
     // ---- the box list
 
     private void started(Event.Started e) {
-        EndpointList known = e.known();
-        watch.begin(e.listAddress(), known.version());
+        EndpointList known = e.endpointList();
+        watch.begin(e.discoveryAddress(), known.version());
         boxes.keep(known);
         turn.tell(0, m -> m.started(turn.now()));
         unheard = watch.pushed();
@@ -435,7 +436,7 @@
     }
 
     private static List<Routing.ServerState> replicas(EndpointList list) {
-        return list.boxes().stream().map(ModelServer::replica).toList();
+        return list.servers().stream().map(ModelServer::replica).toList();
     }
 
     // ---- other generations
@@ -466,26 +467,26 @@
             others.released(who, n.id());
         } else if (news instanceof GenerationMessage.AttemptSent n) {
             others.sent(who, n.token());
-            turn.tell(0, m -> m.otherSent(turn.now(), who + "/" + n.token(), n.box()));
+            turn.tell(0, m -> m.otherGenerationSent(turn.now(), who + "/" + n.token(), n.server()));
         } else if (news instanceof GenerationMessage.AttemptEnded n) {
             others.ended(who, n.token());
             otherEnded(who, n.token());
         } else if (news instanceof GenerationMessage.EndpointListRelayed n) {
-            toldByOther(n.list(), n.address());
+            toldByOther(n.list(), n.discoveryAddress());
         }
     }
 
     private void otherEnded(int who, long token) {
-        turn.tell(0, m -> m.otherEnded(turn.now(), who + "/" + token));
+        turn.tell(0, m -> m.otherGenerationEnded(turn.now(), who + "/" + token));
     }
 
     private void adopt(int who, GenerationState held) {
         others.gone(who).forEach(token -> otherEnded(who, token));
         others.adopt(who, held);
-        for (GenerationMessage.AttemptSent sent : held.out()) {
-            turn.tell(0, m -> m.otherSent(turn.now(), who + "/" + sent.token(), sent.box()));
+        for (GenerationMessage.AttemptSent sent : held.attemptsInFlight()) {
+            turn.tell(0, m -> m.otherGenerationSent(turn.now(), who + "/" + sent.token(), sent.server()));
         }
-        toldByOther(held.boxes(), held.listAddress());
+        toldByOther(held.endpointList(), held.discoveryAddress());
     }
 
     /**
@@ -505,12 +506,12 @@
 
     /** Clients are led away between requests; what is open runs to its end, or to the limit. */
     private void letGo(long limit) {
-        lettingGo = true;
+        isHandedOver = true;
         letGoUntil = turn.now() + limit;
         clients.hurry(true);
         long until = letGoUntil;
         turn.at(until, () -> {
-            if (lettingGo && letGoUntil == until) {
+            if (isHandedOver && letGoUntil == until) {
                 List.copyOf(answers.all()).forEach(o -> {
                     turn.count("answers.over_the_limit");
                     answers.failOurselves(o, Outcome.CANCELLED);
@@ -523,8 +524,8 @@
 
     /** Serving goes on: new connections come for a while, and what was taken is still owed its answer. */
     private void leave() {
-        if (!leaving) {
-            leaving = true;
+        if (!isShuttingDown) {
+            isShuttingDown = true;
             leaveAt = turn.now() + LEAVE_AFTER;
             turn.log("leaving");
             turn.at(turn.now() + LEAVE_IDLE_AFTER, () -> turn.effect(new Effect.CloseIdleClients()));
--- a/src/main/java/yewdock/core/ResourceLimits.java
+++ b/src/main/java/yewdock/core/ResourceLimits.java
@@ -5,7 +5,8 @@
  * requests. Beyond these it closes quiet connections and refuses requests, before it runs out of descriptors
  * or memory.
  */
-public record ResourceLimits(int clients, int lines, int requests, int bytes) {
+public record ResourceLimits(int maxClientConnections, int maxServerConnections, int maxRequests,
+        int maxRequestBytes) {
     /** Descriptors for the program itself, and for connections that are just coming or being closed. */
     private static final int KEPT_BACK = 72;
     /** Clients' requests hold at most this part of the descriptors, and each needs a line. */
--- a/src/main/java/yewdock/core/Streams.java
+++ b/src/main/java/yewdock/core/Streams.java
@@ -65,7 +65,7 @@
     }
 
     void piece(Event.ResponseChunk e) {
-        Line line = lines.get(e.line());
+        Line line = lines.get(e.connection());
         Try t = line == null ? null : line.current;
         if (t == null || t.closingAs != null || t.owed.over) {
             return;
@@ -113,7 +113,7 @@
     }
 
     void answered(Event.ResponseCompleted e) {
-        Line line = lines.get(e.line());
+        Line line = lines.get(e.connection());
         Try t = line == null ? null : line.current;
         if (t == null || t.closingAs != null) {
             return;
@@ -127,7 +127,7 @@
             answers.cutOffIfBegun(t);
             outcome = Outcome.RESET;
         }
-        tries.end(t, outcome, e.keptTokens(), e.report());
+        tries.end(t, outcome, e.cachedTokens(), e.loadReport());
     }
 
     /** A try whose line breaks before its last byte was written never ran; after that it may have. */
--- a/src/main/java/yewdock/core/Tries.java
+++ b/src/main/java/yewdock/core/Tries.java
@@ -37,7 +37,7 @@
     /** The module wants a try. One that may not go out ends as never sent. */
     void send(Owed o, long box, long timeout) {
         Try t = new Try(o, box, timeout, turn.now());
-        if (o.begun() || t.number >= terms.mostTries()) {
+        if (o.begun() || t.number >= terms.maxAttempts()) {
             end(t, Outcome.NOT_SENT, 0, null);
         } else if (o.out.isEmpty()) {
             start(t);
@@ -75,7 +75,7 @@
             return;
         }
         goOut(t);
-        turn.at(turn.now() + terms.connectTimeout(), () -> {
+        turn.at(turn.now() + terms.connectTimeoutMicros(), () -> {
             if (!fresh.up && t.closingAs == null) {
                 hangUp(t, Outcome.CONNECT_FAILED);
             }
--- a/src/main/java/yewdock/daemon/ControlConnection.java
+++ b/src/main/java/yewdock/daemon/ControlConnection.java
@@ -18,16 +18,16 @@
     }
 
     /** Connects to the control socket in this folder. */
-    public static ControlConnection to(Path control) throws IOException {
+    public static ControlConnection inFolder(Path control) throws IOException {
         try {
-            return at(socketIn(control));
+            return connectTo(socketIn(control));
         } catch (IOException e) {
             throw new IOException("no daemon answers at " + socketIn(control) + ": " + e.getMessage(), e);
         }
     }
 
     /** Connects to the socket at this path; throws IOException where nobody listens. */
-    static ControlConnection at(Path socket) throws IOException {
+    static ControlConnection connectTo(Path socket) throws IOException {
         SocketChannel channel = SocketChannel.open(StandardProtocolFamily.UNIX);
         try {
             channel.connect(UnixDomainSocketAddress.of(socket));
--- a/src/main/java/yewdock/daemon/FramedConnection.java
+++ b/src/main/java/yewdock/daemon/FramedConnection.java
@@ -89,7 +89,7 @@
     }
 
     /** Writes out what was sent, waiting so long at most, and closes. */
-    public final void finish(long millis) {
+    public final void flushAndClose(long millis) {
         if (writer != null && waiting.offer(END)) {
             try {
                 writer.join(millis);
@@ -139,7 +139,7 @@
     }
 
     /** The first frame, before {@link #start}. */
-    final F first() throws IOException {
+    final F readFirst() throws IOException {
         return read();
     }
 
--- a/src/main/java/yewdock/daemon/Generation.java
+++ b/src/main/java/yewdock/daemon/Generation.java
@@ -62,7 +62,7 @@
     private Runnable whenListed;
     private final BlockingQueue<Frame> early = new LinkedBlockingQueue<>();
     private volatile boolean up;
-    private ControlConnection link;
+    private ControlConnection supervisorConnection;
     private Config config;
     private Counters counters;
     private Reducer desk;
@@ -83,7 +83,7 @@
 
     /** Runs the generation that the environment describes, to its end; returns the exit code. */
     public static int run(Map<String, String> environment) {
-        return of(environment, Generation::new).run();
+        return fromEnvironment(environment, Generation::new).run();
     }
 
     /** Makes a generation, as {@link #Generation} does. */
@@ -92,7 +92,7 @@
     }
 
     /** The generation that the environment describes. */
-    public static <G> G of(Map<String, String> environment, Factory<G> maker) {
+    public static <G> G fromEnvironment(Map<String, String> environment, Factory<G> maker) {
         String number = environment.get(Supervisor.GENERATION);
         String control = environment.get(Supervisor.CONTROL);
         if (number == null || control == null) {
@@ -103,53 +103,54 @@
     }
 
     /** Called as each stage is reached, on whichever thread gets there; stand-ins make it fail. */
-    protected void reached(Stage stage) {
+    protected void stageReached(Stage stage) {
         // nothing fails here
     }
 
     /** The connection to the keeper. */
-    protected final ControlConnection link() {
-        return link;
+    protected final ControlConnection supervisorConnection() {
+        return supervisorConnection;
     }
 
     /** Serves to the end; returns the exit code. */
     public final int run() {
         try {
-            link = ControlConnection.to(control);
+            supervisorConnection = ControlConnection.inFolder(control);
         } catch (IOException e) {
             EventLog.warn("generation.alone", "generation", number, "why", e.getMessage());
             return 1;
         }
-        link.start("keeper", this::heard, this::lost);
+        supervisorConnection.start("keeper", this::heard, this::lost);
         // the keeper passes SIGHUP on; one that comes here straight must not end the process
         Signals.onHangUp(() -> {
             if (up) {
                 reconfigure();
             }
         });
-        reached(Stage.START);
-        link.send(Frame.newBuilder().setHello(Hello.newBuilder().setGeneration(number).setSecret(secret)
-                .setProgram(String.valueOf(getClass().getPackage().getImplementationVersion()))).build());
-        reached(Stage.CHECK);
+        stageReached(Stage.START);
+        supervisorConnection.send(Frame.newBuilder().setHello(
+                Hello.newBuilder().setGeneration(number).setSecret(secret).setProgram(
+                        String.valueOf(getClass().getPackage().getImplementationVersion()))).build());
+        stageReached(Stage.CHECK);
         try {
             config = read();
         } catch (IOException | IllegalArgumentException e) {
-            link.send(Frame.newBuilder().setFailed(Failed.newBuilder()
+            supervisorConnection.send(Frame.newBuilder().setFailed(Failed.newBuilder()
                     .setWhy("the configuration can't be read: " + e.getMessage())).build());
-            link.finish(LAST_WORDS_MILLIS);
+            supervisorConnection.flushAndClose(LAST_WORDS_MILLIS);
             return 1;
         }
-        link.send(Frame.newBuilder().setChecked(Checked.getDefaultInstance()).build());
+        supervisorConnection.send(Frame.newBuilder().setChecked(Checked.getDefaultInstance()).build());
         StateCodec.InheritedState left = awaitState();
-        reached(Stage.READY);
+        stageReached(Stage.READY);
         JvmWarmUp.play(config, REHEARSED);
         build(left);
-        sockets.serveLater(() -> begin(left), front, desk);
-        link.send(Frame.newBuilder().setNews(News.newBuilder().setCounts(
+        sockets.serveWithoutListening(() -> begin(left), front, desk);
+        supervisorConnection.send(Frame.newBuilder().setNews(News.newBuilder().setCounts(
                 Counts.newBuilder().putAllByName(countedSince()))).build());
         EventLog.info("generation.ends", "generation", number, "counters", counters.toString().strip()
                 .replace('\n', ';'));
-        link.finish(LAST_WORDS_MILLIS);
+        supervisorConnection.flushAndClose(LAST_WORDS_MILLIS);
         return 0;
     }
 
@@ -169,7 +170,7 @@
                 if (!frame.hasState()) {
                     continue;
                 }
-                reached(Stage.STATE);
+                stageReached(Stage.STATE);
                 return StateCodec.read(frame.getState(), new MonotonicClock().getAsLong(),
                         System.nanoTime());
             } catch (UnreadableStateException e) {
@@ -188,19 +189,19 @@
             left.counters().forEach(counters::add);
         }
         countedBefore = counters.all();
-        desk = new Reducer(CoreSettings.of(config.settings(), config.keepalive()), config.bounds(),
+        desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()), config.bounds(),
                 counters, actions -> {
                     router = router(config, seed(), actions, left);
                     return router;
                 });
-        sockets = new MinaTransport(config.bounds().clients(),
+        sockets = new MinaTransport(config.bounds().maxClientConnections(),
                 config.settings().contract().drainGrace());
         front = new ConnectionManager(config, desk, counters, sockets, sockets.clock(), this::log);
-        front.tellOthersBy(this::tellOthers);
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> sockets.leave(), "leave"));
+        front.forwardGenerationEffectsTo(this::tellOthers);
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> sockets.shutDownGracefully(), "leave"));
         if (keeping) {
-            every(KEEP_MILLIS, () -> link.send(Frame.newBuilder().setKeep(
-                    StateCodec.keep(router.memory(false), sockets.clock().getAsLong())).build()));
+            every(KEEP_MILLIS, () -> supervisorConnection.send(Frame.newBuilder().setKeep(
+                    StateCodec.keep(router.learnedState(false), sockets.clock().getAsLong())).build()));
         }
     }
 
@@ -233,10 +234,10 @@
     private void begin(StateCodec.InheritedState left) {
         begin(front, desk, config, left);
         if (keeping) {
-            front.happened(new Event.EndpointListRelayEnabled());
+            front.dispatch(new Event.EndpointListRelayEnabled());
         }
         if (agreeing) {
-            front.happened(new Event.LeaseGranted(0, 0));
+            front.dispatch(new Event.LeaseGranted(0, 0));
         }
         synchronized (early) {
             for (Frame frame = early.poll(); frame != null; frame = early.poll()) {
@@ -248,7 +249,7 @@
         if (keeping && (left == null || left.afterRestart())) {
             // a drain told in the last moment before a kill is in no record: the list knows it
             whenListed = ready;
-            sockets.postAfter(LIST_PATIENCE_MILLIS, this::listed);
+            sockets.postDelayed(LIST_PATIENCE_MILLIS, this::listed);
         } else {
             ready.run();
         }
@@ -259,18 +260,21 @@
             StateCodec.InheritedState left) {
         return left == null || left.memory() == null
                 ? new GenerationRouter(config.settings(), seed, actions)
-                : new GenerationRouter(config.settings(), seed, actions, left.memory(), left.shift());
+                : new GenerationRouter(config.settings(), seed, actions, left.memory(),
+                        left.clockShiftMicros());
     }
 
     /** The first event of a process that goes on with what another left it, if there is such. */
     static void begin(ConnectionManager front, Reducer desk, Config config, StateCodec.InheritedState left) {
-        boolean sameList = left != null && left.listAddress().equals(config.discovery());
-        if (left == null || left.boxes().boxes().isEmpty() && config.known().version() >= 0) {
+        boolean sameList = left != null && left.listAddress().equals(config.discoveryAddress());
+        if (left == null || left.endpointList().servers().isEmpty()
+                && config.cachedEndpoints().version() >= 0) {
             front.start();
         } else {
             // the versions of one list mean nothing to another: then the whole of it is asked for
-            front.start(new EndpointList(sameList ? left.boxes().version() : -1, true, left.boxes().boxes()));
-            desk.recallTold(left.toldAt());
+            front.start(new EndpointList(sameList ? left.endpointList().version() : -1, true,
+                    left.endpointList().servers()));
+            desk.restoreToldAt(left.stateReportedAt());
         }
     }
 
@@ -283,9 +287,10 @@
     }
 
     private void ready(StateCodec.InheritedState left) {
-        link.send(Frame.newBuilder().setReady(Ready.newBuilder().setNote(left == null ? "starts afresh"
-                : "goes on with " + left.boxes().boxes().size() + " boxes, list version "
-                + left.boxes().version())).build());
+        supervisorConnection.send(Frame.newBuilder().setReady(Ready.newBuilder().setNote(left == null
+                ? "starts afresh"
+                : "goes on with " + left.endpointList().servers().size() + " boxes, list version "
+                + left.endpointList().version())).build());
     }
 
     private void heard(Frame frame) {
@@ -312,32 +317,33 @@
         } catch (IOException | RuntimeException e) {
             EventLog.warn("generation.fault", "generation", number, "frame", frame.getWhatCase(), "why", e);
             if (!accepting) {
-                link.send(Frame.newBuilder().setFailed(Failed.newBuilder().setWhy(e.toString())).build());
+                supervisorConnection.send(Frame.newBuilder().setFailed(
+                        Failed.newBuilder().setWhy(e.toString())).build());
             }
         }
     }
 
     private void handle(Frame frame) throws IOException {
         switch (frame.getWhatCase()) {
-            case GIVE_STATE -> link.send(Frame.newBuilder().setState(StateCodec.write(desk.holdings(),
-                    router.memory(), counters.all(), sockets.clock().getAsLong(),
-                            System.nanoTime())).build());
-            case SHARE -> front.happened(new Event.HandoverStarted());
+            case GIVE_STATE -> supervisorConnection.send(Frame.newBuilder().setState(
+                    StateCodec.write(desk.generationState(), router.learnedState(), counters.all(),
+                            sockets.clock().getAsLong(), System.nanoTime())).build());
+            case SHARE -> front.dispatch(new Event.HandoverStarted());
             case SHARING -> {
-                reached(Stage.SHARE);
-                front.happened(new Event.GenerationStateReceived(frame.getSharing().getGeneration(),
+                stageReached(Stage.SHARE);
+                front.dispatch(new Event.GenerationStateReceived(frame.getSharing().getGeneration(),
                         StateCodec.holdings(frame.getSharing())));
             }
             case NEWS -> news(frame.getNews());
-            case OTHER_GONE -> front.happened(new Event.GenerationGone(frame.getOtherGone().getGeneration()));
-            case MARKS -> front.happened(new Event.OverridesReplaced(StateCodec.marks(frame.getMarks())));
+            case OTHER_GONE -> front.dispatch(new Event.GenerationGone(frame.getOtherGone().getGeneration()));
+            case MARKS -> front.dispatch(new Event.OverridesReplaced(StateCodec.marks(frame.getMarks())));
             case AGREED -> agreed(frame.getAgreed());
-            case ASK_LIST_ANEW -> front.happened(new Event.EndpointListOutdated());
+            case ASK_LIST_ANEW -> front.dispatch(new Event.EndpointListOutdated());
             case TAKE -> take();
             case GO -> go();
             case LET_GO -> letGo(frame.getLetGo().getLimitMicros());
             case TAKE_BACK -> takeBack();
-            case LEAVE -> front.happened(new Event.ShutdownRequested());
+            case LEAVE -> front.dispatch(new Event.ShutdownRequested());
             case RECONFIGURE -> reconfigure();
             default -> EventLog.warn("frame.unknown", "generation", number, "frame", frame.getWhatCase());
         }
@@ -347,9 +353,9 @@
     private void agreed(Agreed agreed) {
         long until = agreed.getUntil() == Long.MAX_VALUE ? Long.MAX_VALUE
                 : agreed.getUntil() + sockets.clock().getAsLong() - System.nanoTime() / 1000;
-        front.happened(new Event.LeaseGranted(until,
+        front.dispatch(new Event.LeaseGranted(until,
                 Math.min(COME_BACK_MICROS, config.settings().limits().retryAfterMax())));
-        link.send(Frame.newBuilder().setTakenUp(TakenUp.newBuilder().setStep(agreed.getStep())
+        supervisorConnection.send(Frame.newBuilder().setTakenUp(TakenUp.newBuilder().setStep(agreed.getStep())
                 .setChain(agreed.getChain())).build());
     }
 
@@ -360,16 +366,16 @@
         }
         GenerationMessage news = StateCodec.news(told);
         if (news != null) {
-            front.happened(new Event.GenerationMessageReceived(told.getGeneration(), news));
+            front.dispatch(new Event.GenerationMessageReceived(told.getGeneration(), news));
         }
     }
 
     private void tellOthers(Effect effect) {
         if (effect instanceof Effect.SendGenerationState e) {
-            link.send(Frame.newBuilder().setSharing(StateCodec.sharing(e.held())).build());
+            supervisorConnection.send(Frame.newBuilder().setSharing(StateCodec.sharing(e.state())).build());
         } else if (effect instanceof Effect.SendToGenerations e) {
-            link.send(Frame.newBuilder().setNews(StateCodec.news(e.news())).build());
-            if (e.news() instanceof GenerationMessage.EndpointListRelayed) {
+            supervisorConnection.send(Frame.newBuilder().setNews(StateCodec.news(e.message())).build());
+            if (e.message() instanceof GenerationMessage.EndpointListRelayed) {
                 sockets.post(this::listed);
             }
         }
@@ -381,18 +387,18 @@
         if (!answer.startsWith("HTTP/1.1 200 ") && !answer.startsWith("HTTP/1.1 503 ")) {
             throw new IOException("the try-out brought " + answer.lines().findFirst().orElse("nothing"));
         }
-        reached(Stage.TAKE);
-        link.send(Frame.newBuilder().setTook(Took.getDefaultInstance()).build());
+        stageReached(Stage.TAKE);
+        supervisorConnection.send(Frame.newBuilder().setTook(Took.getDefaultInstance()).build());
     }
 
     private void go() throws IOException {
-        reached(Stage.GO);
-        sockets.accept(listener);
+        stageReached(Stage.GO);
+        sockets.acceptFrom(listener);
         accepting = true;
         EventLog.info("generation.serves", "generation", number, "address", listener.getLocalAddress());
-        link.send(Frame.newBuilder().setServing(Serving.newBuilder()
+        supervisorConnection.send(Frame.newBuilder().setServing(Serving.newBuilder()
                 .setAddress(listener.getLocalAddress().toString())).build());
-        reached(Stage.LET_GO);
+        stageReached(Stage.LET_GO);
     }
 
     /** One request through the front and the desk, over a connection that is none. */
@@ -404,8 +410,8 @@
                 answer.append(StandardCharsets.ISO_8859_1.decode(bytes));
             }
         });
-        side.received(ByteBuffer.wrap("GET /ready HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
-        side.down();
+        side.onReceived(ByteBuffer.wrap("GET /ready HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
+        side.onClosed();
         return answer.toString();
     }
 
@@ -414,18 +420,19 @@
             sockets.stopAccepting();
             accepting = false;
         }
-        EventLog.info("generation.lets_go", "generation", number, "open", desk.holdings().ids().size());
-        link.send(Frame.newBuilder().setLetGoDone(LetGoDone.getDefaultInstance()).build());
-        front.happened(new Event.HandedOver(limit));
+        EventLog.info("generation.lets_go", "generation", number, "open",
+                desk.generationState().requestIds().size());
+        supervisorConnection.send(Frame.newBuilder().setLetGoDone(LetGoDone.getDefaultInstance()).build());
+        front.dispatch(new Event.HandedOver(limit));
     }
 
     private void takeBack() throws IOException {
         if (!accepting) {
-            sockets.accept(listener);
+            sockets.acceptFrom(listener);
             accepting = true;
         }
         EventLog.info("generation.takes_back", "generation", number);
-        front.happened(new Event.HandoverAborted());
+        front.dispatch(new Event.HandoverAborted());
     }
 
     /** Read on a thread of its own: a slow disk must not hold requests up. */
--- a/src/main/java/yewdock/daemon/JvmWarmUp.java
+++ b/src/main/java/yewdock/daemon/JvmWarmUp.java
@@ -43,7 +43,8 @@
 
     private JvmWarmUp(Config config) {
         this.config = config;
-        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepalive()), config.bounds(),
+        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
+                config.bounds(),
                 counters, actions -> new GenerationRouter(config.settings(), 1, actions));
         front = new ConnectionManager(config, desk, counters, this, () -> now, line -> { });
     }
@@ -67,11 +68,11 @@
     private void one(int number) {
         now += STEP;
         ConnectionHandler client = front.accept(new Nowhere());
-        client.received(ByteBuffer.wrap(request(number).getBytes(StandardCharsets.US_ASCII)));
+        client.onReceived(ByteBuffer.wrap(request(number).getBytes(StandardCharsets.US_ASCII)));
         for (Runnable next = due.poll(); next != null; next = due.poll()) {
             next.run();
         }
-        client.down();
+        client.onClosed();
     }
 
     private String request(int number) {
@@ -89,9 +90,9 @@
     public <S extends ConnectionHandler> S connect(String address, Function<Connection, S> makeSide) {
         Nowhere wire = new Nowhere();
         S side = makeSide.apply(wire);
-        if (!address.equals(config.discovery())) {
+        if (!address.equals(config.discoveryAddress())) {
             wire.answers = side;
-            due.add(side::up);
+            due.add(side::onConnected);
         }
         return side;
     }
@@ -112,11 +113,11 @@
             }
             int size = bytes.remaining();
             due.add(() -> {
-                box.written(size);
-                box.received(bytes(ANSWER));
-                EVENTS.forEach(e -> box.received(bytes(Integer.toHexString(e.length()) + "\r\n" + e
+                box.onWritten(size);
+                box.onReceived(bytes(ANSWER));
+                EVENTS.forEach(e -> box.onReceived(bytes(Integer.toHexString(e.length()) + "\r\n" + e
                         + "\r\n")));
-                box.received(bytes("0\r\n\r\n"));
+                box.onReceived(bytes("0\r\n\r\n"));
             });
         }
 
@@ -127,7 +128,7 @@
         @Override
         public void close() {
             if (answers != null) {
-                due.add(answers::down);
+                due.add(answers::onClosed);
             }
         }
     }
--- a/src/main/java/yewdock/daemon/NoOpConnection.java
+++ b/src/main/java/yewdock/daemon/NoOpConnection.java
@@ -21,23 +21,23 @@
     }
 
     @Override
-    public boolean hasUnheard() {
+    public boolean hasUndelivered() {
         return false;
     }
 
     @Override
-    public boolean closeUnlessUnheard() {
+    public boolean closeUnlessUndelivered() {
         close();
         return true;
     }
 
     @Override
-    public void linger() {
+    public void closeLingering() {
         close();
     }
 
     @Override
-    public void hold(boolean held) {
+    public void setReadingPaused(boolean held) {
         // never full
     }
 }
--- a/src/main/java/yewdock/daemon/OperatorClient.java
+++ b/src/main/java/yewdock/daemon/OperatorClient.java
@@ -21,9 +21,10 @@
      * exit code that the daemon gives; throws IOException if there is no daemon, or none that answers in
      * time.
      */
-    public static int ask(Path control, String command, List<String> words, long millis, Consumer<String> out)
+    public static int sendCommand(Path control, String command, List<String> words, long millis,
+            Consumer<String> out)
             throws IOException {
-        ControlConnection link = ControlConnection.to(control);
+        ControlConnection link = ControlConnection.inFolder(control);
         BlockingQueue<Frame> answers = new LinkedBlockingQueue<>();
         link.start("daemon", answers::add, why -> answers.add(Frame.getDefaultInstance()));
         link.send(Frame.newBuilder().setAsk(Ask.newBuilder().setCommand(command).addAllWords(words)).build());
--- a/src/main/java/yewdock/daemon/OperatorOverridesFile.java
+++ b/src/main/java/yewdock/daemon/OperatorOverridesFile.java
@@ -37,7 +37,7 @@
     static String text(Map<String, OperatorOverride> marks) {
         StringBuilder text = new StringBuilder(FIRST).append('\n');
         new TreeMap<>(marks).forEach((box, mark) -> text.append(mark.kind().name().toLowerCase(Locale.ROOT))
-                .append(' ').append(mark.at()).append(' ').append(box).append('\n'));
+                .append(' ').append(mark.atEpochMicros()).append(' ').append(box).append('\n'));
         return text.append(LAST).append(marks.size()).append('\n').toString();
     }
 
--- a/src/main/java/yewdock/daemon/PeerConnections.java
+++ b/src/main/java/yewdock/daemon/PeerConnections.java
@@ -53,7 +53,7 @@
         listener = ServerSocketChannel.open();
         listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
         try {
-            listener.bind(Addresses.of(settings.listen()));
+            listener.bind(Addresses.parse(settings.listen()));
         } catch (IOException e) {
             listener.close();
             throw new IOException("copies.listen: " + settings.listen() + ": " + e.getMessage(), e);
@@ -61,7 +61,7 @@
         begin("peers", this::accept);
         settings.peers().forEach((name, address) -> {
             if (settings.instance().compareTo(name) < 0) {
-                begin("call " + name, () -> call(name, Addresses.of(address)));
+                begin("call " + name, () -> call(name, Addresses.parse(address)));
             }
         });
     }
@@ -75,7 +75,7 @@
     private FramedConnection<PeerFrame> framed(SocketChannel channel) throws IOException {
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         return new FramedConnection<>(channel, PeerFrame.parser(), MOST_FRAME, MOST_WAITING,
-                settings.readMegabytes() * MEGA);
+                settings.readMegabytesPerSecond() * MEGA);
     }
 
     private void call(String name, InetSocketAddress address) {
@@ -133,7 +133,7 @@
         patience.start();
         try {
             FramedConnection<PeerFrame> link = framed(channel);
-            PeerFrame first = link.first();
+            PeerFrame first = link.readFirst();
             patience.interrupt();
             String name = first.getHello().getInstance();
             if (!settings.peers().containsKey(name) || settings.instance().compareTo(name) < 0) {
@@ -196,7 +196,7 @@
     void close(String peer) {
         FramedConnection<PeerFrame> link = links.remove(peer);
         if (link != null) {
-            begin("last words", () -> link.finish(LAST_WORDS_MILLIS));
+            begin("last words", () -> link.flushAndClose(LAST_WORDS_MILLIS));
         }
     }
 
--- a/src/main/java/yewdock/daemon/ProcessHandover.java
+++ b/src/main/java/yewdock/daemon/ProcessHandover.java
@@ -74,7 +74,7 @@
     private final OperatorOverridesFile marksFile;
     private final CompletableFuture<State> state = new CompletableFuture<>();
     private volatile Marks marksLeft;
-    private ControlConnection older;
+    private ControlConnection predecessor;
     private StateCodec.InheritedState left;
     private GenerationRouter router;
     private final List<Runnable> early = new ArrayList<>();
@@ -94,7 +94,7 @@
     /** The router of this configuration, whose processes have this folder; "" if they have none. */
     public ProcessHandover(String folder, Config config) {
         this.config = config;
-        this.address = config.listen();
+        this.address = config.listenAddress();
         Path base = folder.isEmpty() ? null : Path.of(folder).toAbsolutePath()
                 .resolve("yewdock-" + config.name().replaceAll("[^A-Za-z0-9_-]", "_"));
         this.marksFile = base == null ? null
@@ -104,39 +104,39 @@
     }
 
     /** Called as each stage of taking over is reached; stand-ins make it fail. */
-    protected void reached(Stage stage) {
+    protected void stageReached(Stage stage) {
         // nothing fails here
     }
 
     /** The connection to the older process; null if there is none. */
-    protected final ControlConnection older() {
-        return older;
+    protected final ControlConnection predecessor() {
+        return predecessor;
     }
 
     /** Looks for an older process and takes its state; any thread may call it, once, before all else. */
-    public final void find() {
+    public final void fetchPredecessorState() {
         if (socket == null || !Files.exists(socket)) {
             return;
         }
         try {
-            older = ControlConnection.at(socket);
+            predecessor = ControlConnection.connectTo(socket);
         } catch (IOException | RuntimeException e) {
             EventLog.info("succession.nobody", "why", e.getMessage());
             return;
         }
-        reached(Stage.CHECK);
-        older.start("older", this::heardOfOlder, why -> {
+        stageReached(Stage.CHECK);
+        predecessor.start("older", this::heardOfOlder, why -> {
             state.complete(State.getDefaultInstance());
             later(() -> olderGone(why));
         });
-        older.send(Frame.newBuilder().setHello(Hello.newBuilder().setProgram(
+        predecessor.send(Frame.newBuilder().setHello(Hello.newBuilder().setProgram(
                 String.valueOf(getClass().getPackage().getImplementationVersion()))).build());
-        older.send(Frame.newBuilder().setGiveState(GiveState.getDefaultInstance()).build());
+        predecessor.send(Frame.newBuilder().setGiveState(GiveState.getDefaultInstance()).build());
         try {
             left = StateCodec.read(state.get(STATE_MILLIS, TimeUnit.MILLISECONDS),
                     new MonotonicClock().getAsLong(),
                     System.nanoTime());
-            reached(Stage.STATE);
+            stageReached(Stage.STATE);
         } catch (TimeoutException | ExecutionException | UnreadableStateException e) {
             EventLog.warn("succession.no_state", "why", e.toString(), "now", "going on without");
         } catch (InterruptedException e) {
@@ -159,8 +159,8 @@
         }
         front = by;
         desk = of;
-        front.tellOthersBy(this::tell);
-        sockets.serveLater(this::begin, front, desk);
+        front.forwardGenerationEffectsTo(this::tell);
+        sockets.serveWithoutListening(this::begin, front, desk);
         if (newer == null && door != null) {
             delete();
         }
@@ -181,17 +181,17 @@
         Generation.begin(front, desk, config, left);
         Map<String, OperatorOverride> marks = marksLeft != null ? StateCodec.marks(marksLeft) : kept();
         if (!marks.isEmpty()) {
-            front.happened(new Event.OverridesReplaced(marks));
+            front.dispatch(new Event.OverridesReplaced(marks));
             EventLog.info("succession.marks", "boxes", marks.size());
         }
-        if (older == null) {
+        if (predecessor == null) {
             takeOver();
             return;
         }
-        front.happened(new Event.OlderGenerationChanged(OlderGeneration.SERVES));
-        reached(Stage.READY);
-        older.send(Frame.newBuilder().setShare(Share.getDefaultInstance()).build());
-        sockets.postAfter(SHARE_MILLIS, () -> {
+        front.dispatch(new Event.OlderGenerationChanged(OlderGeneration.SERVING));
+        stageReached(Stage.READY);
+        predecessor.send(Frame.newBuilder().setShare(Share.getDefaultInstance()).build());
+        sockets.postDelayed(SHARE_MILLIS, () -> {
             if (!tookOver) {
                 EventLog.warn("succession.silent", "now", "taking over all the same");
                 takeOver();
@@ -217,13 +217,15 @@
         tookOver = true;
         listen();
         awaitSuccessor();
-        front.happened(new Event.OlderGenerationChanged(older == null ? OlderGeneration.NONE
-                : OlderGeneration.FINISHES));
-        if (older != null) {
-            sockets.postAfter(Math.max(0, READY_MILLIS - age()),
-                    () -> front.happened(new Event.OlderGenerationChanged(OlderGeneration.NONE)));
-            older.send(Frame.newBuilder().setLetGo(LetGo.newBuilder().setLimitMicros(LET_GO_MICROS)).build());
-            EventLog.info("succession.took_over", "boxes", desk.holdings().boxes().boxes().size());
+        front.dispatch(new Event.OlderGenerationChanged(predecessor == null ? OlderGeneration.NONE
+                : OlderGeneration.FINISHING));
+        if (predecessor != null) {
+            sockets.postDelayed(Math.max(0, READY_MILLIS - age()),
+                    () -> front.dispatch(new Event.OlderGenerationChanged(OlderGeneration.NONE)));
+            predecessor.send(Frame.newBuilder().setLetGo(
+                    LetGo.newBuilder().setLimitMicros(LET_GO_MICROS)).build());
+            EventLog.info("succession.took_over", "boxes",
+                    desk.generationState().endpointList().servers().size());
         }
     }
 
@@ -244,7 +246,7 @@
 
     private void listen() {
         try {
-            address = sockets.listenBeside(address);
+            address = sockets.listenShared(address);
             listening = true;
         } catch (IOException e) {
             EventLog.warn("succession.no_listener", "address", address, "why", e.getMessage());
@@ -265,8 +267,8 @@
     private void fromOlder(Frame frame) {
         switch (frame.getWhatCase()) {
             case SHARING -> {
-                reached(Stage.SHARE);
-                front.happened(new Event.GenerationStateReceived(OLDER,
+                stageReached(Stage.SHARE);
+                front.dispatch(new Event.GenerationStateReceived(OLDER,
                         StateCodec.holdings(frame.getSharing())));
                 takeOver();
             }
@@ -278,9 +280,9 @@
 
     private void olderGone(String why) {
         EventLog.info("succession.older_gone", "why", why);
-        older = null;
-        front.happened(new Event.GenerationGone(OLDER));
-        front.happened(new Event.OlderGenerationChanged(OlderGeneration.NONE));
+        predecessor = null;
+        front.dispatch(new Event.GenerationGone(OLDER));
+        front.dispatch(new Event.OlderGenerationChanged(OlderGeneration.NONE));
         takeOver();
     }
 
@@ -344,9 +346,11 @@
         switch (frame.getWhatCase()) {
             case HELLO -> EventLog.info("succession.newer", "program", frame.getHello().getProgram());
             case GIVE_STATE -> {
-                newer.send(Frame.newBuilder().setMarks(StateCodec.marks(desk.marks(), false)).build());
+                newer.send(Frame.newBuilder().setMarks(StateCodec.marks(desk.operatorOverrides(),
+                        false)).build());
                 // each process counts from 0
-                newer.send(Frame.newBuilder().setState(StateCodec.write(desk.holdings(), router.memory(),
+                newer.send(Frame.newBuilder().setState(StateCodec.write(desk.generationState(),
+                        router.learnedState(),
                         Map.of(), sockets.clock().getAsLong(), System.nanoTime())).build());
             }
             case SHARE -> share(link, System.nanoTime());
@@ -358,8 +362,8 @@
                     listening = false;
                     sockets.stopAccepting();
                 }
-                EventLog.info("succession.lets_go", "open", desk.holdings().ids().size());
-                front.happened(new Event.HandedOver(frame.getLetGo().getLimitMicros()));
+                EventLog.info("succession.lets_go", "open", desk.generationState().requestIds().size());
+                front.dispatch(new Event.HandedOver(frame.getLetGo().getLimitMicros()));
             }
             default -> EventLog.warn("frame.unknown", "from", "newer", "frame", frame.getWhatCase());
         }
@@ -370,16 +374,16 @@
         if (link != newer) {
             return;
         }
-        if (older != null && System.nanoTime() - since < TimeUnit.MILLISECONDS.toNanos(FINISH_MILLIS)) {
-            sockets.postAfter(LOOK_MILLIS, () -> share(link, since));
+        if (predecessor != null && System.nanoTime() - since < TimeUnit.MILLISECONDS.toNanos(FINISH_MILLIS)) {
+            sockets.postDelayed(LOOK_MILLIS, () -> share(link, since));
             return;
         }
-        if (older != null) {
-            older.close();
+        if (predecessor != null) {
+            predecessor.close();
         }
         shared = true;
-        front.happened(new Event.HandoverStarted());
-        sockets.postAfter(TAKE_MILLIS, () -> {
+        front.dispatch(new Event.HandoverStarted());
+        sockets.postDelayed(TAKE_MILLIS, () -> {
             if (link == newer && !letGo) {
                 link.close();
                 newerGone(link, "it took the ids and then said nothing");
@@ -399,9 +403,9 @@
             return;
         }
         shared = false;
-        front.happened(new Event.GenerationGone(NEWER));
-        front.happened(new Event.HandoverAborted());
-        if (!listening && !desk.leaving()) {
+        front.dispatch(new Event.GenerationGone(NEWER));
+        front.dispatch(new Event.HandoverAborted());
+        if (!listening && !desk.isShuttingDown()) {
             listen();
             awaitSuccessor();
         }
@@ -412,31 +416,31 @@
     private void news(int who, News told) {
         GenerationMessage news = StateCodec.news(told);
         if (news != null) {
-            front.happened(new Event.GenerationMessageReceived(who, news));
+            front.dispatch(new Event.GenerationMessageReceived(who, news));
         }
     }
 
     private void changed(Marks marks) {
-        StateCodec.marks(marks).forEach((box, mark) -> front.happened(new Event.OverrideChanged(box, mark)));
+        StateCodec.marks(marks).forEach((box, mark) -> front.dispatch(new Event.OverrideChanged(box, mark)));
         keep();
     }
 
     private void tell(Effect effect) {
         if (effect instanceof Effect.SendGenerationState e) {
-            send(newer, Frame.newBuilder().setSharing(StateCodec.sharing(e.held())).build());
+            send(newer, Frame.newBuilder().setSharing(StateCodec.sharing(e.state())).build());
         } else if (effect instanceof Effect.PublishOverride e) {
-            Frame frame = Frame.newBuilder().setMarks(StateCodec.marks(Map.of(e.box(), e.mark()),
+            Frame frame = Frame.newBuilder().setMarks(StateCodec.marks(Map.of(e.server(), e.override()),
                     true)).build();
             send(newer, frame);
-            send(older, frame);
+            send(predecessor, frame);
             keep();
         } else if (effect instanceof Effect.SendToGenerations e) {
-            Frame frame = Frame.newBuilder().setNews(StateCodec.news(e.news())).build();
-            if (e.news() instanceof GenerationMessage.ClaimAnswer c) {
-                send(c.to() == OLDER ? older : newer, frame);
-            } else if (e.news() instanceof GenerationMessage.EndpointListRelayed) {
+            Frame frame = Frame.newBuilder().setNews(StateCodec.news(e.message())).build();
+            if (e.message() instanceof GenerationMessage.ClaimAnswer c) {
+                send(c.generation() == OLDER ? predecessor : newer, frame);
+            } else if (e.message() instanceof GenerationMessage.EndpointListRelayed) {
                 send(newer, frame);
-                send(older, frame);
+                send(predecessor, frame);
             } else {
                 send(newer, frame);
             }
@@ -454,7 +458,7 @@
             return;
         }
         try {
-            marksFile.write(desk.marks());
+            marksFile.write(desk.operatorOverrides());
         } catch (IOException e) {
             EventLog.warn("succession.marks_unwritten", "why", e.getMessage());
         }
--- a/src/main/java/yewdock/daemon/StandaloneRouter.java
+++ b/src/main/java/yewdock/daemon/StandaloneRouter.java
@@ -42,27 +42,28 @@
             Logger.error("the configuration can't be read: {}", e.toString());
             return 1;
         }
-        String operator = config.operator().isEmpty()
-                ? Objects.requireNonNullElse(System.getenv("PROXY_OPERATOR"), "") : config.operator();
+        String operator = config.operatorAddress().isEmpty()
+                ? Objects.requireNonNullElse(System.getenv("PROXY_OPERATOR"), "") : config.operatorAddress();
         Counters counters = new Counters();
         // only a router with a door for operators is replaced by a process beside it
         ProcessHandover succession = operator.isEmpty() ? null
                 : maker.make(Objects.requireNonNullElse(System.getenv("TMPDIR"), ""), config);
         if (succession != null) {
-            succession.find();
+            succession.fetchPredecessorState();
         }
-        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepalive()), config.bounds(),
+        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
+                config.bounds(),
                 counters,
                 actions -> succession == null
                         ? new BoundedLoadRouter(config.settings(), config.seed(), actions)
                         : succession.router(actions));
-        MinaTransport sockets = new MinaTransport(config.bounds().clients(),
+        MinaTransport sockets = new MinaTransport(config.bounds().maxClientConnections(),
                 config.settings().contract().drainGrace());
         ConnectionManager front = new ConnectionManager(config, desk, counters, sockets, sockets.clock(),
                 log);
         // The JVM ends when its hooks have: this one holds it until nothing is owed.
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            sockets.leave();
+            sockets.shutDownGracefully();
             Logger.info("counters at exit:\n{}", counters);
             shutLogger();
         }, "leave"));
@@ -74,7 +75,8 @@
         try {
             if (succession != null) {
                 AdminInterface door = new AdminInterface(front);
-                sockets.listenAlso(operator, AdminInterface.MOST_ACCEPTED, AdminInterface.PATIENCE_SECONDS,
+                sockets.listenForOperators(operator, AdminInterface.MAX_ACCEPTED_CONNECTIONS,
+                        AdminInterface.IDLE_TIMEOUT_SECONDS,
                         door::accept);
             }
         } catch (IOException | IllegalArgumentException e) {
@@ -83,12 +85,12 @@
         }
         try {
             if (succession == null) {
-                sockets.serve(config.listen(), front, desk);
+                sockets.serve(config.listenAddress(), front, desk);
             } else {
                 succession.serve(sockets, front, desk);
             }
         } catch (IOException e) {
-            Logger.error("can't listen on {}: {}", config.listen(), e.getMessage());
+            Logger.error("can't listen on {}: {}", config.listenAddress(), e.getMessage());
             Runtime.getRuntime().halt(1);
         }
         return 0;
--- a/src/main/java/yewdock/daemon/StateCodec.java
+++ b/src/main/java/yewdock/daemon/StateCodec.java
@@ -36,9 +36,10 @@
     }
 
     /** What a state holds for the next generation; memory is null if there is none to go on with. */
-    public record InheritedState(EndpointList boxes, String listAddress, Map<Long, Long> toldAt,
+    public record InheritedState(EndpointList endpointList, String listAddress, Map<Long,
+            Long> stateReportedAt,
             umberspread.LearnedState memory,
-            long shift, Map<String, Long> counters, boolean afterRestart) {
+            long clockShiftMicros, Map<String, Long> counters, boolean afterRestart) {
     }
 
     /** The state of a generation, as of this time on its clock and on the system's monotonic one. */
@@ -46,7 +47,8 @@
             Long> counters,
             long clock, long monoNanos) {
         return State.newBuilder().setVersion(VERSION).setLeastReader(LEAST_READER).setClock(clock)
-                .setMonoNanos(monoNanos).setBoxes(boxes(held.boxes(), held.listAddress(), held.toldAt()))
+                .setMonoNanos(monoNanos).setBoxes(boxes(held.endpointList(), held.discoveryAddress(),
+                        held.toldAt()))
                 .setModule(memory(memory)).putAllCounters(counters).build();
     }
 
@@ -105,7 +107,7 @@
     static Marks marks(Map<String, OperatorOverride> marks, boolean changes) {
         Marks.Builder all = Marks.newBuilder().setChanges(changes);
         marks.forEach((box, mark) -> all.putByBox(box,
-                Mark.newBuilder().setKind(kind(mark)).setStartedAt(mark.at()).build()));
+                Mark.newBuilder().setKind(kind(mark)).setStartedAt(mark.atEpochMicros()).build()));
         return all.build();
     }
 
@@ -123,9 +125,10 @@
     }
 
     static Sharing sharing(GenerationState held) {
-        Sharing.Builder all = Sharing.newBuilder().addAllIds(held.ids())
-                .setBoxes(boxes(held.boxes(), held.listAddress(), held.toldAt()));
-        held.out().forEach(o -> all.addOuts(Out.newBuilder().setToken(o.token()).setBox(o.box())));
+        Sharing.Builder all = Sharing.newBuilder().addAllIds(held.requestIds())
+                .setBoxes(boxes(held.endpointList(), held.discoveryAddress(), held.toldAt()));
+        held.attemptsInFlight().forEach(o ->
+                all.addOuts(Out.newBuilder().setToken(o.token()).setBox(o.server())));
         return all.build();
     }
 
@@ -139,9 +142,9 @@
     static News news(GenerationMessage n) {
         News.Builder news = News.newBuilder();
         if (n instanceof GenerationMessage.Claim c) {
-            news.setClaim(c.id()).setNumber(c.number());
+            news.setClaim(c.id()).setNumber(c.claimNumber());
         } else if (n instanceof GenerationMessage.ClaimAnswer c) {
-            news.setOf(c.to()).setNumber(c.number());
+            news.setOf(c.generation()).setNumber(c.claimNumber());
             if (c.granted()) {
                 news.setGranted(c.id());
             } else {
@@ -150,11 +153,11 @@
         } else if (n instanceof GenerationMessage.RequestReleased r) {
             news.setReleased(r.id());
         } else if (n instanceof GenerationMessage.AttemptSent s) {
-            news.setSent(Out.newBuilder().setToken(s.token()).setBox(s.box()));
+            news.setSent(Out.newBuilder().setToken(s.token()).setBox(s.server()));
         } else if (n instanceof GenerationMessage.AttemptEnded e) {
             news.setEnded(e.token());
         } else if (n instanceof GenerationMessage.EndpointListRelayed t) {
-            news.setBoxes(boxes(t.list(), t.address(), Map.of()));
+            news.setBoxes(boxes(t.list(), t.discoveryAddress(), Map.of()));
         }
         return news.build();
     }
@@ -177,7 +180,7 @@
     private static Boxes boxes(EndpointList list, String address, Map<Long, Long> toldAt) {
         Boxes.Builder all = Boxes.newBuilder().setVersion(list.version()).setFull(list.full())
                 .setAddress(address == null ? "" : address);
-        for (ModelServer box : list.boxes()) {
+        for (ModelServer box : list.servers()) {
             ServerState r = box.replica();
             all.addBoxes(Box.newBuilder().setName(box.name()).setAddress(box.address()).setId(r.id())
                     .setSite(r.zone()).setKind(r.kind()).setCell(r.cell()).setWeight(r.weight())
@@ -201,21 +204,23 @@
     }
 
     private static Memory memory(umberspread.LearnedState m) {
-        Memory.Builder all = Memory.newBuilder().setUnitWeight(m.unitWeight())
-                .setAverageWorth(m.averageWorth()).setSendTally(m.firstTokenTally()).setReadRate(m.readRate())
-                .setUnnamed(m.unnamed()).setPlannedAt(m.plannedAt()).addAllClassTime(m.classTime())
-                .putAllKindTime(m.kindTime()).addAllMunicipalityTally(m.tenantTally())
-                .addAllTaken(m.taken()).addAllFurther(m.further()).addAllPoolArrivals(m.poolArrivals());
-        for (umberspread.LearnedState.LearnedServer r : m.replicas()) {
+        Memory.Builder all = Memory.newBuilder().setUnitWeight(m.referenceWeight())
+                .setAverageWorth(m.averageWorth()).setSendTally(m.recentFirstTokens())
+                .setReadRate(m.prefillRate()).setUnnamed(m.unkeyedRequests()).setPlannedAt(m.plannedAt())
+                .addAllClassTime(m.classLatency()).putAllKindTime(m.kindLatencyRatio())
+                .addAllMunicipalityTally(m.tenantRequests()).addAllTaken(m.recentArrivals())
+                .addAllFurther(m.recentExtraAttempts()).addAllPoolArrivals(m.poolArrivals());
+        for (umberspread.LearnedState.LearnedServer r : m.servers()) {
             all.addNodes(NodeMemory.newBuilder().setId(r.id()).setPoints(r.points())
-                    .addAllRestUntil(r.restUntil()).addAllStrikes(r.strikes())
-                    .setEjectedUntil(r.ejectedUntil()).setEjections(r.ejections()).setBreaks(r.breaks())
-                    .setSlowUntil(r.slowUntil()).setLastDelay(r.lastDelay())
-                    .setColdBudgetAt(r.coldBudgetAt()).setBudgetedStart(r.budgetedStart()));
+                    .addAllRestUntil(r.classBackoffUntil()).addAllStrikes(r.classFailures())
+                    .setEjectedUntil(r.ejectedUntil()).setEjections(r.ejections())
+                    .setBreaks(r.consecutiveResets()).setSlowUntil(r.slowUntil())
+                    .setLastDelay(r.lastFirstTokenDelay()).setColdBudgetAt(r.nextColdSendAt())
+                    .setBudgetedStart(r.coldBudgetStart()));
         }
         for (umberspread.LearnedState.LearnedKey k : m.keys()) {
-            all.addKeys(KeyMemory.newBuilder().setKey(k.key()).setTally(k.tally()).setSpread(k.spread())
-                    .setPool(k.pool()));
+            all.addKeys(KeyMemory.newBuilder().setKey(k.key()).setTally(k.recentRequests())
+                    .setSpread(k.spread()).setPool(k.poolIndex()));
         }
         return all.build();
     }
--- a/src/main/java/yewdock/daemon/StateService.java
+++ b/src/main/java/yewdock/daemon/StateService.java
@@ -69,11 +69,11 @@
     StateService(OperatorSettings all, Consumer<Frame> toAll) throws IOException {
         this.settings = all.store();
         this.toAll = toAll;
-        String instance = all.copies().instance();
-        records = new ReplicatedRecords(instance, settings.mostRecords());
+        String instance = all.replication().instance();
+        records = new ReplicatedRecords(instance, settings.maxRecords());
         KeyValueStore.StoreOpener opening = () -> open(settings.folder());
-        Committer.CommitTiming pace = new Committer.CommitTiming(settings.gather() / 1000,
-                settings.retry() / 1000);
+        Committer.CommitTiming pace = new Committer.CommitTiming(settings.batchMicros() / 1000,
+                settings.reopenMicros() / 1000);
         Committer made;
         try {
             long began = System.nanoTime();
@@ -91,14 +91,14 @@
             made = new Committer(e, opening, pace, this::health);
         }
         committer = made;
-        keeping = new StateRecorder(records, settings.doubt());
-        replica = new Replicator(all.copies().cluster(), all.copies().peers().keySet(), records,
-                metaKept.getOrDefault(JOINED, 0L), all.copies().mostRemovals());
-        if (!all.copies().peers().isEmpty()) {
-            if (all.agreement().on()) {
+        keeping = new StateRecorder(records, settings.unconfirmedDrainMicros());
+        replica = new Replicator(all.replication().cluster(), all.replication().peers().keySet(), records,
+                metaKept.getOrDefault(JOINED, 0L), all.replication().maxTombstones());
+        if (!all.replication().peers().isEmpty()) {
+            if (all.consensus().enabled()) {
                 agreement = new ConsensusService(all, this::agreed);
             }
-            peers = new PeerConnections(all.copies(), this);
+            peers = new PeerConnections(all.replication(), this);
             if (agreement != null) {
                 agreement.begin(peers);
             }
@@ -112,9 +112,9 @@
     private static KeyValueStore open(Path folder) throws StoreException {
         try {
             RecordFile store = RecordFile.open(folder);
-            if (store.missing() > 0) {
-                EventLog.warn("store.rolled_back", "missing", store.missing(), "now", "as of commit "
-                        + store.number());
+            if (store.missingCommits() > 0) {
+                EventLog.warn("store.rolled_back", "missing", store.missingCommits(), "now", "as of commit "
+                        + store.lastCommitNumber());
             }
             return store;
         } catch (StoreException e) {
@@ -122,7 +122,8 @@
                 throw e;
             }
             try {
-                EventLog.warn("store.damaged", "why", e.getMessage(), "kept_as", RecordFile.setAside(folder));
+                EventLog.warn("store.damaged", "why", e.getMessage(), "kept_as",
+                        RecordFile.moveAside(folder));
             } catch (IOException moved) {
                 throw e;
             }
@@ -133,16 +134,16 @@
     private void load(KeyValueStore shelf) {
         Map<String, byte[]> all = shelf.all();
         all.forEach((key, bytes) -> {
-            if (!key.startsWith(RecordKeys.STORED)) {
+            if (!key.startsWith(RecordKeys.STORE_PREFIX)) {
                 metaKept.put(key, ByteBuffer.wrap(bytes).getLong());
             }
         });
         // before the records: the tombstones up to there are not missed
-        records.forget(metaKept.getOrDefault(HORIZON, 0L));
+        records.purgeTombstones(metaKept.getOrDefault(HORIZON, 0L));
         all.forEach((key, bytes) -> {
-            if (key.startsWith(RecordKeys.STORED)) {
+            if (key.startsWith(RecordKeys.STORE_PREFIX)) {
                 try {
-                    records.merge(ReplicatedRecords.read(bytes));
+                    records.merge(ReplicatedRecords.parse(bytes));
                 } catch (InvalidProtocolBufferException e) {
                     EventLog.warn("record.unreadable", "key", key, "why", e.getMessage());
                 }
@@ -171,23 +172,23 @@
             told(frame.getNews().getBoxes());
         } else if (frame.hasKeep()) {
             Keep keep = frame.getKeep();
-            keep(keeping.learnt(keep.getModule(), wall() - keep.getClock(), wall()));
+            keep(keeping.recordModuleMemory(keep.getModule(), wall() - keep.getClock(), wall()));
         }
     }
 
     private void told(Boxes news) {
-        Kept head = records.get(RecordKeys.list(records.instance()));
+        Kept head = records.get(RecordKeys.endpointList(records.instance()));
         boolean older = head != null && head.getList().getAddress().equals(news.getAddress())
                 && news.getVersion() < head.getList().getVersion();
         if (older && !news.getFull()) {
             // of a generation that finishes, and hears of the list later than the one that serves
             return;
         }
-        keep(keeping.told(news, 0, wall()));
+        keep(keeping.recordEndpointList(news, 0, wall()));
         if (agreement != null) {
             agreement.actsOn(news.getAddress(), news.getVersion());
         }
-        List<Kept> outlived = keeping.dropOutlived(wall());
+        List<Kept> outlived = keeping.dropOutdatedOverrides(wall());
         if (!outlived.isEmpty()) {
             keep(outlived);
             tellMarks();
@@ -196,7 +197,7 @@
 
     /** The configuration that is in force. */
     synchronized void applied(String text) {
-        Kept kept = keeping.applied(text, wall());
+        Kept kept = keeping.recordSettings(text, wall());
         if (kept != null) {
             keep(List.of(kept));
         }
@@ -215,10 +216,10 @@
     private long store(List<String> keys) {
         Map<String, byte[]> changes = new HashMap<>();
         for (String key : keys) {
-            Kept kept = records.raw(key);
-            changes.put(RecordKeys.STORED + key, kept == null ? null : ReplicatedRecords.bytes(kept));
+            Kept kept = records.getWithTombstones(key);
+            changes.put(RecordKeys.STORE_PREFIX + key, kept == null ? null : ReplicatedRecords.bytes(kept));
         }
-        meta(JOINED, replica.joined(), changes);
+        meta(JOINED, replica.lastSyncedStamp(), changes);
         meta(HORIZON, records.horizon(), changes);
         return committer.put(changes);
     }
@@ -234,7 +235,8 @@
 
     /** What a generation goes on with when none before it can tell; null if nothing is kept. */
     synchronized State state() {
-        State state = keeping.state(StateCodec.VERSION, StateCodec.LEAST_READER, wall(), System.nanoTime());
+        State state = keeping.restartState(StateCodec.VERSION, StateCodec.LEAST_READER, wall(),
+                System.nanoTime());
         return state == null ? null : state.toBuilder().setAfterRestart(true).build();
     }
 
@@ -245,7 +247,7 @@
 
     /** Those of operators here, and over them what is agreed. */
     private Frame marks() {
-        Map<String, Mark> all = new HashMap<>(keeping.marks());
+        Map<String, Mark> all = new HashMap<>(keeping.overrides());
         agreedOut.forEach(box -> all.put(box, Mark.newBuilder().setKind(Mark.Kind.DRAIN).setBy("agreement")
                 .build()));
         return Frame.newBuilder().setMarks(Marks.newBuilder().putAllByBox(all)).build();
@@ -302,11 +304,11 @@
     }
 
     private synchronized boolean isKnown(String box) {
-        return !keeping.known(box).isEmpty();
+        return !keeping.knownServers(box).isEmpty();
     }
 
     private synchronized void mark(String box, Mark.Kind kind, Consumer<Answer> answer) {
-        Mark before = keeping.marks().get(box);
+        Mark before = keeping.overrides().get(box);
         if (kind == Mark.Kind.NONE && before == null) {
             answer.accept(last(box + " has no mark", 1));
             return;
@@ -315,7 +317,7 @@
             answer.accept(last("no box of the name " + box + " is known", 1));
             return;
         }
-        long ticket = keep(List.of(keeping.mark(box, kind, records.instance(), wall())));
+        long ticket = keep(List.of(keeping.recordOverride(box, kind, records.instance(), wall())));
         tellMarks();
         String what = switch (kind) {
             case DRAIN -> "drains";
@@ -341,20 +343,21 @@
                 + "; records " + (records.size() - records.tombstones()) + ", removed "
                 + records.tombstones() + ", bytes " + records.bytes() + "; commits " + health.commits()
                 + ", failures " + health.failures() + ", waiting " + health.waiting());
-        Kept head = records.get(RecordKeys.list(records.instance()));
+        Kept head = records.get(RecordKeys.endpointList(records.instance()));
         if (head != null) {
             lines.add("list: version " + head.getList().getVersion() + " of " + head.getList().getAddress()
                     + ", told " + ago(head.getWall()));
         }
-        keeping.marks().forEach((box, mark) -> {
-            Kept kept = records.raw(RecordKeys.mark(box));
+        keeping.overrides().forEach((box, mark) -> {
+            Kept kept = records.getWithTombstones(RecordKeys.override(box));
             lines.add("mark: " + box + " " + mark.getKind().name().toLowerCase(Locale.ROOT) + ", by "
                     + mark.getBy() + " " + ago(kept.getWall()));
         });
         for (String instance : instances()) {
-            lines.add("boxes told to " + instance + ": " + records.prefix(RecordKeys.boxes(instance)).size());
+            lines.add("boxes told to " + instance + ": "
+                    + records.withPrefix(RecordKeys.serversPrefix(instance)).size());
         }
-        for (Replicator.PeerStatus s : replica.standings()) {
+        for (Replicator.PeerStatus s : replica.peerStatuses()) {
             lines.add("peer " + s.peer() + ": " + (s.up() ? "up" : "down (" + s.trouble() + ")")
                     + ", equal " + (s.equalAt() == 0 ? "never" : ago(s.equalAt())) + ", waiting "
                     + s.waiting() + ", sent " + s.sent() + ", got " + s.got());
@@ -364,7 +367,7 @@
 
     private TreeSet<String> instances() {
         TreeSet<String> found = new TreeSet<>();
-        records.prefix(RecordKeys.allBoxes()).forEach(k -> found.add(k.getKey().split("/")[1]));
+        records.withPrefix(RecordKeys.allServersPrefix()).forEach(k -> found.add(k.getKey().split("/")[1]));
         return found;
     }
 
@@ -402,7 +405,7 @@
             while (true) {
                 TimeUnit.MILLISECONDS.sleep(TICK_MILLIS);
                 synchronized (this) {
-                    if (wall() >= replica.nextDue()) {
+                    if (wall() >= replica.nextTickDue()) {
                         reduce(new ReplicationEvent.Tick());
                         store(List.of());
                     }
@@ -421,7 +424,7 @@
                 peers.close(e.peer());
             } else if (effect instanceof ReplicationEffect.StoreRecords e) {
                 store(e.keys());
-                if (e.keys().stream().anyMatch(k -> k.startsWith(RecordKeys.marks()))) {
+                if (e.keys().stream().anyMatch(k -> k.startsWith(RecordKeys.overridesPrefix()))) {
                     tellMarks();
                 }
             } else if (effect instanceof ReplicationEffect.LogEvent e) {
--- a/src/main/java/yewdock/daemon/Supervisor.java
+++ b/src/main/java/yewdock/daemon/Supervisor.java
@@ -54,7 +54,7 @@
     private static final Set<String> MARKING = Set.of("drain", "undrain", "mark-gone");
 
     private final OperatorSettings settings;
-    private final List<String> usual;
+    private final List<String> defaultMainCommand;
     private final SupervisorReducer upgrade;
     private final MonotonicClock clock = new MonotonicClock();
     private final BlockingQueue<SupervisorEvent> events = new LinkedBlockingQueue<>();
@@ -74,39 +74,39 @@
     /** A keeper whose generations run this main class with these words, where an upgrade names no other. */
     public Supervisor(OperatorSettings settings, List<String> usual) {
         this.settings = settings;
-        this.usual = List.copyOf(usual);
+        this.defaultMainCommand = List.copyOf(usual);
         OperatorSettings.UpgradeSettings u = settings.upgrade();
-        UpgradeLimits limits = new UpgradeLimits(Map.of(Stage.START, u.start(),
-                Stage.CHECK, u.check(), Stage.STATE, u.state(),
-                Stage.READY, u.ready(), Stage.SHARE, u.share(),
-                Stage.TAKE, u.take(), Stage.GO, u.go(), Stage.LET_GO, u.letGo()),
-                u.finish(), u.mostFinishing());
+        UpgradeLimits limits = new UpgradeLimits(Map.of(Stage.START, u.startMicros(),
+                Stage.CHECK, u.checkMicros(), Stage.STATE, u.stateMicros(),
+                Stage.READY, u.readyMicros(), Stage.SHARE, u.shareMicros(),
+                Stage.TAKE, u.takeMicros(), Stage.GO, u.goMicros(), Stage.LET_GO, u.letGoMicros()),
+                u.finishMicros(), u.maxFinishing());
         this.upgrade = new SupervisorReducer(limits);
     }
 
     /** Listens, starts the first generation and keeps until the last has ended; returns the exit code. */
     public int run() throws IOException {
-        Config config = Config.read(Files.readString(settings.daemon().config()), line -> { });
+        Config config = Config.read(Files.readString(settings.daemon().configFile()), line -> { });
         openControl();
-        if (settings.store().on()) {
+        if (settings.store().enabled()) {
             archive = new StateService(settings, frame -> links.values().forEach(link -> link.send(frame)));
-            archive.applied(Files.readString(settings.daemon().config()));
+            archive.applied(Files.readString(settings.daemon().configFile()));
         }
-        listener = InheritedListener.asStandardInput(Addresses.of(config.listen()));
+        listener = InheritedListener.asStandardInput(Addresses.parse(config.listenAddress()));
         EventLog.info("keeper.listens", "address", listener.getLocalAddress(), "control",
-                ControlConnection.socketIn(settings.daemon().control()));
+                ControlConnection.socketIn(settings.daemon().controlFolder()));
         Thread accepting = new Thread(this::acceptControl, "control");
         accepting.setDaemon(true);
         accepting.start();
-        ConfigurationFile configurationFile = ConfigurationFile.at(settings.daemon().config());
+        ConfigurationFile configurationFile = ConfigurationFile.at(settings.daemon().configFile());
         configurationFile.readBy(() -> {
             events.add(new SupervisorEvent.ReloadRequested());
-            return StandaloneRouter.isReadable(settings.daemon().config());
+            return StandaloneRouter.isReadable(settings.daemon().configFile());
         });
         if (!configurationFile.takesSignal()) {
             EventLog.warn("configuration.looked_at", "why",
                     "SIGHUP was ignored when this process was started",
-                    "file", settings.daemon().config());
+                    "file", settings.daemon().configFile());
         }
         Thread leave = new Thread(() -> {
             events.add(new SupervisorEvent.ShutdownRequested());
@@ -117,13 +117,13 @@
             }
         }, "leave");
         Runtime.getRuntime().addShutdownHook(leave);
-        String program = settings.daemon().program();
+        String program = settings.daemon().classPath();
         events.add(new SupervisorEvent.ListenerOpened(List.of(program.isEmpty() ? ownProgram() : program)));
         while (exit < 0) {
             keepOn();
         }
         control.close();
-        Files.deleteIfExists(ControlConnection.socketIn(settings.daemon().control()));
+        Files.deleteIfExists(ControlConnection.socketIn(settings.daemon().controlFolder()));
         if (archive != null) {
             archive.close();
         }
@@ -134,7 +134,7 @@
 
     private void keepOn() {
         try {
-            long wait = Math.max(0, Math.min(upgrade.nextDue() - clock.getAsLong(), LONGEST_SLEEP));
+            long wait = Math.max(0, Math.min(upgrade.nextTimerDue() - clock.getAsLong(), LONGEST_SLEEP));
             SupervisorEvent event = events.poll(wait, TimeUnit.MICROSECONDS);
             if (event instanceof SupervisorEvent.ProcessEnded gone) {
                 processes.remove(gone.generation());
@@ -146,7 +146,7 @@
             if (event != null) {
                 upgrade.reduce(event, clock.getAsLong()).forEach(this::perform);
             }
-            if (upgrade.nextDue() <= clock.getAsLong()) {
+            if (upgrade.nextTimerDue() <= clock.getAsLong()) {
                 upgrade.reduce(new SupervisorEvent.Tick(), clock.getAsLong()).forEach(this::perform);
             }
         } catch (InterruptedException e) {
@@ -158,7 +158,7 @@
     private void applied() {
         if (archive != null) {
             try {
-                String text = Files.readString(settings.daemon().config());
+                String text = Files.readString(settings.daemon().configFile());
                 Config.read(text, line -> { });
                 archive.applied(text);
             } catch (IOException | IllegalArgumentException e) {
@@ -179,14 +179,14 @@
     // ---- the control socket
 
     private void openControl() throws IOException {
-        Path folder = settings.daemon().control();
+        Path folder = settings.daemon().controlFolder();
         Files.createDirectories(folder);
         Files.setPosixFilePermissions(folder, PosixFilePermissions.fromString("rwx------"));
         Path socket = ControlConnection.socketIn(folder);
         if (Files.exists(socket)) {
             // left by a daemon that was killed, or held by one that lives
             try {
-                ControlConnection.to(folder).close();
+                ControlConnection.inFolder(folder).close();
                 throw new IOException("a daemon runs already, its control socket is " + socket);
             } catch (IOException e) {
                 if (e.getMessage().startsWith("a daemon runs")) {
@@ -322,7 +322,7 @@
             EventLog.info(e.event(), e.fields());
         } else if (effect instanceof SupervisorEffect.ExitSupervisor e) {
             exit = e.exit();
-            operators.values().forEach(link -> link.finish(LAST_WORDS_MILLIS));
+            operators.values().forEach(link -> link.flushAndClose(LAST_WORDS_MILLIS));
         }
     }
 
@@ -339,24 +339,24 @@
     private void start(int number, List<String> program) {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        command.addAll(settings.daemon().java());
+        command.addAll(settings.daemon().jvmFlags());
         command.addAll(List.of("-cp", program.get(0)));
         command.addAll(program.size() > 1 ? program.subList(1, program.size())
-                : usual);
+                : defaultMainCommand);
         byte[] bytes = new byte[SECRET_BYTES];
         random.nextBytes(bytes);
         secrets.put(number, HexFormat.of().formatHex(bytes));
         ProcessBuilder builder = new ProcessBuilder(command).inheritIO();
         builder.environment().put(GENERATION, Integer.toString(number));
         builder.environment().put(SECRET, secrets.get(number));
-        builder.environment().put(CONTROL, settings.daemon().control().toAbsolutePath().toString());
+        builder.environment().put(CONTROL, settings.daemon().controlFolder().toAbsolutePath().toString());
         if (archive != null) {
             builder.environment().put(KEEPS, "1");
         }
-        if (settings.agreement().on()) {
+        if (settings.consensus().enabled()) {
             builder.environment().put(AGREES, "1");
         }
-        builder.environment().put("PROXY_CONFIG", settings.daemon().config().toString());
+        builder.environment().put("PROXY_CONFIG", settings.daemon().configFile().toString());
         builder.environment().put("YEWDOCK_LOG", settings.log().form());
         try {
             Process process = builder.start();
--- a/src/main/java/yewdock/logging/EventLog.java
+++ b/src/main/java/yewdock/logging/EventLog.java
@@ -18,15 +18,15 @@
     }
 
     /** Sets the form of the lines to come. */
-    public static void as(LogFormat form) {
-        TinylogProvider.as(form);
+    public static void setFormat(LogFormat form) {
+        TinylogProvider.setFormat(form);
     }
 
     /**
      * Of what libraries say on this thread, only errors count from now on: one of them tells its every step.
      */
-    public static void onlyEvents() {
-        TinylogProvider.onlyEvents();
+    public static void muteLibraryLogs() {
+        TinylogProvider.muteLibraryLogs();
     }
 
     /** A line with fields given as name and value by turns. */
--- a/src/main/java/yewdock/logging/TinylogProvider.java
+++ b/src/main/java/yewdock/logging/TinylogProvider.java
@@ -28,11 +28,11 @@
     private final Context context = new Context();
     private final TimeZone zone = TimeZone.getDefault();
 
-    static void as(EventLog.LogFormat next) {
+    static void setFormat(EventLog.LogFormat next) {
         form = next;
     }
 
-    static void onlyEvents() {
+    static void muteLibraryLogs() {
         ONLY_EVENTS.set(true);
     }
 
--- a/src/main/java/yewdock/model/Host.java
+++ b/src/main/java/yewdock/model/Host.java
@@ -241,7 +241,7 @@
                         + " its final answer");
                 t.answered = true;
                 open.remove(t.id);
-                tell(() -> router.requestGone(now(), t.id));
+                tell(() -> router.requestAbandoned(now(), t.id));
                 t.client.gone(t);
             }
         });
@@ -448,7 +448,7 @@
     }
 
     @Override
-    public void followList() {
+    public void watchEndpointList() {
         int began = life;
         world.calendar.after(delay(0), () -> {
             if (life == began) {
--- a/src/main/java/yewdock/platform/ClientConnectionHandler.java
+++ b/src/main/java/yewdock/platform/ClientConnectionHandler.java
@@ -57,17 +57,17 @@
     }
 
     @Override
-    public void up() {
+    public void onConnected() {
         // a client's connection is up from the first
     }
 
     @Override
-    public void received(ByteBuffer bytes) {
-        received(bytes, Arrival.at(front.now()));
+    public void onReceived(ByteBuffer bytes) {
+        onReceived(bytes, Arrival.at(front.now()));
     }
 
     @Override
-    public void received(ByteBuffer bytes, Arrival arrival) {
+    public void onReceived(ByteBuffer bytes, Arrival arrival) {
         if (closing) {
             return;
         }
@@ -87,22 +87,22 @@
         try {
             while (!busy && !closing && !ahead.isEmpty()) {
                 ByteBuffer next = ahead.peek().bytes;
-                boolean fresh = reader.untouched();
+                boolean fresh = reader.atMessageStart();
                 aheadBytes -= next.remaining();
                 try {
                     reader.read(next);
                 } finally {
                     aheadBytes += next.remaining();
-                    if (fresh && !reader.untouched()) {
+                    if (fresh && !reader.atMessageStart()) {
                         requestArrival = ahead.peek().when;
-                        front.happened(new Event.ClientRequestStarted(id));
+                        front.dispatch(new Event.ClientRequestStarted(id));
                     }
                 }
                 if (!next.hasRemaining()) {
                     ahead.poll();
                 }
-                if (reader.done()) {
-                    reader.next();
+                if (reader.isComplete()) {
+                    reader.startNext();
                     whole();
                 }
             }
@@ -138,8 +138,8 @@
     void giveUp() {
         if (closing) {
             wire.close();
-        } else if (reader.untouched()) {
-            closing = wire.closeUnlessUnheard();
+        } else if (reader.atMessageStart()) {
+            closing = wire.closeUnlessUndelivered();
         } else {
             front.counters().add("requests.malformed");
             turnDown(408, "the request did not come in time");
@@ -150,7 +150,7 @@
     public void head(MessageHead read) {
         head = read;
         body = new ByteArrayOutputStream();
-        if (read.says("Expect", "100-continue")) {
+        if (read.hasToken("Expect", "100-continue")) {
             write("HTTP/1.1 100 Continue\r\n\r\n");
         }
     }
@@ -186,13 +186,13 @@
             case ClientRequest.PATH -> {
                 if (!head.method().equals("POST")) {
                     answer(405, "POST only\n", "Allow: POST\r\n");
-                } else if (!head.third().equals("HTTP/1.1")) {
+                } else if (!head.startLineThird().equals("HTTP/1.1")) {
                     throw new BadMessageException(505, "streams need HTTP/1.1");
                 } else {
                     request = new ClientRequest(head, body.toByteArray());
                     forgetBody();
                     ModelRequest read = request.read(front.names(), requestArrival, front.now());
-                    front.happened(new Event.RequestReceived(id, read));
+                    front.dispatch(new Event.RequestReceived(id, read));
                 }
             }
             case "/ready" -> {
@@ -275,7 +275,7 @@
         if (closing || overrun) {
             closing = true;
             if (turnedDown || overrun) {
-                wire.linger();
+                wire.closeLingering();
             } else {
                 wire.closeAfterWriting();
             }
@@ -285,18 +285,18 @@
             closeIfIdle();
             return;
         }
-        front.happened(new Event.ClientIdle(id));
+        front.dispatch(new Event.ClientIdle(id));
         readOn();
     }
 
     /** Whether a request is read in part or may be read already, or is open. */
     boolean midway() {
-        return busy || !closing && (!reader.untouched() || !ahead.isEmpty() || wire.hasUnheard());
+        return busy || !closing && (!reader.atMessageStart() || !ahead.isEmpty() || wire.hasUndelivered());
     }
 
     void closeIfIdle() {
         if (!closing && !midway()) {
-            closing = wire.closeUnlessUnheard();
+            closing = wire.closeUnlessUndelivered();
         }
     }
 
@@ -305,22 +305,22 @@
     }
 
     @Override
-    public void written(int bytes) {
+    public void onWritten(int bytes) {
         if (busy && begun) {
-            front.happened(new Event.ClientBytesWritten(id, bytes));
+            front.dispatch(new Event.ClientBytesWritten(id, bytes));
         }
     }
 
     /** It has lingered long enough. */
     @Override
-    public void idle() {
+    public void onIdle() {
         if (closing) {
             wire.close();
         }
     }
 
     @Override
-    public void down() {
+    public void onClosed() {
         closing = true;
         forgetBody();
         front.clientClosed(id);
--- a/src/main/java/yewdock/platform/ClientRequest.java
+++ b/src/main/java/yewdock/platform/ClientRequest.java
@@ -24,7 +24,7 @@
     ModelRequest read(NameIndexes names, Arrival arrival, long now) throws BadMessageException {
         String id = required("X-Correlation-Id");
         int requestClass = place(names.classes(), "X-Service-Class");
-        int municipality = names.municipalities().isEmpty() ? 0 : place(names.municipalities(), "X-Account");
+        int municipality = names.tenants().isEmpty() ? 0 : place(names.tenants(), "X-Account");
         double seconds = Numbers.decimal(required("X-Time-Left"));
         if (!(seconds <= LONGEST)) {
             throw new BadMessageException(BAD, "X-Time-Left is malformed");
--- a/src/main/java/yewdock/platform/Config.java
+++ b/src/main/java/yewdock/platform/Config.java
@@ -17,8 +17,9 @@
  * What the router is told at its start. keepalive is in microseconds; operator is where operators call, or ""
  * where they don't.
  */
-public record Config(String name, String listen, String operator, String discovery, long seed, long keepalive,
-        Routing.Settings settings, NameIndexes names, ResourceLimits bounds, EndpointList known) {
+public record Config(String name, String listenAddress, String operatorAddress, String discoveryAddress,
+        long seed, long keepaliveMicros,
+        Routing.Settings settings, NameIndexes names, ResourceLimits bounds, EndpointList cachedEndpoints) {
     private static final double MICROS = 1e6;
     /** What a configuration without limits is taken to allow: the most that a router gets. */
     private static final int SOCKETS = 1024;
@@ -63,27 +64,27 @@
                 s.getInt("zone"), classes, tenants, s.optDouble("over_share_worth", 1),
                 s.getString("discovery").equals("ask"), limits, contract, prices);
         String discovery = all.getString("discovery");
-        Addresses.of(discovery);
-        Addresses.of(all.getString("listen"));
+        Addresses.parse(discovery);
+        Addresses.parse(all.getString("listen"));
         String operator = all.optString("operator", "");
         if (!operator.isEmpty()) {
-            Addresses.of(operator);
+            Addresses.parse(operator);
         }
         JSONObject known = all.optJSONObject("known");
         return new Config(all.getString("name"), all.getString("listen"), operator, discovery,
                 Long.parseUnsignedLong(all.getString("seed"), 16), time(l, "keepalive"), settings, names,
                 bounds(all.optJSONObject("limits", new JSONObject())),
-                known == null ? EndpointList.NOTHING : new EndpointListReader(names, log).read(known));
+                known == null ? EndpointList.UNKNOWN : new EndpointListReader(names, log).read(known));
     }
 
     /** Names what in the next configuration differs from this one and counts only from a start on. */
     List<String> startsAnew(Config next) {
         List<String> waits = new ArrayList<>();
         differs("name", name, next.name, waits);
-        differs("listen", listen, next.listen, waits);
-        differs("operator", operator, next.operator, waits);
+        differs("listen", listenAddress, next.listenAddress, waits);
+        differs("operator", operatorAddress, next.operatorAddress, waits);
         differs("limits", bounds, next.bounds, waits);
-        differs("keepalive", keepalive, next.keepalive, waits);
+        differs("keepalive", keepaliveMicros, next.keepaliveMicros, waits);
         differs("settings", settings, next.settings, waits);
         differs("names in settings", names, next.names, waits);
         return waits;
--- a/src/main/java/yewdock/platform/Connection.java
+++ b/src/main/java/yewdock/platform/Connection.java
@@ -17,21 +17,21 @@
     void closeAfterWriting();
 
     /** Whether bytes have been read of which the side has yet to hear. */
-    boolean hasUnheard();
+    boolean hasUndelivered();
 
     /**
      * Closes a connection on which nothing is asked, unless it has unheard bytes: a request that was read
      * must be answered. Tells whether it closes.
      */
-    boolean closeUnlessUnheard();
+    boolean closeUnlessUndelivered();
 
     /**
      * Ends a connection whose other side may still be sending what was turned down: closing on unread
      * bytes could lose the answer. What still comes is dropped until the other side has closed, or for a
      * second.
      */
-    void linger();
+    void closeLingering();
 
     /** Stops reading, or goes on. */
-    void hold(boolean held);
+    void setReadingPaused(boolean held);
 }
--- a/src/main/java/yewdock/platform/ConnectionManager.java
+++ b/src/main/java/yewdock/platform/ConnectionManager.java
@@ -66,32 +66,32 @@
 
     /** The first event: the configuration tells what is known. */
     public void start() {
-        start(config.known());
+        start(config.cachedEndpoints());
     }
 
     /** The first event, with a list that is newer than the configuration's. */
     public void start(EndpointList known) {
         lists.remember(known);
-        happened(new Event.Started(known, config.discovery()));
+        dispatch(new Event.Started(known, config.discoveryAddress()));
     }
 
     /** Where the effects go that concern other generations of this router. */
-    public void tellOthersBy(Consumer<Effect> teller) {
+    public void forwardGenerationEffectsTo(Consumer<Effect> teller) {
         others = teller;
     }
 
     /** Where the answers to operators' calls go. */
-    public void answerCallsBy(Consumer<Effect> answerer) {
+    public void forwardOperatorAnswersTo(Consumer<Effect> answerer) {
         calls = answerer;
     }
 
     /** A new configuration: what can be taken while requests are open is, the rest is named in the log. */
     public void reconfigure(Config next) {
         List<String> waits = config.startsAnew(next);
-        log.accept("new configuration: the box list is at " + next.discovery()
+        log.accept("new configuration: the box list is at " + next.discoveryAddress()
                 + (waits.isEmpty() ? "" : "; not taken before a restart: " + String.join(", ", waits)));
         config = next;
-        happened(new Event.DiscoveryAddressChanged(next.discovery()));
+        dispatch(new Event.DiscoveryAddressChanged(next.discoveryAddress()));
     }
 
     /** A client has connected. */
@@ -99,7 +99,7 @@
         counters.add("clients.accepted");
         ClientConnectionHandler side = new ClientConnectionHandler(this, ++lastClient, wire);
         clients.put(lastClient, side);
-        happened(new Event.ClientConnected(lastClient));
+        dispatch(new Event.ClientConnected(lastClient));
         return side;
     }
 
@@ -107,7 +107,7 @@
      * Takes an event to the desk and does what it asks for. What happens while that is being done waits its
      * turn: a client's next request must not overtake the rest of what the last one's end brings.
      */
-    public void happened(Event event) {
+    public void dispatch(Event event) {
         waiting.add(event);
         if (working) {
             return;
@@ -123,7 +123,7 @@
         // A request half read when the desk owes nothing would be lost by stopping now.
         if (stopAsked && clients.values().stream().noneMatch(ClientConnectionHandler::midway)) {
             stopAsked = false;
-            if (desk.lettingGo()) {
+            if (desk.isHandedOver()) {
                 // what the list tells from now on would be told to nobody
                 hangUpList();
                 hangUpListAside();
@@ -146,33 +146,33 @@
         if (effect instanceof Effect.ForwardChunk e) {
             client(e.client(), c -> c.passOn(e.bytes()));
         } else if (effect instanceof Effect.SendAttempt e) {
-            ServerConnectionHandler line = lines.get(e.line());
+            ServerConnectionHandler line = lines.get(e.connection());
             ClientConnectionHandler client = clients.get(e.client());
             if (line != null && client != null) {
-                line.send(client.request(), e.patience());
+                line.send(client.request(), e.timeoutMicros());
             }
         } else if (effect instanceof Effect.EndResponse e) {
             client(e.client(), ClientConnectionHandler::endAnswer);
         } else if (effect instanceof Effect.OpenServerConnection e) {
             wires.connect(e.address(), wire -> {
-                ServerConnectionHandler side = new ServerConnectionHandler(this, e.line(), wire);
-                lines.put(e.line(), side);
+                ServerConnectionHandler side = new ServerConnectionHandler(this, e.connection(), wire);
+                lines.put(e.connection(), side);
                 return side;
             });
         } else if (effect instanceof Effect.CloseServerConnection e) {
-            ServerConnectionHandler line = lines.get(e.line());
+            ServerConnectionHandler line = lines.get(e.connection());
             if (line != null) {
                 line.close();
             }
         } else if (effect instanceof Effect.PauseReading e) {
-            ServerConnectionHandler line = lines.get(e.line());
+            ServerConnectionHandler line = lines.get(e.connection());
             if (line != null) {
-                line.hold(e.held());
+                line.hold(e.paused());
             }
         } else if (effect instanceof Effect.AbortResponse e) {
             client(e.client(), ClientConnectionHandler::cutOff);
         } else if (effect instanceof Effect.Refuse e) {
-            client(e.client(), c -> c.refuse(e.retryAfter()));
+            client(e.client(), c -> c.refuse(e.retryAfterMicros()));
         } else if (effect instanceof Effect.Fail e) {
             client(e.client(), ClientConnectionHandler::fail);
         } else if (effect instanceof Effect.CallDiscovery e) {
@@ -194,7 +194,7 @@
                 || effect instanceof Effect.PublishOverride) {
             others.accept(effect);
         } else if (effect instanceof Effect.Log e) {
-            log.accept(e.line());
+            log.accept(e.message());
         } else if (effect instanceof Effect.Stop) {
             stopAsked = true;
         }
@@ -219,7 +219,7 @@
             list = wires.connectToDiscovery(e.address(),
                     wire -> new DiscoveryConnectionHandler(this, lists, e.address(), wire));
         }
-        list.ask(e.since(), e.longest());
+        list.ask(e.sinceVersion(), e.maxWaitMicros());
     }
 
     private void setListCallAside() {
@@ -250,10 +250,10 @@
     void listCame(DiscoveryConnectionHandler side, EndpointList answer) {
         if (side != listAside) {
             answeredSinceAside = true;
-            happened(new Event.EndpointListReceived(answer));
+            dispatch(new Event.EndpointListReceived(answer));
         } else if (answeredSinceAside) {
             hangUpListAside();
-            happened(new Event.LateEndpointListReceived(answer));
+            dispatch(new Event.LateEndpointListReceived(answer));
         } else {
             counters.add("list.late_answers");
             if (list != null && !list.isAsked()) {
@@ -262,7 +262,7 @@
             listAside = list;
             list = side;
             answeredSinceAside = true;
-            happened(new Event.EndpointListReceived(answer));
+            dispatch(new Event.EndpointListReceived(answer));
         }
     }
 
@@ -274,7 +274,7 @@
             listAside = null;
         }
         answeredSinceAside = true;
-        happened(late ? new Event.LateEndpointListReceived(answer) : new Event.EndpointListReceived(answer));
+        dispatch(late ? new Event.LateEndpointListReceived(answer) : new Event.EndpointListReceived(answer));
     }
 
     /** A call for the list has failed; where it was set aside, another one is out or will be. */
@@ -282,7 +282,7 @@
         if (side == listAside) {
             hangUpListAside();
         } else {
-            happened(new Event.DiscoveryCallFailed());
+            dispatch(new Event.DiscoveryCallFailed());
         }
     }
 
@@ -294,12 +294,12 @@
 
     void clientClosed(long id) {
         clients.remove(id);
-        happened(new Event.ClientDisconnected(id));
+        dispatch(new Event.ClientDisconnected(id));
     }
 
     void lineClosed(long id) {
         lines.remove(id);
-        happened(new Event.ServerDisconnected(id));
+        dispatch(new Event.ServerDisconnected(id));
     }
 
     /** Counts more, or with a negative number less, of bodies coming in; false if that is too much. */
@@ -310,7 +310,7 @@
 
     /** Whether answers should tell clients to close, and idle ones be closed. */
     boolean leaving() {
-        return desk.leaving() || desk.lettingGo() || desk.quiesced();
+        return desk.isShuttingDown() || desk.isHandedOver() || desk.isQuiesced();
     }
 
     /** Whether connections end with their answers, also with those that did not say so. */
@@ -320,7 +320,7 @@
 
     /** Why this router is not ready; empty if it is. */
     String unready() {
-        return desk.unready();
+        return desk.notReadyReason();
     }
 
     /** The router's time. */
--- a/src/main/java/yewdock/platform/DeploymentSummary.java
+++ b/src/main/java/yewdock/platform/DeploymentSummary.java
@@ -39,16 +39,17 @@
         Routing.Limits limits = s.limits();
         Routing.Contract contract = s.contract();
         List<String> lines = new ArrayList<>();
-        lines.add("box list: " + (s.askForList() ? "asked, at least every " + seconds(contract.askWithin())
+        lines.add("box list: " + (s.pullsEndpointList() ? "asked, at least every "
+                + seconds(contract.maxDiscoveryInterval())
                 : "pushed to an agent, watched from the start"));
         lines.add("drain grace: " + seconds(contract.drainGrace()));
-        lines.add("tries of a request: " + limits.maxAttempts() + " at most, " + (limits.mayDuplicate()
+        lines.add("tries of a request: " + limits.maxAttempts() + " at most, " + (limits.allowsHedging()
                 ? "two may be out together for " + copied(s) : "one out at a time"));
-        lines.add("tries beyond the first: " + (contract.attempts().window() == 0
-                ? "no contract, bounded all the same" : "at most " + contract.attempts().free() + " and "
-                + contract.attempts().ratio() + " for each request within "
-                + seconds(contract.attempts().window())));
-        lines.add("giving a try up: " + (limits.cancelling() ? "allowed" : "not allowed"));
+        lines.add("tries beyond the first: " + (contract.attemptBudget().window() == 0
+                ? "no contract, bounded all the same" : "at most " + contract.attemptBudget().free() + " and "
+                + contract.attemptBudget().ratio() + " for each request within "
+                + seconds(contract.attemptBudget().window())));
+        lines.add("giving a try up: " + (limits.allowsCancelling() ? "allowed" : "not allowed"));
         lines.add("advice to refused clients: " + (limits.retryAfterMax() == 0 ? "none"
                 : "up to " + seconds(limits.retryAfterMax())));
         lines.add("late answers: " + late(s));
@@ -67,7 +68,8 @@
     }
 
     private static String copied(Routing.Settings s) {
-        List<String> classes = s.classes().stream().filter(c -> c.effect() != Routing.RetrySafety.FRAGILE)
+        List<String> classes = s.classes().stream().filter(c ->
+                c.retrySafety() != Routing.RetrySafety.FRAGILE)
                 .map(Routing.RequestClass::name).toList();
         return classes.isEmpty() ? "no class" : String.join(", ", classes);
     }
--- a/src/main/java/yewdock/platform/DiscoveryConnectionHandler.java
+++ b/src/main/java/yewdock/platform/DiscoveryConnectionHandler.java
@@ -19,7 +19,7 @@
     private final EndpointListReader lists;
     private final String host;
     private final Connection wire;
-    private final MessageReader reader = new MessageReader(MessageReader.Kind.ANSWER, this);
+    private final MessageReader reader = new MessageReader(MessageReader.Kind.RESPONSE, this);
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private MessageHead head;
     private String waiting;
@@ -60,21 +60,21 @@
     }
 
     @Override
-    public void up() {
+    public void onConnected() {
         up = true;
         writeIfUp();
     }
 
     @Override
-    public void received(ByteBuffer bytes) {
+    public void onReceived(ByteBuffer bytes) {
         try {
             while (bytes.hasRemaining() && !gone) {
                 if (!out) {
                     throw new BadMessageException(502, "an answer that nobody asked for");
                 }
                 reader.read(bytes);
-                if (reader.done()) {
-                    reader.next();
+                if (reader.isComplete()) {
+                    reader.startNext();
                     whole();
                 }
             }
@@ -112,7 +112,7 @@
 
     /** What the end of the connection makes of the call: a body without a length is whole, if it reads so. */
     private EndpointList endOfConnection() {
-        if (!reader.endsWithConnection() || head.status() != OK) {
+        if (!reader.readsUntilClose() || head.status() != OK) {
             return null;
         }
         try {
@@ -144,12 +144,12 @@
     }
 
     @Override
-    public void idle() {
+    public void onIdle() {
         // the desk keeps the times of the router's own connections
     }
 
     @Override
-    public void written(int bytes) {
+    public void onWritten(int bytes) {
         // nothing waits for it
     }
 
@@ -160,7 +160,7 @@
 
     /** A close between calls only means that the next call needs a new connection. */
     @Override
-    public void down() {
+    public void onClosed() {
         if (gone) {
             return;
         }
@@ -168,7 +168,7 @@
         EndpointList last = endOfConnection();
         if (last == null) {
             front.listClosed(this);
-            front.happened(new Event.DiscoveryConnectionLost());
+            front.dispatch(new Event.DiscoveryConnectionLost());
             if (out) {
                 front.listFailed(this);
             }
--- a/src/main/java/yewdock/platform/EndpointListReader.java
+++ b/src/main/java/yewdock/platform/EndpointListReader.java
@@ -38,7 +38,7 @@
 
     /** The names in this list have the ids that they have there. */
     public void remember(EndpointList list) {
-        list.boxes().forEach(server -> idsByName.put(server.name(), server.id()));
+        list.servers().forEach(server -> idsByName.put(server.name(), server.id()));
     }
 
     /** The list in a text; throws JSONException if it is none. */
@@ -125,14 +125,14 @@
 
     private ModelServer whole(JSONObject entry, String name, long id, Lifecycle lifecycle) {
         String address = entry.getString("addr");
-        Addresses.of(address);
+        Addresses.parse(address);
         double weight = entry.optDouble("weight", 1);
         long startedMillis = entry.optLong("started_ms", 0);
         if (!(weight >= 0 && weight <= MOST_WEIGHT) || startedMillis < 0) {
             throw new IllegalArgumentException("impossible weight or start");
         }
-        return new ModelServer(name, address, new ServerState(id, place(names.sites(), entry, "zone"),
-                place(names.kinds(), entry, "kind"), entry.optInt("cell", 0), weight, lifecycle,
+        return new ModelServer(name, address, new ServerState(id, place(names.zones(), entry, "zone"),
+                place(names.serverKinds(), entry, "kind"), entry.optInt("cell", 0), weight, lifecycle,
                 startedMillis * 1000));
     }
 
--- a/src/main/java/yewdock/platform/ServerConnectionHandler.java
+++ b/src/main/java/yewdock/platform/ServerConnectionHandler.java
@@ -27,7 +27,7 @@
     private final ConnectionManager front;
     private final long line;
     private final Connection wire;
-    private final MessageReader reader = new MessageReader(MessageReader.Kind.ANSWER, this);
+    private final MessageReader reader = new MessageReader(MessageReader.Kind.RESPONSE, this);
     private final EventStreamLineReader events = new EventStreamLineReader(this::eventLine, this::eventEnd);
     /**
      * What has come of a stream whose first event is not whole yet. A client that had a part of that event
@@ -55,9 +55,9 @@
     }
 
     @Override
-    public void up() {
+    public void onConnected() {
         if (!gone) {
-            front.happened(new Event.ServerConnected(line));
+            front.dispatch(new Event.ServerConnected(line));
         }
     }
 
@@ -88,25 +88,25 @@
     }
 
     @Override
-    public void idle() {
+    public void onIdle() {
         // the desk keeps the times of the router's own connections
     }
 
     @Override
-    public void written(int bytes) {
+    public void onWritten(int bytes) {
         toWrite -= bytes;
         if (toWrite == 0) {
-            front.happened(new Event.AttemptWritten(line));
+            front.dispatch(new Event.AttemptWritten(line));
         }
     }
 
     @Override
-    public void notBegun() {
-        front.happened(new Event.AttemptNotStarted(line));
+    public void onWriteExpired() {
+        front.dispatch(new Event.AttemptNotStarted(line));
     }
 
     @Override
-    public void received(ByteBuffer bytes) {
+    public void onReceived(ByteBuffer bytes) {
         if (gone) {
             return;
         }
@@ -117,18 +117,18 @@
                     throw new BadMessageException(502, "an answer that nobody asked for");
                 }
                 reader.read(bytes);
-                if (reader.done()) {
-                    reader.next();
+                if (reader.isComplete()) {
+                    reader.startNext();
                     whole(!bytes.hasRemaining());
                 }
             }
-            if (busy && !flowing && !reader.untouched()) {
-                front.happened(new Event.ResponseStarted(line));
+            if (busy && !flowing && !reader.atMessageStart()) {
+                front.dispatch(new Event.ResponseStarted(line));
             }
         } catch (BadMessageException e) {
             front.counters().add("boxes.malformed_answers");
             gone = true;
-            front.happened(new Event.ResponseMalformed(line));
+            front.dispatch(new Event.ResponseMalformed(line));
         }
     }
 
@@ -147,7 +147,7 @@
         boolean first = !flowing;
         events.read(piece);
         if (!first) {
-            front.happened(new Event.ResponseChunk(line, piece));
+            front.dispatch(new Event.ResponseChunk(line, piece));
             return;
         }
         byte[] bytes = new byte[piece.remaining()];
@@ -162,7 +162,7 @@
         flowing = true;
         ByteBuffer all = ByteBuffer.wrap(opening.toByteArray());
         opening.reset();
-        front.happened(new Event.ResponseChunk(line, all));
+        front.dispatch(new Event.ResponseChunk(line, all));
     }
 
     @Override
@@ -181,7 +181,7 @@
             case 503, 504 -> "1".equals(head.field("X-Unprocessed")) ? Outcome.FULL : Outcome.ERROR;
             default -> Outcome.ERROR;
         };
-        front.happened(new Event.ResponseCompleted(line, outcome, clean && toWrite == 0 && head.keepsAlive(),
+        front.dispatch(new Event.ResponseCompleted(line, outcome, clean && toWrite == 0 && head.keepsAlive(),
                 kept,
                 report));
     }
@@ -208,7 +208,7 @@
     }
 
     void hold(boolean held) {
-        wire.hold(held);
+        wire.setReadingPaused(held);
     }
 
     void close() {
@@ -217,7 +217,7 @@
     }
 
     @Override
-    public void down() {
+    public void onClosed() {
         if (!gone && busy && head != null && head.status() != 200) {
             // The status has said all, even where the body's end was the connection's.
             whole(false);
--- a/src/main/java/yewdock/replication/Replicator.java
+++ b/src/main/java/yewdock/replication/Replicator.java
@@ -52,10 +52,10 @@
     private Set<String> toStore = new LinkedHashSet<>();
     private long now;
     /** The stamp known when the records last equalled a peer's. */
-    private long joined;
+    private long lastSyncedStamp;
     private long nextCompare;
     private boolean snapshotAsked;
-    private boolean needsAll;
+    private boolean needsFullSync;
 
     /** A peer of the operator's file, connected or not. */
     private static final class Peer {
@@ -91,16 +91,16 @@
     /**
      * Copying for these records, to the peers of these names.
      *
-     * @param joined what {@link #joined()} was when the records were stored, 0 with an empty disk
+     * @param joined what {@link #lastSyncedStamp()} was when the records were stored, 0 with an empty disk
      * @param mostTombstones so many removals are remembered even when all peers know them
      */
     public Replicator(String cluster, Set<String> named, ReplicatedRecords records, long joined,
             int mostTombstones) {
         this.cluster = cluster;
         this.records = records;
-        this.joined = joined;
+        this.lastSyncedStamp = joined;
         this.mostTombstones = mostTombstones;
-        this.needsAll = joined == 0;
+        this.needsFullSync = joined == 0;
         named.forEach(name -> peers.put(name, new Peer(name)));
     }
 
@@ -127,21 +127,21 @@
     }
 
     /** When the next {@link ReplicationEvent.Tick} is due. */
-    public long nextDue() {
+    public long nextTickDue() {
         return nextCompare;
     }
 
     /** The stamp known when the records last equalled a peer's; to be stored with them. */
-    public long joined() {
-        return joined;
+    public long lastSyncedStamp() {
+        return lastSyncedStamp;
     }
 
     /** Whether the first of the records have yet to be taken from a peer. */
-    public boolean needsAll() {
-        return needsAll;
+    public boolean needsFullSync() {
+        return needsFullSync;
     }
 
-    public List<PeerStatus> standings() {
+    public List<PeerStatus> peerStatuses() {
         return peers.values().stream().map(p -> new PeerStatus(p.name, p.up && p.greeted, p.dirty.size(),
                 p.lastHeard, p.equalAt, p.sent, p.got, p.trouble)).toList();
     }
@@ -165,7 +165,7 @@
 
     private PeerHello.Builder hello(Peer p, boolean again) {
         return PeerHello.newBuilder().setVersion(VERSION).setLeastReader(VERSION).setCluster(cluster)
-                .setInstance(records.instance()).setTo(p.name).setJoined(joined)
+                .setInstance(records.instance()).setTo(p.name).setJoined(lastSyncedStamp)
                 .setHorizon(records.horizon()).setRecords(records.size()).setAgain(again);
     }
 
@@ -196,7 +196,7 @@
         for (Peer p : peers.values()) {
             if (p.up && now - p.lastHeard > SILENT_AFTER) {
                 close(p, "silent for " + (now - p.lastHeard) / 1_000_000 + " s");
-            } else if (p.up && p.greeted && needsAll && !snapshotAsked && p.hasRecords) {
+            } else if (p.up && p.greeted && needsFullSync && !snapshotAsked && p.hasRecords) {
                 askSnapshot(p);
             } else if (p.up && p.greeted && leads(p) && p.snapshot == null && !p.takesSnapshot) {
                 compare(p);
@@ -212,7 +212,7 @@
 
     private void compare(Peer p) {
         p.digestClock = records.clock();
-        send(p, PeerFrame.newBuilder().setDigest(Digest.newBuilder().addAllSums(records.sums())
+        send(p, PeerFrame.newBuilder().setDigest(Digest.newBuilder().addAllSums(records.bucketSums())
                 .setHorizon(records.horizon())));
     }
 
@@ -273,7 +273,7 @@
         }
         boolean peerIsNew = hello.getJoined() == 0;
         boolean stale = !peerIsNew && hello.getJoined() < records.horizon();
-        boolean staleHere = joined != 0 && joined < hello.getHorizon();
+        boolean staleHere = lastSyncedStamp != 0 && lastSyncedStamp < hello.getHorizon();
         if (stale && !(staleHere && hello.getHorizon() > records.horizon())) {
             // it has missed removals that are forgotten here: what it has could bring them back
             note("peer.stale", p, "joined", hello.getJoined(), "horizon", records.horizon());
@@ -281,7 +281,7 @@
         } else if (staleHere) {
             // the same the other way round: the peer sends all of what holds
             p.takesSnapshot = true;
-        } else if (needsAll && !snapshotAsked && p.hasRecords) {
+        } else if (needsFullSync && !snapshotAsked && p.hasRecords) {
             askSnapshot(p);
         } else if (leads(p)) {
             compare(p);
@@ -301,7 +301,7 @@
             return;
         }
         follow(digest.getHorizon());
-        List<Integer> differing = records.differing(digest.getSumsList());
+        List<Integer> differing = records.differingBuckets(digest.getSumsList());
         if (differing.isEmpty()) {
             equal(p, records.clock());
             // all that is here was there when it sent this
@@ -310,7 +310,7 @@
             return;
         }
         Buckets.Builder answer = Buckets.newBuilder();
-        for (Map.Entry<Integer, List<Kept>> bucket : records.of(differing).entrySet()) {
+        for (Map.Entry<Integer, List<Kept>> bucket : records.recordsInBuckets(differing).entrySet()) {
             List<Kept> of = bucket.getValue();
             if (answer.getEntriesCount() > 0 && answer.getEntriesCount() + of.size() > MOST_ENTRIES) {
                 break;
@@ -326,14 +326,14 @@
     private void equal(Peer p, long stamp) {
         p.equalStamp = Math.max(p.equalStamp, stamp);
         p.equalAt = now;
-        needsAll = false;
-        joined = Math.max(Math.max(1, joined), stamp);
+        needsFullSync = false;
+        lastSyncedStamp = Math.max(Math.max(1, lastSyncedStamp), stamp);
     }
 
     /** Another has forgotten removals that all knew: they are forgotten here too, or the sums never agree. */
     private void follow(long horizon) {
-        if (horizon > records.horizon() && (joined == 0 || horizon <= joined)) {
-            toStore.addAll(records.forget(horizon));
+        if (horizon > records.horizon() && (lastSyncedStamp == 0 || horizon <= lastSyncedStamp)) {
+            toStore.addAll(records.purgeTombstones(horizon));
         }
     }
 
@@ -346,12 +346,12 @@
         Map<String, Buckets.Entry> there = new HashMap<>();
         for (Buckets.Entry e : theirs.getEntriesList()) {
             there.put(e.getKey(), e);
-            Kept mine = records.raw(e.getKey());
+            Kept mine = records.getWithTombstones(e.getKey());
             if (mine == null || records.hash(e.getKey()) != e.getHash() && order(e, mine) >= 0) {
                 want.add(e.getKey());
             }
         }
-        records.of(theirs.getIndexesList()).values().forEach(of -> of.forEach(mine -> {
+        records.recordsInBuckets(theirs.getIndexesList()).values().forEach(of -> of.forEach(mine -> {
             Buckets.Entry e = there.get(mine.getKey());
             if (e == null || e.getHash() != records.hash(mine.getKey()) && order(e, mine) <= 0) {
                 p.dirty.add(mine.getKey());
@@ -364,11 +364,11 @@
     }
 
     private static int order(Buckets.Entry theirs, Kept mine) {
-        return ReplicatedRecords.order(theirs.getStamp(), theirs.getInstance(), mine);
+        return ReplicatedRecords.compare(theirs.getStamp(), theirs.getInstance(), mine);
     }
 
     private void want(Peer p, Collection<String> keys) {
-        keys.stream().filter(k -> records.raw(k) != null).forEach(p.dirty::add);
+        keys.stream().filter(k -> records.getWithTombstones(k) != null).forEach(p.dirty::add);
         push(p);
     }
 
@@ -399,7 +399,7 @@
         for (Iterator<String> waiting = p.dirty.iterator(); waiting.hasNext()
                 && batch.getRecordsCount() < MOST_BATCH && bytes < BATCH_BYTES;) {
             String key = waiting.next();
-            Kept kept = records.raw(key);
+            Kept kept = records.getWithTombstones(key);
             if (kept != null) {
                 batch.addRecords(kept);
                 bytes += kept.getSerializedSize();
@@ -429,13 +429,13 @@
     private boolean take(Peer p, List<Kept> all) {
         List<String> asserted = new ArrayList<>();
         for (Kept kept : all) {
-            String flaw = ReplicatedRecords.flaw(kept);
+            String flaw = ReplicatedRecords.validate(kept);
             if (flaw != null) {
                 close(p, "a record with " + flaw);
                 return false;
             }
-            Kept mine = records.raw(kept.getKey());
-            if (mine != null && RecordKeys.isOf(records.instance(), kept.getKey())
+            Kept mine = records.getWithTombstones(kept.getKey());
+            if (mine != null && RecordKeys.isOwnedBy(records.instance(), kept.getKey())
                     && kept.getStamp() >= mine.getStamp() && !kept.equals(mine)) {
                 // of an earlier life under this name, which this instance does not remember: it knows better
                 Kept.Builder again = mine.toBuilder();
@@ -445,11 +445,11 @@
                 continue;
             }
             ReplicatedRecords.MergeResult merged = records.merge(kept);
-            if (merged == ReplicatedRecords.MergeResult.REFUSED) {
+            if (merged == ReplicatedRecords.MergeResult.REJECTED) {
                 close(p, "more records than this instance keeps");
                 return false;
             }
-            if (merged == ReplicatedRecords.MergeResult.TAKEN) {
+            if (merged == ReplicatedRecords.MergeResult.APPLIED) {
                 toStore.add(kept.getKey());
                 p.got++;
             }
@@ -482,7 +482,7 @@
     /** References only: the records themselves never change. */
     private List<Kept> listed() {
         List<Kept> all = new ArrayList<>(records.size());
-        records.after("").forEach(all::add);
+        records.recordsAfter("").forEach(all::add);
         return all;
     }
 
@@ -517,12 +517,12 @@
             close(p, "a snapshot that nobody asked for");
             return;
         }
-        if (part.getReplace() && !needsAll) {
+        if (part.getReplace() && !needsFullSync) {
             // first of all: what is here and not there was removed while this instance was away; but what is
             // its own nobody else can have removed
             note("replica.replaced", p, "records", records.size());
-            toStore.addAll(records.clear(key -> RecordKeys.isOf(records.instance(), key)));
-            needsAll = true;
+            toStore.addAll(records.removeExcept(key -> RecordKeys.isOwnedBy(records.instance(), key)));
+            needsFullSync = true;
         }
         if (!take(p, all)) {
             return;
@@ -531,9 +531,9 @@
         if (part.getLast()) {
             p.takesSnapshot = false;
             snapshotAsked = false;
-            needsAll = false;
-            toStore.addAll(records.forget(part.getHorizon()));
-            joined = Math.max(1, records.clock());
+            needsFullSync = false;
+            toStore.addAll(records.purgeTombstones(part.getHorizon()));
+            lastSyncedStamp = Math.max(1, records.clock());
             note("replica.caught_up", p, "records", records.size());
             send(p, PeerFrame.newBuilder().setHello(hello(p, true)));
             for (Peer other : peers.values()) {
@@ -552,11 +552,11 @@
         if (records.tombstones() <= mostTombstones) {
             return;
         }
-        long upTo = Math.min(records.clock(), joined);
+        long upTo = Math.min(records.clock(), lastSyncedStamp);
         for (Peer p : peers.values()) {
             upTo = Math.min(upTo, p.equalStamp);
         }
-        toStore.addAll(records.forget(upTo));
+        toStore.addAll(records.purgeTombstones(upTo));
     }
 
     private void send(Peer p, PeerFrame.Builder frame) {
--- a/src/main/java/yewdock/rules/RulesView.java
+++ b/src/main/java/yewdock/rules/RulesView.java
@@ -14,14 +14,14 @@
  *
  * @param step the step of the rules
  * @param revision how many changes were in force
- * @param out boxes that get no new work
- * @param shares requests a second, by municipality
+ * @param cordonedServers boxes that get no new work
+ * @param rateLimits requests a second, by municipality
  * @param settings the texts that keys of the operators' files have to have
  */
-public record RulesView(long step, long revision, Set<String> out, Map<String, Double> shares,
+public record RulesView(long step, long revision, Set<String> cordonedServers, Map<String, Double> rateLimits,
         Map<String, String> settings) {
     /** Before anything is agreed. */
-    public static final RulesView NOTHING = new RulesView(0, 0, Set.of(), Map.of(), Map.of());
+    public static final RulesView EMPTY = new RulesView(0, 0, Set.of(), Map.of(), Map.of());
 
     static RulesView of(long step, long revision, Collection<SubjectState> subjects) {
         Set<String> out = new TreeSet<>();
@@ -38,8 +38,8 @@
             }
             String name = RuleKind.name(s.getSubject());
             switch (kind) {
-                case BOX -> out.add(name);
-                case SHARE -> shares.put(name, value.getShare());
+                case SERVER -> out.add(name);
+                case RATE_LIMIT -> shares.put(name, value.getShare());
                 case SETTING -> settings.put(name, value.getText());
                 default -> {
                     // of a kind that routers don't act by
--- a/src/main/java/yewdock/settings/InvalidSettingsException.java
+++ b/src/main/java/yewdock/settings/InvalidSettingsException.java
@@ -6,14 +6,14 @@
 public final class InvalidSettingsException extends Exception {
     private static final long serialVersionUID = 1;
 
-    private final transient List<String> mistakes;
+    private final transient List<String> errors;
 
     public InvalidSettingsException(List<String> mistakes) {
         super(String.join("\n", mistakes));
-        this.mistakes = List.copyOf(mistakes);
+        this.errors = List.copyOf(mistakes);
     }
 
-    public List<String> mistakes() {
-        return mistakes;
+    public List<String> errors() {
+        return errors;
     }
 }
--- a/src/main/java/yewdock/sockets/DispatcherLoop.java
+++ b/src/main/java/yewdock/sockets/DispatcherLoop.java
@@ -70,7 +70,7 @@
     }
 
     private void step(Reducer desk) throws InterruptedException {
-        long sleep = Math.max(0, Math.min(desk.nextDue() - clock.getAsLong(), LONGEST_SLEEP));
+        long sleep = Math.max(0, Math.min(desk.nextTimerDue() - clock.getAsLong(), LONGEST_SLEEP));
         Task task = queue.poll(sleep);
         // counted from before the last task: the process may have stood still in the midst of it
         long unread = clock.getAsLong() - decidingSince;
@@ -85,7 +85,7 @@
         if (task != null) {
             run(task);
         }
-        if (desk.nextDue() <= clock.getAsLong()) {
+        if (desk.nextTimerDue() <= clock.getAsLong()) {
             run(new Task(null, () -> happened.accept(new Event.Tick())));
         }
     }
@@ -113,7 +113,7 @@
         }
         run(new Task(null, () -> happened.accept(new Event.ProcessResumed(pause))));
         long until = clock.getAsLong() + CATCH_UP;
-        for (long left = CATCH_UP; desk.catchesUp() && left > 0; left = until - clock.getAsLong()) {
+        for (long left = CATCH_UP; desk.isCatchingUp() && left > 0; left = until - clock.getAsLong()) {
             Task news = queue.pollUrgent(left);
             if (news != null) {
                 run(news);
--- a/src/main/java/yewdock/sockets/MinaTransport.java
+++ b/src/main/java/yewdock/sockets/MinaTransport.java
@@ -77,7 +77,7 @@
         room = new ConnectionRoom(mostClients + CLOSING_CLIENTS);
         // One processor for all: the router has one core.
         processor = new WholeReads(threads, this::tooLate, MinaTransport::isClient);
-        loop = new DispatcherLoop(queue, processor, clock, event -> front.happened(event));
+        loop = new DispatcherLoop(queue, processor, clock, event -> front.dispatch(event));
         events = new SessionEvents(processor, lingering, queueRoom, clock, loop::arrival);
         acceptor = acceptor(room, ConnectionPurpose.CLIENT, wire -> front.accept(wire));
         connector = new NioSocketConnector(threads, processor);
@@ -113,13 +113,13 @@
     public void serve(String address, ConnectionManager front, Reducer desk) throws IOException {
         this.front = front;
         front.start();
-        acceptor.bind(Addresses.of(address));
+        acceptor.bind(Addresses.parse(address));
         Logger.info("listens on {}", acceptor.getLocalAddress());
         work(desk);
     }
 
-    /** Serves until told to stop, but takes no connections before {@link #accept}. */
-    public void serveLater(Runnable start, ConnectionManager front, Reducer desk) {
+    /** Serves until told to stop, but takes no connections before {@link #acceptFrom}. */
+    public void serveWithoutListening(Runnable start, ConnectionManager front, Reducer desk) {
         this.front = front;
         start.run();
         work(desk);
@@ -129,9 +129,9 @@
      * Listens for clients beside another process that does, where both share the address. Called on the
      * desk's thread; returns the address, which a port of 0 has been replaced in.
      */
-    public String listenBeside(String address) throws IOException {
+    public String listenShared(String address) throws IOException {
         acceptor.shareAddress();
-        acceptor.bind(Addresses.of(address));
+        acceptor.bind(Addresses.parse(address));
         Logger.info("listens on {}", acceptor.getLocalAddress());
         return acceptor.getLocalAddress().getAddress().getHostAddress() + ':'
                 + acceptor.getLocalAddress().getPort();
@@ -141,12 +141,12 @@
      * Listens there too, for so many callers at once, each of which is given up when it says nothing for so
      * many seconds. Called before the desk's thread serves.
      */
-    public void listenAlso(String address, int most, int patience, Function<Connection,
+    public void listenForOperators(String address, int most, int patience, Function<Connection,
             ConnectionHandler> greet)
             throws IOException {
         BoundedAcceptor also = acceptor(new ConnectionRoom(most), ConnectionPurpose.OPERATOR, greet);
         also.getSessionConfig().setReaderIdleTime(patience);
-        also.bind(Addresses.of(address));
+        also.bind(Addresses.parse(address));
         Logger.info("operators call {}", also.getLocalAddress());
     }
 
@@ -171,7 +171,7 @@
     }
 
     /** The same after so long. */
-    public void postAfter(long millis, Runnable work) {
+    public void postDelayed(long millis, Runnable work) {
         Thread timer = new Thread(() -> {
             try {
                 Thread.sleep(millis);
@@ -188,7 +188,7 @@
      * Takes connections from a listener that others may take them from too. Ours to stop with, never to
      * close: what waits in its queue is for whoever accepts next. Called on the desk's thread.
      */
-    public void accept(ServerSocketChannel listener) throws IOException {
+    public void acceptFrom(ServerSocketChannel listener) throws IOException {
         acceptor.use(listener);
         acceptor.bind(listener.getLocalAddress());
     }
@@ -213,8 +213,8 @@
     }
 
     /** Tells the desk to leave, and waits until nothing is owed any more. */
-    public void leave() {
-        queue.add(new Task(null, () -> front.happened(new Event.ShutdownRequested())));
+    public void shutDownGracefully() {
+        queue.add(new Task(null, () -> front.dispatch(new Event.ShutdownRequested())));
         try {
             ended.await();
         } catch (InterruptedException e) {
@@ -257,7 +257,7 @@
             SessionWire wire) {
         S side = makeSide.apply(wire);
         wire.tellTo(side);
-        InetSocketAddress to = Addresses.of(address);
+        InetSocketAddress to = Addresses.parse(address);
         ConnectFuture future = connector.connect(to, (session, connecting) -> wire.attachTo(session));
         wire.connectingAs(future);
         future.addListener(done -> {
@@ -278,7 +278,7 @@
         boolean late = wire.purpose() == ConnectionPurpose.SERVER
                 && clock.getAsLong() - wire.decidedAt() > attemptsWait;
         if (late) {
-            wire.postToSide(ConnectionHandler::notBegun);
+            wire.postToSide(ConnectionHandler::onWriteExpired);
         }
         return late;
     }
--- a/src/main/java/yewdock/sockets/SessionWire.java
+++ b/src/main/java/yewdock/sockets/SessionWire.java
@@ -170,15 +170,15 @@
     }
 
     @Override
-    public boolean hasUnheard() {
+    public boolean hasUndelivered() {
         return unheard.get() > 0;
     }
 
     @Override
-    public boolean closeUnlessUnheard() {
+    public boolean closeUnlessUndelivered() {
         // what is not read from now on meets the close
         session.suspendRead();
-        if (hasUnheard()) {
+        if (hasUndelivered()) {
             session.resumeRead();
             return false;
         }
@@ -187,7 +187,7 @@
     }
 
     @Override
-    public void linger() {
+    public void closeLingering() {
         if (!deaf) {
             deaf = true;
             lingering.begin(session, last);
@@ -195,7 +195,7 @@
     }
 
     @Override
-    public void hold(boolean held) {
+    public void setReadingPaused(boolean held) {
         if (held) {
             session.suspendRead();
         } else {
@@ -207,7 +207,7 @@
         if (!isDown) {
             isDown = true;
             if (side != null) {
-                side.down();
+                side.onClosed();
             }
         }
     }
--- a/src/main/java/yewdock/state/StateRecorder.java
+++ b/src/main/java/yewdock/state/StateRecorder.java
@@ -42,17 +42,17 @@
     // ---- what is told
 
     /** The list has told a generation this; returns what changed. toldAt of the boxes are moved by shift. */
-    public List<Kept> told(Boxes news, long shift, long wall) {
+    public List<Kept> recordEndpointList(Boxes news, long shift, long wall) {
         String me = records.instance();
         List<Kept> changed = new ArrayList<>();
         Map<String, Box> named = new LinkedHashMap<>();
         for (Box box : news.getBoxesList()) {
-            named.put(RecordKeys.box(me, box.getId()), box);
+            named.put(RecordKeys.server(me, box.getId()), box);
         }
         if (news.getFull()) {
-            for (Kept kept : records.prefix(RecordKeys.boxes(me))) {
+            for (Kept kept : records.withPrefix(RecordKeys.serversPrefix(me))) {
                 if (!named.containsKey(kept.getKey())) {
-                    changed.add(records.drop(kept.getKey(), wall));
+                    changed.add(records.delete(kept.getKey(), wall));
                     forgetNode(kept.getBox().getId(), wall, changed);
                 }
             }
@@ -61,7 +61,7 @@
             Kept before = records.get(key);
             if (box.getLifecycle() == Lifecycle.GONE.ordinal()) {
                 if (before != null) {
-                    changed.add(records.drop(key, wall));
+                    changed.add(records.delete(key, wall));
                     forgetNode(box.getId(), wall, changed);
                 }
                 return;
@@ -81,29 +81,29 @@
         });
         ListHead head = ListHead.newBuilder().setAddress(news.getAddress()).setVersion(news.getVersion())
                 .build();
-        Kept before = records.get(RecordKeys.list(me));
+        Kept before = records.get(RecordKeys.endpointList(me));
         if (before == null || !before.getList().equals(head)) {
-            changed.add(records.write(RecordKeys.list(me), Kept.newBuilder().setList(head), wall));
+            changed.add(records.write(RecordKeys.endpointList(me), Kept.newBuilder().setList(head), wall));
         }
         return changed;
     }
 
     private void forgetNode(long box, long wall, List<Kept> changed) {
-        Kept dropped = records.drop(RecordKeys.node(records.instance(), box), wall);
+        Kept dropped = records.delete(RecordKeys.serverMemory(records.instance(), box), wall);
         if (dropped != null) {
             changed.add(dropped);
         }
     }
 
     /** What a generation's module has learnt; its times are moved by shift. Returns what changed. */
-    public List<Kept> learnt(Memory module, long shift, long wall) {
+    public List<Kept> recordModuleMemory(Memory module, long shift, long wall) {
         String me = records.instance();
         List<Kept> changed = new ArrayList<>();
         for (NodeMemory node : module.getNodesList()) {
-            if (records.get(RecordKeys.box(me, node.getId())) == null) {
+            if (records.get(RecordKeys.server(me, node.getId())) == null) {
                 continue;
             }
-            String key = RecordKeys.node(me, node.getId());
+            String key = RecordKeys.serverMemory(me, node.getId());
             NodeMemory now = moved(node, shift).clearLastDelay().build();
             Kept before = records.get(key);
             if (before == null ? tells(now) : !sameTrouble(before.getNode(), now)) {
@@ -111,9 +111,9 @@
             }
         }
         Memory rest = module.toBuilder().clearNodes().clearKeys().clearTaken().clearFurther().build();
-        Kept before = records.get(RecordKeys.module(me));
+        Kept before = records.get(RecordKeys.moduleMemory(me));
         if (before == null || wall - before.getWall() > MODULE_HOLDS / 360 || before.getWall() > wall) {
-            changed.add(records.write(RecordKeys.module(me), Kept.newBuilder().setModule(rest), wall));
+            changed.add(records.write(RecordKeys.moduleMemory(me), Kept.newBuilder().setModule(rest), wall));
         }
         return changed;
     }
@@ -143,7 +143,7 @@
     }
 
     /** The configuration that is in force; null if it is the one kept. */
-    public Kept applied(String text, long wall) {
+    public Kept recordSettings(String text, long wall) {
         Kept before = records.get(RecordKeys.settings(records.instance()));
         if (before != null && before.getApplied().getText().equals(text)) {
             return null;
@@ -153,40 +153,42 @@
     }
 
     /** An operator marks a box, or with NONE takes the mark back. */
-    public Kept mark(String box, Mark.Kind kind, String by, long wall) {
-        String key = RecordKeys.mark(box);
+    public Kept recordOverride(String box, Mark.Kind kind, String by, long wall) {
+        String key = RecordKeys.override(box);
         if (kind == Mark.Kind.NONE) {
-            return records.drop(key, wall);
+            return records.delete(key, wall);
         }
-        long started = known(box).stream().mapToLong(Box::getStartedAt).max().orElse(0);
+        long started = knownServers(box).stream().mapToLong(Box::getStartedAt).max().orElse(0);
         return records.write(key, Kept.newBuilder().setMark(Mark.newBuilder().setKind(kind)
                 .setStartedAt(started).setBy(by)), wall);
     }
 
     /** What is known of a box of this name, by whichever instance. */
-    public List<Box> known(String box) {
-        return records.prefix(RecordKeys.allBoxes()).stream().map(Kept::getBox)
+    public List<Box> knownServers(String box) {
+        return records.withPrefix(RecordKeys.allServersPrefix()).stream().map(Kept::getBox)
                 .filter(b -> b.getName().equals(box)).toList();
     }
 
     /** The marks that hold, by the boxes' names. */
-    public Map<String, Mark> marks() {
+    public Map<String, Mark> overrides() {
         Map<String, Mark> marks = new LinkedHashMap<>();
-        records.prefix(RecordKeys.marks()).forEach(k -> marks.put(RecordKeys.markedBox(k.getKey()),
+        records.withPrefix(RecordKeys.overridesPrefix()).forEach(k ->
+                marks.put(RecordKeys.overriddenServer(k.getKey()),
                 k.getMark()));
         return marks;
     }
 
     /** A mark of GONE is for one start of a box: when the list tells of a later one it is dropped. */
-    public List<Kept> dropOutlived(long wall) {
+    public List<Kept> dropOutdatedOverrides(long wall) {
         List<Kept> dropped = new ArrayList<>();
         Map<String, Long> starts = new HashMap<>();
-        records.prefix(RecordKeys.boxes(records.instance())).forEach(k -> starts.merge(k.getBox().getName(),
+        records.withPrefix(RecordKeys.serversPrefix(records.instance())).forEach(k ->
+                starts.merge(k.getBox().getName(),
                 k.getBox().getStartedAt(), Math::max));
-        marks().forEach((box, mark) -> {
+        overrides().forEach((box, mark) -> {
             if (mark.getKind() == Mark.Kind.GONE
                     && starts.getOrDefault(box, Long.MIN_VALUE) > mark.getStartedAt()) {
-                dropped.add(records.drop(RecordKeys.mark(box), wall));
+                dropped.add(records.delete(RecordKeys.override(box), wall));
             }
         });
         return dropped;
@@ -198,10 +200,10 @@
      * What a generation goes on with after a restart, as if one before it had left it; null if nothing is
      * kept. clock is what the reader will take this moment for on its own clock.
      */
-    public State state(int version, int leastReader, long wall, long monoNanos) {
+    public State restartState(int version, int leastReader, long wall, long monoNanos) {
         String me = records.instance();
-        Kept head = records.get(RecordKeys.list(me));
-        List<Kept> mine = records.prefix(RecordKeys.boxes(me));
+        Kept head = records.get(RecordKeys.endpointList(me));
+        List<Kept> mine = records.withPrefix(RecordKeys.serversPrefix(me));
         boolean own = !mine.isEmpty();
         List<Kept> boxes = own ? mine : newestOfOthers();
         if (boxes.isEmpty()) {
@@ -219,7 +221,7 @@
         }
         State.Builder state = State.newBuilder().setVersion(version).setLeastReader(leastReader)
                 .setClock(wall).setMonoNanos(monoNanos).setBoxes(all);
-        Kept module = records.get(RecordKeys.module(me));
+        Kept module = records.get(RecordKeys.moduleMemory(me));
         if (module != null && wall - module.getWall() <= MODULE_HOLDS) {
             state.setModule(memory(module.getModule(), wall));
         }
@@ -228,7 +230,7 @@
 
     private Memory memory(Memory module, long wall) {
         Memory.Builder memory = module.toBuilder();
-        for (Kept kept : records.prefix(RecordKeys.nodes(records.instance()))) {
+        for (Kept kept : records.withPrefix(RecordKeys.serverMemoryPrefix(records.instance()))) {
             NodeMemory node = kept.getNode();
             if (node.getEjectedUntil() < wall + LONGEST_REST && node.getColdBudgetAt() < wall
                     + LONGEST_REST) {
@@ -241,7 +243,7 @@
     /** With an empty disk: what the other instances knew, a drain that any of them knew included. */
     private List<Kept> newestOfOthers() {
         Map<String, Kept> found = new LinkedHashMap<>();
-        for (Kept kept : records.prefix(RecordKeys.allBoxes())) {
+        for (Kept kept : records.withPrefix(RecordKeys.allServersPrefix())) {
             found.merge(kept.getBox().getName(), kept, (a, b) -> {
                 if (a.getBox().getStartedAt() != b.getBox().getStartedAt()) {
                     return a.getBox().getStartedAt() > b.getBox().getStartedAt() ? a : b;
--- a/src/main/java/yewdock/store/Committer.java
+++ b/src/main/java/yewdock/store/Committer.java
@@ -28,7 +28,7 @@
     }
 
     /** Times in milliseconds: how long changes are gathered, and after how long a failed store is tried. */
-    public record CommitTiming(long gather, long retry) {
+    public record CommitTiming(long gatherMillis, long retryMillis) {
     }
 
     private final KeyValueStore.StoreOpener opening;
@@ -126,12 +126,12 @@
             lock.lock();
             try {
                 if (trouble != null) {
-                    waitOut(pace.retry());
+                    waitOut(pace.retryMillis());
                 } else {
                     while (waiting.isEmpty() && put == durable && !closing) {
                         work.await();
                     }
-                    waitOut(pace.gather());
+                    waitOut(pace.gatherMillis());
                 }
                 last = closing;
             } catch (InterruptedException e) {
@@ -180,7 +180,7 @@
             shelf.write(group);
             commits++;
             if (commits % TIDY_EVERY == 0) {
-                shelf.tidy(TIDY_MILLIS);
+                shelf.compactIfLarge(TIDY_MILLIS);
             }
         }
         done(upTo);
--- a/src/main/java/yewdock/store/KeyValueStore.java
+++ b/src/main/java/yewdock/store/KeyValueStore.java
@@ -23,7 +23,7 @@
     long write(Map<String, byte[]> changes) throws StoreException;
 
     /** Gives room back that old commits take, in so many milliseconds at most. */
-    void tidy(int mostMillis) throws StoreException;
+    void compactIfLarge(int mostMillis) throws StoreException;
 
     /** How many bytes it takes. */
     long bytes();
--- a/src/main/java/yewdock/testbed/Conversation.java
+++ b/src/main/java/yewdock/testbed/Conversation.java
@@ -45,8 +45,8 @@
                     touched = true;
                 }
                 reader.read(left);
-                if (reader.done()) {
-                    reader.next();
+                if (reader.isComplete()) {
+                    reader.startNext();
                     return head;
                 }
             }
--- a/src/main/java/yewdock/testbed/FaultySuccession.java
+++ b/src/main/java/yewdock/testbed/FaultySuccession.java
@@ -25,9 +25,9 @@
     }
 
     @Override
-    protected void reached(Stage stage) {
+    protected void stageReached(Stage stage) {
         if (stage == at) {
-            Faults.happen(fault, older());
+            Faults.happen(fault, predecessor());
         }
     }
 }
--- a/src/main/java/yewdock/testbed/FloodingPeer.java
+++ b/src/main/java/yewdock/testbed/FloodingPeer.java
@@ -73,7 +73,7 @@
             Batch.Builder batch = Batch.newBuilder().setNumber(number);
             for (int i = 0; i < RECORDS; i++) {
                 int box = random.nextInt(KEYS);
-                batch.addRecords(Kept.newBuilder().setKey(RecordKeys.box(name, box)).setStamp(number)
+                batch.addRecords(Kept.newBuilder().setKey(RecordKeys.server(name, box)).setStamp(number)
                         .setInstance(name).setBox(Box.newBuilder().setName("s-" + box)
                         .setAddress("10.0.0.1:8000").setId(box).setToldAt(number)));
             }
--- a/src/main/java/yewdock/testbed/LiveDay.java
+++ b/src/main/java/yewdock/testbed/LiveDay.java
@@ -131,7 +131,7 @@
                 socket.setTcpNoDelay(true);
                 socket.setSoTimeout((int) (MOST_MICROS / 1000));
                 socket.connect(router);
-                Conversation talk = new Conversation(socket, MessageReader.Kind.ANSWER);
+                Conversation talk = new Conversation(socket, MessageReader.Kind.RESPONSE);
                 talk.write(request(ask, made, patience));
                 MessageHead head = talk.next();
                 if (head.status() == 200) {
--- a/src/main/java/yewdock/testbed/Load.java
+++ b/src/main/java/yewdock/testbed/Load.java
@@ -136,7 +136,7 @@
             socket.setTcpNoDelay(true);
             socket.setSoTimeout(PATIENCE_MILLIS);
             socket.connect(plan.to(), CONNECT_MILLIS);
-            talk = new Conversation(socket, MessageReader.Kind.ANSWER);
+            talk = new Conversation(socket, MessageReader.Kind.RESPONSE);
         }
 
         private Ledger.AtClient whole(String id, int tokens, long began, MessageHead head, boolean crossed) {
--- a/src/main/java/yewdock/upgrade/SupervisorEvent.java
+++ b/src/main/java/yewdock/upgrade/SupervisorEvent.java
@@ -22,11 +22,11 @@
     }
 
     /** A generation's connection is closed, or what came over it makes no sense. */
-    record ConnectionLost(int generation, String why) implements SupervisorEvent {
+    record ConnectionLost(int generation, String reason) implements SupervisorEvent {
     }
 
     /** A generation's process has ended, or could not be started. */
-    record ProcessEnded(int generation, String how) implements SupervisorEvent {
+    record ProcessEnded(int generation, String reason) implements SupervisorEvent {
     }
 
     /** SIGHUP. */
