--- a/src/main/java/yewdock/upgrade/SupervisorReducer.java
+++ b/src/main/java/yewdock/upgrade/SupervisorReducer.java
@@ -47,7 +47,7 @@
     private List<SupervisorEffect> effects = new ArrayList<>();
     private long now;
     private int last;
-    private SupervisedGeneration serving;
+    private SupervisedGeneration servingGeneration;
     private SupervisedGeneration next;
     private Stage stage;
     private long stageBegan;
@@ -99,8 +99,8 @@
     }
 
     /** When the next {@link SupervisorEvent.Tick} is due. */
-    public long nextDue() {
-        long due = next == null ? restartAt : stageBegan + limits.stages().get(stage);
+    public long nextTimerDue() {
+        long due = next == null ? restartAt : stageBegan + limits.stageTimeoutMicros().get(stage);
         for (SupervisedGeneration g : generations.values()) {
             due = Math.min(due, g.killAt);
         }
@@ -108,12 +108,12 @@
     }
 
     /** The generation that serves, or 0. */
-    public int serving() {
-        return serving == null ? 0 : serving.number;
+    public int servingGeneration() {
+        return servingGeneration == null ? 0 : servingGeneration.number;
     }
 
     /** The generation that an upgrade is bringing up, or 0. */
-    public int coming() {
+    public int upcomingGeneration() {
         return next == null ? 0 : next.number;
     }
 
@@ -130,7 +130,7 @@
         } else if (event instanceof SupervisorEvent.ConnectionLost e) {
             lost(e);
         } else if (event instanceof SupervisorEvent.ProcessEnded e) {
-            ended(e.generation(), e.how());
+            ended(e.generation(), e.reason());
         } else if (event instanceof SupervisorEvent.ReloadRequested) {
             generations.values().stream().filter(g -> g.connected).forEach(g -> tell(g,
                     Frame.newBuilder().setReconfigure(Reconfigure.getDefaultInstance())));
@@ -149,9 +149,9 @@
             refusal = "the router is leaving";
         } else if (next != null) {
             refusal = "generation " + next.number + " is on its way, at stage " + stage;
-        } else if (serving == null) {
+        } else if (servingGeneration == null) {
             refusal = "no generation serves: one is being started";
-        } else if (finishing() >= limits.mostFinishing()) {
+        } else if (finishing() >= limits.maxFinishing()) {
             refusal = finishing() + " older generations are still finishing what they have";
         }
         if (refusal != null) {
@@ -162,7 +162,7 @@
     }
 
     private long finishing() {
-        return generations.values().stream().filter(g -> g != serving && !g.failed).count();
+        return generations.values().stream().filter(g -> g != servingGeneration && !g.failed).count();
     }
 
     private void begin(List<String> what, long asker) {
@@ -198,12 +198,12 @@
             note("generation.says", "generation", number, "line", frame.getSay().getLine());
         } else if (g == next) {
             ofNext(frame);
-        } else if (frame.hasState() && g == serving && stage == Stage.STATE && next != null) {
+        } else if (frame.hasState() && g == servingGeneration && stage == Stage.STATE && next != null) {
             tell(next, Frame.newBuilder().setState(frame.getState()));
             enter(Stage.READY);
         } else if (frame.hasSharing()) {
             sharing(g, frame.getSharing());
-        } else if (frame.hasLetGoDone() && g == serving && next != null && stage == Stage.LET_GO) {
+        } else if (frame.hasLetGoDone() && g == servingGeneration && next != null && stage == Stage.LET_GO) {
             arrived("");
         }
     }
@@ -215,9 +215,9 @@
             next.connected = true;
             enter(Stage.CHECK);
         } else if (frame.hasChecked() && stage == Stage.CHECK) {
-            if (serving != null) {
+            if (servingGeneration != null) {
                 enter(Stage.STATE);
-                tell(serving, Frame.newBuilder().setGiveState(GiveState.getDefaultInstance()));
+                tell(servingGeneration, Frame.newBuilder().setGiveState(GiveState.getDefaultInstance()));
             } else {
                 withoutState();
             }
@@ -259,8 +259,8 @@
             shared.add(g.number);
             tell(next, named);
             goIfAllShared();
-        } else if (serving != null && g != serving) {
-            tell(serving, named);
+        } else if (servingGeneration != null && g != servingGeneration) {
+            tell(servingGeneration, named);
         }
     }
 
@@ -274,21 +274,22 @@
     private void serves() {
         enter(Stage.LET_GO);
         next.servesSince = now;
-        if (serving == null) {
+        if (servingGeneration == null) {
             arrived("");
         } else {
-            tell(serving, Frame.newBuilder().setLetGo(LetGo.newBuilder().setLimitMicros(limits.finish())));
+            tell(servingGeneration, Frame.newBuilder().setLetGo(
+                    LetGo.newBuilder().setLimitMicros(limits.finishTimeoutMicros())));
         }
     }
 
     private void arrived(String remark) {
         took.put(stage, now - stageBegan);
-        SupervisedGeneration old = serving;
+        SupervisedGeneration old = servingGeneration;
         if (old != null) {
-            old.killAt = now + limits.finish() + FINISH_SLACK;
+            old.killAt = now + limits.finishTimeoutMicros() + FINISH_SLACK;
         }
-        serving = next;
-        program = serving.program;
+        servingGeneration = next;
+        program = servingGeneration.program;
         next = null;
         everServed = true;
         StringBuilder stages = new StringBuilder();
@@ -297,9 +298,9 @@
         if (old != null || command != 0) {
             upgrades++;
         }
-        note("upgrade.done", "generation", serving.number, "before", old == null ? 0 : old.number,
+        note("upgrade.done", "generation", servingGeneration.number, "before", old == null ? 0 : old.number,
                 "took_ms", (now - upgradeBegan) / 1000, "stages_ms", stages);
-        reply("generation " + serving.number + " serves"
+        reply("generation " + servingGeneration.number + " serves"
                 + (old == null ? "" : ", generation " + old.number + " finishes what it has") + "; ms: "
                 + stages + remark, 0);
     }
@@ -315,7 +316,7 @@
         lastFailure = "generation " + failed.number + " at stage " + at + ": " + why;
         note("upgrade.failed", "generation", failed.number, "stage", at, "why", why);
         effects.add(new SupervisorEffect.KillProcess(failed.number));
-        if (serving != null) {
+        if (servingGeneration != null) {
             if (at.compareTo(Stage.SHARE) >= 0) {
                 takeBack(failed.number);
             }
@@ -328,16 +329,17 @@
             stop(1);
         }
         reply("upgrade failed at stage " + at + ": " + why
-                + (serving == null ? "" : "; generation " + serving.number + " serves as before"), 1);
+                + (servingGeneration == null ? "" : "; generation " + servingGeneration.number
+                        + " serves as before"), 1);
     }
 
     private void takeBack(int failed) {
-        tell(serving, Frame.newBuilder().setTakeBack(TakeBack.getDefaultInstance()));
-        tell(serving, Frame.newBuilder().setOtherGone(
+        tell(servingGeneration, Frame.newBuilder().setTakeBack(TakeBack.getDefaultInstance()));
+        tell(servingGeneration, Frame.newBuilder().setOtherGone(
                 OtherGone.newBuilder().setGeneration(failed)));
         for (SupervisedGeneration g : generations.values()) {
             // what these have told the failed one since, the one that owns the ids again doesn't know
-            if (g != serving && g.number != failed && g.connected) {
+            if (g != servingGeneration && g.number != failed && g.connected) {
                 tell(g, Frame.newBuilder().setShare(Share.getDefaultInstance()));
             }
         }
@@ -379,7 +381,7 @@
         if (next != null && (shared.contains(from.number) || stage == Stage.LET_GO)) {
             return next;
         }
-        return serving;
+        return servingGeneration;
     }
 
     // ---- ends
@@ -391,9 +393,9 @@
         }
         g.connected = false;
         if (g == next) {
-            fail(e.why());
+            fail(e.reason());
         } else {
-            note("generation.lost", "generation", g.number, "why", e.why());
+            note("generation.lost", "generation", g.number, "why", e.reason());
             if (next != null && awaited.remove(g.number)) {
                 goIfAllShared();
             }
@@ -414,7 +416,7 @@
         }
         generations.remove(number);
         toldGone(number);
-        if (g == serving) {
+        if (g == servingGeneration) {
             servingDied();
         } else if (next != null && awaited.remove(number)) {
             goIfAllShared();
@@ -432,9 +434,9 @@
 
     /** The one that serves was killed. One on its way goes on without it; otherwise another is started. */
     private void servingDied() {
-        long servedFor = now - serving.servesSince;
-        int number = serving.number;
-        serving = null;
+        long servedFor = now - servingGeneration.servesSince;
+        int number = servingGeneration.number;
+        servingGeneration = null;
         deaths = servedFor >= SERVED_WELL ? 0 : deaths;
         if (next == null) {
             if (!leaving && !fallBack(number)) {
@@ -452,17 +454,17 @@
     /** The newest of those that still finish serves again: it is there at once, and it served well before. */
     private boolean fallBack(int dead) {
         for (SupervisedGeneration g : generations.values()) {
-            if (g.connected && (serving == null || g.number > serving.number)) {
-                serving = g;
+            if (g.connected && (servingGeneration == null || g.number > servingGeneration.number)) {
+                servingGeneration = g;
             }
         }
-        if (serving == null) {
+        if (servingGeneration == null) {
             return false;
         }
-        serving.killAt = Long.MAX_VALUE;
-        serving.servesSince = now;
-        program = serving.program;
-        note("generation.fall_back", "generation", serving.number, "dead", dead);
+        servingGeneration.killAt = Long.MAX_VALUE;
+        servingGeneration.servesSince = now;
+        program = servingGeneration.program;
+        note("generation.fall_back", "generation", servingGeneration.number, "dead", dead);
         takeBack(dead);
         return true;
     }
@@ -473,12 +475,12 @@
     }
 
     private void tick() {
-        if (next != null && now >= stageBegan + limits.stages().get(stage)) {
+        if (next != null && now >= stageBegan + limits.stageTimeoutMicros().get(stage)) {
             if (stage == Stage.LET_GO) {
                 // the new one serves: what hangs is the old one, and its time is limited
-                arrived("; generation " + serving.number + " has not said that it let go");
+                arrived("; generation " + servingGeneration.number + " has not said that it let go");
             } else {
-                fail("nothing came within " + limits.stages().get(stage) / 1000 + " ms");
+                fail("nothing came within " + limits.stageTimeoutMicros().get(stage) / 1000 + " ms");
             }
         }
         if (now >= restartAt) {
@@ -504,7 +506,7 @@
             fail("the router was told to leave");
         }
         for (SupervisedGeneration g : generations.values()) {
-            g.killAt = Math.min(g.killAt, now + limits.finish() + FINISH_SLACK);
+            g.killAt = Math.min(g.killAt, now + limits.finishTimeoutMicros() + FINISH_SLACK);
             tell(g, Frame.newBuilder().setLeave(Leave.getDefaultInstance()));
         }
     }
@@ -520,7 +522,7 @@
 
     private void status(long asker) {
         for (SupervisedGeneration g : generations.values()) {
-            String role = g == serving ? "serves" : g == next ? "comes, at stage " + stage
+            String role = g == servingGeneration ? "serves" : g == next ? "comes, at stage " + stage
                     : g.failed ? "failed and is being ended" : "finishes";
             effects.add(new SupervisorEffect.Reply(asker, String.format(Locale.ROOT,
                     "generation %d %s, started %.1f s ago", g.number, role, (now - g.startedAt) / 1e6),
@@ -528,7 +530,7 @@
         }
         effects.add(new SupervisorEffect.Reply(asker, "upgrades done " + upgrades + ", failed " + failures
                 + (lastFailure.isEmpty() ? "" : "; last failure: " + lastFailure), true,
-                serving == null ? 1 : 0));
+                servingGeneration == null ? 1 : 0));
     }
 
     private void reply(String line, int exit) {
--- a/src/main/java/yewdock/verification/AgreementProof.java
+++ b/src/main/java/yewdock/verification/AgreementProof.java
@@ -67,7 +67,7 @@
         if (sim.leader() == null) {
             judge.broken().add("nobody leads 15 s after all was whole");
         } else {
-            judge.nothingLost(sim.leader().council().agreed());
+            judge.nothingLost(sim.leader().council().committedRules());
         }
         return new Run(seed, judge.broken(), judge.longestBehind(), judge.longestContradiction(),
                 judge.forced(), judge.decisions(), judge.inDoubt(), judge.timesToForce());
--- a/src/main/java/yewdock/verification/CopiesSim.java
+++ b/src/main/java/yewdock/verification/CopiesSim.java
@@ -57,7 +57,7 @@
 
         /** Removes one, if it is there. */
         public void drop(String key) {
-            if (records.drop(key, now() + wallOff) != null) {
+            if (records.delete(key, now() + wallOff) != null) {
                 reduce(this, new ReplicationEvent.RecordsChanged(List.of(key)));
             }
         }
@@ -113,7 +113,7 @@
     private void tick(Node node, Replicator life) {
         if (node.replica == life) {
             reduce(node, new ReplicationEvent.Tick());
-            at(Math.max(now() + 1, life.nextDue()), () -> tick(node, life));
+            at(Math.max(now() + 1, life.nextTickDue()), () -> tick(node, life));
         }
     }
 
@@ -209,7 +209,7 @@
     /** What an instance has on its disk. */
     public byte[] disk(int i) {
         yewdock.wire.Records.Builder all = yewdock.wire.Records.newBuilder();
-        nodes.get(i).records.after("").forEach(all::addRecords);
+        nodes.get(i).records.recordsAfter("").forEach(all::addRecords);
         return all.build().toByteArray();
     }
 
@@ -229,7 +229,7 @@
         names = List.copyOf(now);
         for (Node node : nodes) {
             if (node.replica != null) {
-                long joined = node.replica.joined();
+                long joined = node.replica.lastSyncedStamp();
                 stop(node.number);
                 begin(node, node.records, joined);
             }
@@ -238,7 +238,7 @@
 
     /** Whether all that run hold the same. */
     public boolean agree() {
-        return nodes.stream().filter(n -> n.replica != null).map(n -> n.records.sums()).distinct()
+        return nodes.stream().filter(n -> n.replica != null).map(n -> n.records.bucketSums()).distinct()
                 .count() == 1;
     }
 
@@ -247,7 +247,7 @@
         StringBuilder all = new StringBuilder();
         nodes.forEach(n -> all.append(n.name).append(": ").append(n.records.size()).append(" records, ")
                 .append(n.records.tombstones()).append(" tombstones, horizon ").append(n.records.horizon())
-                .append(n.replica == null ? "" : " " + n.replica.standings()).append('\n'));
+                .append(n.replica == null ? "" : " " + n.replica.peerStatuses()).append('\n'));
         return all.toString();
     }
 
--- a/src/main/java/yewdock/verification/CouncilJudge.java
+++ b/src/main/java/yewdock/verification/CouncilJudge.java
@@ -76,7 +76,7 @@
 
     /** How a member's rules stand after what it has just done. */
     void stands(String name, ConsensusNode council, long now) {
-        RuleStateMachine rules = council.agreed();
+        RuleStateMachine rules = council.committedRules();
         if (rules == null || rules.step() == 0) {
             return;
         }
@@ -88,7 +88,7 @@
             return;
         }
         highest = rules.step();
-        rules.underWay().forEach((id, step) -> {
+        rules.pendingChanges().forEach((id, step) -> {
             if (preparedAt.putIfAbsent(id, now) == null) {
                 preparedSteps.put(step, now);
             }
@@ -130,7 +130,7 @@
             }
         }
         for (Map.Entry<String, Long> out : outSince.entrySet()) {
-            if (!view.out().contains(out.getKey())) {
+            if (!view.cordonedServers().contains(out.getKey())) {
                 contradictions++;
                 longestContradiction = Math.max(longestContradiction, now - out.getValue());
                 broken(now + ": " + name + " sends to " + out.getKey() + ", out by agreement for "
--- a/src/main/java/yewdock/verification/DeploymentSim.java
+++ b/src/main/java/yewdock/verification/DeploymentSim.java
@@ -167,8 +167,8 @@
         for (Effect effect : desk.reduce(event, now())) {
             perform(effect);
         }
-        if (desk.nextDue() < tickAt) {
-            tickAt = desk.nextDue();
+        if (desk.nextTimerDue() < tickAt) {
+            tickAt = desk.nextTimerDue();
             long mine = tickAt;
             at(Math.max(0, mine - now()) + (plant == Plant.TICKS_LATE ? SECOND : 0), () -> {
                 if (tickAt == mine) {
@@ -183,9 +183,9 @@
         if (effect instanceof Effect.OpenServerConnection e) {
             open(e);
         } else if (effect instanceof Effect.SendAttempt e) {
-            sent(lines.get(e.line()), calls.get(e.client()));
+            sent(lines.get(e.connection()), calls.get(e.client()));
         } else if (effect instanceof Effect.CloseServerConnection e) {
-            close(lines.get(e.line()));
+            close(lines.get(e.connection()));
         } else if (effect instanceof Effect.ForwardChunk e) {
             passedOn(e);
         } else if (effect instanceof Effect.EndResponse e) {
@@ -211,7 +211,7 @@
     }
 
     private Routing.RetrySafety effect(Call c) {
-        return deployment.settings().classes().get(c.type).effect();
+        return deployment.settings().classes().get(c.type).retrySafety();
     }
 
     // ---- clients
@@ -221,7 +221,8 @@
             at((long) (-Math.log(1 - random.nextDouble()) * SECOND / deployment.perSecond()), this::ask);
         }
         int type = random.nextInt(deployment.settings().classes().size());
-        long patience = deployment.settings().classes().get(type).giveUp() * (7 + random.nextInt(4)) / 10;
+        long patience = deployment.settings().classes().get(type).maxClientTimeout() * (7
+                + random.nextInt(4)) / 10;
         Call c = new Call(++lastClient, type, now() + patience);
         calls.put(c.client, c);
         happened(new Event.ClientConnected(c.client));
@@ -275,7 +276,7 @@
 
     private void open(Effect.OpenServerConnection e) {
         Box box = boxes.get(Long.parseLong(e.address().substring(10)) - 9000);
-        Line line = new Line(e.line(), box);
+        Line line = new Line(e.connection(), box);
         lines.put(line.id, line);
         if (box.state == State.VANISHED) {
             return;
@@ -453,7 +454,7 @@
 
     /** What an agent has counts as told, whether or not the router has asked; it has nothing while silent. */
     private void heard() {
-        if (!deployment.settings().askForList() && !listSilent && !listRefuses) {
+        if (!deployment.settings().pullsEndpointList() && !listSilent && !listRefuses) {
             told(version);
         }
         if (listOpen != null && !listSilent) {
@@ -485,13 +486,13 @@
             happened(new Event.DiscoveryCallFailed());
             return;
         }
-        if (call.since() >= version && call.longest() > 0) {
+        if (call.sinceVersion() >= version && call.maxWaitMicros() > 0) {
             // nothing newer: it waits, and answers empty in the end
-            at(call.longest(), () -> {
+            at(call.maxWaitMicros(), () -> {
                 if (mine == listCall && listOpen == call && !listSilent) {
                     listOpen = null;
                     happened(new Event.EndpointListReceived(new EndpointList(version, false,
-                            entries(call.since()))));
+                            entries(call.sinceVersion()))));
                 }
             });
             return;
@@ -501,10 +502,10 @@
             happened(new Event.DiscoveryCallFailed());
             return;
         }
-        if (deployment.settings().askForList()) {
+        if (deployment.settings().pullsEndpointList()) {
             told(version);
         }
-        happened(new Event.EndpointListReceived(new EndpointList(version, call.since() < 0,
-                entries(Math.max(0, call.since())))));
+        happened(new Event.EndpointListReceived(new EndpointList(version, call.sinceVersion() < 0,
+                entries(Math.max(0, call.sinceVersion())))));
     }
 }
--- a/src/main/java/yewdock/verification/DrawnDeployment.java
+++ b/src/main/java/yewdock/verification/DrawnDeployment.java
@@ -68,16 +68,16 @@
 
     /** Whether two tries of a request of this class may be out together. */
     boolean mayCopy(int requestClass) {
-        return settings.limits().mayDuplicate()
-                && settings.classes().get(requestClass).effect() != Routing.RetrySafety.FRAGILE;
+        return settings.limits().allowsHedging()
+                && settings.classes().get(requestClass).retrySafety() != Routing.RetrySafety.FRAGILE;
     }
 
     /** What it allows, in a few words. */
     public String words() {
         Set<String> words = new LinkedHashSet<>();
-        words.add(settings.askForList() ? "asked" : "pushed");
-        words.add(settings.limits().mayDuplicate() ? "copies" : "no copies");
-        words.add(settings.limits().cancelling() ? "cancels" : "no cancels");
+        words.add(settings.pullsEndpointList() ? "asked" : "pushed");
+        words.add(settings.limits().allowsHedging() ? "copies" : "no copies");
+        words.add(settings.limits().allowsCancelling() ? "cancels" : "no cancels");
         words.add(settings.limits().maxAttempts() + " tries");
         words.add("grace " + settings.contract().drainGrace() / 1000 + " ms");
         return String.join(", ", words);
--- a/src/main/java/yewdock/verification/Router.java
+++ b/src/main/java/yewdock/verification/Router.java
@@ -103,7 +103,8 @@
     /** What an operator's command brings: its lines, and last its exit code. */
     public Said ask(String command, List<String> words) throws IOException {
         List<String> lines = new ArrayList<>();
-        int exit = OperatorClient.ask(folder.resolve("run"), command, words, ANSWER_MILLIS, lines::add);
+        int exit = OperatorClient.sendCommand(folder.resolve("run"), command, words, ANSWER_MILLIS,
+                lines::add);
         return new Said(String.join("\n", lines), exit);
     }
 
--- a/src/main/java/yewdock/verification/StoreCost.java
+++ b/src/main/java/yewdock/verification/StoreCost.java
@@ -197,10 +197,10 @@
         ReplicatedRecords records = new ReplicatedRecords("other", RECORDS);
         Map<String, byte[]> all = new TreeMap<>();
         for (int i = 0; i < RECORDS; i++) {
-            Kept kept = records.write(RecordKeys.box("i" + i % 4, i / 4),
+            Kept kept = records.write(RecordKeys.server("i" + i % 4, i / 4),
                     Kept.newBuilder().setBox(Box.newBuilder()
                     .setName("s-" + i).setAddress("10.0.0.1:8000").setId(i).setWeight(1)), 1);
-            all.put(RecordKeys.STORED + kept.getKey(), ReplicatedRecords.bytes(kept));
+            all.put(RecordKeys.STORE_PREFIX + kept.getKey(), ReplicatedRecords.bytes(kept));
         }
         try (RecordFile store = RecordFile.open(folder)) {
             store.write(all);
--- a/src/test/java/umberspread/BoundedLoadRouterTest.java
+++ b/src/test/java/umberspread/BoundedLoadRouterTest.java
@@ -215,7 +215,7 @@
         f.end(id, 0, Outcome.ERROR, true);
         f.end(id, 5, Outcome.ERROR, false);
         f.end(999, 0, Outcome.OK, true);
-        f.router.requestGone(f.now, id);
+        f.router.requestAbandoned(f.now, id);
         f.router.woken(f.now, 12345);
         assertEquals(before, f.all.size());
     }
@@ -224,7 +224,7 @@
     void clientThatLeftIsOwedNothingAndItsAttemptIsCancelled() {
         Fixture f = fixture(3);
         long id = f.arrive(1, 0);
-        f.router.requestGone(f.now, id);
+        f.router.requestAbandoned(f.now, id);
         assertEquals(List.of(id + "/0"), f.cancelled);
         f.end(id, 0, Outcome.CANCELLED, true);
         assertTrue(f.refused.isEmpty() && f.failed.isEmpty());
@@ -235,7 +235,7 @@
         Fixture.Setup setup = new Fixture.Setup();
         setup.cancelling = false;
         Fixture f = fixture(setup, 3);
-        f.router.requestGone(f.now, f.arrive(1, 0));
+        f.router.requestAbandoned(f.now, f.arrive(1, 0));
         assertTrue(f.cancelled.isEmpty());
     }
 
--- a/src/test/java/umberspread/ExampleTest.java
+++ b/src/test/java/umberspread/ExampleTest.java
@@ -37,7 +37,7 @@
             }
 
             @Override
-            public void followList() {
+            public void watchEndpointList() {
                 carriedOut.add("follow the list");
             }
 
--- a/src/test/java/umberspread/Fixture.java
+++ b/src/test/java/umberspread/Fixture.java
@@ -213,7 +213,7 @@
     }
 
     @Override
-    public void followList() {
+    public void watchEndpointList() {
         follows++;
         all.add("follow");
     }
--- a/src/test/java/yewdock/AgentDiscoveryTest.java
+++ b/src/test/java/yewdock/AgentDiscoveryTest.java
@@ -71,9 +71,9 @@
 
         void called(Effect.CallDiscovery call) {
             calls.add(now);
-            since.add(call.since());
+            since.add(call.sinceVersion());
             open = call;
-            openUntil = hasty ? now : now + call.longest();
+            openUntil = hasty ? now : now + call.maxWaitMicros();
         }
 
         void look() {
@@ -83,8 +83,8 @@
             if (refusing) {
                 open = null;
                 happens(new Event.DiscoveryCallFailed());
-            } else if (open.since() != list.version() || now >= openUntil) {
-                boolean whole = open.since() != list.version();
+            } else if (open.sinceVersion() != list.version() || now >= openUntil) {
+                boolean whole = open.sinceVersion() != list.version();
                 open = null;
                 happens(new Event.EndpointListReceived(whole ? list : new EndpointList(list.version(), false,
                         List.of())));
@@ -104,7 +104,7 @@
             } else if (effect instanceof Effect.CancelDiscoveryCall) {
                 agent.open = null;
             } else if (effect instanceof Effect.CloseServerConnection e) {
-                happens(new Event.ServerDisconnected(e.line()));
+                happens(new Event.ServerDisconnected(e.connection()));
             }
         }
         return effects;
@@ -117,7 +117,7 @@
     private void pass(long micros) {
         for (long until = now + micros; now < until;) {
             now += 5_000;
-            if (desk.nextDue() <= now) {
+            if (desk.nextTimerDue() <= now) {
                 happens(new Event.Tick());
             }
             agent.look();
@@ -148,10 +148,10 @@
         EndpointList known = agent.list;
         drainBoxOne();
         happens(new Event.Started(known, "127.0.0.1:8500"));
-        assertFalse(desk.unready().isEmpty());
+        assertFalse(desk.notReadyReason().isEmpty());
         assertEquals(List.of(), told, "the known list was acted on");
         pass(5_000);
-        assertEquals("", desk.unready());
+        assertEquals("", desk.notReadyReason());
         assertEquals("CACHED [1:DRAINING, 2:READY]", told.get(0));
     }
 
@@ -160,9 +160,9 @@
         agent.silent = true;
         start();
         pass(990_000);
-        assertFalse(desk.unready().isEmpty());
+        assertFalse(desk.notReadyReason().isEmpty());
         pass(20_000);
-        assertEquals("", desk.unready());
+        assertEquals("", desk.notReadyReason());
         assertEquals(List.of("CACHED [1:READY]"), told);
     }
 
@@ -290,7 +290,7 @@
         List<Effect> effects = happens(new Event.RequestReceived(1,
                 new ModelRequest("r1", 0, 0, false, 1, 1, 1, 0, 9, 900_000, 100)));
         long line = effects.stream().filter(Effect.OpenServerConnection.class::isInstance)
-                .map(Effect.OpenServerConnection.class::cast).findFirst().orElseThrow().line();
+                .map(Effect.OpenServerConnection.class::cast).findFirst().orElseThrow().connection();
         drainBoxOne();
         untilTold();
         assertFalse(happens(new Event.ServerConnected(line)).stream()
--- a/src/test/java/yewdock/BusyDiscoveryTest.java
+++ b/src/test/java/yewdock/BusyDiscoveryTest.java
@@ -90,17 +90,17 @@
         }
 
         private void step() {
-            if (desk.nextDue() <= time + late) {
+            if (desk.nextTimerDue() <= time + late) {
                 happens(new Event.Tick());
             }
             if (open == null || silent) {
                 return;
             }
-            boolean news = open.since() < version;
+            boolean news = open.sinceVersion() < version;
             if (refused) {
                 open = null;
                 happens(new Event.DiscoveryCallFailed());
-            } else if (time >= turnAt && (news || time >= openedAt + open.longest())) {
+            } else if (time >= turnAt && (news || time >= openedAt + open.maxWaitMicros())) {
                 open = null;
                 answers++;
                 has = version;
@@ -127,7 +127,7 @@
         }
 
         boolean knows() {
-            return !desk.unready().isEmpty();
+            return !desk.notReadyReason().isEmpty();
         }
     }
 
--- a/src/test/java/yewdock/ChurnTest.java
+++ b/src/test/java/yewdock/ChurnTest.java
@@ -38,7 +38,7 @@
         List<Effect> effects = desk.reduce(event, now);
         for (Effect effect : effects) {
             if (effect instanceof Effect.CloseServerConnection e) {
-                happens(new Event.ServerDisconnected(e.line()));
+                happens(new Event.ServerDisconnected(e.connection()));
             } else if (effect instanceof Effect.CloseClient e) {
                 happens(new Event.ClientDisconnected(e.client()));
             }
@@ -48,8 +48,8 @@
 
     private void pass(long micros) {
         long until = now + micros;
-        while (desk.nextDue() <= until) {
-            now = Math.max(now, desk.nextDue());
+        while (desk.nextTimerDue() <= until) {
+            now = Math.max(now, desk.nextTimerDue());
             happens(new Event.Tick());
         }
         now = until;
@@ -58,7 +58,7 @@
     /** What is kept a minute later: a box, and the time of one call for the list. */
     private int atRest() {
         pass(60_000_000);
-        return desk.kept();
+        return desk.retainedEntries();
     }
 
     private static ModelServer box(long id, Lifecycle state) {
@@ -76,10 +76,10 @@
         List<Effect> effects = new ArrayList<>(happens(new Event.RequestReceived(client,
                 new ModelRequest("r" + round, 0, 0, false, round, round, 1, 0, 9, 900_000, 100))));
         if (effects.stream().anyMatch(Effect.OpenServerConnection.class::isInstance)) {
-            long line = first(effects, Effect.OpenServerConnection.class).line();
+            long line = first(effects, Effect.OpenServerConnection.class).connection();
             effects.addAll(happens(new Event.ServerConnected(line)));
         }
-        long line = first(effects, Effect.SendAttempt.class).line();
+        long line = first(effects, Effect.SendAttempt.class).connection();
         happens(new Event.AttemptWritten(line));
         switch (round % 4) {
             case 0 -> happens(new Event.ResponseMalformed(line));
@@ -105,7 +105,7 @@
         int most = 0;
         for (int round = 0; round < ROUNDS; round++) {
             call(round);
-            most = Math.max(most, desk.kept());
+            most = Math.max(most, desk.retainedEntries());
             pass(STEP);
             if (round % 10 == 9) {
                 long old = round / 10 + 1;
--- a/src/test/java/yewdock/DiscoveryDeadlineTest.java
+++ b/src/test/java/yewdock/DiscoveryDeadlineTest.java
@@ -92,14 +92,14 @@
 
         private void step() {
             time += STEP;
-            if (desk.nextDue() <= time) {
+            if (desk.nextTimerDue() <= time) {
                 happens(new Event.Tick());
             }
             if (open == null || now == Failure.SILENT) {
                 return;
             }
-            boolean news = drained && open.since() < DRAINED.version();
-            if (news || time >= openedAt + open.longest()) {
+            boolean news = drained && open.sinceVersion() < DRAINED.version();
+            if (news || time >= openedAt + open.maxWaitMicros()) {
                 open = null;
                 happens(new Event.EndpointListReceived(news ? DRAINED : new EndpointList(drained ? 8 : 7,
                         false,
@@ -110,7 +110,7 @@
         /** Lets time pass until the drain is known; fails where it has to be kept before that. */
         private void learns(long hadAndReached, String what) {
             long until = hadAndReached + COUNTS_AS_TOLD + GRACE;
-            while (desk.unready().isEmpty()) {
+            while (desk.notReadyReason().isEmpty()) {
                 assertTrue(time < until, what + ": not told " + (time - hadAndReached) / 1000 + " ms after");
                 step();
             }
@@ -148,7 +148,8 @@
         for (int mix = 0; mix < 4; mix++) {
             for (long at = 0; at < 5 * SECOND; at += 10 * STEP) {
                 Rig each = new Rig(mix + at / STEP);
-                while (each.open == null || each.open.longest() == 0 || each.time < each.openedAt + at) {
+                while (each.open == null || each.open.maxWaitMicros() == 0 || each.time < each.openedAt
+                        + at) {
                     each.step();
                 }
                 each.failures.add(kind(mix, 1));
@@ -176,7 +177,7 @@
             for (int mix = 0; mix < 1 << length; mix++) {
                 for (int seed = 0; seed < MANY_SEEDS && Integer.bitCount(mix) <= 2; seed++) {
                     Rig each = new Rig(seed);
-                    while (each.open == null || each.open.longest() == 0) {
+                    while (each.open == null || each.open.maxWaitMicros() == 0) {
                         each.step();
                     }
                     for (int i = 0; i < length; i++) {
--- a/src/test/java/yewdock/HedgingTest.java
+++ b/src/test/java/yewdock/HedgingTest.java
@@ -54,7 +54,7 @@
         }
 
         @Override
-        public void requestGone(long time, long requestId) {
+        public void requestAbandoned(long time, long requestId) {
             told.add("gone");
         }
 
@@ -86,12 +86,12 @@
     private void happens(Event event) {
         for (Effect effect : desk.reduce(event, now)) {
             if (effect instanceof Effect.SendAttempt e) {
-                done.add("send " + e.line());
-                happens(new Event.AttemptWritten(e.line()));
+                done.add("send " + e.connection());
+                happens(new Event.AttemptWritten(e.connection()));
             } else if (effect instanceof Effect.OpenServerConnection e) {
-                done.add("open " + e.line());
+                done.add("open " + e.connection());
             } else if (effect instanceof Effect.CloseServerConnection e) {
-                done.add("close " + e.line());
+                done.add("close " + e.connection());
             } else if (effect instanceof Effect.ForwardChunk || effect instanceof Effect.EndResponse
                     || effect instanceof Effect.AbortResponse || effect instanceof Effect.Fail
                     || effect instanceof Effect.Refuse) {
@@ -252,12 +252,15 @@
     @Test
     void bothOutAreToldToTheNextProcess() {
         twoOut();
-        assertEquals(List.of(1L, 2L), desk.holdings().out().stream().map(s -> s.box()).toList());
-        assertEquals(2, desk.holdings().out().stream().map(s -> s.token()).distinct().count());
-        assertEquals(List.of("r1"), desk.holdings().ids());
+        assertEquals(List.of(1L, 2L), desk.generationState().attemptsInFlight().stream().map(s ->
+                s.server()).toList());
+        assertEquals(2, desk.generationState().attemptsInFlight().stream().map(s ->
+                s.token()).distinct().count());
+        assertEquals(List.of("r1"), desk.generationState().requestIds());
         piece(1);
         happens(new Event.ServerDisconnected(2));
-        assertEquals(List.of(1L), desk.holdings().out().stream().map(s -> s.box()).toList());
+        assertEquals(List.of(1L), desk.generationState().attemptsInFlight().stream().map(s ->
+                s.server()).toList());
     }
 
     @Test
@@ -265,13 +268,13 @@
         start(true, true);
         up(1);
         asks(2);
-        int before = desk.kept();
+        int before = desk.retainedEntries();
         happens(new Event.ClientDisconnected(1));
         happens(new Event.ServerDisconnected(1));
         happens(new Event.ServerDisconnected(2));
         now += 60_000_000;
         happens(new Event.Tick());
-        assertTrue(desk.kept() < before, "kept " + desk.kept());
-        assertEquals(List.of(), desk.holdings().ids());
+        assertTrue(desk.retainedEntries() < before, "kept " + desk.retainedEntries());
+        assertEquals(List.of(), desk.generationState().requestIds());
     }
 }
--- a/src/test/java/yewdock/InOrderModule.java
+++ b/src/test/java/yewdock/InOrderModule.java
@@ -23,7 +23,7 @@
 
     @Override
     public void started(long now) {
-        actions.followList();
+        actions.watchEndpointList();
     }
 
     @Override
@@ -44,7 +44,7 @@
 
     @Override
     public void woken(long now, int token) {
-        actions.followList();
+        actions.watchEndpointList();
     }
 
     @Override
@@ -80,7 +80,7 @@
     }
 
     @Override
-    public void requestGone(long now, long requestId) {
+    public void requestAbandoned(long now, long requestId) {
         actions.log("told gone " + requestId);
     }
 }
--- a/src/test/java/yewdock/OutdatedEndpointListTest.java
+++ b/src/test/java/yewdock/OutdatedEndpointListTest.java
@@ -43,7 +43,7 @@
 
         @Override
         public void started(long time) {
-            actions.followList();
+            actions.watchEndpointList();
         }
 
         @Override
@@ -91,10 +91,10 @@
     private void pass(long micros, EndpointList each) {
         for (long until = now + micros; now < until;) {
             now += STEP;
-            if (desk.nextDue() <= now) {
+            if (desk.nextTimerDue() <= now) {
                 happens(new Event.Tick());
             }
-            if (open != null && open.since() < 0) {
+            if (open != null && open.sinceVersion() < 0) {
                 answer(each);
             }
         }
@@ -106,7 +106,7 @@
         for (boolean pushed : new boolean[] {false, true}) {
             start(pushed, 40, FIRST, SECOND_SERVER);
             answer(new EndpointList(3, false, List.of()));
-            assertEquals(-1, open.since());
+            assertEquals(-1, open.sinceVersion());
             answer(new EndpointList(3, true, List.of(server(1, Lifecycle.DRAINING), SECOND_SERVER)));
             assertEquals(List.of("DRAINING", "READY"), states.subList(1, 3));
         }
@@ -132,7 +132,7 @@
             pass(3 * SECOND, new EndpointList(41, true, List.of(server(1, Lifecycle.DRAINING),
                     SECOND_SERVER)));
             assertEquals(List.of("DRAINING", "READY"), states.subList(1, 3));
-            assertTrue(open.since() == 41, "the watch goes on from " + open.since());
+            assertTrue(open.sinceVersion() == 41, "the watch goes on from " + open.sinceVersion());
         }
     }
 
@@ -144,7 +144,7 @@
             answer(new EndpointList(3, false, List.of()));
             pass(3 * SECOND / 2, new EndpointList(4, true, List.of(FIRST, SECOND_SERVER)));
             assertEquals(List.of("READY", "READY"), states.subList(1, 3));
-            assertEquals(4, open.since());
+            assertEquals(4, open.sinceVersion());
             assertTrue(calls - before < 15, "calls: " + (calls - before));
             answer(new EndpointList(5, false, List.of(server(2, Lifecycle.DRAINING))));
             assertEquals(List.of("READY", "DRAINING"), states.subList(1, 3));
@@ -171,6 +171,6 @@
         happens(new Event.DiscoveryAddressChanged("127.0.0.1:8501"));
         answer(new EndpointList(2, true, List.of(SECOND_SERVER)));
         assertEquals(List.of("GONE", "READY"), states.subList(1, 3));
-        assertFalse(open.since() < 0);
+        assertFalse(open.sinceVersion() < 0);
     }
 }
--- a/src/test/java/yewdock/PolledDiscoveryTest.java
+++ b/src/test/java/yewdock/PolledDiscoveryTest.java
@@ -52,7 +52,7 @@
 
         @Override
         public void started(long time) {
-            module.followList();
+            module.watchEndpointList();
         }
 
         @Override
@@ -67,7 +67,7 @@
 
         @Override
         public void woken(long time, int token) {
-            module.followList();
+            module.watchEndpointList();
         }
     }
 
@@ -91,14 +91,14 @@
     private void pass(long micros) {
         for (long until = now + micros; now < until;) {
             now += STEP;
-            if (desk.nextDue() <= now) {
+            if (desk.nextTimerDue() <= now) {
                 happens(new Event.Tick());
             }
             if (open == null || now < silentUntil) {
                 continue;
             }
-            boolean news = drained && open.since() < DRAINED.version();
-            if (news || now >= openedAt + open.longest()) {
+            boolean news = drained && open.sinceVersion() < DRAINED.version();
+            if (news || now >= openedAt + open.maxWaitMicros()) {
                 open = null;
                 happens(new Event.EndpointListReceived(news ? DRAINED : new EndpointList(drained ? 8 : 7,
                         false,
--- a/src/test/java/yewdock/QuietModule.java
+++ b/src/test/java/yewdock/QuietModule.java
@@ -35,7 +35,7 @@
     }
 
     @Override
-    public void requestGone(long now, long requestId) {
+    public void requestAbandoned(long now, long requestId) {
         // asks for nothing
     }
 
--- a/src/test/java/yewdock/RecordedExchange.java
+++ b/src/test/java/yewdock/RecordedExchange.java
@@ -52,7 +52,8 @@
 
     private RecordedExchange() throws IOException {
         Config config = Config.read(Files.readString(FOLDER.resolve("config.json")), this::log);
-        desk = new Reducer(CoreSettings.of(config.settings(), config.keepalive()), config.bounds(), counters,
+        desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()), config.bounds(),
+                counters,
                 InOrderModule::new);
         front = new ConnectionManager(config, desk, counters, this, () -> START + micros, this::log);
         door = new AdminInterface(front);
@@ -110,7 +111,7 @@
 
     private static String unframed(String text) {
         StringBuilder all = new StringBuilder();
-        MessageReader reader = new MessageReader(MessageReader.Kind.ANSWER, new MessageReader.Sink() {
+        MessageReader reader = new MessageReader(MessageReader.Kind.RESPONSE, new MessageReader.Sink() {
             @Override
             public void head(MessageHead head) {
                 all.append(head);
@@ -130,8 +131,8 @@
             ByteBuffer bytes = ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
             while (bytes.hasRemaining()) {
                 reader.read(bytes);
-                if (reader.done()) {
-                    reader.next();
+                if (reader.isComplete()) {
+                    reader.startNext();
                 }
             }
         } catch (BadMessageException e) {
@@ -150,9 +151,9 @@
     private void input(String line, int cut) throws IOException {
         String[] parts = line.split(" ", 5);
         long time = Long.parseLong(parts[1]) * 1000;
-        while (desk.nextDue() <= START + time) {
-            micros = Math.max(micros, desk.nextDue() - START);
-            front.happened(new Event.Tick());
+        while (desk.nextTimerDue() <= START + time) {
+            micros = Math.max(micros, desk.nextTimerDue() - START);
+            front.dispatch(new Event.Tick());
             left();
         }
         micros = time;
@@ -163,19 +164,19 @@
             case "opens" -> {
                 FakeWire opened = new FakeWire(who);
                 opened.side = who.startsWith("o") ? door.accept(opened) : front.accept(opened);
-                opened.side.up();
+                opened.side.onConnected();
             }
-            case "up" -> wire.side.up();
+            case "up" -> wire.side.onConnected();
             case "breaks" -> wire.broken = true;
-            case "idle" -> wire.side.idle();
-            case "down" -> wire.side.down();
+            case "idle" -> wire.side.onIdle();
+            case "down" -> wire.side.onClosed();
             case "stuck" -> stuck.add(who);
             case "unstuck" -> {
                 stuck.remove(who);
                 wire.writeOut();
             }
             case "reconfigures" -> front.reconfigure(reconfigured(parts[4]));
-            case "leaves" -> front.happened(new Event.ShutdownRequested());
+            case "leaves" -> front.dispatch(new Event.ShutdownRequested());
             case "passes" -> { }
             case "sends" -> {
                 byte[] bytes = bytes(parts[4]);
@@ -183,7 +184,7 @@
                 for (byte[] part : List.of(Arrays.copyOf(bytes, at),
                         Arrays.copyOfRange(bytes, at, bytes.length))) {
                     if (part.length > 0) {
-                        wire.side.received(ByteBuffer.wrap(part));
+                        wire.side.onReceived(ByteBuffer.wrap(part));
                         left();
                     }
                 }
@@ -254,7 +255,7 @@
 
         private void writeOut() {
             while (!stuck.contains(name) && !unwritten.isEmpty()) {
-                side.written(unwritten.remove(0));
+                side.onWritten(unwritten.remove(0));
             }
         }
 
@@ -269,23 +270,23 @@
         }
 
         @Override
-        public boolean hasUnheard() {
+        public boolean hasUndelivered() {
             return false;
         }
 
         @Override
-        public boolean closeUnlessUnheard() {
+        public boolean closeUnlessUndelivered() {
             closeAfterWriting();
             return true;
         }
 
         @Override
-        public void linger() {
+        public void closeLingering() {
             saw(name, "ends gently");
         }
 
         @Override
-        public void hold(boolean held) {
+        public void setReadingPaused(boolean held) {
             saw(name, held ? "held" : "read on");
         }
     }
--- a/src/test/java/yewdock/ResourceLimitsTest.java
+++ b/src/test/java/yewdock/ResourceLimitsTest.java
@@ -35,7 +35,7 @@
     /** The requests are for 2 tokens, so the module leaves them all open. */
     @Test
     void refusesBeyondItsMemoryAndTakesAgainWhenThereIsRoom() {
-        desk.reduce(new Event.Started(EndpointList.NOTHING, "127.0.0.1:8500"), 0);
+        desk.reduce(new Event.Started(EndpointList.UNKNOWN, "127.0.0.1:8500"), 0);
         for (int client = 1; client <= 16; client++) {
             assertEquals(List.of(), ask(client, MEGABYTE));
         }
@@ -46,7 +46,7 @@
 
     @Test
     void refusesBeyondItsNumberOfRequests() {
-        desk.reduce(new Event.Started(EndpointList.NOTHING, "127.0.0.1:8500"), 0);
+        desk.reduce(new Event.Started(EndpointList.UNKNOWN, "127.0.0.1:8500"), 0);
         IntStream.rangeClosed(1, 500).forEach(client -> assertEquals(List.of(), ask(client, 1)));
         assertEquals(List.of(new Effect.Refuse(501, 0)), ask(501, 1));
         assertEquals(1, counters.get("answers.refused_for_room"));
@@ -74,7 +74,7 @@
     void closesTheLongestQuietForNewcomers() {
         Reducer small = new Reducer(TERMS, new ResourceLimits(4, 4, 4, MEGABYTE), counters,
                 InOrderModule::new);
-        small.reduce(new Event.Started(EndpointList.NOTHING, "127.0.0.1:8500"), 0);
+        small.reduce(new Event.Started(EndpointList.UNKNOWN, "127.0.0.1:8500"), 0);
         for (long client = 1; client <= 4; client++) {
             assertEquals(List.of(), small.reduce(new Event.ClientConnected(client), client));
         }
@@ -94,7 +94,7 @@
     void closesNoneWhoseRequestIsComing() {
         Reducer small = new Reducer(TERMS, new ResourceLimits(3, 3, 3, MEGABYTE), counters,
                 InOrderModule::new);
-        small.reduce(new Event.Started(EndpointList.NOTHING, "127.0.0.1:8500"), 0);
+        small.reduce(new Event.Started(EndpointList.UNKNOWN, "127.0.0.1:8500"), 0);
         for (long client = 1; client <= 3; client++) {
             small.reduce(new Event.ClientConnected(client), client);
         }
@@ -113,7 +113,7 @@
     void closesHalfSentRequestsInTheOrderOfTheirTime() {
         Reducer desk = new Reducer(TERMS, new ResourceLimits(9, 9, 9, MEGABYTE), counters,
                 InOrderModule::new);
-        desk.reduce(new Event.Started(EndpointList.NOTHING, "127.0.0.1:8500"), 0);
+        desk.reduce(new Event.Started(EndpointList.UNKNOWN, "127.0.0.1:8500"), 0);
         desk.reduce(new Event.ClientConnected(1), 1);
         desk.reduce(new Event.ClientConnected(2), 2);
         desk.reduce(new Event.ClientIdle(2), 1_000_000);
@@ -127,8 +127,9 @@
     void fitsTheDescriptors() {
         for (int descriptors = 256; descriptors <= 1024; descriptors++) {
             ResourceLimits bounds = ResourceLimits.within(descriptors, 160);
-            assertTrue(bounds.clients() + bounds.lines() + 64 <= descriptors, bounds.toString());
-            assertTrue(bounds.requests() >= descriptors / 3, bounds.toString());
+            assertTrue(bounds.maxClientConnections() + bounds.maxServerConnections() + 64 <= descriptors,
+                    bounds.toString());
+            assertTrue(bounds.maxRequests() >= descriptors / 3, bounds.toString());
         }
     }
 }
--- a/src/test/java/yewdock/admin/DoorTest.java
+++ b/src/test/java/yewdock/admin/DoorTest.java
@@ -32,7 +32,8 @@
     DoorTest() throws Exception {
         config = Config.read(Files.readString(Path.of("src/test/resources/exchanges/config.json")),
                 line -> { });
-        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepalive()), config.bounds(),
+        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
+                config.bounds(),
                 counters,
                 actions -> new GenerationRouter(config.settings(), 1, actions));
         front = new ConnectionManager(config, desk, counters, new NoNetwork(), () -> micros, line -> { });
@@ -48,11 +49,11 @@
             Heard wire = new Heard();
             wire.side = door.accept(wire);
             if (i % 2 == 0) {
-                wire.side.received(bytes("heal"));
+                wire.side.onReceived(bytes("heal"));
             }
             silent.add(wire);
         }
-        assertEquals(AdminInterface.MOST_CALLERS, silent.stream().filter(w -> !w.closed).count());
+        assertEquals(AdminInterface.MAX_CONNECTIONS, silent.stream().filter(w -> !w.closed).count());
         assertEquals("YES ready\n", call("health"));
         assertTrue(silent.stream().allMatch(w -> w.text.isEmpty()));
     }
@@ -63,7 +64,7 @@
         Heard wire = new Heard();
         wire.side = door.accept(wire);
         for (int i = 0; i < 600 && !wire.closed; i++) {
-            wire.side.received(bytes("x"));
+            wire.side.onReceived(bytes("x"));
         }
         assertTrue(wire.text.toString().startsWith("NO the line is too long"), wire.text.toString());
     }
@@ -81,13 +82,14 @@
             if (i % 3 == 0) {
                 client = new Heard();
                 client.side = front.accept(client);
-                client.side.received(bytes("POST /v1/chat/completions HTTP/1.1\r\nX-Correlation-Id: " + i / 2
+                client.side.onReceived(bytes("POST /v1/chat/completions HTTP/1.1\r\nX-Correlation-Id: "
+                        + i / 2
                         + "\r\nX-Service-Class: chat\r\nX-Account: lalitpur-metro\r\nX-Time-Left: 4\r\n"
                         + "X-Facts: prompt_len=1,prefix_len=0,max_out=9\r\nContent-Length: 2\r\n\r\n{}"));
             } else if (i % 5 == 0) {
-                client.side.down();
+                client.side.onClosed();
             } else {
-                front.happened(new yewdock.core.Event.Tick());
+                front.dispatch(new yewdock.core.Event.Tick());
             }
             long sum = 0;
             for (String line : call("counters").split("\n")) {
@@ -107,8 +109,8 @@
     private String call(String line) {
         Heard wire = new Heard();
         wire.side = door.accept(wire);
-        wire.side.received(bytes(line + "\n"));
-        wire.side.down();
+        wire.side.onReceived(bytes(line + "\n"));
+        wire.side.onClosed();
         return wire.text.toString();
     }
 
@@ -137,23 +139,23 @@
         }
 
         @Override
-        public boolean hasUnheard() {
+        public boolean hasUndelivered() {
             return false;
         }
 
         @Override
-        public boolean closeUnlessUnheard() {
+        public boolean closeUnlessUndelivered() {
             closed = true;
             return true;
         }
 
         @Override
-        public void linger() {
+        public void closeLingering() {
             closed = true;
         }
 
         @Override
-        public void hold(boolean held) {
+        public void setReadingPaused(boolean held) {
             // nothing comes by itself
         }
     }
--- a/src/test/java/yewdock/baseline/BoundTest.java
+++ b/src/test/java/yewdock/baseline/BoundTest.java
@@ -42,7 +42,7 @@
         }
 
         @Override
-        public void followList() {
+        public void watchEndpointList() {
             // the test tells the list
         }
 
--- a/src/test/java/yewdock/consensus/RaftDiskTest.java
+++ b/src/test/java/yewdock/consensus/RaftDiskTest.java
@@ -80,8 +80,8 @@
         }
 
         @Override
-        public void tidy(int mostMillis) throws StoreException {
-            shelf.tidy(mostMillis);
+        public void compactIfLarge(int mostMillis) throws StoreException {
+            shelf.compactIfLarge(mostMillis);
         }
 
         @Override
--- a/src/test/java/yewdock/daemon/GenerationsSimTest.java
+++ b/src/test/java/yewdock/daemon/GenerationsSimTest.java
@@ -104,7 +104,7 @@
         private final PriorityQueue<Due> queue =
                 new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
         private final SupervisorReducer keeper =
-                new SupervisorReducer(UpgradeLimits.even(700_000, 4_000_000, 3));
+                new SupervisorReducer(UpgradeLimits.uniform(700_000, 4_000_000, 3));
         private final Map<Integer, Gen> gens = new TreeMap<>();
         private final Map<Long, String> boxStates = new HashMap<>();
         private final Map<Long, Long> drainTold = new HashMap<>();
@@ -170,7 +170,7 @@
                 keeper(new SupervisorEvent.UpgradeRequested(order, List.of()));
                 at(500_000 + random.nextLong(2_000_000), this::askUpgrade);
                 if (random.nextInt(12) == 0) {
-                    Gen serving = gens.get(keeper.serving());
+                    Gen serving = gens.get(keeper.servingGeneration());
                     if (serving != null) {
                         at(random.nextLong(300_000), serving::die);
                     }
@@ -206,13 +206,13 @@
                 }
             }
             // one generation at least accepts, unless the one that served has died
-            Gen serving = gens.get(keeper.serving());
+            Gen serving = gens.get(keeper.servingGeneration());
             if (serving != null && serving.alive && !serving.accepting && !serving.stopping
-                    && keeper.coming() == 0 && !serving.awaitsBack) {
+                    && keeper.upcomingGeneration() == 0 && !serving.awaitsBack) {
                 broken.add("generation " + serving.number + " serves and does not accept");
             }
-            if (keeper.nextDue() < keeperTick) {
-                keeperTick = keeper.nextDue();
+            if (keeper.nextTimerDue() < keeperTick) {
+                keeperTick = keeper.nextTimerDue();
                 long mine = keeperTick;
                 at(Math.max(0, mine - now), () -> {
                     if (keeperTick == mine) {
@@ -298,7 +298,7 @@
 
             void done() {
                 answered++;
-                if (gen.desk.lettingGo() || gen.desk.leaving()) {
+                if (gen.desk.isHandedOver() || gen.desk.isShuttingDown()) {
                     gen.leaves(connection);
                 } else {
                     gen.happened(new Event.ClientIdle(connection));
@@ -387,8 +387,9 @@
             private void handle(Frame frame) {
                 switch (frame.getWhatCase()) {
                     case STATE -> build(frame);
-                    case GIVE_STATE -> tell(Frame.newBuilder().setState(StateCodec.write(desk.holdings(),
-                            router.memory(), counters.all(), now, now * 1000)));
+                    case GIVE_STATE -> tell(Frame.newBuilder().setState(
+                            StateCodec.write(desk.generationState(), router.learnedState(), counters.all(),
+                                    now, now * 1000)));
                     case TAKE -> tell(Frame.newBuilder().setTook(Took.getDefaultInstance()));
                     case SHARE -> happened(new Event.HandoverStarted());
                     case SHARING -> {
@@ -431,14 +432,14 @@
                 desk = new Reducer(TERMS, new ResourceLimits(60, 60, 60, 1 << 20), counters, actions -> {
                     router = left == null ? new GenerationRouter(config.settings(), number, actions)
                             : new GenerationRouter(config.settings(), number, actions, left.memory(),
-                                    left.shift());
+                                    left.clockShiftMicros());
                     return router;
                 });
                 if (left == null) {
                     // as after a restart: its configuration tells it the list
                     told();
                 }
-                happened(new Event.Started(left == null ? list(-1) : left.boxes(), "list"));
+                happened(new Event.Started(left == null ? list(-1) : left.endpointList(), "list"));
                 tell(Frame.newBuilder().setReady(Ready.getDefaultInstance()));
             }
 
@@ -449,8 +450,8 @@
                 for (Effect effect : desk.reduce(event, now)) {
                     perform(effect);
                 }
-                if (desk.nextDue() < tickAt) {
-                    tickAt = desk.nextDue();
+                if (desk.nextTimerDue() < tickAt) {
+                    tickAt = desk.nextTimerDue();
                     long mine = tickAt;
                     at(Math.max(0, mine - now), () -> {
                         if (tickAt == mine) {
@@ -463,12 +464,12 @@
 
             private void perform(Effect effect) {
                 if (effect instanceof Effect.OpenServerConnection e) {
-                    boxOfLine.put(e.line(), Long.parseLong(e.address().split(":")[1]) - 9000);
-                    at(100 + random.nextLong(900), () -> happened(new Event.ServerConnected(e.line())));
+                    boxOfLine.put(e.connection(), Long.parseLong(e.address().split(":")[1]) - 9000);
+                    at(100 + random.nextLong(900), () -> happened(new Event.ServerConnected(e.connection())));
                 } else if (effect instanceof Effect.SendAttempt e) {
                     sent(e);
                 } else if (effect instanceof Effect.CloseServerConnection e) {
-                    at(random.nextLong(500), () -> down(e.line()));
+                    at(random.nextLong(500), () -> down(e.connection()));
                 } else if (effect instanceof Effect.EndResponse e) {
                     final Client c = over(e.client());
                     at(0, c::done);
@@ -486,14 +487,14 @@
                     at(0, () -> leaves(e.client()));
                 } else if (effect instanceof Effect.CallDiscovery e) {
                     long call = ++listCall;
-                    at(random.nextLong(2_000), () -> answer(this, e.since(), e.longest(), call,
-                            e.longest() == 0));
+                    at(random.nextLong(2_000), () -> answer(this, e.sinceVersion(), e.maxWaitMicros(), call,
+                            e.maxWaitMicros() == 0));
                 } else if (effect instanceof Effect.CancelDiscoveryCall) {
                     listCall++;
                 } else if (effect instanceof Effect.SendToGenerations e) {
-                    tell(Frame.newBuilder().setNews(StateCodec.news(e.news())));
+                    tell(Frame.newBuilder().setNews(StateCodec.news(e.message())));
                 } else if (effect instanceof Effect.SendGenerationState e) {
-                    tell(Frame.newBuilder().setSharing(StateCodec.sharing(e.held())));
+                    tell(Frame.newBuilder().setSharing(StateCodec.sharing(e.state())));
                 } else if (effect instanceof Effect.Stop) {
                     stopping = true;
                     listCall++;
@@ -519,29 +520,29 @@
 
             private void sent(Effect.SendAttempt e) {
                 String id = owing.get(e.client());
-                long box = boxOfLine.get(e.line());
+                long box = boxOfLine.get(e.connection());
                 if (out.putIfAbsent(id, number + "") != null) {
                     broken.add("id " + id + " is out twice, from " + out.get(id) + " and " + number);
                 }
-                tryOnLine.put(e.line(), id);
+                tryOnLine.put(e.connection(), id);
                 if (now > drainTold.getOrDefault(box, Long.MAX_VALUE - GRACE) + GRACE) {
                     broken.add("sent to box " + box + " " + (now - drainTold.get(box))
                             + " us after its drain");
                 }
-                happened(new Event.AttemptWritten(e.line()));
+                happened(new Event.AttemptWritten(e.connection()));
                 long first = random.nextLong(150_000);
                 long whole = first + random.nextLong(random.nextInt(10) == 0 ? 3_000_000 : 200_000);
                 boolean breaks = random.nextInt(30) == 0;
                 String mine = id;
-                at(first, () -> onLine(e.line(), mine, new Event.ResponseChunk(e.line(),
+                at(first, () -> onLine(e.connection(), mine, new Event.ResponseChunk(e.connection(),
                         ByteBuffer.allocate(9))));
                 at(whole, () -> {
                     if (breaks) {
-                        down(e.line());
-                    } else if (mine.equals(tryOnLine.get(e.line()))) {
-                        tryOnLine.remove(e.line());
+                        down(e.connection());
+                    } else if (mine.equals(tryOnLine.get(e.connection()))) {
+                        tryOnLine.remove(e.connection());
                         out.remove(mine, number + "");
-                        happened(new Event.ResponseCompleted(e.line(), Outcome.OK, true, 0, null));
+                        happened(new Event.ResponseCompleted(e.connection(), Outcome.OK, true, 0, null));
                     }
                 });
             }
--- a/src/test/java/yewdock/daemon/StatesTest.java
+++ b/src/test/java/yewdock/daemon/StatesTest.java
@@ -43,14 +43,15 @@
     void allOfItComesAcrossOnTheReadersClock() throws Exception {
         // 3 ms later by the machine's clock; the reader's own clock is 1 s ahead of the writer's
         StateCodec.InheritedState left = StateCodec.read(state(), 2_003_000, 2_003_000_000L);
-        assertEquals(1_000_000, left.shift());
+        assertEquals(1_000_000, left.clockShiftMicros());
         assertEquals(MEMORY, left.memory());
-        assertEquals(HELD.boxes(), left.boxes());
+        assertEquals(HELD.endpointList(), left.endpointList());
         assertEquals("127.0.0.1:8500", left.listAddress());
-        assertEquals(Map.of(7L, 1_002_000L), left.toldAt());
+        assertEquals(Map.of(7L, 1_002_000L), left.stateReportedAt());
         assertEquals(Map.of("answers.served", 5L), left.counters());
-        assertEquals(HELD.ids(), StateCodec.holdings(StateCodec.sharing(HELD)).ids());
-        assertEquals(HELD.out(), StateCodec.holdings(StateCodec.sharing(HELD)).out());
+        assertEquals(HELD.requestIds(), StateCodec.holdings(StateCodec.sharing(HELD)).requestIds());
+        assertEquals(HELD.attemptsInFlight(),
+                StateCodec.holdings(StateCodec.sharing(HELD)).attemptsInFlight());
     }
 
     @Test
--- a/src/test/java/yewdock/experiment/ExperimentTest.java
+++ b/src/test/java/yewdock/experiment/ExperimentTest.java
@@ -103,7 +103,7 @@
             PLAN.replace("y = \"hits\"",
                     "y = \"hit\""), PLAN.replace("\"boxes.count\"", "\"boxes.cuont\"")}) {
             InvalidSettingsException e = assertThrows(InvalidSettingsException.class, () -> plan(bad));
-            assertTrue(!e.mistakes().isEmpty());
+            assertTrue(!e.errors().isEmpty());
         }
     }
 
--- a/src/test/java/yewdock/faults/DrainScheduleTest.java
+++ b/src/test/java/yewdock/faults/DrainScheduleTest.java
@@ -92,15 +92,16 @@
                 } else if (effect instanceof Effect.CancelDiscoveryCall) {
                     discovery.hungUp();
                 } else if (effect instanceof Effect.OpenServerConnection line) {
-                    serversByLine.put(line.line(), Long.parseLong(line.address().split(":")[1]) - 9000);
-                    later(random.nextInt(10) == 0 ? 200_000 : 1_000, new Event.ServerConnected(line.line()));
+                    serversByLine.put(line.connection(), Long.parseLong(line.address().split(":")[1]) - 9000);
+                    later(random.nextInt(10) == 0 ? 200_000 : 1_000,
+                            new Event.ServerConnected(line.connection()));
                 } else if (effect instanceof Effect.CloseServerConnection line) {
-                    later(0, new Event.ServerDisconnected(line.line()));
+                    later(0, new Event.ServerDisconnected(line.connection()));
                 } else if (effect instanceof Effect.SendAttempt attempt) {
-                    judge.attempted(0, SimulatedDiscovery.name(serversByLine.get(attempt.line())),
+                    judge.attempted(0, SimulatedDiscovery.name(serversByLine.get(attempt.connection())),
                             now * 1000);
-                    later(0, new Event.AttemptWritten(attempt.line()));
-                    later(30_000 + random.nextInt(100_000), new Event.ResponseCompleted(attempt.line(),
+                    later(0, new Event.AttemptWritten(attempt.connection()));
+                    later(30_000 + random.nextInt(100_000), new Event.ResponseCompleted(attempt.connection(),
                             Routing.Outcome.OK, true, 0, null));
                 }
             }
@@ -115,7 +116,7 @@
                 }
                 for (Event answer : discovery.answer(now)) {
                     boolean hidden = ignoresDrains && answer instanceof Event.EndpointListReceived came
-                            && !came.list().boxes().isEmpty();
+                            && !came.list().servers().isEmpty();
                     if (!hidden) {
                         happens(answer);
                     }
@@ -123,7 +124,7 @@
                 while (!due.isEmpty() && due.peek().at <= now) {
                     happens(due.poll().event);
                 }
-                if (desk.nextDue() <= now) {
+                if (desk.nextTimerDue() <= now) {
                     happens(new Event.Tick());
                 }
             }
--- a/src/test/java/yewdock/faults/SimulatedDiscovery.java
+++ b/src/test/java/yewdock/faults/SimulatedDiscovery.java
@@ -114,14 +114,14 @@
             call = null;
             return List.of(new Event.EndpointListReceived(late));
         }
-        if (call.since() >= version && now < calledAt + call.longest()) {
+        if (call.sinceVersion() >= version && now < calledAt + call.maxWaitMicros()) {
             return List.of();
         }
         return List.of(new Event.EndpointListReceived(write()));
     }
 
     private EndpointList write() {
-        long since = call.since();
+        long since = call.sinceVersion();
         call = null;
         if (since < 0) {
             entries.forEach((id, entry) -> judge.written(0, name(id), entry.state));
--- a/src/test/java/yewdock/platform/EndpointListReaderTest.java
+++ b/src/test/java/yewdock/platform/EndpointListReaderTest.java
@@ -32,7 +32,7 @@
 
     private List<ModelServer> read(String... entries) {
         return lists.read("{\"version\":9,\"full\":false,\"servers\":[" + String.join(",", entries) + "]}")
-                .boxes();
+                .servers();
     }
 
     private Lifecycle stateOf(String... entries) {
@@ -83,7 +83,7 @@
         EndpointListReader later = lists();
         later.remember(new EndpointList(9, true, first));
         assertEquals(first.get(1).id(), later.read("{\"version\":10,\"full\":false,\"servers\":["
-                + entry("b-1", "draining", GOOD) + "]}").boxes().get(0).id());
+                + entry("b-1", "draining", GOOD) + "]}").servers().get(0).id());
     }
 
     @Test
--- a/src/test/java/yewdock/replication/ReplicaSimTest.java
+++ b/src/test/java/yewdock/replication/ReplicaSimTest.java
@@ -42,9 +42,9 @@
             for (int round = 0; round < 5; round++) {
                 sim.split(random.nextInt(1 << 5));
                 for (int i = 0; i < 40; i++) {
-                    sim.node(random.nextInt(5)).write(RecordKeys.mark("s-" + random.nextInt(20)),
+                    sim.node(random.nextInt(5)).write(RecordKeys.override("s-" + random.nextInt(20)),
                             mark(1 + random.nextInt(2)));
-                    sim.node(random.nextInt(5)).drop(RecordKeys.mark("s-" + random.nextInt(20)));
+                    sim.node(random.nextInt(5)).drop(RecordKeys.override("s-" + random.nextInt(20)));
                     sim.run(random.nextLong(SECOND / 2));
                 }
                 sim.join();
@@ -58,34 +58,34 @@
     void aDrainReachesAllWithoutWaitingForAComparison() {
         CopiesSim sim = new CopiesSim(names(5), 1);
         sim.run(3 * SECOND);
-        sim.node(2).write(RecordKeys.mark("s-1"), mark(1));
+        sim.node(2).write(RecordKeys.override("s-1"), mark(1));
         sim.run(SECOND / 10);
         assertTrue(sim.agree());
-        assertNotNull(sim.node(4).records().get(RecordKeys.mark("s-1")));
+        assertNotNull(sim.node(4).records().get(RecordKeys.override("s-1")));
     }
 
     @Test
     void anEmptyDiskTakesASnapshotAndKnowsItsOwnAgain() {
         CopiesSim sim = new CopiesSim(names(3), 1);
         for (int i = 0; i < 3000; i++) {
-            sim.node(i % 3).write(RecordKeys.box("i" + i % 3, i), mark(1));
+            sim.node(i % 3).write(RecordKeys.server("i" + i % 3, i), mark(1));
         }
         sim.run(20 * SECOND);
         assertTrue(sim.agree());
         sim.wipe(1);
-        sim.node(1).write(RecordKeys.box("i1", 1), mark(2));
+        sim.node(1).write(RecordKeys.server("i1", 1), mark(2));
         sim.run(20 * SECOND);
         assertTrue(sim.agree(), sim.differences());
         assertEquals(3000, sim.node(1).records().size());
         // what it has written in this life holds, though its stamps began anew
-        assertEquals(2, sim.node(0).records().get(RecordKeys.box("i1", 1)).getMark().getKindValue());
+        assertEquals(2, sim.node(0).records().get(RecordKeys.server("i1", 1)).getMark().getKindValue());
     }
 
     @Test
     void aSnapshotCutOffHalfWayIsTakenAnew() {
         CopiesSim sim = new CopiesSim(names(2), 1);
         for (int i = 0; i < 20_000; i++) {
-            sim.node(0).write(RecordKeys.box("i0", i), mark(1));
+            sim.node(0).write(RecordKeys.server("i0", i), mark(1));
         }
         sim.wipe(1);
         sim.run(1);
@@ -95,7 +95,7 @@
         assertTrue(sim.node(1).records().size() < 20_000);
         sim.split(1);
         sim.run(SECOND);
-        assertTrue(sim.node(1).replica().needsAll());
+        assertTrue(sim.node(1).replica().needsFullSync());
         sim.join();
         sim.run(20 * SECOND);
         assertTrue(sim.agree(), sim.differences());
@@ -104,27 +104,27 @@
     @Test
     void whatWasRemovedLongAgoStaysRemoved() {
         CopiesSim sim = new CopiesSim(names(3), 1, 5);
-        sim.node(0).write(RecordKeys.mark("s-old"), mark(1));
+        sim.node(0).write(RecordKeys.override("s-old"), mark(1));
         sim.run(5 * SECOND);
         byte[] disk = sim.disk(2);
         sim.stop(2);
         sim.rename(List.of("i0", "i1"));
-        sim.node(0).drop(RecordKeys.mark("s-old"));
+        sim.node(0).drop(RecordKeys.override("s-old"));
         for (int i = 0; i < 30; i++) {
-            sim.node(0).write(RecordKeys.mark("s-" + i), mark(1));
+            sim.node(0).write(RecordKeys.override("s-" + i), mark(1));
             sim.run(SECOND / 10);
-            sim.node(0).drop(RecordKeys.mark("s-" + i));
+            sim.node(0).drop(RecordKeys.override("s-" + i));
         }
         sim.run(10 * SECOND);
-        assertNull(sim.node(0).records().raw(RecordKeys.mark("s-old")),
+        assertNull(sim.node(0).records().getWithTombstones(RecordKeys.override("s-old")),
                 "the removal should be forgotten by now");
         sim.rename(List.of("i0", "i1", "i2"));
         sim.start(2, disk);
-        assertNotNull(sim.node(2).records().get(RecordKeys.mark("s-old")));
+        assertNotNull(sim.node(2).records().get(RecordKeys.override("s-old")));
         sim.run(10 * SECOND);
         assertTrue(sim.agree(), sim.differences());
-        assertNull(sim.node(2).records().get(RecordKeys.mark("s-old")));
-        assertNull(sim.node(0).records().get(RecordKeys.mark("s-old")));
+        assertNull(sim.node(2).records().get(RecordKeys.override("s-old")));
+        assertNull(sim.node(0).records().get(RecordKeys.override("s-old")));
     }
 
     @Test
@@ -132,12 +132,12 @@
         CopiesSim sim = new CopiesSim(names(3), 1);
         sim.run(3 * SECOND);
         sim.wallOff(0, 3600 * SECOND);
-        sim.node(0).write(RecordKeys.mark("s-1"), mark(1));
+        sim.node(0).write(RecordKeys.override("s-1"), mark(1));
         sim.run(3 * SECOND);
-        sim.node(1).drop(RecordKeys.mark("s-1"));
+        sim.node(1).drop(RecordKeys.override("s-1"));
         sim.run(3 * SECOND);
         assertTrue(sim.agree());
-        assertNull(sim.node(0).records().get(RecordKeys.mark("s-1")));
+        assertNull(sim.node(0).records().get(RecordKeys.override("s-1")));
     }
 
     @Test
@@ -148,15 +148,15 @@
         replica.reduce(new ReplicationEvent.PeerFrameReceived("b", CopiesSim.hello("c", "b", "a")), 0);
         int sent = 0;
         for (int i = 0; i < 50_000; i++) {
-            records.write(RecordKeys.mark("s-" + i % 500), mark(1 + i % 2), 0);
-            sent += replica.reduce(new ReplicationEvent.RecordsChanged(List.of(RecordKeys.mark("s-"
+            records.write(RecordKeys.override("s-" + i % 500), mark(1 + i % 2), 0);
+            sent += replica.reduce(new ReplicationEvent.RecordsChanged(List.of(RecordKeys.override("s-"
                     + i % 500))), 1).size();
         }
         assertTrue(sent <= 2, sent + " frames to a peer that takes none");
-        assertTrue(replica.standings().get(0).waiting() <= 500);
+        assertTrue(replica.peerStatuses().get(0).waiting() <= 500);
         List<ReplicationEffect> late = replica.reduce(new ReplicationEvent.Tick(), 6 * SECOND);
         assertTrue(late.stream().anyMatch(e -> e instanceof ReplicationEffect.ClosePeer));
-        assertEquals(0, replica.standings().get(0).waiting());
+        assertEquals(0, replica.peerStatuses().get(0).waiting());
     }
 
     @Test
@@ -194,7 +194,7 @@
                     List<ReplicationEffect> done = replica.reduce(new ReplicationEvent.PeerFrameReceived("b",
                             hello), 0);
                     assertTrue(done.stream().anyMatch(e -> e instanceof ReplicationEffect.ClosePeer));
-                    assertFalse(replica.standings().get(0).up());
+                    assertFalse(replica.peerStatuses().get(0).up());
                 });
     }
 }
--- a/src/test/java/yewdock/scenario/ScenarioFileTest.java
+++ b/src/test/java/yewdock/scenario/ScenarioFileTest.java
@@ -42,9 +42,9 @@
         Object given = value.matches("-?[0-9.]+") ? (Object) Double.valueOf(value) : value;
         InvalidSettingsException e = assertThrows(InvalidSettingsException.class,
                 () -> ScenarioFile.parse("here", Days.SMALL, Map.of(key, given)));
-        assertEquals(1, e.mistakes().size(), e.mistakes().toString());
+        assertEquals(1, e.errors().size(), e.errors().toString());
         String named = key.startsWith("nothing") ? "nothing" : key;
-        assertTrue(e.mistakes().get(0).startsWith("here: " + named + ":"), e.mistakes().get(0));
+        assertTrue(e.errors().get(0).startsWith("here: " + named + ":"), e.errors().get(0));
     }
 
     @Test
--- a/src/test/java/yewdock/settings/OperatorSettingsTest.java
+++ b/src/test/java/yewdock/settings/OperatorSettingsTest.java
@@ -40,7 +40,7 @@
                 + "take_s, share_s, go_s, let_go_s, finish_s, most_finishing",
                 "f.hcl: log.form: text or json, not xml",
                 "f.hcl: extra: no such key; there are daemon, upgrade, log, store, copies, agreement"),
-                bad.mistakes());
+                bad.errors());
     }
 
     @Test
@@ -52,7 +52,7 @@
                 "f: agreement.members: this instance and copies.peers, and a is none of them",
                 "f: agreement.members: this instance and copies.peers, and b is none of them",
                 "f: agreement.agreed_within_s: a number from 1 to 600, not 0.5",
-                "f: agreement.in_doubt: refuse or serve, not hope"), bad.mistakes());
+                "f: agreement.in_doubt: refuse or serve, not hope"), bad.errors());
     }
 
     /** What the parser takes for an empty file, or mends by itself, is a mistake here. */
--- a/src/test/java/yewdock/sockets/ForeignSettingsTest.java
+++ b/src/test/java/yewdock/sockets/ForeignSettingsTest.java
@@ -60,9 +60,10 @@
         List<String> log = new ArrayList<>();
         Config config = Config.read(text, log::add);
         Counters counters = new Counters();
-        MinaTransport sockets = new MinaTransport(config.bounds().clients(),
+        MinaTransport sockets = new MinaTransport(config.bounds().maxClientConnections(),
                 config.settings().contract().drainGrace());
-        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepalive()), config.bounds(),
+        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
+                config.bounds(),
                 counters,
                 actions -> new BoundedLoadRouter(config.settings(), config.seed(), actions));
         return new Running(Listening.start(sockets,
@@ -125,9 +126,10 @@
         assertEquals(List.of("class-1"),
                 config.settings().classes().stream().map(c -> c.name()).toList());
         assertEquals(List.of("zone-1", "zone-2"),
-                config.names().sites().keySet().stream().sorted().toList());
-        assertEquals(List.of("kind-1", "kind-2"), config.names().kinds().keySet().stream().sorted().toList());
-        assertEquals(List.of("tenant-1"), List.copyOf(config.names().municipalities().keySet()));
+                config.names().zones().keySet().stream().sorted().toList());
+        assertEquals(List.of("kind-1", "kind-2"),
+                config.names().serverKinds().keySet().stream().sorted().toList());
+        assertEquals(List.of("tenant-1"), List.copyOf(config.names().tenants().keySet()));
         String script = Files.readString(Path.of("deploy/warm-up.sh"));
         assertTrue(script.contains("TMPDIR=target/warm "),
                 "its own folder, which no served process is given");
--- a/src/test/java/yewdock/sockets/GoneClientTest.java
+++ b/src/test/java/yewdock/sockets/GoneClientTest.java
@@ -41,7 +41,8 @@
         String file = Files.readString(Path.of("src/test/resources/exchanges/config.json"))
                 .replaceAll("127.0.0.1:900[12]", "127.0.0.1:" + silentServer.getLocalPort());
         Config config = Config.read(file, line -> { });
-        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepalive()), config.bounds(),
+        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
+                config.bounds(),
                 counters,
                 actions -> new GenerationRouter(config.settings(), 1, actions));
         ConnectionManager front = new ConnectionManager(config, desk, counters, sockets, sockets.clock(),
--- a/src/test/java/yewdock/sockets/IdleCloseTest.java
+++ b/src/test/java/yewdock/sockets/IdleCloseTest.java
@@ -43,7 +43,8 @@
                 line -> { });
         Counters counters = new Counters();
         ResourceLimits bounds = new ResourceLimits(MOST_CLIENTS, 20, 20, 1 << 20);
-        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepalive()), bounds, counters,
+        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()), bounds,
+                counters,
                 actions -> new GenerationRouter(config.settings(), 1, actions));
         front = new ConnectionManager(config, desk, counters, sockets, sockets.clock(), line -> { });
         listening = Listening.start(sockets, front, desk);
@@ -123,7 +124,7 @@
     void aRequestThatCrossesTheClosingOfIdleConnectionsIsAnswered() throws Exception {
         try (Socket client = connect()) {
             awaitTaken();
-            listening.onDesk(() -> front.happened(new Event.ShutdownRequested()));
+            listening.onDesk(() -> front.dispatch(new Event.ShutdownRequested()));
             long leaves = System.nanoTime();
             CountDownLatch busy = keepBusy();
             sendAndAwaitRead(client);
--- a/src/test/java/yewdock/sockets/LetGoTest.java
+++ b/src/test/java/yewdock/sockets/LetGoTest.java
@@ -29,7 +29,8 @@
         Config config = Config.read(Files.readString(Path.of("src/test/resources/exchanges/config.json")),
                 line -> { });
         Counters counters = new Counters();
-        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepalive()), config.bounds(),
+        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
+                config.bounds(),
                 counters,
                 actions -> new GenerationRouter(config.settings(), 1, actions));
         MinaTransport sockets = new MinaTransport(0, 1_000_000);
--- a/src/test/java/yewdock/sockets/LingeringTest.java
+++ b/src/test/java/yewdock/sockets/LingeringTest.java
@@ -51,27 +51,27 @@
         private int received;
 
         @Override
-        public void up() {
+        public void onConnected() {
             up.countDown();
         }
 
         @Override
-        public void received(ByteBuffer bytes) {
+        public void onReceived(ByteBuffer bytes) {
             received += bytes.remaining();
         }
 
         @Override
-        public void written(int bytes) {
+        public void onWritten(int bytes) {
             // nothing waits for it
         }
 
         @Override
-        public void idle() {
+        public void onIdle() {
             wire.join().close();
         }
 
         @Override
-        public void down() {
+        public void onClosed() {
             down.countDown();
         }
     }
@@ -97,18 +97,18 @@
         Quiet side = new Quiet();
         try (Socket peer = connected(side)) {
             Connection wire = side.wire.get();
-            listening.onDesk(() -> wire.hold(true));
+            listening.onDesk(() -> wire.setReadingPaused(true));
             peer.getOutputStream().write(new byte[1000]);
             listening.onDesk(() -> {
                 wire.write(ByteBuffer.wrap(ANSWER.getBytes(StandardCharsets.US_ASCII)));
-                wire.linger();
+                wire.closeLingering();
             });
             byte[] came = new byte[ANSWER.length()];
             peer.getInputStream().readNBytes(came, 0, came.length);
             assertEquals(ANSWER, new String(came, StandardCharsets.US_ASCII));
             assertEquals(-1, peer.getInputStream().read(), "the end, and not a reset");
             peer.getOutputStream().write(new byte[1000]);
-            listening.onDesk(() -> wire.hold(false));
+            listening.onDesk(() -> wire.setReadingPaused(false));
             peer.getOutputStream().write(new byte[1000]);
             assertEquals(-1, peer.getInputStream().read(), "still the end");
         }
@@ -146,7 +146,7 @@
         Quiet rests = new Quiet();
         try (Socket peer = connected(rests)) {
             rests.wire.get();
-            listening.onDesk(() -> rests.wire.join().linger());
+            listening.onDesk(() -> rests.wire.join().closeLingering());
             assertEquals(-1, peer.getInputStream().read());
             assertTrue(rests.down.await(10, TimeUnit.SECONDS));
         }
@@ -157,7 +157,7 @@
         serve(LONG);
         Quiet floods = new Quiet();
         try (Socket peer = connected(floods)) {
-            listening.onDesk(() -> floods.wire.join().linger());
+            listening.onDesk(() -> floods.wire.join().closeLingering());
             byte[] piece = new byte[64 * 1024];
             for (int i = 0; i < 1000 && floods.down.getCount() > 0; i++) {
                 peer.getOutputStream().write(piece);
--- a/src/test/java/yewdock/sockets/Listening.java
+++ b/src/test/java/yewdock/sockets/Listening.java
@@ -14,10 +14,10 @@
 record Listening(MinaTransport sockets, InetSocketAddress at, Thread serves) {
     static Listening start(MinaTransport sockets, ConnectionManager front, Reducer desk) throws Exception {
         CompletableFuture<String> address = new CompletableFuture<>();
-        Thread serves = new Thread(() -> sockets.serveLater(() -> {
+        Thread serves = new Thread(() -> sockets.serveWithoutListening(() -> {
             front.start();
             try {
-                address.complete(sockets.listenBeside("127.0.0.1:0"));
+                address.complete(sockets.listenShared("127.0.0.1:0"));
             } catch (java.io.IOException e) {
                 address.completeExceptionally(e);
             }
@@ -32,7 +32,8 @@
     static Listening start(MinaTransport sockets, String text) throws Exception {
         Config config = Config.read(text, line -> { });
         Counters counters = new Counters();
-        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepalive()), config.bounds(),
+        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
+                config.bounds(),
                 counters,
                 actions -> new GenerationRouter(config.settings(), 1, actions));
         return start(sockets, new ConnectionManager(config, desk, counters, sockets, sockets.clock(), line ->
--- a/src/test/java/yewdock/sockets/ResetBehindBytesTest.java
+++ b/src/test/java/yewdock/sockets/ResetBehindBytesTest.java
@@ -32,27 +32,27 @@
         private final CountDownLatch up = new CountDownLatch(1);
 
         @Override
-        public void up() {
+        public void onConnected() {
             up.countDown();
         }
 
         @Override
-        public void received(ByteBuffer bytes) {
+        public void onReceived(ByteBuffer bytes) {
             came.append(StandardCharsets.US_ASCII.decode(bytes));
         }
 
         @Override
-        public void written(int bytes) {
+        public void onWritten(int bytes) {
             throw new AssertionError("nothing is written");
         }
 
         @Override
-        public void idle() {
+        public void onIdle() {
             throw new AssertionError("nothing lingers");
         }
 
         @Override
-        public void down() {
+        public void onClosed() {
             atEnd.complete(came.toString());
         }
     }
@@ -81,11 +81,11 @@
             Socket accepted = server.accept();
             reader.up.await(10, TimeUnit.SECONDS);
             Connection held = wire.get(10, TimeUnit.SECONDS);
-            listening.onDesk(() -> held.hold(true));
+            listening.onDesk(() -> held.setReadingPaused(true));
             accepted.getOutputStream().write(ANSWER.getBytes(StandardCharsets.US_ASCII));
             accepted.setSoLinger(true, 0);
             accepted.close();
-            listening.onDesk(() -> held.hold(false));
+            listening.onDesk(() -> held.setReadingPaused(false));
             assertEquals(ANSWER, reader.atEnd.get(10, TimeUnit.SECONDS));
         }
     }
--- a/src/test/java/yewdock/state/RecordsPropertiesTest.java
+++ b/src/test/java/yewdock/state/RecordsPropertiesTest.java
@@ -46,7 +46,7 @@
 
     private static List<Kept> all(ReplicatedRecords records) {
         List<Kept> all = new ArrayList<>();
-        records.after("").forEach(all::add);
+        records.recordsAfter("").forEach(all::add);
         return all;
     }
 
@@ -60,7 +60,7 @@
         Collections.shuffle(mixed, random);
         ReplicatedRecords other = of(mixed, List.of());
         assertEquals(all(one), all(other));
-        assertEquals(one.sums(), other.sums());
+        assertEquals(one.bucketSums(), other.bucketSums());
     }
 
     @Property(seed = SEED)
@@ -73,7 +73,7 @@
     void twiceIsOnce(@ForAll("sets") List<Kept> a) {
         ReplicatedRecords once = of(a, List.of());
         assertEquals(all(once), all(of(a, a)));
-        assertEquals(once.sums(), of(a, a).sums());
+        assertEquals(once.bucketSums(), of(a, a).bucketSums());
     }
 
     @Property(seed = SEED)
@@ -86,14 +86,14 @@
         ReplicatedRecords there = of(late, a);
         there.merge(mine);
         all(here).forEach(there::merge);
-        assertEquals(there.sums(), of(all(there), all(here)).sums());
+        assertEquals(there.bucketSums(), of(all(there), all(here)).bucketSums());
     }
 
     @Property(seed = SEED)
     void theSumsAreOfWhatIsThere(@ForAll("sets") List<Kept> a, @ForAll("sets") List<Kept> b) {
         ReplicatedRecords grown = of(a, b);
-        assertEquals(of(all(grown), List.of()).sums(), grown.sums());
+        assertEquals(of(all(grown), List.of()).bucketSums(), grown.bucketSums());
         assertEquals(all(grown).equals(all(of(a, List.of()))),
-                grown.differing(of(a, List.of()).sums()).isEmpty());
+                grown.differingBuckets(of(a, List.of()).bucketSums()).isEmpty());
     }
 }
--- a/src/test/java/yewdock/store/CommitterTest.java
+++ b/src/test/java/yewdock/store/CommitterTest.java
@@ -51,7 +51,7 @@
                 }
 
                 @Override
-                public void tidy(int mostMillis) {
+                public void compactIfLarge(int mostMillis) {
                     // nothing to tidy
                 }
 
--- a/src/test/java/yewdock/store/StoreFullTest.java
+++ b/src/test/java/yewdock/store/StoreFullTest.java
@@ -30,7 +30,7 @@
         assertEquals(0, process.waitFor(), said);
         assertEquals(List.of("full UNWRITABLE", "room", "all there"), said.lines().toList());
         try (RecordFile store = RecordFile.open(folder)) {
-            assertEquals(0, store.missing());
+            assertEquals(0, store.missingCommits());
         }
     }
 
--- a/src/test/java/yewdock/upgrade/UpgradeTest.java
+++ b/src/test/java/yewdock/upgrade/UpgradeTest.java
@@ -22,7 +22,8 @@
 /** The keeper's decisions, stage by stage. */
 class UpgradeTest {
     private static final long STAGE = 1_000_000;
-    private final SupervisorReducer keeper = new SupervisorReducer(UpgradeLimits.even(STAGE, 10 * STAGE, 2));
+    private final SupervisorReducer keeper =
+            new SupervisorReducer(UpgradeLimits.uniform(STAGE, 10 * STAGE, 2));
     private final List<String> seen = new ArrayList<>();
     private long now = 1;
     private int exit = -1;
@@ -79,7 +80,7 @@
     private void firstServes() {
         happens(new SupervisorEvent.ListenerOpened(List.of("p")));
         upTo(null, 0, 1);
-        assertEquals(1, keeper.serving());
+        assertEquals(1, keeper.servingGeneration());
         taken();
     }
 
@@ -88,7 +89,7 @@
         firstServes();
         happens(new SupervisorEvent.UpgradeRequested(7, List.of()));
         upTo(null, 1, 2);
-        assertEquals(2, keeper.serving());
+        assertEquals(2, keeper.servingGeneration());
         List<String> all = taken();
         assertEquals(List.of("start 2", "1 GIVE_STATE", "2 STATE", "2 TAKE", "1 SHARE", "2 SHARING", "2 GO",
                 "1 LET_GO"), all.subList(0, 8));
@@ -125,11 +126,11 @@
         List<String> all = taken();
         if (stage == Stage.LET_GO && way.equals("late")) {
             // the new one serves: what is late is the old one
-            assertEquals(2, keeper.serving(), at);
+            assertEquals(2, keeper.servingGeneration(), at);
             return;
         }
-        assertEquals(1, keeper.serving(), at);
-        assertEquals(0, keeper.coming(), at);
+        assertEquals(1, keeper.servingGeneration(), at);
+        assertEquals(0, keeper.upcomingGeneration(), at);
         assertTrue(all.contains("kill 2"), at + all);
         assertEquals(stage.compareTo(Stage.SHARE) >= 0, all.contains("1 TAKE_BACK"), at + all);
         assertTrue(all.stream().anyMatch(l -> l.startsWith("reply 1 upgrade failed at stage " + stage)
@@ -137,7 +138,7 @@
         happens(new SupervisorEvent.ProcessEnded(2, "killed"));
         happens(new SupervisorEvent.UpgradeRequested(8, List.of()));
         upTo(null, 1, 3);
-        assertEquals(3, keeper.serving(), at);
+        assertEquals(3, keeper.servingGeneration(), at);
     }
 
     @Test
@@ -153,7 +154,7 @@
         says(2, Frame.newBuilder().setSharing(Sharing.getDefaultInstance()));
         says(3, Frame.newBuilder().setServing(Serving.getDefaultInstance()));
         says(2, Frame.newBuilder().setLetGoDone(LetGoDone.getDefaultInstance()));
-        assertEquals(3, keeper.serving());
+        assertEquals(3, keeper.servingGeneration());
         taken();
         happens(new SupervisorEvent.UpgradeRequested(10, List.of()));
         assertEquals(List.of("reply 1 not now: 2 older generations are still finishing what they have"),
@@ -175,7 +176,7 @@
                     t.upToFrom(rest);
                 }
             }
-            assertEquals(2, t.keeper.serving(), stage.toString());
+            assertEquals(2, t.keeper.servingGeneration(), stage.toString());
         }
     }
 
@@ -197,10 +198,10 @@
         firstServes();
         happens(new SupervisorEvent.ProcessEnded(1, "killed"));
         assertEquals(List.of(), taken());
-        now = keeper.nextDue();
+        now = keeper.nextTimerDue();
         happens(new SupervisorEvent.Tick());
         assertEquals(List.of("start 2"), taken());
-        SupervisorReducer other = new SupervisorReducer(UpgradeLimits.even(STAGE, STAGE, 2));
+        SupervisorReducer other = new SupervisorReducer(UpgradeLimits.uniform(STAGE, STAGE, 2));
         other.reduce(new SupervisorEvent.ListenerOpened(List.of("p")), 1);
         assertTrue(other.reduce(new SupervisorEvent.ProcessEnded(1, "it ended with 1"), 2)
                 .contains(new SupervisorEffect.ExitSupervisor(1)));
@@ -218,7 +219,7 @@
         happens(new SupervisorEvent.ConnectionLost(2, "closed"));
         happens(new SupervisorEvent.ProcessEnded(2, "killed"));
         assertEquals(List.of("1 OTHER_GONE", "1 TAKE_BACK", "1 OTHER_GONE"), taken());
-        assertEquals(1, keeper.serving());
+        assertEquals(1, keeper.servingGeneration());
     }
 
     @Test
