--- a/src/test/java/yewdock/AgentDiscoveryTest.java
+++ b/src/test/java/yewdock/AgentDiscoveryTest.java
@@ -293,7 +293,8 @@
                 .map(Effect.OpenServerConnection.class::cast).findFirst().orElseThrow().connection();
         drainBoxOne();
         untilTold();
-        assertFalse(happens(new Event.ServerConnected(line)).stream().anyMatch(Effect.SendAttempt.class::isInstance));
+        assertFalse(happens(new Event.ServerConnected(line)).stream()
+                .anyMatch(Effect.SendAttempt.class::isInstance));
         assertEquals("NOT_SENT", told.get(told.size() - 1));
     }
 }
--- a/src/test/java/yewdock/daemon/GenerationsSimTest.java
+++ b/src/test/java/yewdock/daemon/GenerationsSimTest.java
@@ -387,8 +387,9 @@
             private void handle(Frame frame) {
                 switch (frame.getWhatCase()) {
                     case STATE -> build(frame);
-                    case GIVE_STATE -> tell(Frame.newBuilder().setState(StateCodec.write(desk.generationState(),
-                            router.learnedState(), counters.all(), now, now * 1000)));
+                    case GIVE_STATE -> tell(Frame.newBuilder().setState(
+                            StateCodec.write(desk.generationState(), router.learnedState(), counters.all(),
+                                    now, now * 1000)));
                     case TAKE -> tell(Frame.newBuilder().setTook(Took.getDefaultInstance()));
                     case SHARE -> happened(new Event.HandoverStarted());
                     case SHARING -> {
@@ -412,7 +413,8 @@
                         awaitsBack = false;
                         happened(new Event.HandoverAborted());
                     }
-                    case OTHER_GONE -> happened(new Event.GenerationGone(frame.getOtherGone().getGeneration()));
+                    case OTHER_GONE -> happened(
+                            new Event.GenerationGone(frame.getOtherGone().getGeneration()));
                     case NEWS -> happened(new Event.GenerationMessageReceived(frame.getNews().getGeneration(),
                             StateCodec.news(frame.getNews())));
                     default -> broken.add("told " + frame.getWhatCase());
--- a/src/test/java/yewdock/sockets/LetGoTest.java
+++ b/src/test/java/yewdock/sockets/LetGoTest.java
@@ -30,7 +30,8 @@
                 line -> { });
         Counters counters = new Counters();
         Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
-                config.bounds(), counters,
+                config.bounds(),
+                counters,
                 actions -> new GenerationRouter(config.settings(), 1, actions));
         MinaTransport sockets = new MinaTransport(0, 1_000_000);
         ConnectionManager front = new ConnectionManager(config, desk, counters, sockets, sockets.clock(),
