--- a/src/main/java/umberspread/BoundedLoadRouter.java
+++ b/src/main/java/umberspread/BoundedLoadRouter.java
@@ -662,7 +662,7 @@
         double fair = average * (tuning.loadFactorPercent() / 100.0);
         return server.inFlight + 1 > (tuning.randomRounding()
                 ? Math.floor(fair + Mixing.uniform(pending.request.id() ^ server.entry.id()))
-                        : Math.ceil(fair));
+                : Math.ceil(fair));
     }
 
     /**
@@ -758,8 +758,8 @@
      * refused at a server congested by a large one.
      */
     private boolean spillPays(PendingRequest pending) {
-        return prefillTime(pending) * averageWorth < CHEAP_PREFILL_SHARE * pending.requestClass.firstTokenTarget()
-                * pending.worth;
+        return prefillTime(pending) * averageWorth
+                < CHEAP_PREFILL_SHARE * pending.requestClass.firstTokenTarget() * pending.worth;
     }
 
     /**
--- a/src/main/java/umberspread/GenerationRouter.java
+++ b/src/main/java/umberspread/GenerationRouter.java
@@ -28,6 +28,7 @@
     private final LearnedState learnedState;
     private final long shift;
     private final Map<String, OtherAttempt> otherAttempts = new HashMap<>();
+    /** Whether the learned state has been restored. */
     private boolean restored;
 
     /** An attempt of another generation that is counted as load. */
@@ -42,12 +43,12 @@
     /**
      * Creates a module that continues with learned state, once the first endpoint list has arrived.
      *
-     * @param shift added to the times in memory, in microseconds: this process's clock minus the other's
+     * @param shift added to learned times, in microseconds: this process's clock minus the earlier one's
      */
-    public GenerationRouter(Settings settings, long seed, Routing.Actions actions, LearnedState memory,
-            long shift) {
+    public GenerationRouter(Settings settings, long seed, Routing.Actions actions,
+            LearnedState learnedState, long shift) {
         this.router = new BoundedLoadRouter(settings, seed, actions);
-        this.learnedState = memory;
+        this.learnedState = learnedState;
         this.shift = shift;
     }
 
@@ -62,9 +63,9 @@
      * @param withKeys whether to include the keys, of which there may be tens of thousands
      */
     public LearnedState learnedState(boolean withKeys) {
-        List<LearnedState.LearnedServer> replicas = new ArrayList<>();
+        List<LearnedState.LearnedServer> servers = new ArrayList<>();
         for (TrackedServer server : router.servers.values()) {
-            replicas.add(new LearnedState.LearnedServer(server.entry.id(), server.points,
+            servers.add(new LearnedState.LearnedServer(server.entry.id(), server.points,
                     list(server.classBackoffUntil), Arrays.stream(server.classFailures).boxed().toList(),
                     server.ejectedUntil, server.ejections, server.consecutiveResets, server.slowUntil,
                     server.lastFirstTokenDelay, server.nextColdSendAt, server.coldBudgetStart));
@@ -78,7 +79,7 @@
         return new LearnedState(router.referenceWeight, router.averageWorth, router.recentFirstTokens,
                 router.prefillRate, router.unkeyedRequests, router.plannedAt, list(router.classLatency),
                 router.kindLatencyRatio, list(router.tenantRequests), List.copyOf(router.recentArrivals),
-                List.copyOf(router.recentExtraAttempts), replicas, keys,
+                List.copyOf(router.recentExtraAttempts), servers, keys,
                 router.pools.stream().map(pool -> pool.arrivals).toList());
     }
 
@@ -125,8 +126,8 @@
         server.consecutiveResets = learned.consecutiveResets();
         server.slowUntil = shifted(learned.slowUntil());
         server.lastFirstTokenDelay = learned.lastFirstTokenDelay();
-        // Not shifted: compared with the listed start time. A server that has restarted gets a new budget.
         server.nextColdSendAt = shifted(learned.nextColdSendAt());
+        // Not shifted: it is a server's start time, and a server that has started since gets a new budget.
         server.coldBudgetStart = learned.coldBudgetStart();
         if (learned.classBackoffUntil().size() == server.classBackoffUntil.length
                 && learned.classFailures().size() == server.classFailures.length) {
--- a/src/main/java/umberspread/LearnedState.java
+++ b/src/main/java/umberspread/LearnedState.java
@@ -19,21 +19,22 @@
  * @param tenantRequests decaying count of requests by tenant
  * @param recentArrivals arrival times of the requests within the attempt budget's window
  * @param recentExtraAttempts times of the retries and hedged attempts within that window
+ * @param servers what has been learned about each server
+ * @param keys the recent traffic of each key
  * @param poolArrivals decaying count of sent requests by placement, in the order of the settings
  */
 public record LearnedState(double referenceWeight, double averageWorth, double recentFirstTokens,
-        double prefillRate,
-        double unkeyedRequests, long plannedAt,
-        List<Double> classLatency, Map<Integer, Double> kindLatencyRatio, List<Double> tenantRequests,
-                List<Long> recentArrivals,
+        double prefillRate, double unkeyedRequests, long plannedAt, List<Double> classLatency,
+        Map<Integer, Double> kindLatencyRatio, List<Double> tenantRequests, List<Long> recentArrivals,
         List<Long> recentExtraAttempts, List<LearnedServer> servers, List<LearnedKey> keys,
-                List<Double> poolArrivals) {
+        List<Double> poolArrivals) {
     /**
      * What has been learned about a server.
      *
      * @param points its number of ring points
      * @param classBackoffUntil until when each class is kept away from it
      * @param classFailures consecutive failures by class, which set the length of the next backoff
+     * @param ejectedUntil until when it is ejected
      * @param ejections consecutive ejections
      * @param consecutiveResets consecutive resets
      * @param slowUntil until when it counts as slow
@@ -42,10 +43,8 @@
      * @param coldBudgetStart the listed start time of the server that this budget is for
      */
     public record LearnedServer(long id, int points, List<Long> classBackoffUntil,
-            List<Integer> classFailures,
-            long ejectedUntil, int ejections, int consecutiveResets, long slowUntil, long lastFirstTokenDelay,
-                    long nextColdSendAt,
-            long coldBudgetStart) {
+            List<Integer> classFailures, long ejectedUntil, int ejections, int consecutiveResets,
+            long slowUntil, long lastFirstTokenDelay, long nextColdSendAt, long coldBudgetStart) {
         public LearnedServer {
             classBackoffUntil = List.copyOf(classBackoffUntil);
             classFailures = List.copyOf(classFailures);
--- a/src/main/java/umberspread/Routing.java
+++ b/src/main/java/umberspread/Routing.java
@@ -179,8 +179,8 @@
      * @param drainGrace how long after a drain is announced new attempts may still reach the server
      * @param warmUpTime the longest time that a server takes to warm up
      * @param coldCapacityShare the least share of its full capacity, 0 to 1, that a server has when it starts
-     * @param overloadMultiple a cold server fails when sent this multiple of its current capacity for fallFor
-     * @param overloadWindow the window over which that load is measured
+     * @param overloadMultiple a cold server fails when sent this multiple of its current capacity
+     * @param overloadWindow time for which such a load must last
      * @param maxDiscoveryInterval the longest time between two discovery calls where the list is pulled
      * @param attemptBudget limit on retries and hedged attempts
      */
@@ -288,7 +288,7 @@
      */
     public record Request(long id, int requestClass, int tenant, boolean clientRetry, long session,
             long sharedPrefix, double promptTokens, double prefixTokens, double maxTokens,
-                    long clientTimeout) {
+            long clientTimeout) {
     }
 
     /** Load report of a server; a value is NaN when the deployment does not report it. */
@@ -378,6 +378,7 @@
         void log(String line);
     }
 
+    /** Checks a setting; the message names the field after its configuration key. */
     private static void require(boolean holds, String field) {
         if (!holds) {
             throw new IllegalArgumentException("invalid setting: " + field);
--- a/src/test/java/umberspread/ColdFleetTest.java
+++ b/src/test/java/umberspread/ColdFleetTest.java
@@ -20,11 +20,11 @@
     private static final int WARM_SERVERS = 40;
     private static final double RATE_PER_SERVER = 3;
     private static final double UTILISATION = 0.6;
-    private static final double FALL_MULTIPLE = 3;
+    private static final double OVERLOAD_MULTIPLE = 3;
     private static final long WINDOW = 2 * SECOND;
-    private static final long COLD_FOR = 8 * SECOND;
-    private static final long DURATION = COLD_FOR;
-    private static final long WARM_UP_BEFORE = 12 * SECOND;
+    private static final long WARM_UP_TIME = 8 * SECOND;
+    private static final long DURATION = WARM_UP_TIME;
+    private static final long TIME_BEFORE_START = 12 * SECOND;
     private static final long STEP = SECOND / 100;
     private static final long SEEDS = 3;
     /** A third of its share of the traffic, scaled to its capacity while cold, summed over all runs. */
@@ -64,14 +64,14 @@
             long listDelay, Fault fault, boolean defective) {
         Fixture.Setup setup = new Fixture.Setup();
         setup.instances = instances;
-        setup.coldFor = COLD_FOR;
+        setup.warmUpTime = WARM_UP_TIME;
         if (defective) {
-            setup.fallMultiple = FALL_MULTIPLE * instances;
-            setup.coldFrom = 1;
+            setup.overloadMultiple = OVERLOAD_MULTIPLE * instances;
+            setup.coldCapacityShare = 1;
         }
         Fixture f = new Fixture(setup.build(), seed);
         SplittableRandom random = new SplittableRandom(seed);
-        long start = f.now + WARM_UP_BEFORE;
+        long start = f.now + TIME_BEFORE_START;
         f.now = restarted ? start + listDelay - SECOND / 10 : f.now;
         f.listServers(WARM_SERVERS);
         boolean listed = false;
@@ -121,8 +121,9 @@
             while (sent.get(from) <= sent.get(i) - WINDOW) {
                 from++;
             }
-            double capacityShare = 0.2 + 0.8 * sent.get(i) / COLD_FOR;
-            double budget = FALL_MULTIPLE * capacityShare * RATE_PER_SERVER / UTILISATION * WINDOW / SECOND;
+            double capacityShare = 0.2 + 0.8 * sent.get(i) / WARM_UP_TIME;
+            double budget = OVERLOAD_MULTIPLE * capacityShare * RATE_PER_SERVER / UTILISATION
+                    * WINDOW / SECOND;
             worst = Math.max(worst, i - from + 1 - (budget + 2 * Math.sqrt(budget) + 2));
         }
         return worst;
--- a/src/test/java/umberspread/Fixture.java
+++ b/src/test/java/umberspread/Fixture.java
@@ -57,9 +57,9 @@
         List<Routing.Tenant> tenants = List.of();
         double secondWorth = 1;
         double lateWorth = 0.5;
-        long coldFor = 20 * SECOND;
-        double coldFrom = 0.2;
-        double fallMultiple = 3;
+        long warmUpTime = 20 * SECOND;
+        double coldCapacityShare = 0.2;
+        double overloadMultiple = 3;
         Routing.Placement secondPlacement = Routing.Placement.ANYWHERE;
         Routing.AttemptBudget attemptBudget = Routing.AttemptBudget.NONE;
 
@@ -73,7 +73,7 @@
                     List.of(requestClass("chat", worth, Routing.Placement.ANYWHERE),
                             requestClass("edit", secondWorth, secondPlacement)), tenants, 0.1, pullsList,
                     new Routing.Limits(maxAttempts, hedging, cancelling, false, 250_000, retryAfterMax),
-                    new Routing.Contract(SECOND, coldFor, coldFrom, fallMultiple, 2 * SECOND,
+                    new Routing.Contract(SECOND, warmUpTime, coldCapacityShare, overloadMultiple, 2 * SECOND,
                             10 * SECOND, attemptBudget),
                     new Routing.Prices(0, 0, 0, 0, 0));
         }
--- a/src/test/java/umberspread/GenerationRouterTest.java
+++ b/src/test/java/umberspread/GenerationRouterTest.java
@@ -66,9 +66,9 @@
         return servers;
     }
 
-    private GenerationRouter started(LearnedState memory, long shift, long now, List<ServerState> list) {
-        GenerationRouter router = memory == null ? new GenerationRouter(SETTINGS, 1, actions)
-                : new GenerationRouter(SETTINGS, 1, actions, memory, shift);
+    private GenerationRouter started(LearnedState learned, long shift, long now, List<ServerState> list) {
+        GenerationRouter router = learned == null ? new GenerationRouter(SETTINGS, 1, actions)
+                : new GenerationRouter(SETTINGS, 1, actions, learned, shift);
         router.started(now);
         router.listReceived(now, ListKind.CACHED, list);
         return router;
@@ -90,18 +90,18 @@
             previous.attemptEnded(now + i, lastId, 0, i % 50 == 0 ? Outcome.CONNECT_FAILED : Outcome.OK, 100,
                     false, 0, null);
         }
-        LearnedState memory = previous.learnedState();
-        assertTrue(memory.servers().stream().anyMatch(server -> server.ejectedUntil() > now),
+        LearnedState learned = previous.learnedState();
+        assertTrue(learned.servers().stream().anyMatch(server -> server.ejectedUntil() > now),
                 "one is ejected");
         long shift = 77 * SECOND;
-        GenerationRouter next = started(memory, shift, now + 400 + shift, servers(5, 0));
+        GenerationRouter next = started(learned, shift, now + 400 + shift, servers(5, 0));
         LearnedState restored = next.learnedState();
-        assertEquals(memory.keys().stream().map(LearnedState.LearnedKey::recentRequests).sorted().toList(),
+        assertEquals(learned.keys().stream().map(LearnedState.LearnedKey::recentRequests).sorted().toList(),
                 restored.keys().stream().map(LearnedState.LearnedKey::recentRequests).sorted().toList());
-        assertEquals(memory.averageWorth(), restored.averageWorth());
-        assertEquals(memory.recentArrivals().size(), restored.recentArrivals().size());
-        for (int i = 0; i < memory.servers().size(); i++) {
-            LearnedState.LearnedServer before = memory.servers().get(i);
+        assertEquals(learned.averageWorth(), restored.averageWorth());
+        assertEquals(learned.recentArrivals().size(), restored.recentArrivals().size());
+        for (int i = 0; i < learned.servers().size(); i++) {
+            LearnedState.LearnedServer before = learned.servers().get(i);
             LearnedState.LearnedServer after = restored.servers().get(i);
             assertEquals(before.points(), after.points());
             assertEquals(before.ejectedUntil() == 0 ? 0 : before.ejectedUntil() + shift,
