--- a/src/main/java/umberspread/Routing.java
+++ b/src/main/java/umberspread/Routing.java
@@ -30,8 +30,7 @@
 
     /**
      * Which servers recognise and drop a duplicate of a {@link RetrySafety#DEDUP} request: all servers, those
-     * of
-     * the zone of the first attempt, or those of its cell.
+     * of the zone of the first attempt, or those of its cell.
      */
     public enum DedupGroup { ALL, ZONE, CELL }
 
@@ -99,8 +98,7 @@
     /**
      * A class of requests and its latency targets.
      *
-     * @param dedupWindow how long after the first attempt a {@link RetrySafety#DEDUP} duplicate is still
-     * dropped
+     * @param dedupWindow how long after a first attempt {@link RetrySafety#DEDUP} duplicates are dropped
      * @param firstTokenTarget target for the time to the first token, for an empty prompt
      * @param targetPerKilotoken added to the target for each 1,000 prompt tokens
      * @param interTokenTarget target for the time between tokens
@@ -110,10 +108,8 @@
      * @param stream whether answers are streamed
      */
     public record RequestClass(String name, RetrySafety retrySafety, DedupGroup dedupGroup, long dedupWindow,
-            long firstTokenTarget,
-            long targetPerKilotoken, long interTokenTarget, long maxClientTimeout, double worth,
-                    double lateWorth,
-            boolean stream, Placement placement) {
+            long firstTokenTarget, long targetPerKilotoken, long interTokenTarget, long maxClientTimeout,
+            double worth, double lateWorth, boolean stream, Placement placement) {
         public RequestClass {
             require(name != null, "class name");
             require(retrySafety != null, "class effect");
@@ -185,8 +181,8 @@
      * @param attemptBudget limit on retries and hedged attempts
      */
     public record Contract(long drainGrace, long warmUpTime, double coldCapacityShare,
-            double overloadMultiple, long overloadWindow,
-            long maxDiscoveryInterval, AttemptBudget attemptBudget) {
+            double overloadMultiple, long overloadWindow, long maxDiscoveryInterval,
+            AttemptBudget attemptBudget) {
         public Contract {
             require(drainGrace >= 0, "contract drainGrace");
             require(warmUpTime >= 0, "contract coldFor");
@@ -255,8 +251,8 @@
     public record Tuning(int loadFactorPercent, int virtualNodes, LongUnaryOperator hash,
             boolean randomRounding) {
         public Tuning {
-            require(loadFactorPercent > 100, "tuning loadFactor");
-            require(virtualNodes >= 1, "tuning virtualPoints");
+            require(loadFactorPercent > 100, "tuning loadFactorPercent");
+            require(virtualNodes >= 1, "tuning virtualNodes");
             require(hash != null, "tuning hash");
         }
     }
@@ -378,7 +374,7 @@
         void log(String line);
     }
 
-    /** Checks a setting; the message names the field after its configuration key. */
+    /** Checks a setting; the message names the field much as the configuration does. */
     private static void require(boolean holds, String field) {
         if (!holds) {
             throw new IllegalArgumentException("invalid setting: " + field);
