--- a/src/test/java/umberspread/ExampleTest.java
+++ b/src/test/java/umberspread/ExampleTest.java
@@ -17,8 +17,8 @@
         // example begins
         Routing.Actions actions = new Routing.Actions() {
             @Override
-            public void send(long requestId, long serverId, long timeout) {
-                carriedOut.add("send " + requestId + " to " + serverId);
+            public void send(long requestId, long replicaId, long timeout) {
+                carriedOut.add("send " + requestId + " to " + replicaId);
             }
 
             @Override
@@ -38,7 +38,7 @@
 
             @Override
             public void watchEndpointList() {
-                carriedOut.add("watch the endpoint list");
+                carriedOut.add("follow the list");
             }
 
             @Override
