--- a/src/main/java/umberspread/GenerationRouter.java
+++ b/src/main/java/umberspread/GenerationRouter.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import umberspread.BoundedLoadRouter.Hot;
-import umberspread.BoundedLoadRouter.Node;
+import umberspread.BoundedLoadRouter.KeyTraffic;
 import umberspread.BoundedLoadRouter.Pool;
+import umberspread.BoundedLoadRouter.TrackedServer;
 import umberspread.Routing.ListKind;
 import umberspread.Routing.LoadReport;
 import umberspread.Routing.Outcome;
@@ -18,119 +18,133 @@
 import umberspread.Routing.Settings;
 
 /**
- * The router of one process among several that are one gateway, one after the other or, for a while, side by
- * side. It decides nothing: it hands a router's memory on and takes one up, and counts what the others have
- * out as load, so that the bound and the cold budgets are those of the gateway and not of each process.
+ * The module of one generation: one process of a router instance, which may run beside another generation
+ * during an upgrade. It makes no decisions itself. It exports and restores the learned state, and counts the
+ * attempts of other generations as load, so that the load bound and the budgets of cold servers apply to the
+ * instance and not to each process.
  */
 public final class GenerationRouter implements Routing.Events {
     private final BoundedLoadRouter router;
     private final LearnedState learnedState;
     private final long shift;
-    private final Map<String, Lent> lent = new HashMap<>();
-    private boolean recalled;
+    private final Map<String, OtherAttempt> otherAttempts = new HashMap<>();
+    /** Whether the learned state has been restored. */
+    private boolean restored;
 
-    private record Lent(Node node, List<Pool> pools) {
+    /** An attempt of another generation that is counted as load. */
+    private record OtherAttempt(TrackedServer server, List<Pool> pools) {
     }
 
-    /** A router that knows nothing yet. */
+    /** Creates a module without learned state. */
     public GenerationRouter(Settings settings, long seed, Routing.Actions actions) {
         this(settings, seed, actions, null, 0);
     }
 
-    /** A router that goes on with a memory, whose times are moved by shift. */
-    public GenerationRouter(Settings settings, long seed, Routing.Actions actions, LearnedState memory,
-            long shift) {
+    /**
+     * Creates a module that continues with learned state, once the first endpoint list has arrived.
+     *
+     * @param shift added to learned times, in microseconds: this process's clock minus the earlier one's
+     */
+    public GenerationRouter(Settings settings, long seed, Routing.Actions actions,
+            LearnedState learnedState, long shift) {
         this.router = new BoundedLoadRouter(settings, seed, actions);
-        this.learnedState = memory;
+        this.learnedState = learnedState;
         this.shift = shift;
     }
 
-    /** What this router has learnt so far. */
+    /** Returns what this module has learned so far. */
     public LearnedState learnedState() {
         return learnedState(true);
     }
 
-    /** The same; with no keys where they are not wanted, for there may be tens of thousands. */
+    /**
+     * Returns what this module has learned so far.
+     *
+     * @param withKeys whether to include the keys, of which there may be tens of thousands
+     */
     public LearnedState learnedState(boolean withKeys) {
-        List<LearnedState.LearnedServer> replicas = new ArrayList<>();
-        for (Node n : router.nodes.values()) {
-            replicas.add(new LearnedState.LearnedServer(n.replica.id(), n.points, list(n.restUntil),
-                    Arrays.stream(n.strikes).boxed().toList(), n.ejectedUntil, n.ejections, n.breaks,
-                    n.slowUntil, n.lastDelay, n.coldBudgetAt, n.budgetedStart));
+        List<LearnedState.LearnedServer> servers = new ArrayList<>();
+        for (TrackedServer server : router.servers.values()) {
+            servers.add(new LearnedState.LearnedServer(server.entry.id(), server.points,
+                    list(server.classBackoffUntil), Arrays.stream(server.classFailures).boxed().toList(),
+                    server.ejectedUntil, server.ejections, server.consecutiveResets, server.slowUntil,
+                    server.lastFirstTokenDelay, server.nextColdSendAt, server.coldBudgetStart));
         }
         List<LearnedState.LearnedKey> keys = new ArrayList<>();
         if (withKeys) {
-            router.hot.forEach((key, h) ->
-                    keys.add(new LearnedState.LearnedKey(key, h.tally, h.spread,
-                            router.pools.indexOf(h.pool))));
+            router.trafficByKey.forEach((key, traffic) ->
+                    keys.add(new LearnedState.LearnedKey(key, traffic.requests, traffic.spread,
+                            router.pools.indexOf(traffic.pool))));
         }
-        return new LearnedState(router.unitWeight, router.averageWorth, router.firstTokenTally,
-                router.readRate,
-                router.unnamed, router.plannedAt,
-                list(router.classTime), router.kindTime, list(router.tenantTally), List.copyOf(router.taken),
-                List.copyOf(router.further), replicas, keys,
-                router.pools.stream().map(p -> p.arrivals).toList());
+        return new LearnedState(router.referenceWeight, router.averageWorth, router.recentFirstTokens,
+                router.prefillRate, router.unkeyedRequests, router.plannedAt, list(router.classLatency),
+                router.kindLatencyRatio, list(router.tenantRequests), List.copyOf(router.recentArrivals),
+                List.copyOf(router.recentExtraAttempts), servers, keys,
+                router.pools.stream().map(pool -> pool.arrivals).toList());
     }
 
-    /** Once the replicas are known; what the memory says of others, or of other settings, is dropped. */
-    private void recall(long now) {
-        router.unitWeight = learnedState.referenceWeight();
+    /** Restores the learned state; drops state of unknown servers and of settings that have changed. */
+    private void restore(long now) {
+        router.referenceWeight = learnedState.referenceWeight();
         router.averageWorth = learnedState.averageWorth();
-        router.firstTokenTally = learnedState.recentFirstTokens();
-        router.readRate = learnedState.prefillRate();
-        router.unnamed = learnedState.unkeyedRequests();
+        router.recentFirstTokens = learnedState.recentFirstTokens();
+        router.prefillRate = learnedState.prefillRate();
+        router.unkeyedRequests = learnedState.unkeyedRequests();
         router.plannedAt = Math.min(now, learnedState.plannedAt() + shift);
-        router.kindTime.putAll(learnedState.kindLatencyRatio());
-        fill(router.classTime, learnedState.classLatency());
-        fill(router.tenantTally, learnedState.tenantRequests());
-        learnedState.recentArrivals().forEach(t -> router.taken.add(Math.min(now, t + shift)));
-        learnedState.recentExtraAttempts().forEach(t -> router.further.add(Math.min(now, t + shift)));
+        router.kindLatencyRatio.putAll(learnedState.kindLatencyRatio());
+        copyInto(router.classLatency, learnedState.classLatency());
+        copyInto(router.tenantRequests, learnedState.tenantRequests());
+        learnedState.recentArrivals().forEach(arrival ->
+                router.recentArrivals.add(Math.min(now, arrival + shift)));
+        learnedState.recentExtraAttempts().forEach(attempt ->
+                router.recentExtraAttempts.add(Math.min(now, attempt + shift)));
         boolean samePools = learnedState.poolArrivals().size() == router.pools.size();
         for (int i = 0; samePools && i < router.pools.size(); i++) {
             router.pools.get(i).arrivals = learnedState.poolArrivals().get(i);
         }
-        for (LearnedState.LearnedKey k : learnedState.keys()) {
-            if (samePools && k.poolIndex() >= 0 && k.poolIndex() < router.pools.size()) {
-                Hot h = router.hot.computeIfAbsent(k.key(), key -> new Hot());
-                h.pool = router.pools.get(k.poolIndex());
-                h.tally = k.recentRequests();
-                h.spread = Math.max(1, k.spread());
+        for (LearnedState.LearnedKey learned : learnedState.keys()) {
+            if (samePools && learned.poolIndex() >= 0 && learned.poolIndex() < router.pools.size()) {
+                KeyTraffic traffic = router.trafficByKey.computeIfAbsent(learned.key(),
+                        key -> new KeyTraffic());
+                traffic.pool = router.pools.get(learned.poolIndex());
+                traffic.requests = learned.recentRequests();
+                traffic.spread = Math.max(1, learned.spread());
             }
         }
-        learnedState.servers().forEach(this::recall);
+        learnedState.servers().forEach(this::restoreServer);
         router.rebuildRing();
     }
 
-    private void recall(LearnedState.LearnedServer m) {
-        Node n = router.nodes.get(m.id());
-        if (n == null) {
+    private void restoreServer(LearnedState.LearnedServer learned) {
+        TrackedServer server = router.servers.get(learned.id());
+        if (server == null) {
             return;
         }
-        n.points = Math.max(1, m.points());
-        n.ejectedUntil = moved(m.ejectedUntil());
-        n.ejections = m.ejections();
-        n.breaks = m.consecutiveResets();
-        n.slowUntil = moved(m.slowUntil());
-        n.lastDelay = m.lastFirstTokenDelay();
-        // A box's start is a time of its own: a box that has started since is a new one to the budget.
-        n.coldBudgetAt = moved(m.nextColdSendAt());
-        n.budgetedStart = m.coldBudgetStart();
-        if (m.classBackoffUntil().size() == n.restUntil.length
-                && m.classFailures().size() == n.strikes.length) {
-            for (int c = 0; c < n.restUntil.length; c++) {
-                n.restUntil[c] = moved(m.classBackoffUntil().get(c));
-                n.strikes[c] = m.classFailures().get(c);
+        server.points = Math.max(1, learned.points());
+        server.ejectedUntil = shifted(learned.ejectedUntil());
+        server.ejections = learned.ejections();
+        server.consecutiveResets = learned.consecutiveResets();
+        server.slowUntil = shifted(learned.slowUntil());
+        server.lastFirstTokenDelay = learned.lastFirstTokenDelay();
+        server.nextColdSendAt = shifted(learned.nextColdSendAt());
+        // Not shifted: it is a server's start time, and a server that has started since gets a new budget.
+        server.coldBudgetStart = learned.coldBudgetStart();
+        if (learned.classBackoffUntil().size() == server.classBackoffUntil.length
+                && learned.classFailures().size() == server.classFailures.length) {
+            for (int c = 0; c < server.classBackoffUntil.length; c++) {
+                server.classBackoffUntil[c] = shifted(learned.classBackoffUntil().get(c));
+                server.classFailures[c] = learned.classFailures().get(c);
             }
         }
     }
 
-    private long moved(long time) {
+    private long shifted(long time) {
         return time == 0 ? 0 : time + shift;
     }
 
-    private static void fill(double[] into, List<Double> from) {
-        for (int i = 0; into.length == from.size() && i < into.length; i++) {
-            into[i] = from.get(i);
+    private static void copyInto(double[] target, List<Double> values) {
+        for (int i = 0; target.length == values.size() && i < target.length; i++) {
+            target[i] = values.get(i);
         }
     }
 
@@ -142,38 +156,38 @@
         return Arrays.stream(values).boxed().toList();
     }
 
-    /** Ejected, and not yet served again: those that no request, or only one for a trial, may go to. */
+    /** Returns the ejected servers, which may be sent no request, or only one as a trial. */
     @Override
     public Set<Long> unavailableServers(long now) {
         Set<Long> avoided = new HashSet<>();
-        for (Node n : router.nodes.values()) {
-            if (n.keptOff(now)) {
-                avoided.add(n.replica.id());
+        for (TrackedServer server : router.servers.values()) {
+            if (server.isAvoided(now)) {
+                avoided.add(server.entry.id());
             }
         }
         return avoided;
     }
 
     @Override
-    public void otherGenerationSent(long time, String token, long replicaId) {
-        long now = router.latest(time);
-        Node n = router.nodes.get(replicaId);
-        if (n == null || lent.containsKey(token)) {
+    public void otherGenerationSent(long time, String token, long serverId) {
+        long now = router.latestTime(time);
+        TrackedServer server = router.servers.get(serverId);
+        if (server == null || otherAttempts.containsKey(token)) {
             return;
         }
-        lent.put(token, new Lent(n, n.pools));
-        n.load++;
-        n.pools.forEach(pool -> pool.inFlight++);
-        router.inColdBudget(n, now);
-        router.spendColdBudget(n, now);
+        otherAttempts.put(token, new OtherAttempt(server, server.pools));
+        server.inFlight++;
+        server.pools.forEach(pool -> pool.inFlight++);
+        router.withinColdBudget(server, now);
+        router.spendColdBudget(server, now);
     }
 
     @Override
     public void otherGenerationEnded(long now, String token) {
-        Lent l = lent.remove(token);
-        if (l != null) {
-            l.node.load--;
-            l.pools.forEach(pool -> pool.inFlight--);
+        OtherAttempt other = otherAttempts.remove(token);
+        if (other != null) {
+            other.server.inFlight--;
+            other.pools.forEach(pool -> pool.inFlight--);
         }
     }
 
@@ -185,9 +199,9 @@
     @Override
     public void listReceived(long now, ListKind kind, List<ServerState> entries) {
         router.listReceived(now, kind, entries);
-        if (!recalled && learnedState != null) {
-            recalled = true;
-            recall(router.latest(now));
+        if (!restored && learnedState != null) {
+            restored = true;
+            restore(router.latestTime(now));
         }
     }
 
