--- a/src/main/java/yewdock/desk/Answers.java
+++ b/src/main/java/yewdock/desk/Answers.java
@@ -8,9 +8,12 @@
 import umberspread.Routing;
 import umberspread.Routing.Outcome;
 
-/** Requests that are owed an answer, as a part of the reducer: each taken one gets exactly one. */
+/** The open requests: each accepted request gets exactly one final answer. */
 final class Answers {
-    /** If the module has given no final answer so long after the deadline, the desk does. */
+    /**
+     * Time after a request's deadline, in microseconds, after which the reducer fails it if the module has
+     * not ended it.
+     */
     private static final long ANSWER_SLACK = 10_000;
 
     private final Turn turn;
@@ -20,7 +23,7 @@
     private final Tries tries;
     private final Map<Long, Owed> owed = new HashMap<>();
     private final Map<Long, Owed> ofClient = new HashMap<>();
-    /** By the clients' own ids: two requests of one id must never be out together. */
+    /** By the client's own request id: two requests with the same id must never be open together. */
     private final Map<String, Owed> byName = new HashMap<>();
     private long lastRequest;
     private int heldBytes;
@@ -37,11 +40,15 @@
         return tries;
     }
 
-    /** A request that is owed its answer, or has tries out; null if there is none of this number. */
+    /**
+     * Returns the request with this number, which is unanswered or still has attempts in flight; null if
+     * there is none.
+     */
     Owed get(long id) {
         return owed.get(id);
     }
 
+    /** Returns the client's unanswered request; null if there is none. */
     Owed ofClient(long client) {
         return ofClient.get(client);
     }
@@ -54,20 +61,22 @@
         return owed.isEmpty();
     }
 
+    /** Whether a request with this client-chosen id is open. */
     boolean open(String name) {
         return byName.containsKey(name);
     }
 
+    /** Returns the client-chosen ids of all open requests. */
     List<String> names() {
         return new ArrayList<>(byName.keySet());
     }
 
-    /** How many requests wait for their answer, or for the rest of it. */
+    /** Returns the number of requests that have not been answered in full. */
     int open() {
         return ofClient.size();
     }
 
-    /** Counts a request's end: each one taken has exactly one. */
+    /** Counts the end of a request: each accepted request is counted exactly once. */
     void ended(ModelRequest request, Ending ending) {
         ended(request.requestClass(), ending);
     }
@@ -82,7 +91,10 @@
         return owed.size() + ofClient.size() + byName.size();
     }
 
-    /** Takes a request that has waited so long to be taken. */
+    /**
+     * Accepts a request that has waited this many microseconds since it was received, or refuses it at the
+     * limits.
+     */
     void admit(Event.Asked e, long waited) {
         ModelRequest r = e.request();
         if (owed.size() >= bounds.requests() || heldBytes + r.size() > bounds.bytes()) {
@@ -104,6 +116,7 @@
                 r.beginningTokens(), r.mostTokens(), patience)));
     }
 
+    /** Rejects a request whose id belongs to an open request. */
     void twin(Event.Asked e) {
         turn.count("answers.twin");
         ended(e.request(), Ending.FAILED);
@@ -120,7 +133,7 @@
         }
     }
 
-    /** Guards the first rule against a module that forgets a request or answers too late. */
+    /** Ensures that every request is answered even if the module forgets it or is too slow. */
     private void overdue(Owed o) {
         if (!o.over && !o.begun()) {
             turn.count("answers.overdue");
@@ -138,7 +151,10 @@
         }
     }
 
-    /** Answers with a failure or, where the client has part of a stream, by ending its connection. */
+    /**
+     * Answers with a failure or, if the client has part of a stream, closes its connection. Attempts in
+     * flight are closed and end with the given outcome.
+     */
     void fail(Owed o, Outcome triesEndAs) {
         if (o.over) {
             return;
@@ -149,13 +165,13 @@
         tries.hangUpAll(o, triesEndAs);
     }
 
-    /** The same, of which the module knows nothing yet. */
+    /** Fails a request on the reducer's own account and tells the module that it is gone. */
     void failOurselves(Owed o, Outcome triesEndAs) {
         fail(o, triesEndAs);
         turn.tell(o.id, m -> m.requestGone(turn.now(), o.id));
     }
 
-    /** The try's stream is whole. */
+    /** The attempt's stream is complete: finishes the response and closes the request's other attempts. */
     void served(Try t) {
         Owed o = t.owed;
         turn.count("answers.served");
@@ -164,7 +180,9 @@
         tries.hangUpAllBut(t);
     }
 
-    /** The stream has broken: the client is to know that it is not whole. */
+    /**
+     * The attempt's stream broke: closes the client's connection so that the response counts as incomplete.
+     */
     void cutOffIfBegun(Try t) {
         Owed o = t.owed;
         if (t.begun() && !o.over) {
@@ -182,6 +200,7 @@
         forgetIfDone(o);
     }
 
+    /** Removes a request that has been answered and has no attempt in flight. */
     private void forgetIfDone(Owed o) {
         if (o.over && o.out.isEmpty() && owed.remove(o.id) != null) {
             byName.remove(o.name);
@@ -189,6 +208,7 @@
         }
     }
 
+    /** Tells the generation that owns the request ids that this one is free again. */
     private void release(String id) {
         if (others.asking()) {
             turn.effect(new Effect.TellOthers(new OtherNews.Released(id)));
--- a/src/main/java/yewdock/desk/Bounds.java
+++ b/src/main/java/yewdock/desk/Bounds.java
@@ -1,20 +1,27 @@
 package yewdock.desk;
 
 /**
- * How much the router holds at once: connections from clients, lines to boxes, open requests, and bytes of
- * requests. Beyond these it closes quiet connections and refuses requests, before it runs out of descriptors
- * or memory.
+ * The limits on what the router holds at once: client connections, server connections, open requests and
+ * bytes of request data. At a limit it closes idle connections and refuses requests, before it runs out of
+ * file descriptors or memory.
  */
 public record Bounds(int clients, int lines, int requests, int bytes) {
-    /** Descriptors for the program itself, and for connections that are just coming or being closed. */
+    /**
+     * File descriptors reserved for the process itself and for connections that are being opened or closed.
+     */
     private static final int KEPT_BACK = 72;
-    /** Clients' requests hold at most this part of the descriptors, and each needs a line. */
+    /**
+     * Divisor: server connections get at most this fraction of the descriptors. Each open request needs one.
+     */
     private static final int LINES_PART = 3;
-    /** Requests that are whole may hold this part of the memory; the rest of the heap is for all else. */
+    /**
+     * Divisor: complete requests may use this fraction of the memory; the rest of the heap serves all else.
+     */
     private static final int BYTES_PART = 12;
+    /** Lower bound for the number of connections of each kind. */
     private static final int LEAST = 16;
 
-    /** The bounds that fit so many descriptors and so much memory. */
+    /** Returns the limits for this many file descriptors and megabytes of memory. */
     public static Bounds within(int descriptors, int megabytes) {
         int lines = Math.max(LEAST, descriptors / LINES_PART);
         int clients = Math.max(LEAST, descriptors - lines - KEPT_BACK);
--- a/src/main/java/yewdock/desk/BoxMark.java
+++ b/src/main/java/yewdock/desk/BoxMark.java
@@ -1,13 +1,15 @@
 package yewdock.desk;
 
 /**
- * What an operator has said of a box: that it drains, until that is taken back; that it is gone, which holds
- * for the start that it had then; or that it is back since then. Times are microseconds since 1970.
+ * An operator's override for one server: it is draining until the override is lifted; it is gone, which holds
+ * for a server that started no later than the override; or it is back in service since then. The time is in
+ * microseconds since 1970.
  */
 public record BoxMark(Kind kind, long at) {
-    /** What is said of the box. */
+    /** The state that the operator has set. */
     public enum Kind { DRAINS, GONE, BACK }
 
+    /** The server drains until the override is lifted. */
     public static final BoxMark DRAINS = new BoxMark(Kind.DRAINS, 0);
 
     boolean drains() {
--- a/src/main/java/yewdock/desk/Call.java
+++ b/src/main/java/yewdock/desk/Call.java
@@ -1,6 +1,6 @@
 package yewdock.desk;
 
-/** What an operator can call for at the door. */
+/** The commands of the operators' admin interface. */
 public enum Call {
     HEALTH(false), COUNTERS(false), CORDON(true), UNCORDON(true), QUIESCE(false), RESUME(false);
 
@@ -10,7 +10,7 @@
         this.namesBox = namesBox;
     }
 
-    /** Whether the call names a model box. */
+    /** Whether the command takes the name of a server. */
     public boolean namesBox() {
         return namesBox;
     }
--- a/src/main/java/yewdock/desk/Calls.java
+++ b/src/main/java/yewdock/desk/Calls.java
@@ -7,14 +7,18 @@
 import java.util.function.Supplier;
 
 /**
- * Operators' calls, as a part of the reducer: each is answered in the turn in which it came, so that a yes is
- * true from then on. Boxes are put out of use through {@link KnownServers}, the rest is answered or kept
- * here.
+ * Executes the operators' commands. Each is answered within the same event, so that a positive answer holds
+ * from then on. Cordons are kept in {@link KnownServers}, the quiesced state is kept here.
  */
 final class Calls {
-    /** After a no at /ready new connections stop within 0.3 s: idle ones are closed from here on, */
+    /**
+     * Delay in microseconds from the quiesce command to closing idle client connections. New connections stop
+     * arriving within 0.3 s after /ready has begun to fail.
+     */
     static final long SEND_AWAY_AFTER = 500_000;
-    /** and looked for so often, since at 4 s none may be there. */
+    /**
+     * Interval in microseconds at which idle client connections are closed again; none may be left after 4 s.
+     */
     static final long SEND_AWAY_EVERY = 300_000;
 
     private final Turn turn;
@@ -22,7 +26,7 @@
     private final Counters counters;
     private final KnownServers boxes;
     private final IntSupplier pending;
-    /** Empty when a request that came now could be served here, else why not. */
+    /** Returns an empty text if a request that arrived now could be served here, else the reason. */
     private final Supplier<String> unready;
     private final Runnable changed;
     private boolean quiesced;
@@ -106,7 +110,7 @@
         answer(e, true, "sends clients away");
     }
 
-    /** Clients that are idle are led away again and again, until a call to take them comes. */
+    /** Closes idle client connections, and repeats until the router is resumed. */
     private void sendAway(long mine) {
         turn.at(mine, () -> {
             if (quiesced && sendAwayAt == mine) {
--- a/src/main/java/yewdock/desk/Clients.java
+++ b/src/main/java/yewdock/desk/Clients.java
@@ -9,17 +9,20 @@
 import java.util.function.LongSupplier;
 
 /**
- * The connections of clients, as a part of the reducer: which of them have no request open, for how long, and
- * which must make room. A connection costs a descriptor whether or not anything is asked over it.
+ * The client connections: which of them have no request open, for how long, and which are closed to make
+ * room. Each connection costs a file descriptor whether or not it is used.
  */
 final class Clients {
-    /** A request must be whole so long after its connection came, or after its first byte. */
+    /**
+     * Time in microseconds in which a request must be complete, from the connection's start or the request's
+     * first byte.
+     */
     static final long PATIENCE = 2_500_000;
-    /** A connection that is quiet between requests is kept for so long where there is room, */
+    /** Idle time in microseconds after which a connection is closed while there is room. */
     static final long KEEP = 15_000_000;
-    /** and for so long where there is not. */
+    /** Idle time in microseconds after which a connection is closed while there is little room. */
     static final long KEEP_SHORT = 2_000_000;
-    /** There is room while no more than this part of the bound is taken. */
+    /** Divisor: there is room while at most this fraction of the connection limit is in use. */
     private static final int ROOMY_PART = 2;
 
     private final int most;
@@ -28,12 +31,13 @@
     private final Counters counters;
     private final Consumer<Effect> effects;
     private final Set<Long> all = new HashSet<>();
-    /** Those whose request has yet to come in whole, with the time from which it is counted: oldest first. */
+    /** Connections without a complete request, with the time from which its timeout counts; oldest first. */
     private final Map<Long, Long> awaited = new LinkedHashMap<>();
-    /** Those of them of whose request a part has come. */
+    /** The connections among them that have received part of a request. */
     private final Set<Long> coming = new HashSet<>();
-    /** Those that have had their answer and asked nothing since, with that time: longest quiet first. */
+    /** Connections between requests, with the time since which they are idle; longest idle first. */
     private final Map<Long, Long> quiet = new LinkedHashMap<>();
+    /** Whether idle connections are closed early, because another generation accepts the new ones. */
     private boolean hurried;
     private long sweepAt = Long.MAX_VALUE;
 
@@ -55,8 +59,8 @@
     }
 
     /**
-     * The first byte of a request has come; for a connection's first, time has run since it was made. The
-     * connection may have been about to be closed.
+     * Handles the first byte of a request. On a connection's first request the timeout runs from when the
+     * connection was made. The connection may just have been due to be closed as idle.
      */
     void began(long client) {
         quiet.remove(client);
@@ -87,7 +91,7 @@
         asked(client);
     }
 
-    /** Quiet connections are closed soon, or kept as ever: their clients are to come to another process. */
+    /** Sets whether idle connections are closed early so that their clients connect to another process. */
     void hurry(boolean soon) {
         hurried = soon;
         sweepAt = Long.MAX_VALUE;
@@ -99,9 +103,10 @@
     }
 
     /**
-     * Guards the descriptors: one that is quiet between requests goes first, since its client asks again on a
-     * new connection if the close crosses its next request; then the one that has been silent longest. One
-     * with a request, or with a part of one, is not closed: no more are accepted until there is room.
+     * Closes a connection to free its file descriptor: the longest idle one between requests, whose client
+     * sends its next request on a new connection if the close crosses it, or else the one that has waited
+     * longest for the first byte of its request. Connections with a request or part of one are never closed
+     * here; if all are in use, no more are accepted until one is free.
      */
     private void makeRoom() {
         Iterator<Long> from = (quiet.isEmpty() ? awaited : quiet).keySet().iterator();
@@ -116,7 +121,7 @@
         }
     }
 
-    /** Closes what has been waited for long enough, and sets the timer for the next. */
+    /** Closes the connections whose timeout has passed and sets the timer for the next one. */
     private void sweep() {
         long keep = hurried || all.size() > most / ROOMY_PART ? KEEP_SHORT : KEEP;
         long next = Math.min(closeSince(awaited, PATIENCE, "clients.closed_waiting"),
@@ -132,7 +137,7 @@
         }
     }
 
-    /** Closes those that are due; returns when the next one is. */
+    /** Closes the connections that are due and returns when the next one is due, or Long.MAX_VALUE. */
     private long closeSince(Map<Long, Long> waiting, long patience, String counter) {
         Iterator<Map.Entry<Long, Long>> entries = waiting.entrySet().iterator();
         while (entries.hasNext()) {
--- a/src/main/java/yewdock/desk/Counters.java
+++ b/src/main/java/yewdock/desk/Counters.java
@@ -3,30 +3,31 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Counts by name, in the order of their names. */
+/** Counters by name, in alphabetical order. */
 public final class Counters {
     private final Map<String, Long> counts = new TreeMap<>();
 
-    /** Counts one more. */
+    /** Adds one to a counter. */
     public void add(String name) {
         counts.merge(name, 1L, Long::sum);
     }
 
-    /** Counts so many more. */
+    /** Adds the given number to a counter. */
     public void add(String name, long more) {
         counts.merge(name, more, Long::sum);
     }
 
-    /** All counts, as they are now. */
+    /** Returns a copy of all counters. */
     public Map<String, Long> all() {
         return Map.copyOf(counts);
     }
 
+    /** Returns the value of a counter; 0 if it was never counted. */
     public long get(String name) {
         return counts.getOrDefault(name, 0L);
     }
 
-    /** One line for each name. */
+    /** Returns one line with name and value for each counter. */
     @Override
     public String toString() {
         StringBuilder text = new StringBuilder();
--- a/src/main/java/yewdock/desk/Desk.java
+++ b/src/main/java/yewdock/desk/Desk.java
@@ -8,23 +8,28 @@
 import umberspread.Routing.Outcome;
 
 /**
- * The core: everything that the router knows and owes, and the only place where that changes. One event at
- * a time goes into {@link #reduce}, and what must be done about it comes out. It does no I/O, reads no clock
- * and knows nothing of HTTP. Which box a request goes to is the module's choice; the desk keeps the rules
- * of carrying it out.
+ * The core of the router: it holds all state and is the only place where state changes. {@link #reduce} takes
+ * one event at a time and returns the effects that the transport has to carry out. It does no I/O, reads no
+ * clock and knows nothing of HTTP. The module chooses the server of each attempt; the reducer enforces the
+ * rules for sending it.
  *
- * <p>It deals events out to its parts: {@link Answers} owes clients, {@link Tries} and {@link Streams} carry
- * requests out, {@link Lines} are the connections to boxes, {@link DiscoveryWatch} watches the list,
- * {@link Clients} keeps connections at rest and {@link Others} the router's other processes in mind.
+ * <p>Events are dispatched to the components: {@link Answers} keeps the open requests, {@link Tries} and
+ * {@link Streams} carry out their attempts, {@link Lines} manages the server connections, {@link
+ * DiscoveryWatch} the watch on the endpoint list, {@link Clients} the idle client connections and {@link
+ * Others} the state shared with other generations.
  */
 public final class Desk {
-    /** After being told to leave: new connections still come for 0.4 s, and requests count for 0.7 s. */
+    /**
+     * On shutdown, new connections may still arrive for 0.4 s and requests for 0.7 s. Idle client connections
+     * are closed after this delay in microseconds.
+     */
     static final long LEAVE_IDLE_AFTER = 500_000;
+    /** Earliest exit after the start of a shutdown, in microseconds. */
     static final long LEAVE_AFTER = 800_000;
     /**
-     * What an agent on this machine has counts as told from a process's first moment: the list that the
-     * process was started with, which may be old, is not acted on before the agent has answered, or has
-     * been silent so long.
+     * Where a local agent holds the endpoint list, its contents bind the router from the start of the
+     * process. The list that the process was started with may be outdated, so it is used only once the agent
+     * has been silent for this many microseconds.
      */
     static final long AGENT_FIRST = 1_000_000;
 
@@ -38,18 +43,19 @@
     private final Tries tries;
     private final Streams streams;
     private final Calls calls;
-    /** Whether the module has yet to be told of any box, since the agent has not answered. */
+    /** The module has not been given any server yet, because the agent has not answered. */
     private boolean unheard;
     private boolean leaving;
     private boolean lettingGo;
     private Older older = Older.NONE;
-    /** What the list tells is told on, to be kept. */
+    /** Endpoint lists are sent on to the other processes, one of which stores them. */
     private boolean keeping;
+    /** Time limit for open requests after another generation took over, in microseconds. */
     private long letGoUntil;
     private long leaveAt;
     private boolean stopped;
 
-    /** Makes the desk and, with the actions that it gives, the module. */
+    /** Creates the reducer and the module, which gets its actions. */
     public Desk(Terms terms, Bounds bounds, Counters counters,
             Function<Routing.Actions, Routing.Events> makeModule) {
         this.turn = new Turn(counters);
@@ -69,7 +75,7 @@
         turn.module(makeModule.apply(new Collector()));
     }
 
-    /** Takes one event and tells what to do about it. */
+    /** Handles one event at the given time in microseconds and returns its effects. */
     public List<Effect> reduce(Event event, long time) {
         turn.begin(time);
         run(new Turn.Step(requestOf(event), () -> take(event)));
@@ -88,12 +94,12 @@
         return turn.effects();
     }
 
-    /** When the next {@link Event.Tick} is due. */
+    /** Returns the time of the next {@link Event.Tick} in microseconds, or Long.MAX_VALUE. */
     public long nextDue() {
         return turn.timers().next();
     }
 
-    /** Why a request that came now could not be served; empty if it could. */
+    /** Returns why a request that arrived now could not be served; empty if it could. */
     public String unready() {
         if (leaving && !lettingGo) {
             return "leaving";
@@ -113,41 +119,51 @@
         return boxes.all().stream().anyMatch(ModelServer::takesWork) ? "" : "no model box takes work";
     }
 
-    /** Whether an operator has told it to send clients away. */
+    /** Whether an operator has quiesced this router. */
     public boolean quiesced() {
         return calls.quiesced();
     }
 
-    /** How much is kept of requests, clients, lines and times to come: at rest, as much as at the start. */
+    /**
+     * Returns the number of entries held for requests, clients, connections and timers. When the router is
+     * idle it returns to its value at the start.
+     */
     public int kept() {
         return answers.kept() + lines.kept() + boxes.kept() + clients.count() + turn.kept() + others.kept();
     }
 
-    /** Whether discovery is asked for what a pause may have hidden: nothing new should go out before that. */
+    /**
+     * Whether the discovery call after a pause of the process is still open. Nothing new should be sent
+     * before its answer, which may tell of a drain.
+     */
     public boolean catchesUp() {
         return watch.catchesUp();
     }
 
+    /** Whether the router is shutting down. */
     public boolean leaving() {
         return leaving;
     }
 
-    /** Whether another generation serves new connections, and this one only finishes. */
+    /** Whether another generation accepts new connections and this one only finishes its open requests. */
     public boolean lettingGo() {
         return lettingGo;
     }
 
-    /** When an earlier generation was told of the boxes' states; what is known already stands. */
+    /**
+     * Restores when an earlier generation learned of each server's state, by server id. Entries of servers
+     * that aren't known are ignored, and so are later times.
+     */
     public void recallTold(Map<Long, Long> earlier) {
         boxes.recallTold(earlier);
     }
 
-    /** All that operators have said of boxes, by their names. */
+    /** Returns all operator overrides by server name. */
     public Map<String, BoxMark> marks() {
         return Map.copyOf(boxes.marks());
     }
 
-    /** What this generation holds that no other may double. */
+    /** Returns the state that other generations need so that no request id or attempt is used twice. */
     public Holdings holdings() {
         List<String> ids = answers.names();
         ids.addAll(others.claimed());
@@ -240,7 +256,10 @@
         }
     }
 
-    /** One request's fault must not stop the others: it is logged, counted, and the request answered. */
+    /**
+     * Runs one step. An exception must affect only the request it belongs to: it is logged and counted, and
+     * that request is answered with a failure.
+     */
     private void run(Turn.Step step) {
         try {
             step.task().run();
@@ -267,7 +286,10 @@
         return line != null && line.current != null ? line.current.owed.id : 0;
     }
 
-    /** Keeps what the module asks for until its event is over: it must not be called from inside itself. */
+    /**
+     * Queues the module's actions until the current step is over, so that the module is never called from
+     * within one of its own calls.
+     */
     private final class Collector implements Routing.Actions {
         @Override
         public void send(long requestId, long replicaId, long timeout) {
@@ -338,14 +360,14 @@
         }
     }
 
-    /** Refuses a request that the module has not heard of. */
+    /** Refuses a request that the module has not been told of. */
     private void turnAway(Event.Asked e, long comeBack) {
         turn.count("answers.refused");
         answers.ended(e.request(), Ending.REJECTED);
         turn.effect(new Effect.Refuse(e.client(), comeBack));
     }
 
-    // ---- the box list
+    // ---- endpoint list
 
     private void started(Event.Started e) {
         EndpointList known = e.known();
@@ -360,7 +382,7 @@
         }
     }
 
-    /** From now on the module acts on what is known. */
+    /** From now on the module is told of the known servers. */
     private void heard() {
         if (unheard) {
             unheard = false;
@@ -376,7 +398,8 @@
             }
             return;
         }
-        // as a change to the held list; a server that it does not name may only be unknown to a replica
+        // The list is treated as a change to the held one: a server that it does not contain may only be
+        // missing from a discovery replica that lags behind.
         EndpointList endings = new EndpointList(watch.version(), false,
                 boxes.endingsIn(list, Routing.Lifecycle.DRAINING));
         take(endings);
@@ -384,7 +407,10 @@
         tellModule(endings);
     }
 
-    /** What discovery has written counts as told, though the watch goes on elsewhere by now. */
+    /**
+     * Handles the answer to a call that was set aside. What discovery has answered counts as known, although
+     * the watch has moved on to another call.
+     */
     private void lateListCame(EndpointList list) {
         turn.count("list.late_answers");
         if (list.version() > watch.version() && watch.follows(list)) {
@@ -407,15 +433,19 @@
                 replicas(boxes.over(list))));
     }
 
-    /** An operator's word acts at once, whatever the list says and whether or not it answers. */
+    /**
+     * Operator overrides take effect at once, whatever the list contains and whether or not discovery
+     * responds.
+     */
     private void marked(Map<String, BoxMark> marks) {
         boxes.mark(marks);
         changedHere();
     }
 
     /**
-     * The boxes have changed without an answer of the list's. As one it would make the module believe that it
-     * watches the list already, and a generation that has not asked yet never would.
+     * Tells the module of servers that changed without a new list from discovery. They are reported as a
+     * cached list: the module would take a full list as proof that the watch is running, and in a generation
+     * that has not called discovery yet it would never start one.
      */
     private void changedHere() {
         lines.closeIdleToLeavers();
@@ -426,7 +456,9 @@
         turn.tell(0, m -> m.listReceived(turn.now(), ListKind.CACHED, replicas(all)));
     }
 
-    /** Where the list is asked, the module decides when to call again: it backs off while it is down. */
+    /**
+     * Where discovery is polled, the module decides when to call again: it backs off while discovery is down.
+     */
     private void listFailed() {
         if (watch.failed()) {
             turn.tell(0, m -> m.listReceived(turn.now(), ListKind.FAILED, List.of()));
@@ -488,8 +520,9 @@
     }
 
     /**
-     * A drain told to one generation is kept by all at once. Only what ends work at a box is taken up, and
-     * only news: this generation's own watch goes on from where it stands, and tells the rest.
+     * Applies the drains and removals in a list that another generation received, so that all generations
+     * keep a drain. Only changes that end the use of a server are taken, and only from newer list versions;
+     * this generation's own watch continues at its version and delivers the rest.
      */
     private void toldByOther(EndpointList list, String address) {
         if (!address.equals(watch.address()) || list.version() <= watch.version()) {
@@ -502,7 +535,10 @@
         }
     }
 
-    /** Clients are led away between requests; what is open runs to its end, or to the limit. */
+    /**
+     * Another generation took over: client connections are closed between requests, and open requests may
+     * finish until the time limit.
+     */
     private void letGo(long limit) {
         lettingGo = true;
         letGoUntil = turn.now() + limit;
@@ -518,9 +554,12 @@
         });
     }
 
-    // ---- leaving
+    // ---- shutdown
 
-    /** Serving goes on: new connections come for a while, and what was taken is still owed its answer. */
+    /**
+     * Starts the shutdown. The router still serves for a while: new connections arrive, and accepted requests
+     * must be answered.
+     */
     private void leave() {
         if (!leaving) {
             leaving = true;
--- a/src/main/java/yewdock/desk/DiscoveryWatch.java
+++ b/src/main/java/yewdock/desk/DiscoveryWatch.java
@@ -5,61 +5,77 @@
 import umberspread.Mixing;
 
 /**
- * The watch on the box list, as a part of the reducer: one call at a time, at one address.
+ * The watch on the endpoint list: one discovery call at a time, at one address.
  *
- * <p>A list that is asked is one service for all routers, so the module says when a call is made anew after
- * a failure; the watch only sees that a call is never forgotten. A list that is pushed lies with an agent on
- * this machine, and what the agent has counts as told: there the watch goes on by itself from the first
- * moment, and a call that brings nothing is made anew well within the time in which a drain must be kept.
+ * <p>Where discovery is polled, it is one service for all routers, and the module decides when to call again
+ * after a failure; the watch only ensures that a call is never forgotten. Where an agent on this machine
+ * holds the list, its contents count as known at any moment: the watch runs by itself from the start, and a
+ * call without an answer is repeated well within the time in which a drain must be kept.
  */
 final class DiscoveryWatch {
-    /** How long a call for the list may wait for news. */
+    /** Length of a long poll in microseconds. */
     static final long WAIT = 5_000_000;
     /**
-     * A change is told to all at once, and their next calls go out together: were they to end together, or
-     * to be given up together where they fall silent, those that follow would wait for each other. Each
-     * waits for less by a part of this that is drawn.
+     * Range in microseconds by which long polls are randomly shortened. A change reaches all routers at once,
+     * so their next calls start together; if those also ended together, or were given up together when they
+     * got no answer, the calls after them would wait for each other.
      */
     private static final long APART = 1_300_000;
-    /** What the service has counts as told so long after, whatever call has failed or said nothing. */
+    /**
+     * Time in microseconds after which a change in discovery counts as known, even if a call failed or was
+     * not answered.
+     */
     private static final long COUNTS_AS_TOLD = 6_000_000;
     /**
-     * Of what is left of that time and the drain's grace after the wait, the answer to a call that waited
-     * may take three tenths, and that of the call made anew after it, which may have to wait its turn,
-     * six: of two silent calls in a row the second is given up with a tenth left in which the third brings
-     * the news.
+     * Shares, in tenths, of what is left of that time and the drain grace after a long poll. Three tenths are
+     * for the answer to the long poll, six for the answer to the call that follows it, which may have to
+     * queue at the service. If both get no answer, the second is given up with a tenth left for the third to
+     * deliver the change.
      */
     private static final int WAITED_TENTHS = 3;
     private static final int ANEW_TENTHS = 6;
     /**
-     * Any other call keeps its turn: a busy service answers a call, or fails it, once it has waited for 2 s.
-     * Given up before that, its turn is spent on nobody, and the next call waits behind it: many routers that
-     * do so keep a service busy for ever, and none of them hears of anything.
+     * Timeout in microseconds of any other call. A busy service answers or fails a call after it has queued
+     * for 2 s. A call given up earlier still uses its place in the queue, and the next call queues behind it:
+     * many routers that do so would keep the service busy for ever and none would get an answer.
      */
     private static final long TURN = 2_100_000;
     private static final int TENTHS = 10;
-    /** So many silent calls in a row are followed by the next at once; after that the module says when. */
+    /**
+     * Unanswered calls in a row after which the next call is made at once; after that the module decides
+     * when.
+     */
     private static final int SILENT_CALLS = 2;
-    /** Of the drain's grace, a call at an agent may wait for this part, and its answer take another. */
+    /**
+     * Divisor of the drain grace: a long poll at an agent may last this fraction, and its answer may take
+     * another.
+     */
     private static final int GRACE_PARTS = 4;
     private static final long LEAST_PART = 50_000;
     /**
-     * An agent's answers may take so many times longer once calls have failed: it may be slow. No longer, or
-     * an agent that has the list again the moment after such a call went out is heard past the grace.
+     * Longest factor for an agent's answer time after calls have failed, since the agent may be slow. With a
+     * larger one, a list that the agent recovers just after such a call was sent would arrive after the
+     * grace.
      */
     private static final int MOST_PATIENCE = 2;
-    /** The first call after a failure at an agent waits so long, each further one twice as long. */
+    /**
+     * Delay in microseconds before the first call after a failure at an agent; it doubles with each failure.
+     */
     private static final long AGAIN = 20_000;
-    /** An answer with no news that did not wait is followed by a call so much later: 200 ms end a watch. */
+    /**
+     * Delay in microseconds before the call after an immediate answer without changes. Discovery ends a watch
+     * after 200 ms without a call.
+     */
     private static final long PACE = 50_000;
 
     /**
-     * News so soon after the last is one of a series, as a release brings: there the next call waits a
-     * little, and brings what has changed by then. Calls that follow each change at once would be more
-     * than a service of many routers has turns for, and those who hear of everything would leave none to
-     * the others.
+     * Time in microseconds after a change in which another one counts as part of a series, such as a release
+     * brings. After such a change the next call is delayed and collects what has changed by then. With an
+     * immediate call after each change, the calls of many routers would exceed the service's capacity, and
+     * the routers that hear of every change would crowd out the others.
      */
     private static final long SERIES = 2_000_000;
+    /** Longest delay in microseconds before the call after a change in a series. */
     private static final long REST = 1_000_000;
 
     private final Terms terms;
@@ -70,12 +86,16 @@
     private final Runnable whenLate;
     private final EndpointListVersions versions = new EndpointListVersions();
     private String address;
+    /** Number of the current call; a timer of an older call has no effect. */
     private long call;
     private long calledAt;
+    /** Whether a call is in flight. */
     private boolean out;
+    /** Whether the module waits for an answer. */
     private boolean asked;
     private int failures;
     private int silences;
+    /** Whether the call after a pause of the process is in flight. */
     private boolean catchesUp;
     private long newsAt = -SERIES;
 
@@ -89,7 +109,7 @@
         this.whenLate = whenLate;
     }
 
-    /** Where the list is to be had, and which version of it is known. */
+    /** Starts the watch at an address, with the known version of the list. */
     void begin(String where, long known) {
         address = where;
         versions.startWith(known);
@@ -101,7 +121,10 @@
         }
     }
 
-    /** Against a module that forgets to call: nothing told for so long counts as told all the same. */
+    /**
+     * Calls discovery if the module has not done so within the longest allowed time, since changes count as
+     * told after that.
+     */
     private void remember() {
         timers.at(now.getAsLong() + terms.askWithin(), () -> {
             if (!out && now.getAsLong() - calledAt >= terms.askWithin()) {
@@ -112,8 +135,8 @@
     }
 
     /**
-     * The list is to be had elsewhere from now on. Asked at once, and for the whole list: the versions of the
-     * one may mean nothing to the other, and what the old one knew last may be long past.
+     * Moves the watch to another address. The whole list is asked for at once: the versions of the two
+     * addresses may be unrelated, and the last list from the old address may be outdated.
      */
     void move(String where) {
         if (where.equals(address)) {
@@ -134,8 +157,9 @@
     }
 
     /**
-     * The process stood still. An answer that waited was read by now, but changes after it were not watched,
-     * and may count as told by now or before the next answer: after a long pause the list is asked for anew.
+     * Handles a pause of the process. An answer that arrived during the pause has been read by now, but
+     * changes after it were not watched and may count as known before the next answer. After a long pause the
+     * list is therefore asked for again.
      */
     void resumed(long stalled) {
         if (stalled >= longestPause()) {
@@ -145,7 +169,7 @@
         }
     }
 
-    /** Whether the call after a pause is still to be answered. */
+    /** Whether the call after a pause is still unanswered. */
     boolean catchesUp() {
         return catchesUp;
     }
@@ -154,17 +178,21 @@
         return terms.listPushed() ? part() : Math.min(COUNTS_AS_TOLD - TURN, terms.askWithin() / 2);
     }
 
-    /** Discovery may be another process from now on, whose versions mean something else. */
+    /** The next answer may come from another discovery process, whose versions are unrelated. */
     void lost() {
         versions.wantWhole();
     }
 
-    /** Another router has a newer list: the call that is out should have brought it, so it is broken. */
+    /**
+     * Another router has a newer list: the current call should have delivered it, so it is given up as
+     * broken.
+     */
     void askAnew() {
         counters.add("list.behind");
         hangUpAndAsk();
     }
 
+    /** Whether an agent on this machine holds the list. */
     boolean pushed() {
         return terms.listPushed();
     }
@@ -173,14 +201,14 @@
         return address;
     }
 
-    /** The version of the list that is held, or -1. */
+    /** Returns the version of the held list, or -1. */
     long version() {
         return versions.newest();
     }
 
     /**
-     * Whether an answer follows the list that is held; called once for each, before {@link #came}. Of one
-     * that does not, only what ends a server's use may be taken over.
+     * Whether an answer follows the held list; to be called once for each answer, before {@link #came}. From
+     * an answer that doesn't follow, only changes that end the use of a server may be taken.
      */
     boolean follows(EndpointList list) {
         boolean follows = versions.follows(list, now.getAsLong());
@@ -190,7 +218,7 @@
         return follows;
     }
 
-    /** The module wants the list, and all changes from now on. */
+    /** The module asks for the list and all its changes from now on. */
     void follow() {
         asked = true;
         if (!out) {
@@ -198,7 +226,9 @@
         }
     }
 
-    /** A watch goes on only if its next call comes within 200 ms of the last answer: it is made at once. */
+    /**
+     * Makes a call. Discovery keeps a watch only if the next call comes within 200 ms of the last answer.
+     */
     private void ask(long wait) {
         ask(wait, patience(wait));
     }
@@ -217,10 +247,10 @@
     }
 
     /**
-     * A list that is asked has said nothing for too long: that call is broken, or the service is late, and
-     * what was missed counts as told soon. Asked anew at once; a service that stays silent is the module's to
-     * spare. A watch stays open meanwhile: a service with more callers than turns may answer it late and
-     * refuse the new call.
+     * Handles a call that got no answer in time: its connection is broken or the service is late, and changes
+     * it should have delivered count as known soon. Where discovery is polled, the call is repeated at once,
+     * and only a service that stays silent is left to the module's backoff. A long poll stays open beside the
+     * new call: a service with more callers than capacity may answer it late and refuse the new one.
      */
     private void silent(boolean watched) {
         boolean mayComeLate = watched && !terms.listPushed();
@@ -243,7 +273,9 @@
         });
     }
 
-    /** Half of the grace is left for what comes after the answer. */
+    /**
+     * Returns the length of a long poll at an agent: half of the grace is left for what follows the answer.
+     */
     private long part() {
         return Math.min(WAIT, Math.max(LEAST_PART, terms.drainGrace() / GRACE_PARTS));
     }
@@ -259,7 +291,10 @@
         return (COUNTS_AS_TOLD - WAIT + terms.drainGrace()) / TENTHS * parts;
     }
 
-    /** An answer that does not follow the held list: the whole list is asked for until one is believed. */
+    /**
+     * Handles an answer that doesn't follow the held list: the whole list is asked for until an answer is
+     * believed.
+     */
     void cameOlder(EndpointList list) {
         answered();
         if (list.full()) {
@@ -278,7 +313,9 @@
         counters.add("list.answers");
     }
 
-    /** An answer has come and the next call goes out; tells whether the module should hear of the answer. */
+    /**
+     * Handles an answer and schedules the next call; returns whether the module should be told of the answer.
+     */
     boolean came(EndpointList list) {
         boolean news = asked || list.full() || !list.boxes().isEmpty();
         answered();
@@ -296,7 +333,7 @@
         return news;
     }
 
-    /** A call has failed; tells whether the module should hear of it, which then calls again. */
+    /** Handles a failed call; returns whether the module should be told of it, which then calls again. */
     boolean failed() {
         boolean tell = asked || !terms.listPushed();
         out = false;
--- a/src/main/java/yewdock/desk/Effect.java
+++ b/src/main/java/yewdock/desk/Effect.java
@@ -2,96 +2,107 @@
 
 import java.nio.ByteBuffer;
 
-/** All that the desk can ask for. Times are microseconds. */
+/** An output of the reducer, carried out by the transport. All times are in microseconds. */
 public sealed interface Effect {
-    /** Connect to a box. */
+    /** Open a connection to a server. */
     record OpenLine(long line, String address) implements Effect {
     }
 
-    /** Send the client's request over a line that is up; the box is told how long the router waits. */
+    /**
+     * Send the client's request over an established server connection. The server is told how long the router
+     * waits.
+     */
     record SendTry(long line, long client, long patience) implements Effect {
     }
 
-    /** Close a line at once; {@link Event.LineDown} tells when it is closed. */
+    /** Close a server connection at once; {@link Event.LineDown} reports that it is closed. */
     record CloseLine(long line) implements Effect {
     }
 
-    /** Stop reading from a box, or go on. */
+    /** Stop reading from a server connection, or resume reading. */
     record HoldLine(long line, boolean held) implements Effect {
     }
 
-    /** Pass a piece of a stream on; the first begins the answer. */
+    /** Forward a part of the stream to the client; the first part starts the response. */
     record PassOn(long client, ByteBuffer bytes) implements Effect {
     }
 
-    /** End an answer that is whole. */
+    /** Finish a complete response. */
     record EndAnswer(long client) implements Effect {
     }
 
-    /** End the client's connection, with no end of its answer. */
+    /**
+     * Close the client's connection without finishing its response, so that the client sees it as incomplete.
+     */
     record CutOff(long client) implements Effect {
     }
 
-    /** Turn a request away: trying again is harmless, after retryAfter if that is not 0. */
+    /** Refuse a request: it has not run and may be retried, after the given delay if that is not 0. */
     record Refuse(long client, long retryAfter) implements Effect {
     }
 
-    /** Tell a client that its request has failed. */
+    /** Report to a client that its request has failed. */
     record Fail(long client) implements Effect {
     }
 
-    /** Call there for what is newer than this version, waiting so long for it; -1: for the whole list. */
+    /**
+     * Call discovery at this address for changes since a list version, with a long poll of the given length;
+     * version -1 asks for the whole list.
+     */
     record AskList(String address, long since, long longest) implements Effect {
     }
 
     /**
-     * Leave the call for the list open beside the next one: the first answer of the two counts, and its
-     * connection is the one that goes on. A call that was set aside before is given up.
+     * Leave the discovery call open beside the next one. The connection of whichever call is answered first
+     * stays in use. A call that was set aside earlier is cancelled.
      */
     record SetListCallAside() implements Effect {
     }
 
-    /** Give up the call for the list, but not the one that was set aside. */
+    /** Cancel the current discovery call, but not the one that was set aside. */
     record HangUpList() implements Effect {
     }
 
-    /** Close the connection of a client that has no request open; half a request is answered as late. */
+    /**
+     * Close the connection of a client without an open request; a partly received request is answered with a
+     * timeout.
+     */
     record CloseClient(long client) implements Effect {
     }
 
-    /** Turn down a request that has the id of one that is open: that one is untouched. */
+    /** Reject a request whose id belongs to an open request; the open request is not affected. */
     record TurnDownTwin(long client) implements Effect {
     }
 
-    /** Close the connections of clients that have no request open. */
+    /** Close the connections of all clients without an open request. */
     record CloseIdleClients() implements Effect {
     }
 
-    /** Answer an operator's call. */
+    /** Answer an operator's command. */
     record AnswerCall(long caller, boolean yes, String text) implements Effect {
     }
 
-    /** Answer an operator's call with the figures. */
+    /** Answer an operator's command with the statistics. */
     record AnswerFigures(long caller, Figures figures) implements Effect {
     }
 
-    /** An operator has said something of a box: keep it, and tell this router's other processes. */
+    /** Store an operator override and send it to this router's other processes. */
     record MarkChanged(String box, BoxMark mark) implements Effect {
     }
 
-    /** Tell this router's other generations. */
+    /** Send a message to this router's other generations. */
     record TellOthers(OtherNews news) implements Effect {
     }
 
-    /** Tell the generation that takes over what this one holds. */
+    /** Send this generation's state to the one that takes over. */
     record ShareOut(Holdings held) implements Effect {
     }
 
-    /** A line for the operator. */
+    /** Write a log line. */
     record Log(String line) implements Effect {
     }
 
-    /** Nothing is owed any more: stop the program. */
+    /** No request is open any more: stop the process. */
     record Stop() implements Effect {
     }
 }
--- a/src/main/java/yewdock/desk/Ending.java
+++ b/src/main/java/yewdock/desk/Ending.java
@@ -2,11 +2,11 @@
 
 import java.util.Locale;
 
-/** How a request that was taken has ended. */
+/** How an accepted request has ended. */
 enum Ending {
     COMPLETED, REJECTED, FAILED;
 
-    /** The counter of a class's requests that ended so. */
+    /** Returns the name of the counter for requests of this class that ended in this way. */
     String counter(String requestClass) {
         return "requests." + requestClass + "." + name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/yewdock/desk/EndpointList.java
+++ b/src/main/java/yewdock/desk/EndpointList.java
@@ -2,8 +2,12 @@
 
 import java.util.List;
 
-/** The list of model boxes, or the changes to it; version is -1 when nothing is known. */
+/**
+ * The list of servers, or the changes to it since an older version if it is not full. The version is -1 when
+ * nothing is known.
+ */
 public record EndpointList(long version, boolean full, List<ModelServer> boxes) {
+    /** The list before anything is known. */
     public static final EndpointList NOTHING = new EndpointList(-1, true, List.of());
 
     public EndpointList {
--- a/src/main/java/yewdock/desk/EndpointListVersions.java
+++ b/src/main/java/yewdock/desk/EndpointListVersions.java
@@ -1,40 +1,48 @@
 package yewdock.desk;
 
 /**
- * How far the list of servers is known, by the versions that discovery counts.
+ * Tracks which version of the endpoint list is held and decides which answers of discovery to believe.
  *
- * <p>Versions are those of one process of discovery. Where its connection broke another may answer next, with
- * the same numbers for other changes and without memory of what it removed: then the whole list is asked for.
+ * <p>Versions are counted by one discovery process. After its connection broke, another process may answer
+ * with the same numbers for other changes and without a record of removed servers. The whole list is then
+ * asked for.
  *
- * <p>An answer with a lower version than one before it comes from a replica of discovery that lags behind, or
- * from a service that was started anew and counts from the beginning. Neither can be told from the other at
- * once, and in both cases changes to the held list can't be asked for any more: a service that counts anew
- * may not reach the held version for hours. Hence the whole list is asked for. A service that gives older
- * whole lists for longer than replicas lag has begun to count anew, and is believed.
+ * <p>An answer with a lower version than an earlier one comes either from a discovery replica that lags
+ * behind or from a service that was restarted and counts from the beginning. The two can't be told apart at
+ * first, and in both cases changes to the held list can't be asked for: a restarted service may take hours to
+ * reach the held version. So the whole list is asked for. A service that keeps answering with older whole
+ * lists for longer than replicas lag has restarted and is believed.
  */
 final class EndpointListVersions {
-    /** The version to ask changes since where the whole list is wanted. */
+    /** Version to ask with when the whole list is wanted. */
     static final long NONE = -1;
-    /** A replica that lags for longer is not one that routers should be sent to. */
+    /**
+     * Longest lag of a discovery replica, in microseconds; routers should not be directed to one that lags
+     * more.
+     */
     static final long LONGEST_LAG = 1_000_000;
 
     private long newest = NONE;
     private boolean wholeWanted = true;
+    /**
+     * Time of the first of the current series of older answers, in microseconds; Long.MAX_VALUE if there is
+     * none.
+     */
     private long olderSince = Long.MAX_VALUE;
 
-    /** Begins anew with a list of this version; NONE where nothing is known at this address. */
+    /** Starts over with a list of this version; NONE if nothing is known from this address. */
     void startWith(long version) {
         newest = version;
         wholeWanted = version < 0;
         olderSince = Long.MAX_VALUE;
     }
 
-    /** Changes to the held list may not be told any more. */
+    /** Asks for the whole list next, since the changes to the held one may no longer be available. */
     void wantWhole() {
         wholeWanted = true;
     }
 
-    /** Takes note of an answer; tells whether what it says of servers that are up may be believed. */
+    /** Records an answer and returns whether the servers it lists as in service may be believed. */
     boolean follows(EndpointList answer, long now) {
         boolean older = answer.version() < newest;
         if (older) {
@@ -51,12 +59,12 @@
         return true;
     }
 
-    /** The version to ask changes since, or NONE. */
+    /** Returns the version to ask changes since, or NONE. */
     long since() {
         return wholeWanted ? NONE : newest;
     }
 
-    /** The newest version that was believed, or NONE. */
+    /** Returns the newest version that was believed, or NONE. */
     long newest() {
         return newest;
     }
--- a/src/main/java/yewdock/desk/Event.java
+++ b/src/main/java/yewdock/desk/Event.java
@@ -4,13 +4,19 @@
 import java.util.Map;
 import umberspread.Routing;
 
-/** All that can happen to the desk. Clients and lines to boxes go by numbers. */
+/**
+ * An input of the reducer. Client and server connections are identified by numbers; all times are in
+ * microseconds.
+ */
 public sealed interface Event {
-    /** The router is up; this is the list as it was last held, and where news of it is to be had. */
+    /**
+     * The router has started, with the last endpoint list that was stored and the address of the discovery
+     * service.
+     */
     record Started(EndpointList known, String listAddress) implements Event {
     }
 
-    /** A new configuration says that the list is to be had here. */
+    /** A new configuration names another discovery address. */
     record ListMoved(String address) implements Event {
     }
 
@@ -18,142 +24,156 @@
     record ClientCame(long client) implements Event {
     }
 
-    /** The first byte of a client's request has come. */
+    /** The first byte of a client's request has been received. */
     record ClientBegan(long client) implements Event {
     }
 
-    /** A client has had its answer, and its connection stays. */
+    /** A client's response has been written in full and its connection stays open. */
     record ClientQuiet(long client) implements Event {
     }
 
-    /** A client's request has come in whole. */
+    /** A client's request has been received in full. */
     record Asked(long client, ModelRequest request) implements Event {
     }
 
-    /** The client's connection is gone. */
+    /** The client's connection has closed. */
     record ClientLeft(long client) implements Event {
     }
 
-    /** Bytes passed on to the client have left. */
+    /** This many response bytes have been written to the client's connection. */
     record ClientTook(long client, int bytes) implements Event {
     }
 
-    /** The connection to a box is made. */
+    /** A connection to a server has been established. */
     record LineUp(long line) implements Event {
     }
 
     /**
-     * What was written to this line was too late to be begun, and none of it has gone out: the process stood
-     * still since it was decided. The connection closes, through no fault of the box.
+     * The attempt written to this server connection was dropped before any byte of it went out, because the
+     * process was paused after the decision to send it. The connection closes, which doesn't count against
+     * the server.
      */
     record NotBegun(long line) implements Event {
     }
 
-    /** The connection to a box is truly closed, or was never made. */
+    /** The connection to a server has closed, or could not be established. */
     record LineDown(long line) implements Event {
     }
 
-    /** The last byte of a try has been written to its line. */
+    /** The last byte of an attempt has been written to its server connection. */
     record TrySent(long line) implements Event {
     }
 
-    /** An answer has begun to come, and neither it nor its first event is whole yet. */
+    /** The first bytes of a response have arrived, but not yet its complete head and first stream event. */
     record AnswerBegan(long line) implements Event {
     }
 
-    /** What came over a line can't be read: the rest of it is of no use. */
+    /** The data received on a server connection can't be parsed; the rest of it is ignored. */
     record AnswerSpoilt(long line) implements Event {
     }
 
-    /** A piece of a box's stream. */
+    /** A part of a server's response stream. */
     record Piece(long line, ByteBuffer bytes) implements Event {
     }
 
-    /** A box's answer is whole. report may be null; reusable tells whether the line can take another try. */
+    /**
+     * A server's response is complete. The load report is null if the response carries none; reusable tells
+     * whether the connection can take another attempt.
+     */
     record Answered(long line, Routing.Outcome outcome, boolean reusable, long keptTokens,
             Routing.LoadReport report) implements Event {
     }
 
-    /** The box list has answered. */
+    /** The discovery service has answered with an endpoint list. */
     record ListCame(EndpointList list) implements Event {
     }
 
-    /** The connection to discovery broke, or was not made: it may be another process that answers next. */
+    /**
+     * The discovery connection broke or could not be established. The next response may come from another
+     * discovery process.
+     */
     record DiscoveryLost() implements Event {
     }
 
-    /** A call for the list that was set aside is answered, after the one that was made anew beside it. */
+    /** A discovery call that was set aside has been answered, after the call that was made in its place. */
     record LateListCame(EndpointList list) implements Event {
     }
 
-    /** A call for the box list has failed. */
+    /** A discovery call has failed. */
     record ListFailed() implements Event {
     }
 
     /**
-     * The agreed rules may be acted by until then; past that this router is in doubt and takes nothing new.
-     * A client that is refused for it is told to come back after so long; 0: no advice.
+     * The router holds a lease on the agreed rules until this time; after that it is in doubt and takes no
+     * new requests. The second value is the retry delay for clients that are refused in doubt; 0 gives none.
      */
     record Leased(long until, long comeBack) implements Event {
     }
 
-    /** The process stood still for about so long, and did nothing meanwhile. */
+    /** The process was paused for about this long and handled nothing meanwhile. */
     record Resumed(long stalled) implements Event {
     }
 
-    /** Another router acts on a newer box list than this one. */
+    /** Another router instance uses a newer endpoint list than this one. */
     record ListBehind() implements Event {
     }
 
-    /** Another generation of this router is about to take over: it owns the ids from now on. */
+    /** Another generation of this router is about to take over and owns the request ids from now on. */
     record Share() implements Event {
     }
 
-    /** What another generation holds; it takes the place of what was known of that one. */
+    /** The full state of another generation; it replaces all that was known of that generation. */
     record Adopt(int who, Holdings held) implements Event {
     }
 
-    /** Another generation tells something. */
+    /** A message from another generation. */
     record FromOther(int who, OtherNews news) implements Event {
     }
 
-    /** Another generation has ended, and what it had out with it. */
+    /** Another generation has ended, and with it its attempts in flight. */
     record OtherGone(int who) implements Event {
     }
 
-    /** Another generation serves: no new connections come, the rest ends by itself or after so long. */
+    /**
+     * Another generation now accepts the new connections. This one finishes its open requests, at most until
+     * the time limit.
+     */
     record LetGo(long limit) implements Event {
     }
 
-    /** The generation that was to take over is gone: this one owns the ids and serves as before. */
+    /**
+     * The generation that was to take over has ended: this one owns the request ids and serves as before.
+     */
     record TakeBack() implements Event {
     }
 
-    /** What the list tells is to be told on from now on, for somebody keeps it. */
+    /**
+     * Endpoint lists are to be sent on to the other processes from now on, because one of them stores them.
+     */
     record Keeping() implements Event {
     }
 
-    /** All the operators' marks that hold from now on, by the boxes' names. */
+    /** All operator overrides that hold from now on, by server name. */
     record Marked(Map<String, BoxMark> marks) implements Event {
     }
 
-    /** An operator has called; box is the name that the call says, or "". */
+    /** An operator has sent a command; the server name is "" if the command carries none. */
     record Called(long caller, Call call, String box) implements Event {
     }
 
-    /** Another process of this router was told something of a box, which holds here too. */
+    /** Another process of this router has recorded an operator override, which holds here too. */
     record MarkChanged(String box, BoxMark mark) implements Event {
     }
 
-    /** An older process of this router is there, or no more. */
+    /** The state of this router's older process has changed. */
     record Beside(Older older) implements Event {
     }
 
-    /** The router is to leave. */
+    /** The router is to shut down. */
     record Leave() implements Event {
     }
 
-    /** A time for which a timer was set has come. */
+    /** A timer is due. */
     record Tick() implements Event {
     }
 }
--- a/src/main/java/yewdock/desk/Figures.java
+++ b/src/main/java/yewdock/desk/Figures.java
@@ -3,16 +3,17 @@
 import java.util.List;
 
 /**
- * What the router has done and has in hand, as of one event: each request taken is in one of its class's
- * three figures, or pending. The figures count from this process's start.
+ * The router's statistics as of one event. Each accepted request is counted in one of its class's three
+ * values or as pending. The counts start with this process.
  *
- * @param tries tries whose last byte was written
- * @param pending requests taken and not ended
- * @param boxes model boxes on the list
- * @param avoided those of them that get nothing new now, by an operator's word, the list's or by choice
+ * @param tries attempts whose last byte was written
+ * @param pending requests accepted and not ended
+ * @param boxes servers on the endpoint list
+ * @param avoided those of them that get no new requests now, by an operator's override, by their state on the
+ *     list or by the module's choice
  */
 public record Figures(List<OfClass> classes, long tries, int pending, int boxes, int avoided) {
-    /** Ended requests of one class. */
+    /** Counts of the ended requests of one class. */
     public record OfClass(String name, long completed, long rejected, long failed) {
     }
 
--- a/src/main/java/yewdock/desk/Holdings.java
+++ b/src/main/java/yewdock/desk/Holdings.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * What one generation holds that no other may double: ids of its open requests, its tries that are out, and
- * the box list as it knows it, with the times at which it was told of each box's state.
+ * The state of one generation that the others must respect: the ids of its open requests, its attempts in
+ * flight, and its endpoint list with the times, in microseconds, at which it learned of each server's state.
  */
 public record Holdings(List<String> ids, List<OtherNews.Sent> out, EndpointList boxes, String listAddress,
         Map<Long, Long> toldAt) {
--- a/src/main/java/yewdock/desk/KnownServers.java
+++ b/src/main/java/yewdock/desk/KnownServers.java
@@ -13,16 +13,18 @@
 import umberspread.Routing.Replica;
 
 /**
- * The boxes, as a part of the reducer: what the list tells of each, with what operators say laid over it. A
- * mark never changes what was told, so that taking it back brings back what the list says by then.
+ * The known servers: what the endpoint list says of each, with the operators' overrides applied. An override
+ * never changes the stored list entry, so lifting it restores the list's current state.
  */
 final class KnownServers {
     private final LongSupplier now;
+    /** The servers as the endpoint list has them, by id. */
     private final Map<Long, ModelServer> told = new HashMap<>();
+    /** The servers with the overrides applied, by id. */
     private final Map<Long, ModelServer> boxes = new HashMap<>();
-    /** When the list first told the state that each box has. */
+    /** When the endpoint list first reported each server's current state, in microseconds. */
     private final Map<Long, Long> toldAt = new HashMap<>();
-    /** By the boxes' names, not by what the list says of them: a mark outlives the list's entry. */
+    /** Overrides by server name; they outlast the server's entry in the endpoint list. */
     private final Map<String, BoxMark> marks = new TreeMap<>();
     private final long coldFor;
 
@@ -31,7 +33,7 @@
         this.coldFor = coldFor;
     }
 
-    /** The list tells something. */
+    /** Applies an endpoint list or changes to it. */
     void keep(EndpointList list) {
         if (list.full()) {
             Set<Long> named = new HashSet<>();
@@ -50,8 +52,8 @@
     }
 
     /**
-     * What ends the use of known servers in a list that may not be believed otherwise. In a whole list a
-     * server's end is that it is not named; it counts as this state here.
+     * Returns the changes that end the use of known servers, from a list that may not be believed otherwise.
+     * Servers that a whole list doesn't contain are returned with the given state.
      */
     List<ModelServer> endingsIn(EndpointList list, Lifecycle unnamed) {
         List<ModelServer> ending = new ArrayList<>();
@@ -70,7 +72,7 @@
         return ending;
     }
 
-    /** These are all the marks that hold from now on; what drains no more is back. */
+    /** Replaces all overrides. Servers that no longer drain are back in service. */
     void mark(Map<String, BoxMark> all) {
         Map<String, BoxMark> before = new TreeMap<>(marks);
         marks.clear();
@@ -85,24 +87,27 @@
         marksChanged();
     }
 
-    /** This is said of the box from now on, whatever was said of it before. */
+    /** Sets one server's override, replacing an earlier one. */
     void mark(String name, BoxMark mark) {
         marks.put(name, mark);
         marksChanged();
     }
 
-    /** An operator puts the box out of use. */
+    /** Takes a server out of service on an operator's command. */
     void cordon(String name) {
         mark(name, BoxMark.DRAINS);
     }
 
-    /** An operator puts the box back into use. */
+    /** Puts a server back into service on an operator's command. */
     void uncordon(String name) {
         back(name);
         marksChanged();
     }
 
-    /** It was restarted while it was out of use, or stood empty: whatever the list says, it is cold. */
+    /**
+     * Marks a server as back in service. It was restarted or idle while out of service, so it counts as cold
+     * whatever the endpoint list says.
+     */
     private void back(String name) {
         marks.put(name, new BoxMark(BoxMark.Kind.BACK, now.getAsLong()));
     }
@@ -118,7 +123,7 @@
         return mark != null && mark.drains();
     }
 
-    /** Whether the list has a box of this name. */
+    /** Whether the endpoint list has a server of this name. */
     boolean named(String name) {
         return told.values().stream().anyMatch(box -> box.name().equals(name));
     }
@@ -145,12 +150,12 @@
         return switch (mark.kind()) {
             case DRAINS -> as(box, Lifecycle.DRAINING);
             case GONE -> startedAt <= mark.at() ? as(box, Lifecycle.GONE) : box;
-            // a box whose restart the list tells is as old as the list says
+            // a server whose restart is on the list is as old as the list says
             case BACK -> startedAt >= mark.at() ? box : as(box, box.replica().lifecycle(), mark.at());
         };
     }
 
-    /** The box in another state. */
+    /** Returns the server with another state. */
     static ModelServer as(ModelServer box, Lifecycle lifecycle) {
         return as(box, lifecycle, box.replica().startedAt());
     }
@@ -161,12 +166,12 @@
                 r.weight(), lifecycle, startedAt));
     }
 
-    /** What the list tells, as it holds under the marks. */
+    /** Returns the list with the overrides applied. */
     EndpointList over(EndpointList list) {
         List<ModelServer> over = new ArrayList<>();
         for (ModelServer box : list.boxes()) {
             ModelServer next = over(box);
-            // a whole list says that a box is gone by not naming it
+            // a whole list reports a server as gone by not containing it
             if (!list.full() || !next.isGone()) {
                 over.add(next);
             }
@@ -174,16 +179,17 @@
         return new EndpointList(list.version(), list.full(), over);
     }
 
-    /** A box as it is to be used; null if there is none. */
+    /** Returns a server with overrides applied; null if there is none. */
     ModelServer get(long id) {
         return boxes.get(id);
     }
 
+    /** Returns all servers with overrides applied. */
     Collection<ModelServer> all() {
         return boxes.values();
     }
 
-    /** All as the list tells them. */
+    /** Returns all servers as the endpoint list has them. */
     List<ModelServer> told() {
         return List.copyOf(told.values());
     }
@@ -192,7 +198,10 @@
         return toldAt;
     }
 
-    /** An earlier process was told of some states before; what is known already stands. */
+    /**
+     * Takes over the times at which an earlier process learned of server states, where they are earlier than
+     * the known ones.
+     */
     void recallTold(Map<Long, Long> earlier) {
         earlier.forEach((box, at) -> toldAt.computeIfPresent(box, (id, since) -> Math.min(since, at)));
     }
--- a/src/main/java/yewdock/desk/Lines.java
+++ b/src/main/java/yewdock/desk/Lines.java
@@ -6,13 +6,22 @@
 import java.util.Iterator;
 import java.util.Map;
 
-/** The connections to boxes, as a part of the reducer: which are there, which rest, and for how long. */
+/** The connections to servers: which are open, which are idle, and for how long. */
 final class Lines {
-    /** When this part of the lines is taken, idle ones are closed before others are opened. */
+    /**
+     * When this fraction of the connection limit is in use, idle connections are closed before new ones are
+     * opened.
+     */
     private static final double FULL_PART = 0.75;
-    /** A line idle for this part of the keepalive is closed: a box closing it might cross a try. */
+    /**
+     * An idle connection is closed after this fraction of the keepalive time: at the full time the server
+     * might close it while an attempt is being sent.
+     */
     private static final double KEEP_PART = 0.8;
-    /** A line takes another try only so long after its last: a second answer may come right after one. */
+    /**
+     * Idle time in microseconds before a connection takes another attempt: an unexpected second response may
+     * arrive right after the first.
+     */
     static final long SETTLE = 50_000;
 
     private final Turn turn;
@@ -34,12 +43,12 @@
         return lines.size() + idle.size();
     }
 
-    /** A line that is open or being made; null if there is none of this number. */
+    /** Returns a connection that is open or being opened; null if there is none with this number. */
     Line get(long id) {
         return lines.get(id);
     }
 
-    /** A line to the box that has rested long enough, which rests no more; null if there is none. */
+    /** Takes an idle connection to the server that has been idle long enough; null if there is none. */
     Line take(ModelServer box) {
         Deque<Line> waiting = idle.get(box.id());
         Line line = waiting == null ? null : settled(waiting);
@@ -49,7 +58,7 @@
         return line;
     }
 
-    /** Takes the line that has rested least, but long enough: what still came over it has come by now. */
+    /** Takes the connection idle for the shortest time that is long enough for late data to have arrived. */
     private Line settled(Deque<Line> waiting) {
         Iterator<Line> youngestFirst = waiting.descendingIterator();
         while (youngestFirst.hasNext()) {
@@ -62,7 +71,7 @@
         return null;
     }
 
-    /** Lines that wait for tries must not keep a try from getting one. */
+    /** Frees a place for a new connection by closing the longest idle one. */
     private void closeLongestIdle() {
         Line longest = null;
         for (Deque<Line> waiting : idle.values()) {
@@ -78,7 +87,7 @@
         }
     }
 
-    /** Asks for a new line for a try; null if there is no room for another. */
+    /** Opens a connection for an attempt; null if the limit is reached. */
     Line open(ModelServer box, Try t) {
         if (lines.size() >= most) {
             turn.count("lines.no_room");
@@ -100,7 +109,7 @@
         }
     }
 
-    /** The line is truly closed: it is forgotten; null if that was done before. */
+    /** Forgets a connection that has closed and returns it; null if it was forgotten before. */
     Line down(long id) {
         Line line = lines.remove(id);
         if (line != null) {
@@ -110,7 +119,7 @@
         return line;
     }
 
-    /** A line that is of no use for another try. */
+    /** Closes a connection that can't take another attempt. */
     void spoilt(Line line) {
         restsNoMore(line);
         close(line);
@@ -123,7 +132,9 @@
         }
     }
 
-    /** The line's try has ended: it rests where it can take another, and is closed where it can't. */
+    /**
+     * Releases a connection after its attempt: it becomes idle if it can take another one, or else is closed.
+     */
     void free(Line line, boolean reusable) {
         line.current = null;
         ModelServer box = boxes.get(line.box.id());
@@ -147,7 +158,7 @@
         });
     }
 
-    /** Reads no more from the line, for its client is slow. */
+    /** Pauses reading because the client is slow. */
     void hold(Line line) {
         if (!line.held) {
             line.held = true;
@@ -155,7 +166,7 @@
         }
     }
 
-    /** Reads from the line again. */
+    /** Resumes reading. */
     void read(Line line) {
         if (line.held) {
             line.held = false;
@@ -163,7 +174,7 @@
         }
     }
 
-    /** Lines at rest to boxes that take no work any more, or have moved, are of no use. */
+    /** Closes idle connections to servers that take no more work or have moved to another address. */
     void closeIdleToLeavers() {
         for (Map.Entry<Long, Deque<Line>> entry : idle.entrySet()) {
             ModelServer box = boxes.get(entry.getKey());
--- a/src/main/java/yewdock/desk/ModelRequest.java
+++ b/src/main/java/yewdock/desk/ModelRequest.java
@@ -1,9 +1,9 @@
 package yewdock.desk;
 
 /**
- * What the desk needs to know of a client's request. id is the client's own name for it; session and
- * sharedBeginning are 0 when absent; patience is how long the client still waits for the first token; size is
- * what it holds in memory.
+ * What the reducer needs to know of a client's request. The id is chosen by the client; session and shared
+ * prefix are 0 when absent; the time that the client still waits for the first token is in microseconds; the
+ * size is the number of bytes that the request occupies in memory.
  */
 public record ModelRequest(String id, int requestClass, int municipality, boolean repeat, long session,
         long sharedBeginning, double promptTokens, double beginningTokens, double mostTokens, long patience,
--- a/src/main/java/yewdock/desk/ModelServer.java
+++ b/src/main/java/yewdock/desk/ModelServer.java
@@ -2,17 +2,19 @@
 
 import umberspread.Routing;
 
-/** A line of the box list: one model box, where it listens, and what the module is told of it. */
+/** An entry of the endpoint list: one server, its address, and what the module is told of it. */
 public record ModelServer(String name, String address, Routing.Replica replica) {
+    /** Returns the server's id. */
     public long id() {
         return replica.id();
     }
 
-    /** Whether the line only says that the box has left the list. */
+    /** Whether the entry only reports that the server has left the list. */
     public boolean isGone() {
         return replica.lifecycle() == Routing.Lifecycle.GONE;
     }
 
+    /** Whether new attempts may be sent to the server. */
     boolean takesWork() {
         return replica.lifecycle() == Routing.Lifecycle.READY;
     }
--- a/src/main/java/yewdock/desk/Older.java
+++ b/src/main/java/yewdock/desk/Older.java
@@ -1,11 +1,14 @@
 package yewdock.desk;
 
-/** What an older process of this router does beside this one. */
+/** What an older process of this router does. */
 public enum Older {
-    /** There is none, or it is nobody's business any more. */
+    /** There is none, or it no longer matters. */
     NONE,
-    /** It serves, and this one waits to take over. */
+    /** It serves, and this process waits to take over. */
     SERVES,
-    /** This one serves, and the older one finishes what it has: who hears that this one is ready ends it. */
+    /**
+     * This process serves, and the older one finishes its open requests. Whoever learns that this process is
+     * ready may stop the older one, so readiness is not reported yet.
+     */
     FINISHES
 }
--- a/src/main/java/yewdock/desk/OtherNews.java
+++ b/src/main/java/yewdock/desk/OtherNews.java
@@ -1,31 +1,33 @@
 package yewdock.desk;
 
 /**
- * What the processes of one router tell each other while more than one of them lives: an old generation that
- * finishes what it has, and the new one that has taken its place.
+ * A message between the processes of one router while an old generation finishes its requests and a new one
+ * has taken over.
  */
 public sealed interface OtherNews {
-    /** A finishing generation asks whether it may take a request of this id. */
+    /**
+     * A finishing generation asks the owner of the request ids whether it may accept a request with this id.
+     */
     record Claim(String id, long number) implements OtherNews {
     }
 
-    /** The answer to a claim of the generation to. */
+    /** The answer to a claim, for the generation that made it. */
     record Claimed(int to, String id, long number, boolean granted) implements OtherNews {
     }
 
-    /** No request of this id is open here any more. */
+    /** The request with this id is no longer open in the sender. */
     record Released(String id) implements OtherNews {
     }
 
-    /** A try has gone out to a box. */
+    /** An attempt has been sent to a server. */
     record Sent(long token, long box) implements OtherNews {
     }
 
-    /** A try that was told as sent is over. */
+    /** An attempt that was reported as sent has ended. */
     record Ended(long token) implements OtherNews {
     }
 
-    /** What the box list at this address has told. */
+    /** An endpoint list or changes to it, as received from discovery at this address. */
     record Told(EndpointList list, String address) implements OtherNews {
     }
 }
--- a/src/main/java/yewdock/desk/Others.java
+++ b/src/main/java/yewdock/desk/Others.java
@@ -10,18 +10,19 @@
 import java.util.function.LongSupplier;
 
 /**
- * The router's other generations, as a part of the reducer. One generation owns the ids: it takes requests
- * freely. The others finish, and ask the owner before they take another request, since a client may send the
- * next one over a connection that it has had for long. So no id is ever out from two of them.
+ * The router's other generations. One generation owns the request ids and accepts requests freely. The others
+ * finish their requests and ask the owner before they accept another one, since a client may send it over a
+ * connection that it has held for long. So no two generations ever have the same id open.
  */
 final class Others {
     /**
-     * An owner that doesn't answer is hung or gone: the client is told to come again, nothing has run. Longer
-     * than a new generation may take from SHARE to GO, so that one that fails there costs a wait and no more.
+     * Time in microseconds to wait for the answer to a claim. An owner that doesn't answer hangs or has
+     * ended; the request has not run, and the client is told to retry. The wait is longer than a new
+     * generation may take from the SHARE to the GO stage, so that one that fails there costs only a delay.
      */
     static final long CLAIM_PATIENCE = 2_500_000;
 
-    /** Takes a request that may be taken now, or turns it down. */
+    /** Accepts or rejects requests whose claims have been decided. */
     interface Door {
         void admit(Event.Asked asked, long waited);
 
@@ -38,7 +39,9 @@
     private final Counters counters;
     private final Consumer<Effect> effects;
     private final Door door;
+    /** Request ids that each other generation has open. */
     private final Map<Integer, Set<String>> ids = new HashMap<>();
+    /** Attempts that each other generation has in flight. */
     private final Map<Integer, Set<Long>> outs = new HashMap<>();
     private final Map<String, Claim> claims = new HashMap<>();
     private boolean asking;
@@ -52,12 +55,12 @@
         this.door = door;
     }
 
-    /** Whether another generation owns the ids. */
+    /** Whether another generation owns the request ids. */
     boolean asking() {
         return asking;
     }
 
-    /** Whether there is anyone to tell. */
+    /** Whether there is another generation to send messages to. */
     boolean any() {
         return asking || !ids.isEmpty();
     }
@@ -70,16 +73,20 @@
         return claims.size();
     }
 
+    /** Whether claims are waiting for their answer. */
     boolean claiming() {
         return !claims.isEmpty();
     }
 
-    /** The ids that are being claimed: whoever owns them next must count them as this generation's. */
+    /** Returns the ids being claimed; the next owner must count them as this generation's. */
     Set<String> claimed() {
         return claims.keySet();
     }
 
-    /** From now on another owns the ids. Claims that an owner before it has not answered are made anew. */
+    /**
+     * From now on another generation owns the request ids. Claims that an earlier owner has not answered are
+     * sent again.
+     */
     void share() {
         asking = true;
         for (Claim c : List.copyOf(claims.values())) {
@@ -87,7 +94,9 @@
         }
     }
 
-    /** This generation owns the ids again; what was claimed is taken, in the order in which it came. */
+    /**
+     * This generation owns the request ids again and accepts the claimed requests in their order of arrival.
+     */
     void own() {
         asking = false;
         List<Claim> waiting = new ArrayList<>(claims.values());
@@ -98,13 +107,14 @@
         }
     }
 
+    /** Replaces the known state of a generation. */
     void adopt(int who, Holdings held) {
         ids.put(who, new HashSet<>(held.ids()));
         Set<Long> tokens = outs.computeIfAbsent(who, w -> new HashSet<>());
         held.out().forEach(sent -> tokens.add(sent.token()));
     }
 
-    /** The tries that a generation had out, which are out no more now that it is gone. */
+    /** Forgets a generation that has ended and returns its attempts in flight, which have ended with it. */
     Set<Long> gone(int who) {
         ids.remove(who);
         Set<Long> tokens = outs.remove(who);
@@ -119,6 +129,7 @@
         outs.getOrDefault(who, new HashSet<>()).remove(token);
     }
 
+    /** Whether the id is being claimed here or open in another generation. */
     boolean holds(String id) {
         return claims.containsKey(id) || ids.values().stream().anyMatch(held -> held.contains(id));
     }
@@ -142,7 +153,7 @@
         });
     }
 
-    /** Gives up what a client asked; returns the requests of it that were being claimed. */
+    /** Gives up the client's requests that are being claimed and returns them. */
     List<Event.Asked> clientLeft(long client) {
         List<Event.Asked> left = new ArrayList<>();
         for (Claim c : List.copyOf(claims.values())) {
@@ -155,7 +166,10 @@
         return left;
     }
 
-    /** Another generation's claim; openHere tells whether a request of the id is open in this one. */
+    /**
+     * Answers another generation's claim, which is refused if this generation doesn't own the ids or the id
+     * is open here or in a third one.
+     */
     void claimedBy(int who, OtherNews.Claim claim, boolean openHere) {
         boolean elsewhere = ids.entrySet().stream()
                 .anyMatch(e -> e.getKey() != who && e.getValue().contains(claim.id()));
--- a/src/main/java/yewdock/desk/Owed.java
+++ b/src/main/java/yewdock/desk/Owed.java
@@ -3,23 +3,31 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request taken from a client, until it has its final answer and no try of it is out. */
+/** A request accepted from a client, until it has its final answer and no attempt of it is in flight. */
 final class Owed {
     final long id;
+    /** The id that the client chose. */
     final String name;
     final long client;
     final int size;
     final int requestClass;
+    /** When the client stops waiting for the first token, in microseconds. */
     final long deadline;
-    /** Those whose line is not known to be closed, in the order in which they were sent. */
+    /** Attempts whose connection is not known to be closed, in the order in which they were sent. */
     final List<Try> out = new ArrayList<>(2);
     int tries;
-    /** Waits until those that are out are closed, where no two may be out together. */
+    /**
+     * The attempt that waits until those in flight are closed, where hedging is not allowed; null if there is
+     * none.
+     */
     Try next;
-    /** The try whose stream the client has, from its first event on; else null. */
+    /** The attempt whose stream is forwarded to the client, from its first event on; else null. */
     Try winner;
+    /** Whether the request has its final answer. */
     boolean over;
+    /** Stream bytes forwarded to the client's connection and not yet written. */
     int unsent;
+    /** When stream bytes were last written to the client's connection, in microseconds. */
     long tookAt;
 
     Owed(long id, ModelRequest request, long client, long deadline) {
@@ -31,7 +39,7 @@
         this.deadline = deadline;
     }
 
-    /** Whether the client has a part of its answer. */
+    /** Whether the client has been sent part of its response. */
     boolean begun() {
         return winner != null;
     }
--- a/src/main/java/yewdock/desk/Streams.java
+++ b/src/main/java/yewdock/desk/Streams.java
@@ -2,16 +2,26 @@
 
 import umberspread.Routing.Outcome;
 
-/** What comes back over lines, as a part of the reducer: streams, how they end, and who reads them. */
+/**
+ * The responses on server connections: forwarding the streams to clients, detecting how they end, and pausing
+ * them for slow readers.
+ */
 final class Streams {
-    /** A stream silent for so long is taken for broken: its client counts as lost after 5 s. */
+    /** Silence in microseconds after which a stream counts as broken; its client gives up after 5 s. */
     static final long SILENCE = 4_500_000;
-    /** Of a stream that has not begun no more came for so long after its head's first byte: it is spoilt. */
+    /**
+     * Time in microseconds for the first stream event to be complete after the last data of the response's
+     * start; after that the response counts as malformed.
+     */
     static final long OPENING = 500_000;
-    /** A client that takes nothing for so long is cut off, for its stream holds a box's line. */
+    /**
+     * Time in microseconds after which a client that reads nothing is disconnected, since its stream occupies
+     * a server connection.
+     */
     static final long STALL = 30_000_000;
-    /** So much may wait for a slow client before its box is no longer read; at so little it goes on. */
+    /** Unwritten bytes for a slow client above which its server connection is no longer read. */
     static final int MOST_UNSENT = 64 * 1024;
+    /** Unwritten bytes for a slow client at or below which its server connection is read again. */
     static final int FEW_UNSENT = 16 * 1024;
 
     private final Turn turn;
@@ -26,7 +36,10 @@
         this.tries = answers.tries();
     }
 
-    /** An answer's head and first event come together: one that stops in between never comes whole. */
+    /**
+     * A response's head and first event arrive together: if the rest is missing for too long, it will not
+     * come.
+     */
     void answerBegan(long id) {
         Line line = lines.get(id);
         Try t = line == null ? null : line.current;
@@ -44,8 +57,8 @@
     }
 
     /**
-     * The try has failed and may have run: the box took it and answered, so it is neither refused nor broken
-     * off, which would speak against the box as a whole.
+     * Ends an attempt whose response can't be parsed. It may have run. The server accepted it and responded,
+     * so it ends neither as refused nor as reset, which would count against the server as a whole.
      */
     void answerSpoilt(long id) {
         Line line = lines.get(id);
@@ -54,12 +67,13 @@
         }
         Try t = line.current;
         if (t != null && t.begun() && !t.owed.over) {
-            // the client's connection ends now; the line's may take its time
+            // the client's connection closes now; closing the server connection may take longer
             answers.fail(t.owed, Outcome.ERROR);
         } else if (t != null && t.written) {
             tries.hangUp(t, Outcome.ERROR);
         }
-        // What was never written never ran: LineDown comes behind the news of the last byte, and tells.
+        // An attempt that was never written in full has not run: LineDown, which follows the report of the
+        // last byte, tells the two cases apart.
         lines.spoilt(line);
     }
 
@@ -96,7 +110,10 @@
         }
     }
 
-    /** Ends a stream that has fallen silent for good, as a vanished machine's does, or that nobody reads. */
+    /**
+     * Ends a stream that has been silent for too long, for example because its server vanished, or whose
+     * client doesn't read it.
+     */
     private void listen(Try t) {
         Owed o = t.owed;
         if (!o.out.contains(t) || o.over || t.closingAs != null) {
@@ -129,7 +146,10 @@
         tries.end(t, outcome, e.keptTokens(), e.report());
     }
 
-    /** A try whose line breaks before its last byte was written never ran; after that it may have. */
+    /**
+     * Ends the attempt on a connection that has closed. If its last byte was not written it has not run;
+     * otherwise it may have.
+     */
     void lineDown(long id) {
         Line line = lines.down(id);
         Try t = line == null ? null : line.current;
--- a/src/main/java/yewdock/desk/Terms.java
+++ b/src/main/java/yewdock/desk/Terms.java
@@ -4,19 +4,19 @@
 import umberspread.Routing;
 
 /**
- * What the deployment's settings say of carrying requests out. Times are microseconds.
+ * The deployment's settings for sending requests to servers. Times are in microseconds.
  *
- * @param connectTimeout a connection to a box not made by then has failed
- * @param keepalive a box closes a connection that has rested so long
- * @param listPushed whether an agent on this machine has the box list, which answers at no cost; else the
- *     list is one service for all routers, and the module says when to call it
- * @param drainGrace so long after a drain was told, nothing new may go to its box
- * @param askWithin a list that is asked must be asked at least so often
- * @param copies whether two tries of one request may be out together at all
- * @param mostTries how many tries a request may have
- * @param repeatable by class: whether running a request twice does no harm
- * @param classes the classes' names
- * @param coldFor the longest time in which a box that has started is cold
+ * @param connectTimeout time in which a connection to a server must be established
+ * @param keepalive idle time after which a server closes a connection
+ * @param listPushed whether an agent on this machine holds the endpoint list and answers at no cost;
+ *     otherwise discovery is one service for all routers, and the module decides when to call it
+ * @param drainGrace time after a drain was told in which attempts may still be sent to its server
+ * @param askWithin longest time between discovery calls where discovery is polled
+ * @param copies whether two attempts of one request may be in flight together at all
+ * @param mostTries limit on the attempts of a request
+ * @param repeatable by request class: whether running a request twice is harmless
+ * @param classes names of the request classes
+ * @param coldFor longest time for which a server is cold after its start
  */
 public record Terms(long connectTimeout, long keepalive, boolean listPushed, long drainGrace, long askWithin,
         boolean copies, int mostTries, List<Boolean> repeatable, List<String> classes, long coldFor) {
@@ -25,7 +25,7 @@
         classes = List.copyOf(classes);
     }
 
-    /** The terms that a deployment's settings make; keepalive is not the module's business. */
+    /** Derives these settings from the module's; the keepalive is not part of the module's settings. */
     public static Terms of(Routing.Settings settings, long keepalive) {
         Routing.Contract contract = settings.contract();
         return new Terms(settings.limits().connectTimeout(), keepalive, !settings.askForList(),
@@ -35,7 +35,7 @@
                 settings.classes().stream().map(Routing.RequestClass::name).toList(), contract.coldFor());
     }
 
-    /** Whether two tries of a request of this class may be out together. */
+    /** Whether two attempts of a request of this class may be in flight together. */
     boolean mayCopy(int requestClass) {
         return copies && requestClass < repeatable.size() && repeatable.get(requestClass);
     }
--- a/src/main/java/yewdock/desk/Timers.java
+++ b/src/main/java/yewdock/desk/Timers.java
@@ -3,7 +3,10 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Times to come, each with what is due then; what has become pointless must see so for itself. */
+/**
+ * Timers, each with a task to run at a time in microseconds. Timers can't be cancelled: a task must itself
+ * check whether it still applies.
+ */
 final class Timers {
     private record Due(long at, long order, Runnable task) {
     }
@@ -16,6 +19,7 @@
         heap.add(new Due(time, order++, task));
     }
 
+    /** Returns the earliest timer's time, or Long.MAX_VALUE if there is none. */
     long next() {
         return heap.isEmpty() ? Long.MAX_VALUE : heap.peek().at;
     }
@@ -24,7 +28,7 @@
         return heap.size();
     }
 
-    /** Takes the next task that is due, or null. */
+    /** Removes and returns the next task that is due, or null. */
     Runnable poll(long now) {
         return next() <= now ? heap.poll().task : null;
     }
--- a/src/main/java/yewdock/desk/Tries.java
+++ b/src/main/java/yewdock/desk/Tries.java
@@ -8,12 +8,13 @@
 import umberspread.Routing.Outcome;
 
 /**
- * Tries of requests, as a part of the reducer: from the module's wish to the news of how each ended.
+ * The attempts of requests, from the module's decision to send one to the report of its end.
  *
- * <p>Two tries of one request are out together only where the settings allow it and the request's class may
- * be repeated. The first event of any of them makes it the client's; the others are closed at once, and the
- * module is told of each when its line is closed, after the first token of the one that won. Elsewhere a
- * second try waits until the line of the first is truly closed.
+ * <p>Two attempts of one request are in flight together only where the settings allow hedging and the
+ * request's class is idempotent. The first stream event of either one makes that attempt the winner; the
+ * others are closed at once. The module is told of each one's end when its connection has closed, after the
+ * winner's first token. Where hedging is not allowed, a second attempt waits until the first one's connection
+ * has closed.
  */
 final class Tries {
     private final Turn turn;
@@ -21,7 +22,7 @@
     private final KnownServers boxes;
     private final Lines lines;
     private final Others others;
-    /** Takes a request of which a try has ended: nothing of it may be out any more. */
+    /** Called after an attempt has ended, with its request, which may have no other attempt in flight. */
     private final Consumer<Owed> ended;
 
     Tries(Turn turn, Terms terms, KnownServers boxes, Lines lines, Others others, Consumer<Owed> ended) {
@@ -33,7 +34,7 @@
         this.ended = ended;
     }
 
-    /** The module wants a try. One that may not go out ends as never sent. */
+    /** Sends an attempt for the module. One that may not be sent ends with NOT_SENT. */
     void send(Owed o, long box, long timeout) {
         Try t = new Try(o, box, timeout, turn.now());
         if (o.begun() || t.number >= terms.mostTries()) {
@@ -50,7 +51,7 @@
         }
     }
 
-    /** A box that is known and takes work, as far as this router may act by what it knows. */
+    /** Whether the server is known, takes work and this router isn't in doubt. */
     private boolean mayGetWork(ModelServer box) {
         return box != null && box.takesWork() && !turn.inDoubt();
     }
@@ -102,7 +103,7 @@
         turn.effect(new Effect.SendTry(line.id, t.owed.client, t.until - turn.now()));
     }
 
-    /** The module wants a try no more; one whose answer has begun goes on. */
+    /** Cancels an attempt for the module, unless its stream is already being forwarded. */
     void cancel(Owed o, int number) {
         if (o.next != null && o.next.number == number) {
             Try t = o.next;
@@ -118,8 +119,8 @@
     }
 
     /**
-     * Closes a try's line. The try is out until {@link Event.LineDown} says that the line is closed: sent
-     * elsewhere before that, the request would be out twice.
+     * Closes an attempt's connection. The attempt stays in flight until {@link Event.LineDown} reports that
+     * the connection is closed: if the request were sent again before that, it would be in flight twice.
      */
     void hangUp(Try t, Outcome as) {
         if (t.closingAs == null) {
@@ -132,7 +133,9 @@
         o.out.forEach(t -> hangUp(t, as));
     }
 
-    /** The first event has come: the try is the client's, and the request's others serve nobody. */
+    /**
+     * Handles the first stream event: the attempt is the winner, and the request's other attempts are closed.
+     */
     void won(Try t) {
         Owed o = t.owed;
         o.winner = t;
@@ -141,7 +144,7 @@
         hangUpAllBut(t);
     }
 
-    /** Its request is served by this one: the others would serve nobody. */
+    /** Closes the request's other attempts, which are no longer needed. */
     void hangUpAllBut(Try t) {
         for (Try other : t.owed.out) {
             if (other != t) {
@@ -150,6 +153,9 @@
         }
     }
 
+    /**
+     * Records an attempt's end, tells the module and starts the request's next attempt if one is waiting.
+     */
     void end(Try t, Outcome outcome, long kept, Routing.LoadReport report) {
         Owed o = t.owed;
         turn.count("tries." + outcome.name().toLowerCase(Locale.ROOT));
@@ -171,7 +177,7 @@
         ended.accept(o);
     }
 
-    // ---- what becomes of its line
+    // ---- connection events
 
     void lineUp(long id) {
         Line line = lines.get(id);
@@ -180,7 +186,7 @@
         }
         line.up = true;
         ModelServer box = boxes.get(line.box.id());
-        // The box may have begun to drain, or have moved, while the connection was being made.
+        // The server may have begun to drain or moved to another address while the connection was opened.
         if (!mayGetWork(box)) {
             hangUp(line.current, Outcome.NOT_SENT);
         } else {
@@ -188,7 +194,10 @@
         }
     }
 
-    /** The line closes by itself; the try may go out again, to the same box if need be. */
+    /**
+     * The attempt ends as not sent once its connection has closed, so the request may be sent again, even to
+     * the same server.
+     */
     void notBegun(long id) {
         Line line = lines.get(id);
         if (line != null && line.current != null && line.current.closingAs == null) {
@@ -197,6 +206,7 @@
         }
     }
 
+    /** The last byte of the connection's attempt has been written. */
     void written(long id) {
         Line line = lines.get(id);
         if (line != null && line.current != null && !line.current.written) {
@@ -205,7 +215,7 @@
         }
     }
 
-    /** All tries that are out of these requests, for those who must not double them. */
+    /** Returns the attempts in flight of these requests, for the generations that must not repeat them. */
     static List<OtherNews.Sent> sent(Iterable<Owed> all) {
         List<OtherNews.Sent> sent = new ArrayList<>();
         for (Owed o : all) {
--- a/src/main/java/yewdock/desk/Try.java
+++ b/src/main/java/yewdock/desk/Try.java
@@ -2,21 +2,27 @@
 
 import umberspread.Routing.Outcome;
 
-/** One sending of a request to a box. */
+/** An attempt: one sending of a request to a server. */
 final class Try {
-    /** More tries of a request than any deployment allows: what makes the numbers of tries distinct. */
+    /**
+     * Factor that makes tokens distinct: larger than the number of attempts that any deployment allows for a
+     * request.
+     */
     private static final long MOST = 1024;
 
     final Owed owed;
     final int number;
     final long box;
+    /** Timeout that the module set, in microseconds; 0 if it set none. */
     final long timeout;
     final long sentAt;
+    /** When the attempt times out, in microseconds. */
     long until;
     Line line;
+    /** Whether its last byte has been written. */
     boolean written;
     long lastPieceAt;
-    /** Not null once the line is being closed: what the try then ends as. */
+    /** The outcome to report once the connection has closed; null while it is not being closed. */
     Outcome closingAs;
 
     Try(Owed owed, long box, long timeout, long sentAt) {
@@ -27,12 +33,12 @@
         this.sentAt = sentAt;
     }
 
-    /** Whether its events are the client's. */
+    /** Whether its stream is the one forwarded to the client. */
     boolean begun() {
         return owed.winner == this;
     }
 
-    /** What other generations know it by. */
+    /** Returns the number that identifies the attempt to other generations. */
     long token() {
         return owed.id * MOST + number % MOST;
     }
--- a/src/main/java/yewdock/desk/Turn.java
+++ b/src/main/java/yewdock/desk/Turn.java
@@ -8,11 +8,12 @@
 import umberspread.Routing;
 
 /**
- * One turn of the reducer, which its parts share: the time, what is asked of the transport, the times to
- * come, and what the module is to be told and has asked for. Neither of the latter happens inside the other.
+ * The context that the reducer's components share: the time, effects, timers and counters, the calls to make
+ * to the module, and the actions that the module has requested. Calls and actions are queued and run one
+ * after the other, never nested.
  */
 final class Turn {
-    /** Something to do for a request (0: none), so that a fault in it is known to be that request's. */
+    /** A task for a request (0: none), which tells to which request an exception in the task belongs. */
     record Step(long request, Runnable task) {
     }
 
@@ -23,7 +24,7 @@
     private List<Effect> effects = new ArrayList<>();
     private Routing.Events module;
     private long now;
-    /** Where nothing is agreed, nothing is in doubt. */
+    /** The lease's end in microseconds. Without consensus there is no lease to lose. */
     private long leasedUntil = Long.MAX_VALUE;
     private long comeBack;
 
@@ -31,31 +32,31 @@
         this.counters = counters;
     }
 
-    /** Who is told; the module needs the desk's actions before it is there. */
+    /** Sets the module, which can only be created after the reducer's actions exist. */
     void module(Routing.Events made) {
         module = made;
     }
 
-    /** What is agreed may be acted by until then. */
+    /** Extends the lease to this time, with the retry delay for clients that are refused after it. */
     void leased(long until, long next) {
         leasedUntil = until;
         comeBack = next;
     }
 
     /**
-     * Whether the agreed rules may have changed unheard: compared at each decision, for a timer may come
-     * late.
+     * Whether the lease has run out, so that the agreed rules may have changed. Checked at each decision,
+     * since a timer may be late.
      */
     boolean inDoubt() {
         return now >= leasedUntil;
     }
 
-    /** When a client that is refused in doubt should come back. */
+    /** Returns the retry delay in microseconds for a client that is refused in doubt; 0 gives none. */
     long comeBack() {
         return comeBack;
     }
 
-    /** The next event's turn begins; time never goes back. */
+    /** Starts the handling of an event; time never goes back. */
     void begin(long time) {
         now = Math.max(now, time);
         effects = new ArrayList<>();
@@ -89,15 +90,17 @@
         timers.at(time, task);
     }
 
+    /** Queues a call to the module. */
     void tell(long request, Consumer<Routing.Events> what) {
         tellings.add(new Step(request, () -> what.accept(module)));
     }
 
+    /** Queues an action that the module has requested. */
     void ask(long request, Runnable what) {
         askings.add(new Step(request, what));
     }
 
-    /** What is to be done next: what the module has asked for goes before what it is told next. */
+    /** Returns the next task, or null. The module's actions run before its next call. */
     Step next() {
         return askings.isEmpty() ? tellings.poll() : askings.poll();
     }
