--- a/src/main/java/yewdock/desk/Try.java
+++ b/src/main/java/yewdock/desk/Attempt.java
@@ -3,43 +3,43 @@
 import umberspread.Routing.Outcome;
 
 /** An attempt: one sending of a request to a server. */
-final class Try {
+final class Attempt {
     /**
      * Factor that makes tokens distinct: larger than the number of attempts that any deployment allows for a
      * request.
      */
-    private static final long MOST = 1024;
+    private static final long MAX_ATTEMPTS = 1024;
 
-    final Owed owed;
+    final OpenRequest request;
     final int number;
-    final long box;
+    final long serverId;
     /** Timeout that the module set, in microseconds; 0 if it set none. */
-    final long timeout;
-    final long sentAt;
+    final long timeoutMicros;
+    final long createdAt;
     /** When the attempt times out, in microseconds. */
-    long until;
-    Line line;
+    long timeoutAt;
+    ServerConnection connection;
     /** Whether its last byte has been written. */
     boolean written;
-    long lastPieceAt;
+    long lastDataAt;
     /** The outcome to report once the connection has closed; null while it is not being closed. */
-    Outcome closingAs;
+    Outcome closingOutcome;
 
-    Try(Owed owed, long box, long timeout, long sentAt) {
-        this.owed = owed;
-        this.number = owed.tries++;
-        this.box = box;
-        this.timeout = timeout;
-        this.sentAt = sentAt;
+    Attempt(OpenRequest owed, long box, long timeout, long sentAt) {
+        this.request = owed;
+        this.number = owed.attemptCount++;
+        this.serverId = box;
+        this.timeoutMicros = timeout;
+        this.createdAt = sentAt;
     }
 
     /** Whether its stream is the one forwarded to the client. */
-    boolean begun() {
-        return owed.winner == this;
+    boolean isWinner() {
+        return request.winner == this;
     }
 
     /** Returns the number that identifies the attempt to other generations. */
     long token() {
-        return owed.id * MOST + number % MOST;
+        return request.id * MAX_ATTEMPTS + number % MAX_ATTEMPTS;
     }
 }
--- a/src/main/java/yewdock/desk/BoxMark.java
+++ b/src/main/java/yewdock/desk/BoxMark.java
@@ -12,7 +12,7 @@
     /** The server drains until the override is lifted. */
     public static final BoxMark DRAINS = new BoxMark(Kind.DRAINS, 0);
 
-    boolean drains() {
+    boolean isDraining() {
         return kind == Kind.DRAINS;
     }
 }
--- a/src/main/java/yewdock/desk/Desk.java
+++ b/src/main/java/yewdock/desk/Desk.java
@@ -13,90 +13,97 @@
  * clock and knows nothing of HTTP. The module chooses the server of each attempt; the reducer enforces the
  * rules for sending it.
  *
- * <p>Events are dispatched to the components: {@link Answers} keeps the open requests, {@link Tries} and
- * {@link Streams} carry out their attempts, {@link Lines} manages the server connections, {@link
- * DiscoveryWatch} the watch on the endpoint list, {@link Clients} the idle client connections and {@link
- * Others} the state shared with other generations.
+ * <p>Events are dispatched to the components: {@link OpenRequests} keeps the open requests, {@link Attempts}
+ * and
+ * {@link ResponseStreams} carry out their attempts, {@link ServerConnections} manages the server connections,
+ * {@link
+ * DiscoveryWatch} the watch on the endpoint list, {@link ClientConnections} the idle client connections and
+ * {@link
+ * OtherGenerations} the state shared with other generations.
  */
 public final class Desk {
     /**
      * On shutdown, new connections may still arrive for 0.4 s and requests for 0.7 s. Idle client connections
      * are closed after this delay in microseconds.
      */
-    static final long LEAVE_IDLE_AFTER = 500_000;
+    static final long CLOSE_IDLE_AFTER_MICROS = 500_000;
     /** Earliest exit after the start of a shutdown, in microseconds. */
-    static final long LEAVE_AFTER = 800_000;
+    static final long MIN_SHUTDOWN_MICROS = 800_000;
     /**
      * Where a local agent holds the endpoint list, its contents bind the router from the start of the
      * process. The list that the process was started with may be outdated, so it is used only once the agent
      * has been silent for this many microseconds.
      */
-    static final long AGENT_FIRST = 1_000_000;
+    static final long AGENT_TIMEOUT_MICROS = 1_000_000;
 
-    private final Turn turn;
-    private final Clients clients;
+    private final ReducerContext context;
+    private final ClientConnections clients;
     private final DiscoveryWatch watch;
-    private final Others others;
-    private final KnownServers boxes;
-    private final Lines lines;
-    private final Answers answers;
-    private final Tries tries;
-    private final Streams streams;
-    private final Calls calls;
+    private final OtherGenerations otherGenerations;
+    private final KnownServers servers;
+    private final ServerConnections connections;
+    private final OpenRequests openRequests;
+    private final Attempts attempts;
+    private final ResponseStreams responses;
+    private final OperatorCommands commands;
     /** The module has not been given any server yet, because the agent has not answered. */
-    private boolean unheard;
+    private boolean awaitingAgent;
     private boolean leaving;
     private boolean lettingGo;
-    private Older older = Older.NONE;
+    private Older olderGeneration = Older.NONE;
     /** Endpoint lists are sent on to the other processes, one of which stores them. */
-    private boolean keeping;
+    private boolean relaying;
     /** Time limit for open requests after another generation took over, in microseconds. */
-    private long letGoUntil;
-    private long leaveAt;
+    private long finishUntil;
+    private long exitAt;
     private boolean stopped;
 
     /** Creates the reducer and the module, which gets its actions. */
     public Desk(Terms terms, Bounds bounds, Counters counters,
             Function<Routing.Actions, Routing.Events> makeModule) {
-        this.turn = new Turn(counters);
-        this.boxes = new KnownServers(turn::now, terms.coldFor());
-        this.clients = new Clients(bounds.clients(), turn::now, turn.timers(), counters, turn::effect);
-        this.watch = new DiscoveryWatch(terms, turn::now, turn.timers(), counters, turn::effect,
-                this::listFailed);
-        this.others = new Others(turn::now, turn.timers(), counters, turn::effect, new Door());
-        this.lines = new Lines(turn, bounds.lines(), terms.keepalive(), boxes);
-        this.answers = new Answers(turn, terms, bounds, boxes, lines, others);
-        this.tries = answers.tries();
-        this.streams = new Streams(turn, lines, answers);
-        this.calls = new Calls(turn, terms, counters, boxes, () -> answers.open() + others.claims(),
+        this.context = new ReducerContext(counters);
+        this.servers = new KnownServers(context::now, terms.coldFor());
+        this.clients = new ClientConnections(bounds.clients(), context::now, context.timers(), counters,
+                context::emit);
+        this.watch = new DiscoveryWatch(terms, context::now, context.timers(), counters, context::emit,
+                this::discoveryCallFailed);
+        this.otherGenerations = new OtherGenerations(context::now, context.timers(), counters, context::emit,
+                new Admission());
+        this.connections = new ServerConnections(context, bounds.lines(), terms.keepalive(), servers);
+        this.openRequests = new OpenRequests(context, terms, bounds, servers, connections, otherGenerations);
+        this.attempts = openRequests.attempts();
+        this.responses = new ResponseStreams(context, connections, openRequests);
+        this.commands = new OperatorCommands(context, terms, counters, servers, () -> openRequests.count()
+                + otherGenerations.pendingClaims(),
                 () -> lettingGo ? "a newer process serves"
-                        : older == Older.FINISHES ? "an older process finishes" : unready(),
-                this::changedHere);
-        turn.module(makeModule.apply(new Collector()));
+                        : olderGeneration == Older.FINISHES ? "an older process finishes" : unready(),
+                this::reportKnownServers);
+        context.module(makeModule.apply(new ActionQueue()));
     }
 
     /** Handles one event at the given time in microseconds and returns its effects. */
     public List<Effect> reduce(Event event, long time) {
-        turn.begin(time);
-        run(new Turn.Step(requestOf(event), () -> take(event)));
-        for (Turn.Step step = turn.next(); step != null; step = turn.next()) {
+        context.begin(time);
+        run(new ReducerContext.Step(requestOf(event), () -> dispatch(event)));
+        for (ReducerContext.Step step = context.nextStep(); step != null; step = context.nextStep()) {
             run(step);
         }
-        if (leaving && !stopped && answers.none() && !others.claiming() && turn.now() >= leaveAt) {
+        if (leaving && !stopped && openRequests.isEmpty() && !otherGenerations.hasClaims()
+                && context.now() >= exitAt) {
             stopped = true;
-            turn.effect(new Effect.Stop());
+            context.emit(new Effect.Stop());
         }
-        if (lettingGo && !stopped && answers.none() && !others.claiming()
-                && (clients.count() == 0 || turn.now() >= letGoUntil)) {
+        if (lettingGo && !stopped && openRequests.isEmpty() && !otherGenerations.hasClaims()
+                && (clients.count() == 0 || context.now() >= finishUntil)) {
             stopped = true;
-            turn.effect(new Effect.Stop());
+            context.emit(new Effect.Stop());
         }
-        return turn.effects();
+        return context.effects();
     }
 
     /** Returns the time of the next {@link Event.Tick} in microseconds, or Long.MAX_VALUE. */
     public long nextDue() {
-        return turn.timers().next();
+        return context.timers().nextTime();
     }
 
     /** Returns why a request that arrived now could not be served; empty if it could. */
@@ -104,24 +111,24 @@
         if (leaving && !lettingGo) {
             return "leaving";
         }
-        if (calls.quiesced()) {
+        if (commands.quiesced()) {
             return "quiesced";
         }
-        if (older == Older.SERVES) {
+        if (olderGeneration == Older.SERVES) {
             return "an older process serves";
         }
-        if (turn.inDoubt()) {
+        if (context.inDoubt()) {
             return "in doubt about what is agreed";
         }
-        if (unheard) {
+        if (awaitingAgent) {
             return "the agent that has the box list has not answered";
         }
-        return boxes.all().stream().anyMatch(ModelServer::takesWork) ? "" : "no model box takes work";
+        return servers.all().stream().anyMatch(ModelServer::takesWork) ? "" : "no model box takes work";
     }
 
     /** Whether an operator has quiesced this router. */
     public boolean quiesced() {
-        return calls.quiesced();
+        return commands.quiesced();
     }
 
     /**
@@ -129,7 +136,8 @@
      * idle it returns to its value at the start.
      */
     public int kept() {
-        return answers.kept() + lines.kept() + boxes.kept() + clients.count() + turn.kept() + others.kept();
+        return openRequests.retainedEntries() + connections.retainedEntries() + servers.retainedEntries()
+                + clients.count() + context.retainedEntries() + otherGenerations.retainedEntries();
     }
 
     /**
@@ -137,7 +145,7 @@
      * before its answer, which may tell of a drain.
      */
     public boolean catchesUp() {
-        return watch.catchesUp();
+        return watch.catchingUp();
     }
 
     /** Whether the router is shutting down. */
@@ -155,104 +163,106 @@
      * that aren't known are ignored, and so are later times.
      */
     public void recallTold(Map<Long, Long> earlier) {
-        boxes.recallTold(earlier);
+        servers.restoreStateTimes(earlier);
     }
 
     /** Returns all operator overrides by server name. */
     public Map<String, BoxMark> marks() {
-        return Map.copyOf(boxes.marks());
+        return Map.copyOf(servers.overrides());
     }
 
     /** Returns the state that other generations need so that no request id or attempt is used twice. */
     public Holdings holdings() {
-        List<String> ids = answers.names();
-        ids.addAll(others.claimed());
-        return new Holdings(ids, Tries.sent(answers.all()),
-                new EndpointList(watch.version(), true, boxes.told()), watch.address(), boxes.toldAt());
+        List<String> ids = openRequests.requestIds();
+        ids.addAll(otherGenerations.claimedIds());
+        return new Holdings(ids, Attempts.inFlight(openRequests.all()),
+                new EndpointList(watch.version(), true, servers.listed()), watch.address(),
+                        servers.stateSince());
     }
 
-    private void take(Event event) {
+    private void dispatch(Event event) {
         if (event instanceof Event.Piece e) {
-            streams.piece(e);
+            responses.chunkReceived(e);
         } else if (event instanceof Event.ClientTook e) {
-            streams.clientTook(e);
+            responses.clientBytesWritten(e);
         } else if (event instanceof Event.Asked e) {
-            asked(e);
+            requestReceived(e);
         } else if (event instanceof Event.Answered e) {
-            streams.answered(e);
+            responses.responseCompleted(e);
         } else if (event instanceof Event.AnswerBegan e) {
-            streams.answerBegan(e.line());
+            responses.responseStarted(e.line());
         } else if (event instanceof Event.AnswerSpoilt e) {
-            streams.answerSpoilt(e.line());
+            responses.responseMalformed(e.line());
         } else if (event instanceof Event.TrySent e) {
-            tries.written(e.line());
+            attempts.written(e.line());
         } else if (event instanceof Event.NotBegun e) {
-            tries.notBegun(e.line());
+            attempts.notStarted(e.line());
         } else if (event instanceof Event.LineUp e) {
-            tries.lineUp(e.line());
+            attempts.connected(e.line());
         } else if (event instanceof Event.LineDown e) {
-            streams.lineDown(e.line());
+            responses.connectionClosed(e.line());
         } else if (event instanceof Event.ClientCame e) {
-            clients.came(e.client());
+            clients.connected(e.client());
         } else if (event instanceof Event.ClientBegan e) {
-            clients.began(e.client());
+            clients.requestStarted(e.client());
         } else if (event instanceof Event.ClientQuiet e) {
-            clients.quiet(e.client());
+            clients.idle(e.client());
         } else if (event instanceof Event.ClientLeft e) {
-            clients.left(e.client());
-            others.clientLeft(e.client()).forEach(a -> answers.ended(a.request(), Ending.FAILED));
-            answers.clientLeft(e.client());
+            clients.disconnected(e.client());
+            otherGenerations.clientDisconnected(e.client()).forEach(
+                    abandoned -> openRequests.countEnd(abandoned.request(), RequestOutcome.FAILED));
+            openRequests.clientDisconnected(e.client());
         } else if (event instanceof Event.Tick) {
-            for (Runnable task = turn.timers().poll(turn.now()); task != null;
-                    task = turn.timers().poll(turn.now())) {
-                run(new Turn.Step(0, task));
+            for (Runnable task = context.timers().poll(context.now()); task != null;
+                    task = context.timers().poll(context.now())) {
+                run(new ReducerContext.Step(0, task));
             }
         } else if (event instanceof Event.ListCame e) {
-            listCame(e.list());
+            listReceived(e.list());
         } else if (event instanceof Event.LateListCame e) {
-            lateListCame(e.list());
+            lateListReceived(e.list());
         } else if (event instanceof Event.DiscoveryLost) {
-            watch.lost();
+            watch.connectionLost();
         } else if (event instanceof Event.ListFailed) {
-            listFailed();
+            discoveryCallFailed();
         } else if (event instanceof Event.Started e) {
             started(e);
         } else if (event instanceof Event.ListMoved e) {
-            watch.move(e.address());
+            watch.moveTo(e.address());
         } else if (event instanceof Event.FromOther e) {
-            fromOther(e.who(), e.news());
+            messageReceived(e.who(), e.news());
         } else if (event instanceof Event.Share) {
-            turn.effect(new Effect.ShareOut(holdings()));
-            others.share();
+            context.emit(new Effect.ShareOut(holdings()));
+            otherGenerations.releaseOwnership();
         } else if (event instanceof Event.Adopt e) {
-            adopt(e.who(), e.held());
+            adoptState(e.who(), e.held());
         } else if (event instanceof Event.OtherGone e) {
-            others.gone(e.who()).forEach(token -> otherEnded(e.who(), token));
+            otherGenerations.generationEnded(e.who()).forEach(token -> reportAttemptEnded(e.who(), token));
         } else if (event instanceof Event.LetGo e) {
-            letGo(e.limit());
+            handOver(e.limit());
         } else if (event instanceof Event.TakeBack) {
             lettingGo = false;
-            clients.hurry(false);
-            others.own();
+            clients.setCloseEarly(false);
+            otherGenerations.takeOwnership();
         } else if (event instanceof Event.Marked e) {
-            marked(e.marks());
+            overridesReplaced(e.marks());
         } else if (event instanceof Event.Leased e) {
-            turn.leased(e.until(), e.comeBack());
+            context.extendLease(e.until(), e.comeBack());
         } else if (event instanceof Event.Resumed e) {
-            watch.resumed(e.stalled());
+            watch.processResumed(e.stalled());
         } else if (event instanceof Event.ListBehind) {
-            watch.askAnew();
+            watch.listOutdated();
         } else if (event instanceof Event.MarkChanged e) {
-            boxes.mark(e.box(), e.mark());
-            changedHere();
+            servers.setOverride(e.box(), e.mark());
+            reportKnownServers();
         } else if (event instanceof Event.Beside e) {
-            older = e.older();
+            olderGeneration = e.older();
         } else if (event instanceof Event.Keeping) {
-            keeping = true;
+            relaying = true;
         } else if (event instanceof Event.Called e) {
-            calls.called(e, leaving);
+            commands.execute(e, leaving);
         } else if (event instanceof Event.Leave) {
-            leave();
+            shutDown();
         }
     }
 
@@ -260,186 +270,187 @@
      * Runs one step. An exception must affect only the request it belongs to: it is logged and counted, and
      * that request is answered with a failure.
      */
-    private void run(Turn.Step step) {
+    private void run(ReducerContext.Step step) {
         try {
             step.task().run();
         } catch (RuntimeException e) {
-            turn.count("faults");
+            context.count("faults");
             StackTraceElement[] trace = e.getStackTrace();
-            turn.log("fault: " + e + (trace.length > 0 ? " at " + trace[0] : ""));
-            Owed o = answers.get(step.request());
-            if (o != null && !o.over) {
-                answers.failOurselves(o, Outcome.CANCELLED);
+            context.log("fault: " + e + (trace.length > 0 ? " at " + trace[0] : ""));
+            OpenRequest request = openRequests.get(step.requestId());
+            if (request != null && !request.ended) {
+                openRequests.failAndReport(request, Outcome.CANCELLED);
             }
         }
     }
 
     private long requestOf(Event event) {
         if (event instanceof Event.Asked e) {
-            Owed o = answers.ofClient(e.client());
-            return o == null ? 0 : o.id;
+            OpenRequest request = openRequests.byClient(e.client());
+            return request == null ? 0 : request.id;
         }
-        Line line = event instanceof Event.Piece p ? lines.get(p.line())
-                : event instanceof Event.Answered a ? lines.get(a.line())
-                : event instanceof Event.LineUp u ? lines.get(u.line())
-                : event instanceof Event.LineDown d ? lines.get(d.line()) : null;
-        return line != null && line.current != null ? line.current.owed.id : 0;
+        ServerConnection connection = event instanceof Event.Piece chunk ? connections.get(chunk.line())
+                : event instanceof Event.Answered completed ? connections.get(completed.line())
+                : event instanceof Event.LineUp established ? connections.get(established.line())
+                : event instanceof Event.LineDown closed ? connections.get(closed.line()) : null;
+        return connection != null && connection.attempt != null ? connection.attempt.request.id : 0;
     }
 
     /**
      * Queues the module's actions until the current step is over, so that the module is never called from
      * within one of its own calls.
      */
-    private final class Collector implements Routing.Actions {
+    private final class ActionQueue implements Routing.Actions {
         @Override
-        public void send(long requestId, long replicaId, long timeout) {
-            turn.ask(requestId, () -> {
-                Owed o = answers.get(requestId);
-                if (o == null || o.over) {
-                    turn.count("tries.for_nothing");
+        public void send(long requestId, long serverId, long timeoutMicros) {
+            context.queueAction(requestId, () -> {
+                OpenRequest request = openRequests.get(requestId);
+                if (request == null || request.ended) {
+                    context.count("tries.for_nothing");
                 } else {
-                    tries.send(o, replicaId, timeout);
+                    attempts.send(request, serverId, timeoutMicros);
                 }
             });
         }
 
         @Override
         public void cancel(long requestId, int attempt) {
-            turn.ask(requestId, () -> {
-                Owed o = answers.get(requestId);
-                if (o != null) {
-                    tries.cancel(o, attempt);
+            context.queueAction(requestId, () -> {
+                OpenRequest request = openRequests.get(requestId);
+                if (request != null) {
+                    attempts.cancel(request, attempt);
                 }
             });
         }
 
         @Override
-        public void refuse(long requestId, long retryAfter) {
-            turn.ask(requestId, () -> answers.refuse(requestId, retryAfter));
+        public void refuse(long requestId, long retryAfterMicros) {
+            context.queueAction(requestId, () -> openRequests.refuse(requestId, retryAfterMicros));
         }
 
         @Override
         public void fail(long requestId) {
-            turn.ask(requestId, () -> {
-                Owed o = answers.get(requestId);
-                if (o != null) {
-                    answers.fail(o, Outcome.CANCELLED);
+            context.queueAction(requestId, () -> {
+                OpenRequest request = openRequests.get(requestId);
+                if (request != null) {
+                    openRequests.fail(request, Outcome.CANCELLED);
                 }
             });
         }
 
         @Override
         public void followList() {
-            turn.ask(0, watch::follow);
+            context.queueAction(0, watch::followList);
         }
 
         @Override
         public void wakeAt(long time, int token) {
-            turn.at(time, () -> turn.tell(0, m -> m.woken(turn.now(), token)));
+            context.runAt(time, () -> context.callModule(0, m -> m.woken(context.now(), token)));
         }
 
         @Override
         public void log(String line) {
-            turn.log(line);
+            context.log(line);
         }
     }
 
-    private void asked(Event.Asked e) {
-        turn.count("requests.taken");
-        clients.asked(e.client());
-        ModelRequest r = e.request();
-        if (answers.open(r.id()) || others.holds(r.id())) {
-            answers.twin(e);
-        } else if (turn.inDoubt()) {
-            turn.count("answers.refused_in_doubt");
-            turnAway(e, turn.comeBack());
-        } else if (others.asking()) {
-            others.claim(e);
+    private void requestReceived(Event.Asked event) {
+        context.count("requests.taken");
+        clients.requestReceived(event.client());
+        ModelRequest request = event.request();
+        if (openRequests.isOpen(request.id()) || otherGenerations.isClaimedOrOpen(request.id())) {
+            openRequests.rejectDuplicate(event);
+        } else if (context.inDoubt()) {
+            context.count("answers.refused_in_doubt");
+            refuseDirectly(event, context.retryAfterMicros());
+        } else if (otherGenerations.mustClaim()) {
+            otherGenerations.claim(event);
         } else {
-            answers.admit(e, 0);
+            openRequests.admit(event, 0);
         }
     }
 
     /** Refuses a request that the module has not been told of. */
-    private void turnAway(Event.Asked e, long comeBack) {
-        turn.count("answers.refused");
-        answers.ended(e.request(), Ending.REJECTED);
-        turn.effect(new Effect.Refuse(e.client(), comeBack));
+    private void refuseDirectly(Event.Asked event, long retryAfterMicros) {
+        context.count("answers.refused");
+        openRequests.countEnd(event.request(), RequestOutcome.REJECTED);
+        context.emit(new Effect.Refuse(event.client(), retryAfterMicros));
     }
 
     // ---- endpoint list
 
-    private void started(Event.Started e) {
-        EndpointList known = e.known();
-        watch.begin(e.listAddress(), known.version());
-        boxes.keep(known);
-        turn.tell(0, m -> m.started(turn.now()));
-        unheard = watch.pushed();
-        if (unheard) {
-            turn.at(turn.now() + AGENT_FIRST, this::heard);
+    private void started(Event.Started event) {
+        EndpointList endpointList = event.known();
+        watch.start(event.listAddress(), endpointList.version());
+        servers.apply(endpointList);
+        context.callModule(0, m -> m.started(context.now()));
+        awaitingAgent = watch.byAgent();
+        if (awaitingAgent) {
+            context.runAt(context.now() + AGENT_TIMEOUT_MICROS, this::useKnownServers);
         } else {
-            turn.tell(0, m -> m.listReceived(turn.now(), ListKind.CACHED, replicas(boxes.over(known))));
+            context.callModule(0, m -> m.listReceived(context.now(), ListKind.CACHED,
+                    serverStates(servers.withOverrides(endpointList))));
         }
     }
 
     /** From now on the module is told of the known servers. */
-    private void heard() {
-        if (unheard) {
-            unheard = false;
-            changedHere();
+    private void useKnownServers() {
+        if (awaitingAgent) {
+            awaitingAgent = false;
+            reportKnownServers();
         }
     }
 
-    private void listCame(EndpointList list) {
+    private void listReceived(EndpointList list) {
         if (watch.follows(list)) {
-            take(list);
-            if (watch.came(list)) {
-                tellModule(list);
+            applyList(list);
+            if (watch.listReceived(list)) {
+                reportList(list);
             }
             return;
         }
         // The list is treated as a change to the held one: a server that it does not contain may only be
         // missing from a discovery replica that lags behind.
-        EndpointList endings = new EndpointList(watch.version(), false,
-                boxes.endingsIn(list, Routing.Lifecycle.DRAINING));
-        take(endings);
-        watch.cameOlder(list);
-        tellModule(endings);
+        EndpointList changes = new EndpointList(watch.version(), false,
+                servers.endingsIn(list, Routing.Lifecycle.DRAINING));
+        applyList(changes);
+        watch.olderListReceived(list);
+        reportList(changes);
     }
 
     /**
      * Handles the answer to a call that was set aside. What discovery has answered counts as known, although
      * the watch has moved on to another call.
      */
-    private void lateListCame(EndpointList list) {
-        turn.count("list.late_answers");
+    private void lateListReceived(EndpointList list) {
+        context.count("list.late_answers");
         if (list.version() > watch.version() && watch.follows(list)) {
-            take(list);
-            tellModule(list);
+            applyList(list);
+            reportList(list);
         }
     }
 
-    private void take(EndpointList list) {
-        if (others.any() || keeping) {
-            turn.effect(new Effect.TellOthers(new OtherNews.Told(list, watch.address())));
+    private void applyList(EndpointList newList) {
+        if (otherGenerations.hasOthers() || relaying) {
+            context.emit(new Effect.TellOthers(new OtherNews.Told(newList, watch.address())));
         }
-        boxes.keep(list);
-        lines.closeIdleToLeavers();
-        heard();
+        servers.apply(newList);
+        connections.closeUnusableIdle();
+        useKnownServers();
     }
 
-    private void tellModule(EndpointList list) {
-        turn.tell(0, m -> m.listReceived(turn.now(), list.full() ? ListKind.FULL : ListKind.DELTA,
-                replicas(boxes.over(list))));
+    private void reportList(EndpointList list) {
+        context.callModule(0, m -> m.listReceived(context.now(), list.full() ? ListKind.FULL : ListKind.DELTA,
+                serverStates(servers.withOverrides(list))));
     }
 
     /**
      * Operator overrides take effect at once, whatever the list contains and whether or not discovery
      * responds.
      */
-    private void marked(Map<String, BoxMark> marks) {
-        boxes.mark(marks);
-        changedHere();
+    private void overridesReplaced(Map<String, BoxMark> overrides) {
+        servers.replaceOverrides(overrides);
+        reportKnownServers();
     }
 
     /**
@@ -447,76 +458,78 @@
      * cached list: the module would take a full list as proof that the watch is running, and in a generation
      * that has not called discovery yet it would never start one.
      */
-    private void changedHere() {
-        lines.closeIdleToLeavers();
-        if (unheard) {
+    private void reportKnownServers() {
+        connections.closeUnusableIdle();
+        if (awaitingAgent) {
             return;
         }
-        EndpointList all = new EndpointList(watch.version(), true, List.copyOf(boxes.all()));
-        turn.tell(0, m -> m.listReceived(turn.now(), ListKind.CACHED, replicas(all)));
+        EndpointList all = new EndpointList(watch.version(), true, List.copyOf(servers.all()));
+        context.callModule(0, m -> m.listReceived(context.now(), ListKind.CACHED, serverStates(all)));
     }
 
     /**
      * Where discovery is polled, the module decides when to call again: it backs off while discovery is down.
      */
-    private void listFailed() {
-        if (watch.failed()) {
-            turn.tell(0, m -> m.listReceived(turn.now(), ListKind.FAILED, List.of()));
+    private void discoveryCallFailed() {
+        if (watch.callFailed()) {
+            context.callModule(0, m -> m.listReceived(context.now(), ListKind.FAILED, List.of()));
         }
     }
 
-    private static List<Routing.Replica> replicas(EndpointList list) {
+    private static List<Routing.Replica> serverStates(EndpointList list) {
         return list.boxes().stream().map(ModelServer::replica).toList();
     }
 
     // ---- other generations
 
-    private final class Door implements Others.Door {
+    private final class Admission implements OtherGenerations.RequestAdmission {
         @Override
-        public void admit(Event.Asked asked, long waited) {
-            answers.admit(asked, waited);
+        public void admit(Event.Asked event, long waitedMicros) {
+            openRequests.admit(event, waitedMicros);
         }
 
         @Override
-        public void twin(Event.Asked asked) {
-            answers.twin(asked);
+        public void rejectDuplicate(Event.Asked event) {
+            openRequests.rejectDuplicate(event);
         }
 
         @Override
-        public void turnAway(Event.Asked asked) {
-            Desk.this.turnAway(asked, 0);
+        public void refuse(Event.Asked event) {
+            Desk.this.refuseDirectly(event, 0);
         }
     }
 
-    private void fromOther(int who, OtherNews news) {
-        if (news instanceof OtherNews.Claim n) {
-            others.claimedBy(who, n, answers.open(n.id()));
-        } else if (news instanceof OtherNews.Claimed n) {
-            others.answered(n);
-        } else if (news instanceof OtherNews.Released n) {
-            others.released(who, n.id());
-        } else if (news instanceof OtherNews.Sent n) {
-            others.sent(who, n.token());
-            turn.tell(0, m -> m.otherSent(turn.now(), who + "/" + n.token(), n.box()));
-        } else if (news instanceof OtherNews.Ended n) {
-            others.ended(who, n.token());
-            otherEnded(who, n.token());
-        } else if (news instanceof OtherNews.Told n) {
-            toldByOther(n.list(), n.address());
+    private void messageReceived(int generation, OtherNews message) {
+        if (message instanceof OtherNews.Claim claim) {
+            otherGenerations.answerClaim(generation, claim, openRequests.isOpen(claim.id()));
+        } else if (message instanceof OtherNews.Claimed answer) {
+            otherGenerations.claimAnswered(answer);
+        } else if (message instanceof OtherNews.Released released) {
+            otherGenerations.requestReleased(generation, released.id());
+        } else if (message instanceof OtherNews.Sent sent) {
+            otherGenerations.attemptSent(generation, sent.token());
+            context.callModule(0, m -> m.otherSent(context.now(), generation + "/" + sent.token(),
+                    sent.box()));
+        } else if (message instanceof OtherNews.Ended ended) {
+            otherGenerations.attemptEnded(generation, ended.token());
+            reportAttemptEnded(generation, ended.token());
+        } else if (message instanceof OtherNews.Told relayed) {
+            applyRelayedList(relayed.list(), relayed.address());
         }
     }
 
-    private void otherEnded(int who, long token) {
-        turn.tell(0, m -> m.otherEnded(turn.now(), who + "/" + token));
+    private void reportAttemptEnded(int generation, long token) {
+        context.callModule(0, m -> m.otherEnded(context.now(), generation + "/" + token));
     }
 
-    private void adopt(int who, Holdings held) {
-        others.gone(who).forEach(token -> otherEnded(who, token));
-        others.adopt(who, held);
-        for (OtherNews.Sent sent : held.out()) {
-            turn.tell(0, m -> m.otherSent(turn.now(), who + "/" + sent.token(), sent.box()));
+    private void adoptState(int generation, Holdings state) {
+        otherGenerations.generationEnded(generation).forEach(token -> reportAttemptEnded(generation, token));
+        otherGenerations.adoptState(generation, state);
+        for (OtherNews.Sent sent : state.out()) {
+            context.callModule(0, m -> m.otherSent(context.now(), generation + "/" + sent.token(),
+                    sent.box()));
         }
-        toldByOther(held.boxes(), held.listAddress());
+        applyRelayedList(state.boxes(), state.listAddress());
     }
 
     /**
@@ -524,14 +537,14 @@
      * keep a drain. Only changes that end the use of a server are taken, and only from newer list versions;
      * this generation's own watch continues at its version and delivers the rest.
      */
-    private void toldByOther(EndpointList list, String address) {
+    private void applyRelayedList(EndpointList list, String address) {
         if (!address.equals(watch.address()) || list.version() <= watch.version()) {
             return;
         }
-        List<ModelServer> ending = boxes.endingsIn(list, Routing.Lifecycle.GONE);
-        if (!ending.isEmpty()) {
-            boxes.keep(new EndpointList(watch.version(), false, ending));
-            changedHere();
+        List<ModelServer> changes = servers.endingsIn(list, Routing.Lifecycle.GONE);
+        if (!changes.isEmpty()) {
+            servers.apply(new EndpointList(watch.version(), false, changes));
+            reportKnownServers();
         }
     }
 
@@ -539,16 +552,16 @@
      * Another generation took over: client connections are closed between requests, and open requests may
      * finish until the time limit.
      */
-    private void letGo(long limit) {
+    private void handOver(long limitMicros) {
         lettingGo = true;
-        letGoUntil = turn.now() + limit;
-        clients.hurry(true);
-        long until = letGoUntil;
-        turn.at(until, () -> {
-            if (lettingGo && letGoUntil == until) {
-                List.copyOf(answers.all()).forEach(o -> {
-                    turn.count("answers.over_the_limit");
-                    answers.failOurselves(o, Outcome.CANCELLED);
+        finishUntil = context.now() + limitMicros;
+        clients.setCloseEarly(true);
+        long finishBy = finishUntil;
+        context.runAt(finishBy, () -> {
+            if (lettingGo && finishUntil == finishBy) {
+                List.copyOf(openRequests.all()).forEach(request -> {
+                    context.count("answers.over_the_limit");
+                    openRequests.failAndReport(request, Outcome.CANCELLED);
                 });
             }
         });
@@ -560,13 +573,14 @@
      * Starts the shutdown. The router still serves for a while: new connections arrive, and accepted requests
      * must be answered.
      */
-    private void leave() {
+    private void shutDown() {
         if (!leaving) {
             leaving = true;
-            leaveAt = turn.now() + LEAVE_AFTER;
-            turn.log("leaving");
-            turn.at(turn.now() + LEAVE_IDLE_AFTER, () -> turn.effect(new Effect.CloseIdleClients()));
-            turn.at(leaveAt, () -> { });
+            exitAt = context.now() + MIN_SHUTDOWN_MICROS;
+            context.log("leaving");
+            context.runAt(context.now() + CLOSE_IDLE_AFTER_MICROS, () ->
+                    context.emit(new Effect.CloseIdleClients()));
+            context.runAt(exitAt, () -> { });
         }
     }
 }
--- a/src/main/java/yewdock/desk/DiscoveryWatch.java
+++ b/src/main/java/yewdock/desk/DiscoveryWatch.java
@@ -14,59 +14,60 @@
  */
 final class DiscoveryWatch {
     /** Length of a long poll in microseconds. */
-    static final long WAIT = 5_000_000;
+    static final long LONG_POLL_MICROS = 5_000_000;
     /**
      * Range in microseconds by which long polls are randomly shortened. A change reaches all routers at once,
      * so their next calls start together; if those also ended together, or were given up together when they
      * got no answer, the calls after them would wait for each other.
      */
-    private static final long APART = 1_300_000;
+    private static final long SPREAD_MICROS = 1_300_000;
     /**
      * Time in microseconds after which a change in discovery counts as known, even if a call failed or was
      * not answered.
      */
-    private static final long COUNTS_AS_TOLD = 6_000_000;
+    private static final long KNOWN_AFTER_MICROS = 6_000_000;
     /**
      * Shares, in tenths, of what is left of that time and the drain grace after a long poll. Three tenths are
      * for the answer to the long poll, six for the answer to the call that follows it, which may have to
      * queue at the service. If both get no answer, the second is given up with a tenth left for the third to
      * deliver the change.
      */
-    private static final int WAITED_TENTHS = 3;
-    private static final int ANEW_TENTHS = 6;
+    private static final int LONG_POLL_ANSWER_TENTHS = 3;
+    private static final int REPEATED_CALL_TENTHS = 6;
     /**
      * Timeout in microseconds of any other call. A busy service answers or fails a call after it has queued
      * for 2 s. A call given up earlier still uses its place in the queue, and the next call queues behind it:
      * many routers that do so would keep the service busy for ever and none would get an answer.
      */
-    private static final long TURN = 2_100_000;
+    private static final long CALL_TIMEOUT_MICROS = 2_100_000;
     private static final int TENTHS = 10;
     /**
      * Unanswered calls in a row after which the next call is made at once; after that the module decides
      * when.
      */
-    private static final int SILENT_CALLS = 2;
+    private static final int MAX_IMMEDIATE_REPEATS = 2;
     /**
      * Divisor of the drain grace: a long poll at an agent may last this fraction, and its answer may take
      * another.
      */
-    private static final int GRACE_PARTS = 4;
-    private static final long LEAST_PART = 50_000;
+    private static final int GRACE_DIVISOR = 4;
+    /** Lower bound for each of these fractions, in microseconds. */
+    private static final long MIN_GRACE_PART_MICROS = 50_000;
     /**
      * Longest factor for an agent's answer time after calls have failed, since the agent may be slow. With a
      * larger one, a list that the agent recovers just after such a call was sent would arrive after the
      * grace.
      */
-    private static final int MOST_PATIENCE = 2;
+    private static final int MAX_TIMEOUT_FACTOR = 2;
     /**
      * Delay in microseconds before the first call after a failure at an agent; it doubles with each failure.
      */
-    private static final long AGAIN = 20_000;
+    private static final long AGENT_BACKOFF_MICROS = 20_000;
     /**
      * Delay in microseconds before the call after an immediate answer without changes. Discovery ends a watch
      * after 200 ms without a call.
      */
-    private static final long PACE = 50_000;
+    private static final long MIN_CALL_INTERVAL_MICROS = 50_000;
 
     /**
      * Time in microseconds after a change in which another one counts as part of a series, such as a release
@@ -74,63 +75,63 @@
      * immediate call after each change, the calls of many routers would exceed the service's capacity, and
      * the routers that hear of every change would crowd out the others.
      */
-    private static final long SERIES = 2_000_000;
+    private static final long SERIES_GAP_MICROS = 2_000_000;
     /** Longest delay in microseconds before the call after a change in a series. */
-    private static final long REST = 1_000_000;
+    private static final long SERIES_DELAY_MICROS = 1_000_000;
 
-    private final Terms terms;
+    private final Terms settings;
     private final LongSupplier now;
     private final Timers timers;
     private final Counters counters;
     private final Consumer<Effect> effects;
-    private final Runnable whenLate;
+    private final Runnable onFailure;
     private final EndpointListVersions versions = new EndpointListVersions();
     private String address;
     /** Number of the current call; a timer of an older call has no effect. */
-    private long call;
+    private long callNumber;
     private long calledAt;
     /** Whether a call is in flight. */
-    private boolean out;
+    private boolean inFlight;
     /** Whether the module waits for an answer. */
-    private boolean asked;
+    private boolean moduleWaits;
     private int failures;
-    private int silences;
+    private int unansweredCalls;
     /** Whether the call after a pause of the process is in flight. */
-    private boolean catchesUp;
-    private long newsAt = -SERIES;
+    private boolean catchingUp;
+    private long lastChangeAt = -SERIES_GAP_MICROS;
 
     DiscoveryWatch(Terms terms, LongSupplier now, Timers timers, Counters counters, Consumer<Effect> effects,
             Runnable whenLate) {
-        this.terms = terms;
+        this.settings = terms;
         this.now = now;
         this.timers = timers;
         this.counters = counters;
         this.effects = effects;
-        this.whenLate = whenLate;
+        this.onFailure = whenLate;
     }
 
     /** Starts the watch at an address, with the known version of the list. */
-    void begin(String where, long known) {
-        address = where;
-        versions.startWith(known);
+    void start(String newAddress, long knownVersion) {
+        address = newAddress;
+        versions.startAt(knownVersion);
         calledAt = now.getAsLong();
-        if (terms.listPushed()) {
-            ask(0);
+        if (settings.listPushed()) {
+            callDiscovery(0);
         } else {
-            remember();
+            ensureCalls();
         }
     }
 
     /**
      * Calls discovery if the module has not done so within the longest allowed time, since changes count as
-     * told after that.
+     * known after that.
      */
-    private void remember() {
-        timers.at(now.getAsLong() + terms.askWithin(), () -> {
-            if (!out && now.getAsLong() - calledAt >= terms.askWithin()) {
-                ask(0);
+    private void ensureCalls() {
+        timers.runAt(now.getAsLong() + settings.askWithin(), () -> {
+            if (!inFlight && now.getAsLong() - calledAt >= settings.askWithin()) {
+                callDiscovery(0);
             }
-            remember();
+            ensureCalls();
         });
     }
 
@@ -138,22 +139,22 @@
      * Moves the watch to another address. The whole list is asked for at once: the versions of the two
      * addresses may be unrelated, and the last list from the old address may be outdated.
      */
-    void move(String where) {
-        if (where.equals(address)) {
+    void moveTo(String newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
-        address = where;
-        versions.startWith(EndpointListVersions.NONE);
+        address = newAddress;
+        versions.startAt(EndpointListVersions.NONE);
         failures = 0;
-        silences = 0;
-        hangUpAndAsk();
+        unansweredCalls = 0;
+        restartCall();
     }
 
-    private void hangUpAndAsk() {
-        if (out) {
+    private void restartCall() {
+        if (inFlight) {
             effects.accept(new Effect.HangUpList());
         }
-        ask(0);
+        callDiscovery(0);
     }
 
     /**
@@ -161,40 +162,42 @@
      * changes after it were not watched and may count as known before the next answer. After a long pause the
      * list is therefore asked for again.
      */
-    void resumed(long stalled) {
-        if (stalled >= longestPause()) {
+    void processResumed(long pausedMicros) {
+        if (pausedMicros >= longPauseMicros()) {
             counters.add("list.resumed");
-            catchesUp = true;
-            hangUpAndAsk();
+            catchingUp = true;
+            restartCall();
         }
     }
 
     /** Whether the call after a pause is still unanswered. */
-    boolean catchesUp() {
-        return catchesUp;
+    boolean catchingUp() {
+        return catchingUp;
     }
 
-    private long longestPause() {
-        return terms.listPushed() ? part() : Math.min(COUNTS_AS_TOLD - TURN, terms.askWithin() / 2);
+    /** Returns the shortest pause of the process after which the list is asked for again. */
+    private long longPauseMicros() {
+        return settings.listPushed() ? gracePart() : Math.min(KNOWN_AFTER_MICROS - CALL_TIMEOUT_MICROS,
+                settings.askWithin() / 2);
     }
 
     /** The next answer may come from another discovery process, whose versions are unrelated. */
-    void lost() {
-        versions.wantWhole();
+    void connectionLost() {
+        versions.requestFullList();
     }
 
     /**
      * Another router has a newer list: the current call should have delivered it, so it is given up as
      * broken.
      */
-    void askAnew() {
+    void listOutdated() {
         counters.add("list.behind");
-        hangUpAndAsk();
+        restartCall();
     }
 
     /** Whether an agent on this machine holds the list. */
-    boolean pushed() {
-        return terms.listPushed();
+    boolean byAgent() {
+        return settings.listPushed();
     }
 
     String address() {
@@ -207,8 +210,9 @@
     }
 
     /**
-     * Whether an answer follows the held list; to be called once for each answer, before {@link #came}. From
-     * an answer that doesn't follow, only changes that end the use of a server may be taken.
+     * Whether an answer follows the held list; to be called once for each answer, before {@link
+     * #listReceived}. From an answer that doesn't follow, only changes that end the use of a server may be
+     * taken.
      */
     boolean follows(EndpointList list) {
         boolean follows = versions.follows(list, now.getAsLong());
@@ -219,29 +223,29 @@
     }
 
     /** The module asks for the list and all its changes from now on. */
-    void follow() {
-        asked = true;
-        if (!out) {
-            ask(0);
+    void followList() {
+        moduleWaits = true;
+        if (!inFlight) {
+            callDiscovery(0);
         }
     }
 
     /**
      * Makes a call. Discovery keeps a watch only if the next call comes within 200 ms of the last answer.
      */
-    private void ask(long wait) {
-        ask(wait, patience(wait));
+    private void callDiscovery(long pollMicros) {
+        callDiscovery(pollMicros, answerTimeout(pollMicros));
     }
 
-    private void ask(long wait, long patience) {
-        out = true;
-        long mine = ++call;
+    private void callDiscovery(long pollMicros, long timeoutMicros) {
+        inFlight = true;
+        long number = ++callNumber;
         calledAt = now.getAsLong();
         counters.add("list.calls");
-        effects.accept(new Effect.AskList(address, versions.since(), wait));
-        timers.at(calledAt + wait + patience, () -> {
-            if (out && call == mine) {
-                silent(wait > 0);
+        effects.accept(new Effect.AskList(address, versions.sinceVersion(), pollMicros));
+        timers.runAt(calledAt + pollMicros + timeoutMicros, () -> {
+            if (inFlight && callNumber == number) {
+                callUnanswered(pollMicros > 0);
             }
         });
     }
@@ -252,23 +256,24 @@
      * and only a service that stays silent is left to the module's backoff. A long poll stays open beside the
      * new call: a service with more callers than capacity may answer it late and refuse the new one.
      */
-    private void silent(boolean watched) {
-        boolean mayComeLate = watched && !terms.listPushed();
+    private void callUnanswered(boolean longPoll) {
+        boolean mayComeLate = longPoll && !settings.listPushed();
         effects.accept(mayComeLate ? new Effect.SetListCallAside() : new Effect.HangUpList());
-        if (!terms.listPushed() && silences < SILENT_CALLS) {
-            silences++;
+        if (!settings.listPushed() && unansweredCalls < MAX_IMMEDIATE_REPEATS) {
+            unansweredCalls++;
             counters.add("list.silent");
-            ask(0, watched ? tenths(ANEW_TENTHS) : patience(0));
+            callDiscovery(0, longPoll ? shareOfSlack(REPEATED_CALL_TENTHS) : answerTimeout(0));
         } else {
-            whenLate.run();
+            onFailure.run();
         }
     }
 
-    private void askLater(long delay, long wait) {
-        long last = call;
-        timers.at(now.getAsLong() + delay, () -> {
-            if (!out && call == last) {
-                ask(wait);
+    /** Makes a call after a delay, unless another one has been made by then. */
+    private void callLater(long delayMicros, long pollMicros) {
+        long lastNumber = callNumber;
+        timers.runAt(now.getAsLong() + delayMicros, () -> {
+            if (!inFlight && callNumber == lastNumber) {
+                callDiscovery(pollMicros);
             }
         });
     }
@@ -276,74 +281,77 @@
     /**
      * Returns the length of a long poll at an agent: half of the grace is left for what follows the answer.
      */
-    private long part() {
-        return Math.min(WAIT, Math.max(LEAST_PART, terms.drainGrace() / GRACE_PARTS));
+    private long gracePart() {
+        return Math.min(LONG_POLL_MICROS, Math.max(MIN_GRACE_PART_MICROS,
+                settings.drainGrace() / GRACE_DIVISOR));
     }
 
-    private long patience(long wait) {
-        if (terms.listPushed()) {
-            return part() * Math.min(MOST_PATIENCE, 1 + failures);
+    /** Returns how long the answer may take after a poll of the given length has ended. */
+    private long answerTimeout(long pollMicros) {
+        if (settings.listPushed()) {
+            return gracePart() * Math.min(MAX_TIMEOUT_FACTOR, 1 + failures);
         }
-        return wait > 0 ? tenths(WAITED_TENTHS) : TURN;
+        return pollMicros > 0 ? shareOfSlack(LONG_POLL_ANSWER_TENTHS) : CALL_TIMEOUT_MICROS;
     }
 
-    private long tenths(int parts) {
-        return (COUNTS_AS_TOLD - WAIT + terms.drainGrace()) / TENTHS * parts;
+    /** Returns this many tenths of the time left after a long poll until a drain must be kept. */
+    private long shareOfSlack(int tenths) {
+        return (KNOWN_AFTER_MICROS - LONG_POLL_MICROS + settings.drainGrace()) / TENTHS * tenths;
     }
 
     /**
      * Handles an answer that doesn't follow the held list: the whole list is asked for until an answer is
      * believed.
      */
-    void cameOlder(EndpointList list) {
-        answered();
+    void olderListReceived(EndpointList list) {
+        callAnswered();
         if (list.full()) {
-            askLater(terms.listPushed() ? part() : EndpointListVersions.LONGEST_LAG, 0);
+            callLater(settings.listPushed() ? gracePart() : EndpointListVersions.MAX_LAG_MICROS, 0);
         } else {
-            ask(0);
+            callDiscovery(0);
         }
     }
 
-    private void answered() {
-        out = false;
-        asked = false;
+    private void callAnswered() {
+        inFlight = false;
+        moduleWaits = false;
         failures = 0;
-        silences = 0;
-        catchesUp = false;
+        unansweredCalls = 0;
+        catchingUp = false;
         counters.add("list.answers");
     }
 
     /**
      * Handles an answer and schedules the next call; returns whether the module should be told of the answer.
      */
-    boolean came(EndpointList list) {
-        boolean news = asked || list.full() || !list.boxes().isEmpty();
-        answered();
-        long wait = terms.listPushed() ? part() : list.boxes().isEmpty() ? WAIT
-                : WAIT - (long) (Mixing.unit(now.getAsLong()) * APART);
-        boolean series = !list.boxes().isEmpty() && now.getAsLong() - newsAt < SERIES;
-        newsAt = list.boxes().isEmpty() ? newsAt : now.getAsLong();
-        if (series && !terms.listPushed()) {
-            askLater(Math.min(REST, terms.askWithin() / 2), wait);
-        } else if (news || now.getAsLong() - calledAt >= PACE) {
-            ask(wait);
+    boolean listReceived(EndpointList list) {
+        boolean changed = moduleWaits || list.full() || !list.boxes().isEmpty();
+        callAnswered();
+        long pollMicros = settings.listPushed() ? gracePart() : list.boxes().isEmpty() ? LONG_POLL_MICROS
+                : LONG_POLL_MICROS - (long) (Mixing.unit(now.getAsLong()) * SPREAD_MICROS);
+        boolean series = !list.boxes().isEmpty() && now.getAsLong() - lastChangeAt < SERIES_GAP_MICROS;
+        lastChangeAt = list.boxes().isEmpty() ? lastChangeAt : now.getAsLong();
+        if (series && !settings.listPushed()) {
+            callLater(Math.min(SERIES_DELAY_MICROS, settings.askWithin() / 2), pollMicros);
+        } else if (changed || now.getAsLong() - calledAt >= MIN_CALL_INTERVAL_MICROS) {
+            callDiscovery(pollMicros);
         } else {
-            askLater(PACE, wait);
+            callLater(MIN_CALL_INTERVAL_MICROS, pollMicros);
         }
-        return news;
+        return changed;
     }
 
     /** Handles a failed call; returns whether the module should be told of it, which then calls again. */
-    boolean failed() {
-        boolean tell = asked || !terms.listPushed();
-        out = false;
-        asked = false;
-        catchesUp = false;
+    boolean callFailed() {
+        boolean reportToModule = moduleWaits || !settings.listPushed();
+        inFlight = false;
+        moduleWaits = false;
+        catchingUp = false;
         counters.add("list.failures");
-        if (terms.listPushed()) {
-            askLater(Math.min(part(), AGAIN << Math.min(failures, 8)), 0);
+        if (settings.listPushed()) {
+            callLater(Math.min(gracePart(), AGENT_BACKOFF_MICROS << Math.min(failures, 8)), 0);
             failures++;
         }
-        return tell;
+        return reportToModule;
     }
 }
--- a/src/main/java/yewdock/desk/EndpointListVersions.java
+++ b/src/main/java/yewdock/desk/EndpointListVersions.java
@@ -20,10 +20,10 @@
      * Longest lag of a discovery replica, in microseconds; routers should not be directed to one that lags
      * more.
      */
-    static final long LONGEST_LAG = 1_000_000;
+    static final long MAX_LAG_MICROS = 1_000_000;
 
     private long newest = NONE;
-    private boolean wholeWanted = true;
+    private boolean fullListWanted = true;
     /**
      * Time of the first of the current series of older answers, in microseconds; Long.MAX_VALUE if there is
      * none.
@@ -31,15 +31,15 @@
     private long olderSince = Long.MAX_VALUE;
 
     /** Starts over with a list of this version; NONE if nothing is known from this address. */
-    void startWith(long version) {
+    void startAt(long version) {
         newest = version;
-        wholeWanted = version < 0;
+        fullListWanted = version < 0;
         olderSince = Long.MAX_VALUE;
     }
 
     /** Asks for the whole list next, since the changes to the held one may no longer be available. */
-    void wantWhole() {
-        wholeWanted = true;
+    void requestFullList() {
+        fullListWanted = true;
     }
 
     /** Records an answer and returns whether the servers it lists as in service may be believed. */
@@ -48,20 +48,20 @@
         if (older) {
             olderSince = Math.min(olderSince, now);
         }
-        boolean countsAnew = older && answer.full() && now - olderSince >= LONGEST_LAG;
-        if (older && !countsAnew) {
-            wholeWanted = true;
+        boolean restarted = older && answer.full() && now - olderSince >= MAX_LAG_MICROS;
+        if (older && !restarted) {
+            fullListWanted = true;
             return false;
         }
         newest = answer.version();
-        wholeWanted = wholeWanted && !answer.full();
+        fullListWanted = fullListWanted && !answer.full();
         olderSince = Long.MAX_VALUE;
         return true;
     }
 
     /** Returns the version to ask changes since, or NONE. */
-    long since() {
-        return wholeWanted ? NONE : newest;
+    long sinceVersion() {
+        return fullListWanted ? NONE : newest;
     }
 
     /** Returns the newest version that was believed, or NONE. */
--- a/src/main/java/yewdock/desk/KnownServers.java
+++ b/src/main/java/yewdock/desk/KnownServers.java
@@ -19,194 +19,200 @@
 final class KnownServers {
     private final LongSupplier now;
     /** The servers as the endpoint list has them, by id. */
-    private final Map<Long, ModelServer> told = new HashMap<>();
+    private final Map<Long, ModelServer> listed = new HashMap<>();
     /** The servers with the overrides applied, by id. */
-    private final Map<Long, ModelServer> boxes = new HashMap<>();
+    private final Map<Long, ModelServer> effective = new HashMap<>();
     /** When the endpoint list first reported each server's current state, in microseconds. */
-    private final Map<Long, Long> toldAt = new HashMap<>();
+    private final Map<Long, Long> stateSince = new HashMap<>();
     /** Overrides by server name; they outlast the server's entry in the endpoint list. */
-    private final Map<String, BoxMark> marks = new TreeMap<>();
-    private final long coldFor;
+    private final Map<String, BoxMark> overrides = new TreeMap<>();
+    private final long maxColdMicros;
 
     KnownServers(LongSupplier now, long coldFor) {
         this.now = now;
-        this.coldFor = coldFor;
+        this.maxColdMicros = coldFor;
     }
 
     /** Applies an endpoint list or changes to it. */
-    void keep(EndpointList list) {
+    void apply(EndpointList list) {
         if (list.full()) {
-            Set<Long> named = new HashSet<>();
-            list.boxes().forEach(box -> named.add(box.id()));
-            told.keySet().retainAll(named);
-            boxes.keySet().retainAll(named);
+            Set<Long> listedIds = new HashSet<>();
+            list.boxes().forEach(server -> listedIds.add(server.id()));
+            listed.keySet().retainAll(listedIds);
+            effective.keySet().retainAll(listedIds);
         }
-        for (ModelServer box : list.boxes()) {
-            ModelServer before = box.isGone() ? told.remove(box.id()) : told.put(box.id(), box);
-            if (before == null || before.replica().lifecycle() != box.replica().lifecycle()) {
-                toldAt.put(box.id(), now.getAsLong());
+        for (ModelServer server : list.boxes()) {
+            ModelServer previous = server.isGone() ? listed.remove(server.id())
+                    : listed.put(server.id(), server);
+            if (previous == null || previous.replica().lifecycle() != server.replica().lifecycle()) {
+                stateSince.put(server.id(), now.getAsLong());
             }
-            place(box);
+            update(server);
         }
-        toldAt.keySet().retainAll(told.keySet());
+        stateSince.keySet().retainAll(listed.keySet());
     }
 
     /**
      * Returns the changes that end the use of known servers, from a list that may not be believed otherwise.
      * Servers that a whole list doesn't contain are returned with the given state.
      */
-    List<ModelServer> endingsIn(EndpointList list, Lifecycle unnamed) {
+    List<ModelServer> endingsIn(EndpointList list, Lifecycle stateIfMissing) {
         List<ModelServer> ending = new ArrayList<>();
-        Set<Long> named = new HashSet<>();
+        Set<Long> listedIds = new HashSet<>();
         for (ModelServer server : list.boxes()) {
-            named.add(server.id());
-            if (!server.takesWork() && told.containsKey(server.id())) {
+            listedIds.add(server.id());
+            if (!server.takesWork() && listed.containsKey(server.id())) {
                 ending.add(server);
             }
         }
-        for (ModelServer server : told.values()) {
-            if (list.full() && !named.contains(server.id())) {
-                ending.add(as(server, unnamed));
+        for (ModelServer server : listed.values()) {
+            if (list.full() && !listedIds.contains(server.id())) {
+                ending.add(withState(server, stateIfMissing));
             }
         }
         return ending;
     }
 
     /** Replaces all overrides. Servers that no longer drain are back in service. */
-    void mark(Map<String, BoxMark> all) {
-        Map<String, BoxMark> before = new TreeMap<>(marks);
-        marks.clear();
-        marks.putAll(all);
-        before.forEach((name, mark) -> {
-            if (mark.kind() == BoxMark.Kind.BACK) {
-                marks.putIfAbsent(name, mark);
-            } else if (mark.drains() && !all.containsKey(name)) {
-                back(name);
+    void replaceOverrides(Map<String, BoxMark> newOverrides) {
+        Map<String, BoxMark> previous = new TreeMap<>(overrides);
+        overrides.clear();
+        overrides.putAll(newOverrides);
+        previous.forEach((name, override) -> {
+            if (override.kind() == BoxMark.Kind.BACK) {
+                overrides.putIfAbsent(name, override);
+            } else if (override.isDraining() && !newOverrides.containsKey(name)) {
+                markBackInService(name);
             }
         });
-        marksChanged();
+        applyOverrides();
     }
 
     /** Sets one server's override, replacing an earlier one. */
-    void mark(String name, BoxMark mark) {
-        marks.put(name, mark);
-        marksChanged();
+    void setOverride(String name, BoxMark override) {
+        overrides.put(name, override);
+        applyOverrides();
     }
 
     /** Takes a server out of service on an operator's command. */
     void cordon(String name) {
-        mark(name, BoxMark.DRAINS);
+        setOverride(name, BoxMark.DRAINS);
     }
 
     /** Puts a server back into service on an operator's command. */
     void uncordon(String name) {
-        back(name);
-        marksChanged();
+        markBackInService(name);
+        applyOverrides();
     }
 
     /**
      * Marks a server as back in service. It was restarted or idle while out of service, so it counts as cold
      * whatever the endpoint list says.
      */
-    private void back(String name) {
-        marks.put(name, new BoxMark(BoxMark.Kind.BACK, now.getAsLong()));
+    private void markBackInService(String name) {
+        overrides.put(name, new BoxMark(BoxMark.Kind.BACK, now.getAsLong()));
     }
 
-    private void marksChanged() {
-        marks.values().removeIf(mark -> mark.kind() == BoxMark.Kind.BACK
-                && mark.at() + coldFor < now.getAsLong());
-        told.values().forEach(this::place);
+    private void applyOverrides() {
+        overrides.values().removeIf(override -> override.kind() == BoxMark.Kind.BACK
+                && override.at() + maxColdMicros < now.getAsLong());
+        listed.values().forEach(this::update);
     }
 
-    boolean cordoned(String name) {
-        BoxMark mark = marks.get(name);
-        return mark != null && mark.drains();
+    boolean isCordoned(String name) {
+        BoxMark override = overrides.get(name);
+        return override != null && override.isDraining();
     }
 
     /** Whether the endpoint list has a server of this name. */
-    boolean named(String name) {
-        return told.values().stream().anyMatch(box -> box.name().equals(name));
+    boolean isListed(String name) {
+        return listed.values().stream().anyMatch(server -> server.name().equals(name));
     }
 
-    Map<String, BoxMark> marks() {
-        return marks;
+    /** Returns the overrides by server name. */
+    Map<String, BoxMark> overrides() {
+        return overrides;
     }
 
-    private void place(ModelServer box) {
-        ModelServer over = over(box);
-        if (over.isGone()) {
-            boxes.remove(box.id());
+    /** Stores a server with its override applied, or removes it if it is gone. */
+    private void update(ModelServer server) {
+        ModelServer effectiveServer = withOverrides(server);
+        if (effectiveServer.isGone()) {
+            effective.remove(server.id());
         } else {
-            boxes.put(box.id(), over);
+            effective.put(server.id(), effectiveServer);
         }
     }
 
-    private ModelServer over(ModelServer box) {
-        BoxMark mark = marks.get(box.name());
-        if (mark == null || box.isGone()) {
-            return box;
+    private ModelServer withOverrides(ModelServer server) {
+        BoxMark override = overrides.get(server.name());
+        if (override == null || server.isGone()) {
+            return server;
         }
-        long startedAt = box.replica().startedAt();
-        return switch (mark.kind()) {
-            case DRAINS -> as(box, Lifecycle.DRAINING);
-            case GONE -> startedAt <= mark.at() ? as(box, Lifecycle.GONE) : box;
+        long startedAt = server.replica().startedAt();
+        return switch (override.kind()) {
+            case DRAINS -> withState(server, Lifecycle.DRAINING);
+            case GONE -> startedAt <= override.at() ? withState(server, Lifecycle.GONE) : server;
             // a server whose restart is on the list is as old as the list says
-            case BACK -> startedAt >= mark.at() ? box : as(box, box.replica().lifecycle(), mark.at());
+            case BACK -> startedAt >= override.at() ? server : withState(server, server.replica().lifecycle(),
+                    override.at());
         };
     }
 
     /** Returns the server with another state. */
-    static ModelServer as(ModelServer box, Lifecycle lifecycle) {
-        return as(box, lifecycle, box.replica().startedAt());
+    static ModelServer withState(ModelServer server, Lifecycle lifecycle) {
+        return withState(server, lifecycle, server.replica().startedAt());
     }
 
-    private static ModelServer as(ModelServer box, Lifecycle lifecycle, long startedAt) {
-        Replica r = box.replica();
-        return new ModelServer(box.name(), box.address(), new Replica(r.id(), r.zone(), r.kind(), r.cell(),
-                r.weight(), lifecycle, startedAt));
+    private static ModelServer withState(ModelServer server, Lifecycle lifecycle, long startedAt) {
+        Replica state = server.replica();
+        return new ModelServer(server.name(), server.address(), new Replica(state.id(), state.zone(),
+                state.kind(), state.cell(), state.weight(), lifecycle, startedAt));
     }
 
     /** Returns the list with the overrides applied. */
-    EndpointList over(EndpointList list) {
-        List<ModelServer> over = new ArrayList<>();
-        for (ModelServer box : list.boxes()) {
-            ModelServer next = over(box);
+    EndpointList withOverrides(EndpointList list) {
+        List<ModelServer> result = new ArrayList<>();
+        for (ModelServer server : list.boxes()) {
+            ModelServer changed = withOverrides(server);
             // a whole list reports a server as gone by not containing it
-            if (!list.full() || !next.isGone()) {
-                over.add(next);
+            if (!list.full() || !changed.isGone()) {
+                result.add(changed);
             }
         }
-        return new EndpointList(list.version(), list.full(), over);
+        return new EndpointList(list.version(), list.full(), result);
     }
 
     /** Returns a server with overrides applied; null if there is none. */
     ModelServer get(long id) {
-        return boxes.get(id);
+        return effective.get(id);
     }
 
     /** Returns all servers with overrides applied. */
     Collection<ModelServer> all() {
-        return boxes.values();
+        return effective.values();
     }
 
     /** Returns all servers as the endpoint list has them. */
-    List<ModelServer> told() {
-        return List.copyOf(told.values());
+    List<ModelServer> listed() {
+        return List.copyOf(listed.values());
     }
 
-    Map<Long, Long> toldAt() {
-        return toldAt;
+    /** Returns when the endpoint list first reported each server's current state, in microseconds, by id. */
+    Map<Long, Long> stateSince() {
+        return stateSince;
     }
 
     /**
      * Takes over the times at which an earlier process learned of server states, where they are earlier than
      * the known ones.
      */
-    void recallTold(Map<Long, Long> earlier) {
-        earlier.forEach((box, at) -> toldAt.computeIfPresent(box, (id, since) -> Math.min(since, at)));
+    void restoreStateTimes(Map<Long, Long> earlier) {
+        earlier.forEach((serverId, at) -> stateSince.computeIfPresent(serverId,
+                (id, since) -> Math.min(since, at)));
     }
 
-    int kept() {
-        return boxes.size() + toldAt.size();
+    int retainedEntries() {
+        return effective.size() + stateSince.size();
     }
 }
--- a/src/main/java/yewdock/desk/Owed.java
+++ b/src/main/java/yewdock/desk/OpenRequest.java
@@ -4,43 +4,43 @@
 import java.util.List;
 
 /** A request accepted from a client, until it has its final answer and no attempt of it is in flight. */
-final class Owed {
+final class OpenRequest {
     final long id;
     /** The id that the client chose. */
-    final String name;
+    final String clientRequestId;
     final long client;
-    final int size;
+    final int memoryBytes;
     final int requestClass;
     /** When the client stops waiting for the first token, in microseconds. */
     final long deadline;
     /** Attempts whose connection is not known to be closed, in the order in which they were sent. */
-    final List<Try> out = new ArrayList<>(2);
-    int tries;
+    final List<Attempt> attemptsInFlight = new ArrayList<>(2);
+    int attemptCount;
     /**
      * The attempt that waits until those in flight are closed, where hedging is not allowed; null if there is
      * none.
      */
-    Try next;
+    Attempt nextAttempt;
     /** The attempt whose stream is forwarded to the client, from its first event on; else null. */
-    Try winner;
+    Attempt winner;
     /** Whether the request has its final answer. */
-    boolean over;
+    boolean ended;
     /** Stream bytes forwarded to the client's connection and not yet written. */
-    int unsent;
+    int unwrittenBytes;
     /** When stream bytes were last written to the client's connection, in microseconds. */
-    long tookAt;
+    long lastWriteAt;
 
-    Owed(long id, ModelRequest request, long client, long deadline) {
+    OpenRequest(long id, ModelRequest request, long client, long deadline) {
         this.id = id;
-        this.name = request.id();
+        this.clientRequestId = request.id();
         this.client = client;
-        this.size = request.size();
+        this.memoryBytes = request.size();
         this.requestClass = request.requestClass();
         this.deadline = deadline;
     }
 
     /** Whether the client has been sent part of its response. */
-    boolean begun() {
+    boolean isStreaming() {
         return winner != null;
     }
 }
--- /dev/null
+++ b/src/main/java/yewdock/desk/OpenRequests.java
@@ -0,0 +1,221 @@
+package yewdock.desk;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import umberspread.Routing;
+import umberspread.Routing.Outcome;
+
+/** The open requests: each accepted request gets exactly one final answer. */
+final class OpenRequests {
+    /**
+     * Time after a request's deadline, in microseconds, after which the reducer fails it if the module has
+     * not ended it.
+     */
+    private static final long ANSWER_SLACK_MICROS = 10_000;
+
+    private final ReducerContext context;
+    private final Bounds limits;
+    private final List<String> classNames;
+    private final OtherGenerations otherGenerations;
+    private final Attempts attempts;
+    private final Map<Long, OpenRequest> requests = new HashMap<>();
+    private final Map<Long, OpenRequest> byClient = new HashMap<>();
+    /** By the client's own request id: two requests with the same id must never be open together. */
+    private final Map<String, OpenRequest> byRequestId = new HashMap<>();
+    private long lastId;
+    private int requestBytes;
+
+    OpenRequests(ReducerContext turn, Terms terms, Bounds bounds, KnownServers boxes, ServerConnections lines,
+            OtherGenerations others) {
+        this.context = turn;
+        this.limits = bounds;
+        this.classNames = terms.classes();
+        this.otherGenerations = others;
+        this.attempts = new Attempts(turn, terms, boxes, lines, others, this::removeIfDone);
+    }
+
+    Attempts attempts() {
+        return attempts;
+    }
+
+    /**
+     * Returns the request with this number, which is unanswered or still has attempts in flight; null if
+     * there is none.
+     */
+    OpenRequest get(long requestId) {
+        return requests.get(requestId);
+    }
+
+    /** Returns the client's unanswered request; null if there is none. */
+    OpenRequest byClient(long client) {
+        return byClient.get(client);
+    }
+
+    Collection<OpenRequest> all() {
+        return requests.values();
+    }
+
+    boolean isEmpty() {
+        return requests.isEmpty();
+    }
+
+    /** Whether a request with this client-chosen id is open. */
+    boolean isOpen(String id) {
+        return byRequestId.containsKey(id);
+    }
+
+    /** Returns the client-chosen ids of all open requests. */
+    List<String> requestIds() {
+        return new ArrayList<>(byRequestId.keySet());
+    }
+
+    /** Returns the number of requests that have not been answered in full. */
+    int count() {
+        return byClient.size();
+    }
+
+    /** Counts the end of a request: each accepted request is counted exactly once. */
+    void countEnd(ModelRequest request, RequestOutcome outcome) {
+        countEnd(request.requestClass(), outcome);
+    }
+
+    private void countEnd(int requestClass, RequestOutcome outcome) {
+        if (requestClass >= 0 && requestClass < classNames.size()) {
+            context.count(outcome.counterName(classNames.get(requestClass)));
+        }
+    }
+
+    int retainedEntries() {
+        return requests.size() + byClient.size() + byRequestId.size();
+    }
+
+    /**
+     * Accepts a request that has waited this many microseconds since it was received, or refuses it at the
+     * limits.
+     */
+    void admit(Event.Asked event, long waitedMicros) {
+        ModelRequest received = event.request();
+        if (requests.size() >= limits.requests() || requestBytes + received.size() > limits.bytes()) {
+            context.count("answers.refused_for_room");
+            countEnd(received, RequestOutcome.REJECTED);
+            context.emit(new Effect.Refuse(event.client(), 0));
+            releaseId(received.id());
+            return;
+        }
+        long timeoutMicros = Math.max(0, received.patience() - waitedMicros);
+        OpenRequest request = new OpenRequest(++lastId, received, event.client(),
+                context.now() + timeoutMicros);
+        requestBytes += request.memoryBytes;
+        requests.put(request.id, request);
+        byRequestId.put(request.clientRequestId, request);
+        byClient.put(request.client, request);
+        context.runAt(request.deadline + ANSWER_SLACK_MICROS, () -> failIfUnanswered(request));
+        context.callModule(request.id, m -> m.requestArrived(context.now(), new Routing.Request(request.id,
+                received.requestClass(), received.municipality(), received.repeat(), received.session(),
+                received.sharedBeginning(), received.promptTokens(), received.beginningTokens(),
+                received.mostTokens(), timeoutMicros)));
+    }
+
+    /** Rejects a request whose id belongs to an open request. */
+    void rejectDuplicate(Event.Asked event) {
+        context.count("answers.twin");
+        countEnd(event.request(), RequestOutcome.FAILED);
+        context.emit(new Effect.TurnDownTwin(event.client()));
+    }
+
+    void clientDisconnected(long client) {
+        OpenRequest request = byClient.get(client);
+        if (request != null) {
+            context.count(request.isStreaming() ? "answers.left_midway" : "answers.left_before");
+            finish(request, RequestOutcome.FAILED);
+            context.callModule(request.id, m -> m.requestGone(context.now(), request.id));
+            attempts.closeAll(request, Outcome.CANCELLED);
+        }
+    }
+
+    /** Ensures that every request is answered even if the module forgets it or is too slow. */
+    private void failIfUnanswered(OpenRequest request) {
+        if (!request.ended && !request.isStreaming()) {
+            context.count("answers.overdue");
+            failAndReport(request, Outcome.TIMEOUT);
+        }
+    }
+
+    void refuse(long id, long retryAfterMicros) {
+        OpenRequest request = requests.get(id);
+        if (request != null && !request.ended && !request.isStreaming()) {
+            context.count("answers.refused");
+            finish(request, RequestOutcome.REJECTED);
+            context.emit(new Effect.Refuse(request.client, retryAfterMicros));
+            attempts.closeAll(request, Outcome.CANCELLED);
+        }
+    }
+
+    /**
+     * Answers with a failure or, if the client has part of a stream, closes its connection. Attempts in
+     * flight are closed and end with the given outcome.
+     */
+    void fail(OpenRequest request, Outcome attemptOutcome) {
+        if (request.ended) {
+            return;
+        }
+        context.count(request.isStreaming() ? "answers.cut_off" : "answers.failed");
+        finish(request, RequestOutcome.FAILED);
+        context.emit(request.isStreaming() ? new Effect.CutOff(request.client)
+                : new Effect.Fail(request.client));
+        attempts.closeAll(request, attemptOutcome);
+    }
+
+    /** Fails a request on the reducer's own account and tells the module that it is gone. */
+    void failAndReport(OpenRequest request, Outcome attemptOutcome) {
+        fail(request, attemptOutcome);
+        context.callModule(request.id, m -> m.requestGone(context.now(), request.id));
+    }
+
+    /** The attempt's stream is complete: finishes the response and closes the request's other attempts. */
+    void complete(Attempt attempt) {
+        OpenRequest request = attempt.request;
+        context.count("answers.served");
+        context.emit(new Effect.EndAnswer(request.client));
+        finish(request, RequestOutcome.COMPLETED);
+        attempts.closeOthers(attempt);
+    }
+
+    /**
+     * The attempt's stream broke: closes the client's connection so that the response counts as incomplete.
+     */
+    void abortIfStreaming(Attempt attempt) {
+        OpenRequest request = attempt.request;
+        if (attempt.isWinner() && !request.ended) {
+            context.count("answers.cut_off");
+            context.emit(new Effect.CutOff(request.client));
+            finish(request, RequestOutcome.FAILED);
+        }
+    }
+
+    private void finish(OpenRequest request, RequestOutcome outcome) {
+        request.ended = true;
+        countEnd(request.requestClass, outcome);
+        requestBytes -= request.memoryBytes;
+        byClient.remove(request.client, request);
+        removeIfDone(request);
+    }
+
+    /** Removes a request that has been answered and has no attempt in flight. */
+    private void removeIfDone(OpenRequest request) {
+        if (request.ended && request.attemptsInFlight.isEmpty() && requests.remove(request.id) != null) {
+            byRequestId.remove(request.clientRequestId);
+            releaseId(request.clientRequestId);
+        }
+    }
+
+    /** Tells the generation that owns the request ids that this one is free again. */
+    private void releaseId(String id) {
+        if (otherGenerations.mustClaim()) {
+            context.emit(new Effect.TellOthers(new OtherNews.Released(id)));
+        }
+    }
+}
--- a/src/main/java/yewdock/desk/Turn.java
+++ b/src/main/java/yewdock/desk/ReducerContext.java
@@ -12,23 +12,23 @@
  * to the module, and the actions that the module has requested. Calls and actions are queued and run one
  * after the other, never nested.
  */
-final class Turn {
+final class ReducerContext {
     /** A task for a request (0: none), which tells to which request an exception in the task belongs. */
-    record Step(long request, Runnable task) {
+    record Step(long requestId, Runnable task) {
     }
 
     private final Counters counters;
     private final Timers timers = new Timers();
-    private final Deque<Step> tellings = new ArrayDeque<>();
-    private final Deque<Step> askings = new ArrayDeque<>();
+    private final Deque<Step> moduleCalls = new ArrayDeque<>();
+    private final Deque<Step> moduleActions = new ArrayDeque<>();
     private List<Effect> effects = new ArrayList<>();
     private Routing.Events module;
     private long now;
     /** The lease's end in microseconds. Without consensus there is no lease to lose. */
-    private long leasedUntil = Long.MAX_VALUE;
-    private long comeBack;
+    private long leasedUntilMicros = Long.MAX_VALUE;
+    private long retryAfterMicros;
 
-    Turn(Counters counters) {
+    ReducerContext(Counters counters) {
         this.counters = counters;
     }
 
@@ -38,9 +38,9 @@
     }
 
     /** Extends the lease to this time, with the retry delay for clients that are refused after it. */
-    void leased(long until, long next) {
-        leasedUntil = until;
-        comeBack = next;
+    void extendLease(long untilMicros, long retryMicros) {
+        leasedUntilMicros = untilMicros;
+        retryAfterMicros = retryMicros;
     }
 
     /**
@@ -48,12 +48,12 @@
      * since a timer may be late.
      */
     boolean inDoubt() {
-        return now >= leasedUntil;
+        return now >= leasedUntilMicros;
     }
 
     /** Returns the retry delay in microseconds for a client that is refused in doubt; 0 gives none. */
-    long comeBack() {
-        return comeBack;
+    long retryAfterMicros() {
+        return retryAfterMicros;
     }
 
     /** Starts the handling of an event; time never goes back. */
@@ -70,7 +70,7 @@
         return effects;
     }
 
-    void effect(Effect effect) {
+    void emit(Effect effect) {
         effects.add(effect);
     }
 
@@ -86,26 +86,26 @@
         return timers;
     }
 
-    void at(long time, Runnable task) {
-        timers.at(time, task);
+    void runAt(long time, Runnable task) {
+        timers.runAt(time, task);
     }
 
     /** Queues a call to the module. */
-    void tell(long request, Consumer<Routing.Events> what) {
-        tellings.add(new Step(request, () -> what.accept(module)));
+    void callModule(long requestId, Consumer<Routing.Events> call) {
+        moduleCalls.add(new Step(requestId, () -> call.accept(module)));
     }
 
     /** Queues an action that the module has requested. */
-    void ask(long request, Runnable what) {
-        askings.add(new Step(request, what));
+    void queueAction(long requestId, Runnable action) {
+        moduleActions.add(new Step(requestId, action));
     }
 
     /** Returns the next task, or null. The module's actions run before its next call. */
-    Step next() {
-        return askings.isEmpty() ? tellings.poll() : askings.poll();
+    Step nextStep() {
+        return moduleActions.isEmpty() ? moduleCalls.poll() : moduleActions.poll();
     }
 
-    int kept() {
-        return timers.size() + tellings.size() + askings.size();
+    int retainedEntries() {
+        return timers.size() + moduleCalls.size() + moduleActions.size();
     }
 }
--- a/src/main/java/yewdock/desk/Ending.java
+++ b/src/main/java/yewdock/desk/RequestOutcome.java
@@ -3,11 +3,11 @@
 import java.util.Locale;
 
 /** How an accepted request has ended. */
-enum Ending {
+enum RequestOutcome {
     COMPLETED, REJECTED, FAILED;
 
     /** Returns the name of the counter for requests of this class that ended in this way. */
-    String counter(String requestClass) {
+    String counterName(String requestClass) {
         return "requests." + requestClass + "." + name().toLowerCase(Locale.ROOT);
     }
 }
--- /dev/null
+++ b/src/main/java/yewdock/desk/ResponseStreams.java
@@ -0,0 +1,175 @@
+package yewdock.desk;
+
+import umberspread.Routing.Outcome;
+
+/**
+ * The responses on server connections: forwarding the streams to clients, detecting how they end, and pausing
+ * them for slow readers.
+ */
+final class ResponseStreams {
+    /** Silence in microseconds after which a stream counts as broken; its client gives up after 5 s. */
+    static final long SILENCE_TIMEOUT_MICROS = 4_500_000;
+    /**
+     * Time in microseconds for the first stream event to be complete after the last data of the response's
+     * start; after that the response counts as malformed.
+     */
+    static final long START_TIMEOUT_MICROS = 500_000;
+    /**
+     * Time in microseconds after which a client that reads nothing is disconnected, since its stream occupies
+     * a server connection.
+     */
+    static final long SLOW_CLIENT_TIMEOUT_MICROS = 30_000_000;
+    /** Unwritten bytes for a slow client above which its server connection is no longer read. */
+    static final int PAUSE_ABOVE_BYTES = 64 * 1024;
+    /** Unwritten bytes for a slow client at or below which its server connection is read again. */
+    static final int RESUME_AT_BYTES = 16 * 1024;
+
+    private final ReducerContext context;
+    private final ServerConnections connections;
+    private final OpenRequests openRequests;
+    private final Attempts attempts;
+
+    ResponseStreams(ReducerContext turn, ServerConnections lines, OpenRequests answers) {
+        this.context = turn;
+        this.connections = lines;
+        this.openRequests = answers;
+        this.attempts = answers.attempts();
+    }
+
+    /**
+     * A response's head and first event arrive together: if the rest is missing for too long, it will not
+     * come.
+     */
+    void responseStarted(long id) {
+        ServerConnection connection = connections.get(id);
+        Attempt attempt = connection == null ? null : connection.attempt;
+        if (attempt != null && attempt.closingOutcome == null && !attempt.isWinner()) {
+            long receivedAt = context.now();
+            attempt.lastDataAt = receivedAt;
+            context.runAt(receivedAt + START_TIMEOUT_MICROS, () -> {
+                if (attempt.connection == connection && connection.attempt == attempt && !attempt.isWinner()
+                        && attempt.closingOutcome == null && attempt.lastDataAt == receivedAt) {
+                    context.count("streams.unopened");
+                    attempts.close(attempt, Outcome.ERROR);
+                }
+            });
+        }
+    }
+
+    /**
+     * Ends an attempt whose response can't be parsed. It may have run. The server accepted it and responded,
+     * so it ends neither as refused nor as reset, which would count against the server as a whole.
+     */
+    void responseMalformed(long id) {
+        ServerConnection connection = connections.get(id);
+        if (connection == null) {
+            return;
+        }
+        Attempt attempt = connection.attempt;
+        if (attempt != null && attempt.isWinner() && !attempt.request.ended) {
+            // the client's connection closes now; closing the server connection may take longer
+            openRequests.fail(attempt.request, Outcome.ERROR);
+        } else if (attempt != null && attempt.written) {
+            attempts.close(attempt, Outcome.ERROR);
+        }
+        // An attempt that was never written in full has not run: LineDown, which follows the report of the
+        // last byte, tells the two cases apart.
+        connections.discard(connection);
+    }
+
+    /** Forwards a part of a stream; the first part makes its attempt the winner. */
+    void chunkReceived(Event.Piece event) {
+        ServerConnection connection = connections.get(event.line());
+        Attempt attempt = connection == null ? null : connection.attempt;
+        if (attempt == null || attempt.closingOutcome != null || attempt.request.ended) {
+            return;
+        }
+        OpenRequest request = attempt.request;
+        attempt.lastDataAt = context.now();
+        request.unwrittenBytes += event.bytes().remaining();
+        context.emit(new Effect.PassOn(request.client, event.bytes()));
+        if (!request.isStreaming()) {
+            attempts.win(attempt);
+            context.runAt(context.now() + SILENCE_TIMEOUT_MICROS, () -> checkSilence(attempt));
+        }
+        if (request.unwrittenBytes > PAUSE_ABOVE_BYTES) {
+            connections.pauseReading(connection);
+        }
+    }
+
+    /** Records that the client has taken bytes, and resumes reading once few enough are left. */
+    void clientBytesWritten(Event.ClientTook event) {
+        OpenRequest request = openRequests.byClient(event.client());
+        if (request == null || !request.isStreaming()) {
+            return;
+        }
+        request.unwrittenBytes = Math.max(0, request.unwrittenBytes - event.bytes());
+        request.lastWriteAt = context.now();
+        ServerConnection connection = request.winner.connection;
+        if (connection.readingPaused && connection.attempt == request.winner
+                && request.unwrittenBytes <= RESUME_AT_BYTES) {
+            request.winner.lastDataAt = context.now();
+            connections.resumeReading(connection);
+        }
+    }
+
+    /**
+     * Ends a stream that has been silent for too long, for example because its server vanished, or whose
+     * client doesn't read it.
+     */
+    private void checkSilence(Attempt attempt) {
+        OpenRequest request = attempt.request;
+        if (!request.attemptsInFlight.contains(attempt) || request.ended || attempt.closingOutcome != null) {
+            return;
+        }
+        long end = attempt.connection.readingPaused ? request.lastWriteAt + SLOW_CLIENT_TIMEOUT_MICROS
+                : attempt.lastDataAt + SILENCE_TIMEOUT_MICROS;
+        if (context.now() >= end) {
+            context.count(attempt.connection.readingPaused ? "streams.unread" : "streams.silent");
+            openRequests.fail(request, Outcome.RESET);
+        } else {
+            context.runAt(attempt.connection.readingPaused
+                    ? Math.min(end, context.now() + SILENCE_TIMEOUT_MICROS) : end,
+                    () -> checkSilence(attempt));
+        }
+    }
+
+    /** Ends the attempt on a connection whose response is complete, and releases the connection. */
+    void responseCompleted(Event.Answered event) {
+        ServerConnection connection = connections.get(event.line());
+        Attempt attempt = connection == null ? null : connection.attempt;
+        if (attempt == null || attempt.closingOutcome != null) {
+            return;
+        }
+        connections.release(connection, event.reusable());
+        OpenRequest request = attempt.request;
+        Outcome outcome = event.outcome();
+        if (outcome == Outcome.OK && !request.ended && (attempt.isWinner() || !request.isStreaming())) {
+            openRequests.complete(attempt);
+        } else if (attempt.isWinner()) {
+            openRequests.abortIfStreaming(attempt);
+            outcome = Outcome.RESET;
+        }
+        attempts.end(attempt, outcome, event.keptTokens(), event.report());
+    }
+
+    /**
+     * Ends the attempt on a connection that has closed. If its last byte was not written it has not run;
+     * otherwise it may have.
+     */
+    void connectionClosed(long id) {
+        ServerConnection connection = connections.closed(id);
+        Attempt attempt = connection == null ? null : connection.attempt;
+        if (attempt == null) {
+            return;
+        }
+        connection.attempt = null;
+        if (attempt.closingOutcome != null) {
+            attempts.end(attempt, attempt.closingOutcome, 0, null);
+            return;
+        }
+        openRequests.abortIfStreaming(attempt);
+        attempts.end(attempt, attempt.written || attempt.isWinner() ? Outcome.RESET : Outcome.CONNECT_FAILED,
+                0, null);
+    }
+}
--- a/src/main/java/yewdock/desk/Line.java
+++ b/src/main/java/yewdock/desk/ServerConnection.java
@@ -1,20 +1,20 @@
 package yewdock.desk;
 
 /** A connection to a server. It carries one attempt at a time. */
-final class Line {
+final class ServerConnection {
     final long id;
-    final ModelServer box;
-    boolean up;
+    final ModelServer server;
+    boolean established;
     boolean closing;
     /** Whether reading is paused because the client is slow. */
-    boolean held;
+    boolean readingPaused;
     /** The attempt that uses the connection; null if there is none. */
-    Try current;
+    Attempt attempt;
     /** When the last attempt ended, in microseconds. */
     long idleSince;
 
-    Line(long id, ModelServer box) {
+    ServerConnection(long id, ModelServer box) {
         this.id = id;
-        this.box = box;
+        this.server = box;
     }
 }
--- a/src/main/java/yewdock/desk/Terms.java
+++ b/src/main/java/yewdock/desk/Terms.java
@@ -36,7 +36,7 @@
     }
 
     /** Whether two attempts of a request of this class may be in flight together. */
-    boolean mayCopy(int requestClass) {
+    boolean mayHedge(int requestClass) {
         return copies && requestClass < repeatable.size() && repeatable.get(requestClass);
     }
 }
--- a/src/main/java/yewdock/desk/Timers.java
+++ b/src/main/java/yewdock/desk/Timers.java
@@ -15,12 +15,12 @@
             new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
     private long order;
 
-    void at(long time, Runnable task) {
+    void runAt(long time, Runnable task) {
         heap.add(new Due(time, order++, task));
     }
 
     /** Returns the earliest timer's time, or Long.MAX_VALUE if there is none. */
-    long next() {
+    long nextTime() {
         return heap.isEmpty() ? Long.MAX_VALUE : heap.peek().at;
     }
 
@@ -30,6 +30,6 @@
 
     /** Removes and returns the next task that is due, or null. */
     Runnable poll(long now) {
-        return next() <= now ? heap.poll().task : null;
+        return nextTime() <= now ? heap.poll().task : null;
     }
 }
--- a/src/test/java/yewdock/desk/KnownServersTest.java
+++ b/src/test/java/yewdock/desk/KnownServersTest.java
@@ -21,7 +21,7 @@
     }
 
     private void list(boolean full, ModelServer... all) {
-        boxes.keep(new EndpointList(1, full, List.of(all)));
+        boxes.apply(new EndpointList(1, full, List.of(all)));
     }
 
     private Lifecycle state() {
@@ -37,7 +37,7 @@
         assertEquals(Lifecycle.DRAINING, state());
         list(false, box("b:1", Lifecycle.GONE, 0));
         list(true);
-        assertTrue(boxes.cordoned("s-1"));
+        assertTrue(boxes.isCordoned("s-1"));
         list(true, box("c:1", Lifecycle.READY, 7));
         assertEquals(Lifecycle.DRAINING, state());
     }
@@ -70,10 +70,10 @@
     @Test
     void drainAndUndrainAreTheSameMark() {
         list(true, box("a:1", Lifecycle.READY, 0));
-        boxes.mark(Map.of("s-1", BoxMark.DRAINS));
-        assertTrue(boxes.cordoned("s-1"));
-        boxes.mark(Map.of());
-        assertFalse(boxes.cordoned("s-1"));
+        boxes.replaceOverrides(Map.of("s-1", BoxMark.DRAINS));
+        assertTrue(boxes.isCordoned("s-1"));
+        boxes.replaceOverrides(Map.of());
+        assertFalse(boxes.isCordoned("s-1"));
         assertEquals(now, boxes.get(1).replica().startedAt());
         now += COLD + 1;
         boxes.cordon("s-2");
