--- a/src/main/java/yewdock/desk/Attempt.java
+++ b/src/main/java/yewdock/desk/Attempt.java
@@ -25,12 +25,12 @@
     /** The outcome to report once the connection has closed; null while it is not being closed. */
     Outcome closingOutcome;
 
-    Attempt(OpenRequest owed, long box, long timeout, long sentAt) {
-        this.request = owed;
-        this.number = owed.attemptCount++;
-        this.serverId = box;
-        this.timeoutMicros = timeout;
-        this.createdAt = sentAt;
+    Attempt(OpenRequest request, long serverId, long timeoutMicros, long createdAt) {
+        this.request = request;
+        this.number = request.attemptCount++;
+        this.serverId = serverId;
+        this.timeoutMicros = timeoutMicros;
+        this.createdAt = createdAt;
     }
 
     /** Whether its stream is the one forwarded to the client. */
--- a/src/main/java/yewdock/desk/Attempts.java
+++ b/src/main/java/yewdock/desk/Attempts.java
@@ -25,14 +25,14 @@
     /** Called after an attempt has ended, with its request, which may have no other attempt in flight. */
     private final Consumer<OpenRequest> whenEnded;
 
-    Attempts(ReducerContext turn, Terms terms, KnownServers boxes, ServerConnections lines,
-            OtherGenerations others, Consumer<OpenRequest> ended) {
-        this.context = turn;
-        this.settings = terms;
-        this.servers = boxes;
-        this.connections = lines;
-        this.otherGenerations = others;
-        this.whenEnded = ended;
+    Attempts(ReducerContext context, Terms settings, KnownServers servers, ServerConnections connections,
+            OtherGenerations otherGenerations, Consumer<OpenRequest> whenEnded) {
+        this.context = context;
+        this.settings = settings;
+        this.servers = servers;
+        this.connections = connections;
+        this.otherGenerations = otherGenerations;
+        this.whenEnded = whenEnded;
     }
 
     /** Sends an attempt for the module. One that may not be sent ends with NOT_SENT. */
--- a/src/main/java/yewdock/desk/ClientConnections.java
+++ b/src/main/java/yewdock/desk/ClientConnections.java
@@ -41,9 +41,9 @@
     private boolean closeEarly;
     private long sweepAt = Long.MAX_VALUE;
 
-    ClientConnections(int most, LongSupplier now, Timers timers, Counters counters,
+    ClientConnections(int maxConnections, LongSupplier now, Timers timers, Counters counters,
             Consumer<Effect> effects) {
-        this.maxConnections = most;
+        this.maxConnections = maxConnections;
         this.now = now;
         this.timers = timers;
         this.counters = counters;
--- a/src/main/java/yewdock/desk/Counters.java
+++ b/src/main/java/yewdock/desk/Counters.java
@@ -13,8 +13,8 @@
     }
 
     /** Adds the given number to a counter. */
-    public void add(String name, long more) {
-        counts.merge(name, more, Long::sum);
+    public void add(String name, long increment) {
+        counts.merge(name, increment, Long::sum);
     }
 
     /** Returns a copy of all counters. */
--- a/src/main/java/yewdock/desk/Desk.java
+++ b/src/main/java/yewdock/desk/Desk.java
@@ -59,21 +59,22 @@
     private boolean stopped;
 
     /** Creates the reducer and the module, which gets its actions. */
-    public Desk(Terms terms, Bounds bounds, Counters counters,
+    public Desk(Terms settings, Bounds limits, Counters counters,
             Function<Routing.Actions, Routing.Events> makeModule) {
         this.context = new ReducerContext(counters);
-        this.servers = new KnownServers(context::now, terms.coldFor());
-        this.clients = new ClientConnections(bounds.clients(), context::now, context.timers(), counters,
+        this.servers = new KnownServers(context::now, settings.coldFor());
+        this.clients = new ClientConnections(limits.clients(), context::now, context.timers(), counters,
                 context::emit);
-        this.watch = new DiscoveryWatch(terms, context::now, context.timers(), counters, context::emit,
+        this.watch = new DiscoveryWatch(settings, context::now, context.timers(), counters, context::emit,
                 this::discoveryCallFailed);
         this.otherGenerations = new OtherGenerations(context::now, context.timers(), counters, context::emit,
                 new Admission());
-        this.connections = new ServerConnections(context, bounds.lines(), terms.keepalive(), servers);
-        this.openRequests = new OpenRequests(context, terms, bounds, servers, connections, otherGenerations);
+        this.connections = new ServerConnections(context, limits.lines(), settings.keepalive(), servers);
+        this.openRequests = new OpenRequests(context, settings, limits, servers, connections,
+                otherGenerations);
         this.attempts = openRequests.attempts();
         this.responses = new ResponseStreams(context, connections, openRequests);
-        this.commands = new OperatorCommands(context, terms, counters, servers, () -> openRequests.count()
+        this.commands = new OperatorCommands(context, settings, counters, servers, () -> openRequests.count()
                 + otherGenerations.pendingClaims(),
                 () -> lettingGo ? "a newer process serves"
                         : olderGeneration == Older.FINISHES ? "an older process finishes" : unready(),
--- a/src/main/java/yewdock/desk/DiscoveryWatch.java
+++ b/src/main/java/yewdock/desk/DiscoveryWatch.java
@@ -100,14 +100,15 @@
     private boolean catchingUp;
     private long lastChangeAt = -SERIES_GAP_MICROS;
 
-    DiscoveryWatch(Terms terms, LongSupplier now, Timers timers, Counters counters, Consumer<Effect> effects,
-            Runnable whenLate) {
-        this.settings = terms;
+    DiscoveryWatch(Terms settings, LongSupplier now, Timers timers, Counters counters,
+            Consumer<Effect> effects,
+            Runnable onFailure) {
+        this.settings = settings;
         this.now = now;
         this.timers = timers;
         this.counters = counters;
         this.effects = effects;
-        this.onFailure = whenLate;
+        this.onFailure = onFailure;
     }
 
     /** Starts the watch at an address, with the known version of the list. */
--- a/src/main/java/yewdock/desk/KnownServers.java
+++ b/src/main/java/yewdock/desk/KnownServers.java
@@ -28,9 +28,9 @@
     private final Map<String, BoxMark> overrides = new TreeMap<>();
     private final long maxColdMicros;
 
-    KnownServers(LongSupplier now, long coldFor) {
+    KnownServers(LongSupplier now, long maxColdMicros) {
         this.now = now;
-        this.maxColdMicros = coldFor;
+        this.maxColdMicros = maxColdMicros;
     }
 
     /** Applies an endpoint list or changes to it. */
--- a/src/main/java/yewdock/desk/OpenRequests.java
+++ b/src/main/java/yewdock/desk/OpenRequests.java
@@ -28,13 +28,15 @@
     private long lastId;
     private int requestBytes;
 
-    OpenRequests(ReducerContext turn, Terms terms, Bounds bounds, KnownServers boxes, ServerConnections lines,
-            OtherGenerations others) {
-        this.context = turn;
-        this.limits = bounds;
-        this.classNames = terms.classes();
-        this.otherGenerations = others;
-        this.attempts = new Attempts(turn, terms, boxes, lines, others, this::removeIfDone);
+    OpenRequests(ReducerContext context, Terms settings, Bounds limits, KnownServers servers,
+            ServerConnections connections,
+            OtherGenerations otherGenerations) {
+        this.context = context;
+        this.limits = limits;
+        this.classNames = settings.classes();
+        this.otherGenerations = otherGenerations;
+        this.attempts = new Attempts(context, settings, servers, connections, otherGenerations,
+                this::removeIfDone);
     }
 
     Attempts attempts() {
--- a/src/main/java/yewdock/desk/OperatorCommands.java
+++ b/src/main/java/yewdock/desk/OperatorCommands.java
@@ -32,15 +32,15 @@
     private boolean quiesced;
     private long closeIdleAt;
 
-    OperatorCommands(ReducerContext turn, Terms terms, Counters counters, KnownServers boxes,
-            IntSupplier pending, Supplier<String> unready, Runnable changed) {
-        this.context = turn;
-        this.settings = terms;
+    OperatorCommands(ReducerContext context, Terms settings, Counters counters, KnownServers servers,
+            IntSupplier pendingRequests, Supplier<String> notReadyReason, Runnable overrideChanged) {
+        this.context = context;
+        this.settings = settings;
         this.counters = counters;
-        this.servers = boxes;
-        this.pendingRequests = pending;
-        this.notReadyReason = unready;
-        this.overrideChanged = changed;
+        this.servers = servers;
+        this.pendingRequests = pendingRequests;
+        this.notReadyReason = notReadyReason;
+        this.overrideChanged = overrideChanged;
     }
 
     boolean quiesced() {
--- a/src/main/java/yewdock/desk/OtherGenerations.java
+++ b/src/main/java/yewdock/desk/OtherGenerations.java
@@ -51,12 +51,12 @@
     private long lastClaimNumber;
 
     OtherGenerations(LongSupplier now, Timers timers, Counters counters, Consumer<Effect> effects,
-            RequestAdmission door) {
+            RequestAdmission admission) {
         this.now = now;
         this.timers = timers;
         this.counters = counters;
         this.effects = effects;
-        this.admission = door;
+        this.admission = admission;
     }
 
     /** Whether another generation owns the request ids. */
--- a/src/main/java/yewdock/desk/ReducerContext.java
+++ b/src/main/java/yewdock/desk/ReducerContext.java
@@ -33,8 +33,8 @@
     }
 
     /** Sets the module, which can only be created after the reducer's actions exist. */
-    void module(Routing.Events made) {
-        module = made;
+    void module(Routing.Events newModule) {
+        module = newModule;
     }
 
     /** Extends the lease to this time, with the retry delay for clients that are refused after it. */
--- a/src/main/java/yewdock/desk/ResponseStreams.java
+++ b/src/main/java/yewdock/desk/ResponseStreams.java
@@ -29,11 +29,11 @@
     private final OpenRequests openRequests;
     private final Attempts attempts;
 
-    ResponseStreams(ReducerContext turn, ServerConnections lines, OpenRequests answers) {
-        this.context = turn;
-        this.connections = lines;
-        this.openRequests = answers;
-        this.attempts = answers.attempts();
+    ResponseStreams(ReducerContext context, ServerConnections connections, OpenRequests openRequests) {
+        this.context = context;
+        this.connections = connections;
+        this.openRequests = openRequests;
+        this.attempts = openRequests.attempts();
     }
 
     /**
--- a/src/main/java/yewdock/desk/ServerConnection.java
+++ b/src/main/java/yewdock/desk/ServerConnection.java
@@ -13,8 +13,8 @@
     /** When the last attempt ended, in microseconds. */
     long idleSince;
 
-    ServerConnection(long id, ModelServer box) {
+    ServerConnection(long id, ModelServer server) {
         this.id = id;
-        this.server = box;
+        this.server = server;
     }
 }
--- a/src/main/java/yewdock/desk/ServerConnections.java
+++ b/src/main/java/yewdock/desk/ServerConnections.java
@@ -32,11 +32,12 @@
     private final Map<Long, Deque<ServerConnection>> idle = new HashMap<>();
     private long lastId;
 
-    ServerConnections(ReducerContext turn, int most, long keepalive, KnownServers boxes) {
-        this.context = turn;
-        this.maxConnections = most;
-        this.idleTimeoutMicros = (long) (keepalive * KEEPALIVE_FRACTION);
-        this.servers = boxes;
+    ServerConnections(ReducerContext context, int maxConnections, long keepaliveMicros,
+            KnownServers servers) {
+        this.context = context;
+        this.maxConnections = maxConnections;
+        this.idleTimeoutMicros = (long) (keepaliveMicros * KEEPALIVE_FRACTION);
+        this.servers = servers;
     }
 
     int retainedEntries() {
--- a/src/main/java/yewdock/desk/Terms.java
+++ b/src/main/java/yewdock/desk/Terms.java
@@ -26,13 +26,15 @@
     }
 
     /** Derives these settings from the module's; the keepalive is not part of the module's settings. */
-    public static Terms of(Routing.Settings settings, long keepalive) {
-        Routing.Contract contract = settings.contract();
-        return new Terms(settings.limits().connectTimeout(), keepalive, !settings.askForList(),
-                contract.drainGrace(), contract.askWithin(), settings.limits().mayDuplicate(),
-                settings.limits().maxAttempts(),
-                settings.classes().stream().map(c -> c.effect() != Routing.Effect.FRAGILE).toList(),
-                settings.classes().stream().map(Routing.RequestClass::name).toList(), contract.coldFor());
+    public static Terms of(Routing.Settings moduleSettings, long keepaliveMicros) {
+        Routing.Contract contract = moduleSettings.contract();
+        return new Terms(moduleSettings.limits().connectTimeout(), keepaliveMicros,
+                !moduleSettings.askForList(),
+                contract.drainGrace(), contract.askWithin(), moduleSettings.limits().mayDuplicate(),
+                moduleSettings.limits().maxAttempts(),
+                moduleSettings.classes().stream().map(c -> c.effect() != Routing.Effect.FRAGILE).toList(),
+                moduleSettings.classes().stream().map(Routing.RequestClass::name).toList(),
+                        contract.coldFor());
     }
 
     /** Whether two attempts of a request of this class may be in flight together. */
--- a/src/test/java/yewdock/AskedListTest.java
+++ b/src/test/java/yewdock/AskedListTest.java
@@ -11,38 +11,39 @@
 import umberspread.Routing.ListKind;
 import umberspread.Routing.Replica;
 import yewdock.desk.Bounds;
-import yewdock.desk.EndpointList;
 import yewdock.desk.Counters;
 import yewdock.desk.Desk;
 import yewdock.desk.Effect;
+import yewdock.desk.EndpointList;
 import yewdock.desk.Event;
 import yewdock.desk.ModelServer;
 import yewdock.desk.Terms;
 
 /**
- * A list that is asked, calls that fail and watches that fall silent: whatever happens to a call, a change
- * counts as told 6 s after the service had it and could be reached, a second later a drain has to be kept.
+ * Polled discovery with failing calls and long polls that get no answer. Whatever happens to a call, a change
+ * counts as known 6 s after the service had it and could be reached, and a drain must be kept a second later.
  */
 class AskedListTest {
     private static final long SECOND = 1_000_000;
     private static final long GRACE = SECOND;
     private static final long STEP = 50_000;
-    private static final EndpointList KNOWN = new EndpointList(7, true, List.of(box(Lifecycle.READY)));
-    private static final EndpointList DRAINED = new EndpointList(8, false, List.of(box(Lifecycle.DRAINING)));
+    private static final EndpointList KNOWN = new EndpointList(7, true, List.of(server(Lifecycle.READY)));
+    private static final EndpointList DRAINED = new EndpointList(8, false,
+            List.of(server(Lifecycle.DRAINING)));
     private final Counters counters = new Counters();
-    private final Desk desk = new Desk(new Terms(250_000, 30 * SECOND, false, GRACE, 10 * SECOND, true, 4,
+    private final Desk reducer = new Desk(new Terms(250_000, 30 * SECOND, false, GRACE, 10 * SECOND, true, 4,
             List.of(true), List.of("chat"), 0), new Bounds(40, 20, 20, 1 << 20), counters, Module::new);
-    private final List<Long> calls = new ArrayList<>();
+    private final List<Long> callTimes = new ArrayList<>();
     private Routing.Actions module;
-    private Effect.AskList open;
-    private long openedAt;
+    private Effect.AskList openCall;
+    private long calledAt;
     private boolean drained;
     private long silentUntil = Long.MIN_VALUE;
-    private long toldAt = Long.MAX_VALUE;
-    private int failuresTold;
+    private long drainKnownAt = Long.MAX_VALUE;
+    private int reportedFailures;
     private long now;
 
-    /** Calls once, and again a second after it hears of a failure. */
+    /** Calls discovery once, and again a second after it is told of a failure. */
     private final class Module extends QuietModule {
         Module(Routing.Actions actions) {
             module = actions;
@@ -56,10 +57,10 @@
         @Override
         public void listReceived(long time, ListKind kind, List<Replica> entries) {
             if (kind == ListKind.FAILED) {
-                failuresTold++;
+                reportedFailures++;
                 module.wakeAt(time + SECOND, 1);
             } else if (entries.stream().anyMatch(r -> r.lifecycle() == Lifecycle.DRAINING)) {
-                toldAt = Math.min(toldAt, time);
+                drainKnownAt = Math.min(drainKnownAt, time);
             }
         }
 
@@ -69,101 +70,111 @@
         }
     }
 
-    private static ModelServer box(Lifecycle state) {
+    private static ModelServer server(Lifecycle state) {
         return new ModelServer("s-1", "127.0.0.1:9001", new Replica(1, 0, 0, 1, 1, state, 0));
     }
 
-    private void happens(Event event) {
-        for (Effect effect : desk.reduce(event, now)) {
+    private void handle(Event event) {
+        for (Effect effect : reducer.reduce(event, now)) {
             if (effect instanceof Effect.AskList call) {
-                calls.add(now);
-                open = call;
-                openedAt = now;
+                callTimes.add(now);
+                openCall = call;
+                calledAt = now;
             } else if (effect instanceof Effect.HangUpList) {
-                open = null;
+                openCall = null;
             }
         }
     }
 
-    /** The service answers with news, or once a call's wait is over; not at all while it is silent. */
+    /**
+     * Lets time pass. Unless it is silent, the service answers a call with changes at once, or without
+     * changes when its long poll ends.
+     */
     private void pass(long micros) {
         for (long until = now + micros; now < until;) {
             now += STEP;
-            if (desk.nextDue() <= now) {
-                happens(new Event.Tick());
+            if (reducer.nextDue() <= now) {
+                handle(new Event.Tick());
             }
-            if (open == null || now < silentUntil) {
+            if (openCall == null || now < silentUntil) {
                 continue;
             }
-            boolean news = drained && open.since() < DRAINED.version();
-            if (news || now >= openedAt + open.longest()) {
-                open = null;
-                happens(new Event.ListCame(news ? DRAINED : new EndpointList(drained ? 8 : 7, false,
+            boolean changed = drained && openCall.since() < DRAINED.version();
+            if (changed || now >= calledAt + openCall.longest()) {
+                openCall = null;
+                handle(new Event.ListCame(changed ? DRAINED : new EndpointList(drained ? 8 : 7, false,
                         List.of())));
             }
         }
     }
 
     /**
-     * The watch falls silent at every moment of its wait, the drain comes at that moment, and the call made
-     * next is silent too. Fails with calls given up after 6.5 s, and with the second left to the module.
+     * A long poll gets no answer, the drain comes at that moment, and the next call gets no answer either;
+     * tried at each moment of the poll. Fails if calls are given up only after 6.5 s, or if the second call
+     * is left to the module.
      */
     @Test
-    void twoSilentCallsInARowStillKeepADrain() {
-        for (long at = 0; at < 5 * SECOND; at += STEP) {
-            AskedListTest each = new AskedListTest();
-            each.drainInSilence(at);
+    void drainIsKeptAfterTwoUnansweredCalls() {
+        for (long silentAfter = 0; silentAfter < 5 * SECOND; silentAfter += STEP) {
+            AskedListTest test = new AskedListTest();
+            test.drainWithUnansweredCalls(silentAfter);
         }
     }
 
-    private void drainInSilence(long at) {
-        happens(new Event.Started(KNOWN, "127.0.0.1:8500"));
+    private void drainWithUnansweredCalls(long silentAfter) {
+        handle(new Event.Started(KNOWN, "127.0.0.1:8500"));
         pass(20 * STEP);
-        while (now < openedAt + at) {
+        while (now < calledAt + silentAfter) {
             pass(STEP);
         }
         long silentAt = now;
-        long countsAsTold = silentAt + 6 * SECOND;
-        int made = calls.size();
+        long knownBy = silentAt + 6 * SECOND;
+        int callsBefore = callTimes.size();
         drained = true;
-        while (calls.size() < made + 2) {
+        while (callTimes.size() < callsBefore + 2) {
             silentUntil = now + 2 * STEP;
             pass(STEP);
-            assertTrue(now < silentAt + 30 * SECOND, "not asked anew");
+            assertTrue(now < silentAt + 30 * SECOND, "no further call was made");
         }
         pass(4 * SECOND);
-        assertTrue(toldAt <= countsAsTold + GRACE, "silent after " + at + ": told at " + toldAt
-                + ", has to be kept from " + (countsAsTold + GRACE));
-        assertEquals(0, failuresTold);
+        assertTrue(drainKnownAt <= knownBy + GRACE, "silent after " + silentAfter + ": known at "
+                + drainKnownAt + ", must be kept from " + (knownBy + GRACE));
+        assertEquals(0, reportedFailures);
     }
 
-    /** What other routers know doesn't wait until this one's silent call is given up. */
+    /**
+     * A list that another router already has is asked for without waiting for the timeout of an unanswered
+     * call.
+     */
     @Test
-    void aListThatAnotherRouterHasIsAskedForAtOnce() {
-        happens(new Event.Started(KNOWN, "127.0.0.1:8500"));
+    void newerListOfAnotherRouterIsAskedForAtOnce() {
+        handle(new Event.Started(KNOWN, "127.0.0.1:8500"));
         pass(SECOND);
         silentUntil = now + SECOND;
         drained = true;
         pass(SECOND);
-        open = null;
-        int before = calls.size();
-        happens(new Event.ListBehind());
-        assertEquals(before + 1, calls.size());
+        openCall = null;
+        int callsBefore = callTimes.size();
+        handle(new Event.ListBehind());
+        assertEquals(callsBefore + 1, callTimes.size());
         pass(2 * STEP);
-        assertTrue(toldAt <= now, "not told");
+        assertTrue(drainKnownAt <= now, "the drain is not known");
     }
 
-    /** Calls are priced over the whole fleet: in quiet one for each 5 s, and few in a long silence. */
+    /**
+     * The whole fleet pays for discovery calls: about one each 5 s without changes, and few in a long
+     * silence.
+     */
     @Test
-    void quietAndSilenceAreNoStorm() {
-        happens(new Event.Started(KNOWN, "127.0.0.1:8500"));
+    void callRateIsBoundedWithoutChangesAndWithoutAnswers() {
+        handle(new Event.Started(KNOWN, "127.0.0.1:8500"));
         pass(60 * SECOND);
-        assertTrue(calls.size() <= 14, "calls in a quiet minute: " + calls.size());
-        int before = calls.size();
+        assertTrue(callTimes.size() <= 14, "calls in a minute without changes: " + callTimes.size());
+        int callsBefore = callTimes.size();
         silentUntil = now + 60 * SECOND;
         pass(60 * SECOND);
-        int made = calls.size() - before;
-        assertTrue(made >= 10 && made <= 32, "calls in a silent minute: " + made);
-        assertTrue(failuresTold > 5, "the module spares a service that stays silent: " + failuresTold);
+        int callsMade = callTimes.size() - callsBefore;
+        assertTrue(callsMade >= 10 && callsMade <= 32, "calls in a minute without answers: " + callsMade);
+        assertTrue(reportedFailures > 5, "failures left to the module's backoff: " + reportedFailures);
     }
 }
--- a/src/test/java/yewdock/BoundsTest.java
+++ b/src/test/java/yewdock/BoundsTest.java
@@ -9,51 +9,51 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import yewdock.desk.Bounds;
-import yewdock.desk.EndpointList;
 import yewdock.desk.Counters;
 import yewdock.desk.Desk;
 import yewdock.desk.Effect;
+import yewdock.desk.EndpointList;
 import yewdock.desk.Event;
 import yewdock.desk.ModelRequest;
 import yewdock.desk.Terms;
 
-/** The router refuses before it runs out of memory or descriptors. */
+/** The router refuses requests before it runs out of memory or file descriptors. */
 class BoundsTest {
-    private static final Terms TERMS = new Terms(250_000, 5_000_000, false, 1_000_000, 10_000_000, false, 4,
-            List.of(), List.of("chat"), 0);
+    private static final Terms SETTINGS = new Terms(250_000, 5_000_000, false, 1_000_000, 10_000_000, false,
+            4, List.of(), List.of("chat"), 0);
     private static final int MEGABYTE = 1 << 20;
     private final Counters counters = new Counters();
-    private final Desk desk = new Desk(TERMS,
+    private final Desk reducer = new Desk(SETTINGS,
             new Bounds(480, 400, 500, 16 * MEGABYTE), counters, InOrderModule::new);
 
-    private List<Effect> ask(long client, int size) {
+    private List<Effect> sendRequest(long client, int size) {
         ModelRequest request = new ModelRequest("r" + client, 0, 0, false, 1, 1, 1, 0, 2, 9_000_000, size);
-        return desk.reduce(new Event.Asked(client, request), 1_000);
+        return reducer.reduce(new Event.Asked(client, request), 1_000);
     }
 
     /** The requests are for 2 tokens, so the module leaves them all open. */
     @Test
-    void refusesBeyondItsMemoryAndTakesAgainWhenThereIsRoom() {
-        desk.reduce(new Event.Started(EndpointList.NOTHING, "127.0.0.1:8500"), 0);
+    void refusesAtMemoryLimitAndAcceptsAgainBelowIt() {
+        reducer.reduce(new Event.Started(EndpointList.NOTHING, "127.0.0.1:8500"), 0);
         for (int client = 1; client <= 16; client++) {
-            assertEquals(List.of(), ask(client, MEGABYTE));
+            assertEquals(List.of(), sendRequest(client, MEGABYTE));
         }
-        assertEquals(List.of(new Effect.Refuse(17, 0)), ask(17, 1));
-        desk.reduce(new Event.ClientLeft(3), 2_000);
-        assertEquals(List.of(), ask(18, MEGABYTE));
+        assertEquals(List.of(new Effect.Refuse(17, 0)), sendRequest(17, 1));
+        reducer.reduce(new Event.ClientLeft(3), 2_000);
+        assertEquals(List.of(), sendRequest(18, MEGABYTE));
     }
 
     @Test
-    void refusesBeyondItsNumberOfRequests() {
-        desk.reduce(new Event.Started(EndpointList.NOTHING, "127.0.0.1:8500"), 0);
-        IntStream.rangeClosed(1, 500).forEach(client -> assertEquals(List.of(), ask(client, 1)));
-        assertEquals(List.of(new Effect.Refuse(501, 0)), ask(501, 1));
+    void refusesAtRequestLimit() {
+        reducer.reduce(new Event.Started(EndpointList.NOTHING, "127.0.0.1:8500"), 0);
+        IntStream.rangeClosed(1, 500).forEach(client -> assertEquals(List.of(), sendRequest(client, 1)));
+        assertEquals(List.of(new Effect.Refuse(501, 0)), sendRequest(501, 1));
         assertEquals(1, counters.get("answers.refused_for_room"));
     }
 
-    /** Half-sent bodies are held too: 40 clients of 250 KB each would be 10 MB. */
+    /** Partly received bodies are held too: 40 clients with 250 KB each would use 10 MB. */
     @Test
-    void refusesBodiesThatNeverEnd() throws Exception {
+    void refusesUnfinishedBodiesAtMemoryLimit() throws Exception {
         List<String> lines = new ArrayList<>();
         for (int client = 1; client <= 40; client++) {
             lines.add("> 0 c" + client + " opens");
@@ -63,15 +63,15 @@
         lines.add("> 1 c1 down");
         lines.add("> 2 c41 opens");
         lines.add("> 2 c41 sends POST /v1/chat/completions HTTP/1.1|Content-Length: 260000||(70000)");
-        var told = Exchange.play(lines, 0).told();
-        assertTrue(told.get("c40").contains("503"), told.get("c40"));
-        assertEquals(Set.of("c40"), told.keySet());
+        var sentMessages = Exchange.play(lines, 0).told();
+        assertTrue(sentMessages.get("c40").contains("503"), sentMessages.get("c40"));
+        assertEquals(Set.of("c40"), sentMessages.keySet());
     }
 
-    /** Many quiet or silent connections must not keep a new client out: one goes for each that comes. */
+    /** Idle or silent connections must not keep a new client out: one is closed for each new one. */
     @Test
-    void closesTheLongestQuietForNewcomers() {
-        Desk small = new Desk(TERMS, new Bounds(4, 4, 4, MEGABYTE), counters,
+    void closesLongestIdleConnectionForNewClient() {
+        Desk small = new Desk(SETTINGS, new Bounds(4, 4, 4, MEGABYTE), counters,
                 InOrderModule::new);
         small.reduce(new Event.Started(EndpointList.NOTHING, "127.0.0.1:8500"), 0);
         for (long client = 1; client <= 4; client++) {
@@ -87,10 +87,13 @@
         assertEquals(List.of(), small.reduce(new Event.ClientCame(7), 15));
     }
 
-    /** A request that is on its way in is not cut off for a newcomer, whoever has been silent longer. */
+    /**
+     * A request that is being received is not aborted for a new client, even if its client was silent
+     * longest.
+     */
     @Test
-    void closesNoneWhoseRequestIsComing() {
-        Desk small = new Desk(TERMS, new Bounds(3, 3, 3, MEGABYTE), counters, InOrderModule::new);
+    void keepsConnectionsWithPartlyReceivedRequest() {
+        Desk small = new Desk(SETTINGS, new Bounds(3, 3, 3, MEGABYTE), counters, InOrderModule::new);
         small.reduce(new Event.Started(EndpointList.NOTHING, "127.0.0.1:8500"), 0);
         for (long client = 1; client <= 3; client++) {
             small.reduce(new Event.ClientCame(client), client);
@@ -101,30 +104,30 @@
         small.reduce(new Event.ClientBegan(3), 7);
         small.reduce(new Event.ClientBegan(4), 8);
         assertEquals(List.of(), small.reduce(new Event.ClientCame(5), 9));
-        // each still has its time to come in whole, counted from when its connection was made
+        // each still has its time to be received in full, counted from when its connection was made
         assertTrue(small.reduce(new Event.Tick(), 2_500_001).contains(new Effect.CloseClient(1)));
     }
 
-    /** Whoever began first: each request's time is counted from its own start. */
+    /** Each request's timeout runs from its own start, whatever order the requests started in. */
     @Test
-    void closesHalfSentRequestsInTheOrderOfTheirTime() {
-        Desk desk = new Desk(TERMS, new Bounds(9, 9, 9, MEGABYTE), counters, InOrderModule::new);
-        desk.reduce(new Event.Started(EndpointList.NOTHING, "127.0.0.1:8500"), 0);
-        desk.reduce(new Event.ClientCame(1), 1);
-        desk.reduce(new Event.ClientCame(2), 2);
-        desk.reduce(new Event.ClientQuiet(2), 1_000_000);
-        desk.reduce(new Event.ClientBegan(2), 2_000_000);
-        desk.reduce(new Event.ClientBegan(1), 2_400_000);
-        assertTrue(desk.reduce(new Event.Tick(), 2_500_001).contains(new Effect.CloseClient(1)));
+    void closesPartlyReceivedRequestsInOrderOfTimeout() {
+        Desk wide = new Desk(SETTINGS, new Bounds(9, 9, 9, MEGABYTE), counters, InOrderModule::new);
+        wide.reduce(new Event.Started(EndpointList.NOTHING, "127.0.0.1:8500"), 0);
+        wide.reduce(new Event.ClientCame(1), 1);
+        wide.reduce(new Event.ClientCame(2), 2);
+        wide.reduce(new Event.ClientQuiet(2), 1_000_000);
+        wide.reduce(new Event.ClientBegan(2), 2_000_000);
+        wide.reduce(new Event.ClientBegan(1), 2_400_000);
+        assertTrue(wide.reduce(new Event.Tick(), 2_500_001).contains(new Effect.CloseClient(1)));
     }
 
-    /** All descriptors together stay under the limit, at each limit that a configuration may state. */
+    /** All descriptors together stay under the limit, for each limit that a configuration may set. */
     @Test
-    void fitsTheDescriptors() {
+    void staysWithinDescriptors() {
         for (int descriptors = 256; descriptors <= 1024; descriptors++) {
-            Bounds bounds = Bounds.within(descriptors, 160);
-            assertTrue(bounds.clients() + bounds.lines() + 64 <= descriptors, bounds.toString());
-            assertTrue(bounds.requests() >= descriptors / 3, bounds.toString());
+            Bounds limits = Bounds.within(descriptors, 160);
+            assertTrue(limits.clients() + limits.lines() + 64 <= descriptors, limits.toString());
+            assertTrue(limits.requests() >= descriptors / 3, limits.toString());
         }
     }
 }
--- a/src/test/java/yewdock/BusyDiscoveryTest.java
+++ b/src/test/java/yewdock/BusyDiscoveryTest.java
@@ -13,119 +13,119 @@
 import umberspread.Routing.Lifecycle;
 import umberspread.Routing.Replica;
 import yewdock.desk.Bounds;
-import yewdock.desk.EndpointList;
 import yewdock.desk.Counters;
 import yewdock.desk.Desk;
 import yewdock.desk.Effect;
+import yewdock.desk.EndpointList;
 import yewdock.desk.Event;
 import yewdock.desk.ModelServer;
 import yewdock.desk.Terms;
 
 /**
- * Many routers ask one service, which handles calls in turn: it answers a call within 2 s or fails it, and a
- * call that was given up has its turn all the same. Desks with the real module, in virtual time.
+ * Many routers call one service, which handles calls in turn: it answers or fails a call within 2 s, and a
+ * call that was given up still takes its turn. Reducers with the real module, in virtual time.
  */
 class BusyDiscoveryTest {
     private static final long SECOND = 1_000_000;
-    private static final long COUNTS_AS_TOLD = 6 * SECOND;
+    private static final long KNOWN_AFTER = 6 * SECOND;
     private static final long STEP = 10_000;
-    /** How long a call may wait for its turn. */
-    private static final long MOST_WAIT = 2 * SECOND;
+    /** Longest time that a call may queue. */
+    private static final long MAX_QUEUEING = 2 * SECOND;
     private static final int ROUTERS = 24;
 
     private long grace = SECOND;
-    /** What a call takes of the service's time. */
-    private long work = SECOND / 8;
-    private long time = 1000 * SECOND;
-    /** The newest version, and since when each version before it has been old. */
+    /** Service time of one call. */
+    private long serviceTime = SECOND / 8;
+    private long now = 1000 * SECOND;
+    /** The newest version, and when each earlier version was replaced. */
     private long version = 7;
-    private final Map<Long, Long> oldSince = new HashMap<>();
-    /** When the service is done with all calls that it has taken. */
+    private final Map<Long, Long> replacedAt = new HashMap<>();
+    /** When the service has handled all calls that it has accepted. */
     private long busyUntil;
     private boolean drained;
 
-    /** One router, and its call as the service has it. */
+    /** One router, and its call as the service sees it. */
     private final class Router {
-        private final Desk desk;
-        private Effect.AskList open;
-        /** A watch that was given no answer in time, and has not been given up. */
-        private Effect.AskList aside;
-        private long turnAt;
-        private long openedAt;
+        private final Desk reducer;
+        private Effect.AskList openCall;
+        /** A long poll without an answer in time that has not been cancelled. */
+        private Effect.AskList callAside;
+        private long handledAt;
+        private long calledAt;
         private boolean refused;
-        /** No two see anything in the same microsecond. */
-        private final long late;
-        /** The call that is out is never answered. */
+        /** Offset that keeps two routers from seeing an event in the same microsecond. */
+        private final long offset;
+        /** The current call is never answered. */
         private boolean silent;
         private int answers;
-        private long has = 7;
+        private long knownVersion = 7;
 
         Router(int seed) {
-            late = seed % STEP;
-            desk = new Desk(new Terms(250_000, 30 * SECOND, false, grace, 10 * SECOND, true, 4, List.of(true),
-                    List.of("chat"), 0), new Bounds(40, 20, 20, 1 << 20), new Counters(),
+            offset = seed % STEP;
+            reducer = new Desk(new Terms(250_000, 30 * SECOND, false, grace, 10 * SECOND, true, 4,
+                    List.of(true), List.of("chat"), 0), new Bounds(40, 20, 20, 1 << 20), new Counters(),
                     actions -> new BoundedLoadRouter(settings(), seed, actions));
-            happens(new Event.Started(list(7, true, Lifecycle.READY), "127.0.0.1:8500"));
+            handle(new Event.Started(list(7, true, Lifecycle.READY), "127.0.0.1:8500"));
         }
 
-        private void happens(Event event) {
-            for (Effect effect : desk.reduce(event, time + late)) {
+        private void handle(Event event) {
+            for (Effect effect : reducer.reduce(event, now + offset)) {
                 if (effect instanceof Effect.AskList call) {
-                    open = call;
-                    openedAt = time;
+                    openCall = call;
+                    calledAt = now;
                     silent = false;
-                    refused = Math.max(time, busyUntil) - time > MOST_WAIT;
+                    refused = Math.max(now, busyUntil) - now > MAX_QUEUEING;
                     if (!refused) {
-                        busyUntil = Math.max(time, busyUntil) + work;
-                        turnAt = busyUntil;
+                        busyUntil = Math.max(now, busyUntil) + serviceTime;
+                        handledAt = busyUntil;
                     }
                 } else if (effect instanceof Effect.SetListCallAside) {
-                    aside = open;
-                    open = null;
+                    callAside = openCall;
+                    openCall = null;
                 } else if (effect instanceof Effect.HangUpList) {
-                    open = null;
+                    openCall = null;
                 }
             }
         }
 
         private void step() {
-            if (desk.nextDue() <= time + late) {
-                happens(new Event.Tick());
+            if (reducer.nextDue() <= now + offset) {
+                handle(new Event.Tick());
             }
-            if (open == null || silent) {
+            if (openCall == null || silent) {
                 return;
             }
-            boolean news = open.since() < version;
+            boolean changed = openCall.since() < version;
             if (refused) {
-                open = null;
-                happens(new Event.ListFailed());
-            } else if (time >= turnAt && (news || time >= openedAt + open.longest())) {
-                open = null;
+                openCall = null;
+                handle(new Event.ListFailed());
+            } else if (now >= handledAt && (changed || now >= calledAt + openCall.longest())) {
+                openCall = null;
                 answers++;
-                has = version;
-                happens(new Event.ListCame(news ? list(version, false, drained ? Lifecycle.DRAINING
+                knownVersion = version;
+                handle(new Event.ListCame(changed ? list(version, false, drained ? Lifecycle.DRAINING
                         : Lifecycle.READY) : new EndpointList(version, false, List.of())));
             }
         }
 
-        /** The service has come to the watch that it answers late. */
-        void lateWatchAnswered() {
-            if (aside != null) {
-                aside = null;
-                open = null;
+        /** The service answers the long poll that was set aside. */
+        void answerCallAside() {
+            if (callAside != null) {
+                callAside = null;
+                openCall = null;
                 answers++;
-                has = version;
-                happens(new Event.ListCame(list(version, false, Lifecycle.DRAINING)));
+                knownVersion = version;
+                handle(new Event.ListCame(list(version, false, Lifecycle.DRAINING)));
             }
         }
 
-        /** For how long it has not heard of something. */
-        long behind() {
-            return time - oldSince.getOrDefault(has, time);
+        /** Returns how long the router has been without a change. */
+        long microsBehind() {
+            return now - replacedAt.getOrDefault(knownVersion, now);
         }
 
-        boolean knows() {
-            return !desk.unready().isEmpty();
+        boolean knowsDrain() {
+            return !reducer.unready().isEmpty();
         }
     }
 
@@ -147,127 +147,133 @@
         busyUntil = 0;
         drained = false;
         version = 7;
-        oldSince.clear();
-        List<Router> all = new ArrayList<>();
+        replacedAt.clear();
+        List<Router> routers = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            all.add(new Router(seed * count + i));
+            routers.add(new Router(seed * count + i));
         }
-        return all;
+        return routers;
     }
 
-    private void changes() {
-        oldSince.put(version, time);
+    private void recordChange() {
+        replacedAt.put(version, now);
         version++;
     }
 
-    private void pass(List<Router> all, long until) {
-        while (time < until) {
-            time += STEP;
-            all.forEach(Router::step);
+    private void pass(List<Router> routers, long until) {
+        while (now < until) {
+            now += STEP;
+            routers.forEach(Router::step);
         }
     }
 
-    /** All start together, with more calls than the service has time for in the first seconds. */
+    /** All start together, with more calls than the service can handle in the first seconds. */
     @Test
-    void allAreHeardSoonAndStayHeard() {
+    void allRoutersGetAnswersSoonAndKeepThem() {
         for (int seed = 0; seed < 10; seed++) {
-            List<Router> all = routers(seed, ROUTERS);
-            pass(all, time + 15 * SECOND);
-            assertEquals(0, all.stream().filter(r -> r.answers == 0).count(),
-                    "routers that discovery has never answered in 15 s, seed " + seed);
+            List<Router> routers = routers(seed, ROUTERS);
+            pass(routers, now + 15 * SECOND);
+            assertEquals(0, routers.stream().filter(router -> router.answers == 0).count(),
+                    "routers without any answer in 15 s, seed " + seed);
             drained = true;
-            changes();
-            pass(all, time + COUNTS_AS_TOLD + grace);
-            assertTrue(all.stream().allMatch(Router::knows), "not told in time, seed " + seed);
+            recordChange();
+            pass(routers, now + KNOWN_AFTER + grace);
+            assertTrue(routers.stream().allMatch(Router::knowsDrain),
+                    "drain not known in time, seed " + seed);
         }
     }
 
-    /** The service comes back after an outage in which all have lost their watches. */
+    /** The service recovers from an outage in which all routers lost their watches. */
     @Test
-    void afterAnOutageAllHearOfADrainInTime() {
+    void allRoutersLearnOfDrainInTimeAfterOutage() {
         for (int seed = 0; seed < 10; seed++) {
-            List<Router> all = routers(seed, ROUTERS);
-            pass(all, time + 20 * SECOND);
-            busyUntil = time + MOST_WAIT + 8 * SECOND;
-            all.forEach(r -> {
-                r.refused = true;
-                r.step();
+            List<Router> routers = routers(seed, ROUTERS);
+            pass(routers, now + 20 * SECOND);
+            busyUntil = now + MAX_QUEUEING + 8 * SECOND;
+            routers.forEach(router -> {
+                router.refused = true;
+                router.step();
             });
-            pass(all, time + 8 * SECOND);
-            busyUntil = time;
+            pass(routers, now + 8 * SECOND);
+            busyUntil = now;
             drained = true;
-            changes();
-            pass(all, time + COUNTS_AS_TOLD + grace);
-            assertTrue(all.stream().allMatch(Router::knows), "not told in time, seed " + seed + ": "
-                    + all.stream().filter(r -> !r.knows()).count());
+            recordChange();
+            pass(routers, now + KNOWN_AFTER + grace);
+            assertTrue(routers.stream().allMatch(Router::knowsDrain),
+                    "drain not known in time, seed " + seed + ": "
+                            + routers.stream().filter(router -> !router.knowsDrain()).count());
         }
     }
 
     /**
-     * A release brings a change every half second, and with each of them all who watch call again: more than
-     * twice as many calls as the service has turns. Nobody may go without news for longer than is allowed.
+     * During a release a change comes each half second, and each one makes all watching routers call again:
+     * more than twice as many calls as the service can handle. No router may miss changes for longer than is
+     * allowed.
      */
     @Test
-    void inAReleaseNobodyStaysBehind() {
-        work = SECOND / 45;
+    void noRouterStaysBehindDuringRelease() {
+        serviceTime = SECOND / 45;
         for (int seed = 0; seed < 5; seed++) {
-            List<Router> all = routers(seed, 100);
-            pass(all, time + 12 * SECOND);
-            // seven in ten are killed, and start again at once
+            List<Router> routers = routers(seed, 100);
+            pass(routers, now + 12 * SECOND);
+            // seven in ten are killed and restart at once
             for (int i = 0; i < 70; i++) {
-                all.set(i, new Router(1000 + i));
+                routers.set(i, new Router(1000 + i));
             }
-            long most = 0;
-            int late = 0;
+            long maxBehind = 0;
+            int lateSamples = 0;
             for (int i = 0; i < 24; i++) {
-                changes();
+                recordChange();
                 for (int part = 0; part < 10; part++) {
-                    pass(all, time + SECOND / 20);
-                    long behind = all.stream().mapToLong(Router::behind).max().orElseThrow();
-                    most = Math.max(most, behind);
-                    late += behind > COUNTS_AS_TOLD ? 1 : 0;
+                    pass(routers, now + SECOND / 20);
+                    long behind = routers.stream().mapToLong(Router::microsBehind).max().orElseThrow();
+                    maxBehind = Math.max(maxBehind, behind);
+                    lateSamples += behind > KNOWN_AFTER ? 1 : 0;
                 }
             }
-            assertEquals(0, late, "seed " + seed + ": the last to hear was behind by " + most / 1000 + " ms");
+            assertEquals(0, lateSamples, "seed " + seed + ": longest time behind is "
+                    + maxBehind / 1000 + " ms");
         }
     }
 
     /**
-     * A change has been told to all at once, so that their watches began together and, fallen silent, are
-     * given up together; a drain comes right after, and the calls for it wait for each other's turns.
+     * A change reaches all routers at once, so that their long polls start together and, without answers,
+     * time out together. A drain comes right after that, and the calls for it queue behind each other.
      */
     @Test
-    void watchesThatFallSilentTogetherDoNotMakeEachOtherLate() {
-        work = SECOND * 3 / 20;
+    void watchesThatTimeOutTogetherDoNotDelayEachOther() {
+        serviceTime = SECOND * 3 / 20;
         grace = SECOND / 4;
         for (int seed = 0; seed < 20; seed++) {
-            List<Router> all = routers(seed, 6);
-            pass(all, time + 8 * SECOND);
-            changes();
-            pass(all, time + 2 * STEP);
-            all.forEach(r -> r.silent = true);
+            List<Router> routers = routers(seed, 6);
+            pass(routers, now + 8 * SECOND);
+            recordChange();
+            pass(routers, now + 2 * STEP);
+            routers.forEach(router -> router.silent = true);
             drained = true;
-            changes();
-            pass(all, time + COUNTS_AS_TOLD + grace);
-            assertEquals(0, all.stream().filter(r -> !r.knows()).count(), "not told in time, seed " + seed);
+            recordChange();
+            pass(routers, now + KNOWN_AFTER + grace);
+            assertEquals(0, routers.stream().filter(router -> !router.knowsDrain()).count(),
+                    "drain not known in time, seed " + seed);
         }
     }
 
-    /** The service has no turn for new calls, and answers open watches up to 2 s after their wait. */
+    /** The service accepts no new calls and answers open long polls up to 2 s after their end. */
     @Test
-    void aWatchThatIsAnsweredLateCountsThoughTheCallMadeAnewFails() {
+    void lateAnswerToLongPollCountsAlthoughRepeatedCallFails() {
         for (int seed = 0; seed < 10; seed++) {
-            List<Router> all = routers(seed, 6);
-            pass(all, time + 8 * SECOND);
+            List<Router> routers = routers(seed, 6);
+            pass(routers, now + 8 * SECOND);
             drained = true;
-            changes();
-            long answeredAt = time + 6 * SECOND + MOST_WAIT / 2;
-            all.forEach(r -> r.silent = true);
+            recordChange();
+            long answeredAt = now + 6 * SECOND + MAX_QUEUEING / 2;
+            routers.forEach(router -> router.silent = true);
             busyUntil = Long.MAX_VALUE / 2;
-            pass(all, answeredAt);
-            assertEquals(0, all.stream().filter(Router::knows).count());
-            all.forEach(Router::lateWatchAnswered);
-            assertEquals(0, all.stream().filter(r -> !r.knows()).count(), "given up, seed " + seed);
+            pass(routers, answeredAt);
+            assertEquals(0, routers.stream().filter(Router::knowsDrain).count());
+            routers.forEach(Router::answerCallAside);
+            assertEquals(0, routers.stream().filter(router -> !router.knowsDrain()).count(),
+                    "late answer was not used, seed " + seed);
         }
     }
 }
--- a/src/test/java/yewdock/CopiesTest.java
+++ b/src/test/java/yewdock/CopiesTest.java
@@ -12,26 +12,28 @@
 import umberspread.Routing.Outcome;
 import umberspread.Routing.Replica;
 import yewdock.desk.Bounds;
-import yewdock.desk.EndpointList;
 import yewdock.desk.Counters;
 import yewdock.desk.Desk;
 import yewdock.desk.Effect;
+import yewdock.desk.EndpointList;
 import yewdock.desk.Event;
-import yewdock.desk.ModelServer;
 import yewdock.desk.ModelRequest;
+import yewdock.desk.ModelServer;
 import yewdock.desk.Terms;
 
-/** Several tries of one request: who wins, what becomes of the others, and when none may go out. */
+/**
+ * Several attempts of one request: which one wins, what happens to the others, and when none may be sent.
+ */
 class CopiesTest {
-    private static final int MOST = 4;
+    private static final int MAX_ATTEMPTS = 4;
     private final Counters counters = new Counters();
-    private final List<String> told = new ArrayList<>();
-    private final List<String> done = new ArrayList<>();
+    private final List<String> moduleEvents = new ArrayList<>();
+    private final List<String> effects = new ArrayList<>();
     private Routing.Actions module;
-    private Desk desk;
+    private Desk reducer;
     private long now;
 
-    /** Does nothing of itself: the test asks in its place. */
+    /** Takes no decisions of its own: the test requests the actions. */
     private final class Module extends QuietModule {
         Module(Routing.Actions actions) {
             module = actions;
@@ -44,18 +46,18 @@
 
         @Override
         public void firstToken(long time, long requestId, int attempt) {
-            told.add("first " + attempt);
+            moduleEvents.add("first " + attempt);
         }
 
         @Override
         public void attemptEnded(long time, long requestId, int attempt, Outcome outcome, long took,
                 boolean over, long kept, Routing.LoadReport report) {
-            told.add(attempt + " " + outcome + (over ? " over" : ""));
+            moduleEvents.add(attempt + " " + outcome + (over ? " over" : ""));
         }
 
         @Override
         public void requestGone(long time, long requestId) {
-            told.add("gone");
+            moduleEvents.add("gone");
         }
 
         @Override
@@ -68,207 +70,207 @@
         }
     }
 
-    private static ModelServer box(long id, Lifecycle state) {
+    private static ModelServer server(long id, Lifecycle state) {
         return new ModelServer("s-" + id, "127.0.0.1:900" + id, new Replica(id, 0, 0, 1, 1, state, 0));
     }
 
-    private void start(boolean copies, boolean repeatable) {
-        desk = new Desk(new Terms(250_000, 30_000_000, false, 500_000, 10_000_000, copies, MOST,
-                List.of(repeatable), List.of("chat"), 0),
+    private void start(boolean hedging, boolean idempotent) {
+        reducer = new Desk(new Terms(250_000, 30_000_000, false, 500_000, 10_000_000, hedging, MAX_ATTEMPTS,
+                List.of(idempotent), List.of("chat"), 0),
                 new Bounds(40, 20, 20, 1 << 20), counters, Module::new);
-        happens(new Event.Started(new EndpointList(1, true, List.of(box(1, Lifecycle.READY),
-                box(2, Lifecycle.READY), box(3, Lifecycle.READY))), "127.0.0.1:8500"));
-        happens(new Event.ClientCame(1));
-        happens(new Event.Asked(1, new ModelRequest("r1", 0, 0, false, 1, 1, 1, 0, 9, 6_000_000, 100)));
+        handle(new Event.Started(new EndpointList(1, true, List.of(server(1, Lifecycle.READY),
+                server(2, Lifecycle.READY), server(3, Lifecycle.READY))), "127.0.0.1:8500"));
+        handle(new Event.ClientCame(1));
+        handle(new Event.Asked(1, new ModelRequest("r1", 0, 0, false, 1, 1, 1, 0, 9, 6_000_000, 100)));
     }
 
-    private void happens(Event event) {
-        for (Effect effect : desk.reduce(event, now)) {
+    private void handle(Event event) {
+        for (Effect effect : reducer.reduce(event, now)) {
             if (effect instanceof Effect.SendTry e) {
-                done.add("send " + e.line());
-                happens(new Event.TrySent(e.line()));
+                effects.add("send " + e.line());
+                handle(new Event.TrySent(e.line()));
             } else if (effect instanceof Effect.OpenLine e) {
-                done.add("open " + e.line());
+                effects.add("open " + e.line());
             } else if (effect instanceof Effect.CloseLine e) {
-                done.add("close " + e.line());
+                effects.add("close " + e.line());
             } else if (effect instanceof Effect.PassOn || effect instanceof Effect.EndAnswer
                     || effect instanceof Effect.CutOff || effect instanceof Effect.Fail
                     || effect instanceof Effect.Refuse) {
-                done.add(effect.getClass().getSimpleName());
+                effects.add(effect.getClass().getSimpleName());
             }
         }
     }
 
-    private void up(long line) {
-        happens(new Event.LineUp(line));
+    private void connect(long connection) {
+        handle(new Event.LineUp(connection));
     }
 
-    private void piece(long line) {
-        happens(new Event.Piece(line, ByteBuffer.wrap(new byte[] {1})));
+    private void receiveChunk(long connection) {
+        handle(new Event.Piece(connection, ByteBuffer.wrap(new byte[] {1})));
     }
 
-    /** The module asks for something on its own account: a try at box 1 to 3, or as its woken tells. */
-    private void asks(int what) {
-        module.wakeAt(now, what);
-        happens(new Event.Tick());
+    /** Makes the module act: 1 to 3 sends an attempt to that server, other values as in woken. */
+    private void requestAction(int token) {
+        module.wakeAt(now, token);
+        handle(new Event.Tick());
     }
 
-    private void twoOut() {
+    private void startTwoAttempts() {
         start(true, true);
-        up(1);
-        asks(2);
-        up(2);
-        assertEquals(List.of("open 1", "send 1", "open 2", "send 2"), done);
-        done.clear();
+        connect(1);
+        requestAction(2);
+        connect(2);
+        assertEquals(List.of("open 1", "send 1", "open 2", "send 2"), effects);
+        effects.clear();
     }
 
-    /** In this order: the answer, the other's close, its end once it is closed. */
+    /** The order is: start of the response, close of the other attempt, its end once it is closed. */
     @Test
-    void theFirstEventWinsAndTheOtherIsClosed() {
-        twoOut();
-        piece(2);
-        assertEquals(List.of("PassOn", "close 1"), done);
-        assertEquals(List.of("first 1"), told);
-        happens(new Event.LineDown(1));
-        happens(new Event.Answered(2, Outcome.OK, true, 0, null));
-        assertEquals(List.of("first 1", "0 CANCELLED", "1 OK over"), told);
-        assertEquals(List.of("PassOn", "close 1", "EndAnswer"), done);
+    void firstEventWinsAndOtherAttemptIsClosed() {
+        startTwoAttempts();
+        receiveChunk(2);
+        assertEquals(List.of("PassOn", "close 1"), effects);
+        assertEquals(List.of("first 1"), moduleEvents);
+        handle(new Event.LineDown(1));
+        handle(new Event.Answered(2, Outcome.OK, true, 0, null));
+        assertEquals(List.of("first 1", "0 CANCELLED", "1 OK over"), moduleEvents);
+        assertEquals(List.of("PassOn", "close 1", "EndAnswer"), effects);
         assertEquals(1, counters.get("answers.served"));
     }
 
-    /** Both answer before either is closed: the client has one stream, and nothing of the other. */
+    /** Both servers respond before either connection is closed: the client gets only the winner's stream. */
     @Test
-    void whatTheLoserStillSendsGoesToNobody() {
-        twoOut();
-        piece(1);
-        piece(2);
-        happens(new Event.Answered(2, Outcome.OK, true, 0, null));
-        piece(1);
-        happens(new Event.Answered(1, Outcome.OK, true, 0, null));
-        assertEquals(List.of("PassOn", "close 2", "PassOn", "EndAnswer"), done);
-        happens(new Event.LineDown(2));
-        assertEquals(List.of("first 0", "0 OK over", "1 CANCELLED over"), told);
+    void dataOfLosingAttemptIsDropped() {
+        startTwoAttempts();
+        receiveChunk(1);
+        receiveChunk(2);
+        handle(new Event.Answered(2, Outcome.OK, true, 0, null));
+        receiveChunk(1);
+        handle(new Event.Answered(1, Outcome.OK, true, 0, null));
+        assertEquals(List.of("PassOn", "close 2", "PassOn", "EndAnswer"), effects);
+        handle(new Event.LineDown(2));
+        assertEquals(List.of("first 0", "0 OK over", "1 CANCELLED over"), moduleEvents);
     }
 
     @Test
-    void oneFailureLeavesTheOtherOutAndTwoAreTheModules() {
-        twoOut();
-        happens(new Event.Answered(1, Outcome.ERROR, true, 0, null));
-        assertEquals(List.of("0 ERROR"), told);
-        happens(new Event.LineDown(2));
-        assertEquals(List.of("0 ERROR", "1 RESET"), told);
-        assertEquals(List.of(), done);
-        asks(8);
-        assertEquals(List.of("Refuse"), done);
+    void otherAttemptSurvivesOneFailureAndModuleHandlesTwo() {
+        startTwoAttempts();
+        handle(new Event.Answered(1, Outcome.ERROR, true, 0, null));
+        assertEquals(List.of("0 ERROR"), moduleEvents);
+        handle(new Event.LineDown(2));
+        assertEquals(List.of("0 ERROR", "1 RESET"), moduleEvents);
+        assertEquals(List.of(), effects);
+        requestAction(8);
+        assertEquals(List.of("Refuse"), effects);
     }
 
     @Test
-    void aSpoiltLoserDoesNotTouchTheWinner() {
-        twoOut();
-        piece(1);
-        happens(new Event.AnswerSpoilt(2));
-        happens(new Event.LineDown(2));
-        piece(1);
-        assertEquals(List.of("PassOn", "close 2", "PassOn"), done);
-        assertEquals(List.of("first 0", "1 CANCELLED"), told);
+    void malformedResponseOfLoserDoesNotAffectWinner() {
+        startTwoAttempts();
+        receiveChunk(1);
+        handle(new Event.AnswerSpoilt(2));
+        handle(new Event.LineDown(2));
+        receiveChunk(1);
+        assertEquals(List.of("PassOn", "close 2", "PassOn"), effects);
+        assertEquals(List.of("first 0", "1 CANCELLED"), moduleEvents);
     }
 
     @Test
-    void aSpoiltTryBeforeAnyEventLeavesTheOther() {
-        twoOut();
-        happens(new Event.AnswerSpoilt(1));
-        happens(new Event.LineDown(1));
-        piece(2);
-        assertEquals(List.of("close 1", "PassOn"), done);
-        assertEquals(List.of("0 ERROR", "first 1"), told);
+    void malformedResponseBeforeFirstEventLeavesOtherAttempt() {
+        startTwoAttempts();
+        handle(new Event.AnswerSpoilt(1));
+        handle(new Event.LineDown(1));
+        receiveChunk(2);
+        assertEquals(List.of("close 1", "PassOn"), effects);
+        assertEquals(List.of("0 ERROR", "first 1"), moduleEvents);
     }
 
     @Test
-    void aClientThatLeavesEndsBoth() {
-        twoOut();
-        happens(new Event.ClientLeft(1));
-        happens(new Event.LineDown(2));
-        happens(new Event.LineDown(1));
-        assertEquals(List.of("close 1", "close 2"), done);
-        assertEquals(List.of("gone", "1 CANCELLED over", "0 CANCELLED over"), told);
+    void clientDisconnectEndsBothAttempts() {
+        startTwoAttempts();
+        handle(new Event.ClientLeft(1));
+        handle(new Event.LineDown(2));
+        handle(new Event.LineDown(1));
+        assertEquals(List.of("close 1", "close 2"), effects);
+        assertEquals(List.of("gone", "1 CANCELLED over", "0 CANCELLED over"), moduleEvents);
         assertEquals(0, counters.get("faults"));
     }
 
-    /** What was sent before a drain may end; a copy that has not gone out yet must not. */
+    /** An attempt sent before a drain may finish; a hedge that has not been sent yet must not go out. */
     @Test
-    void aDrainStopsACopyThatIsStillBeingConnected() {
+    void drainStopsHedgeWhoseConnectionIsBeingOpened() {
         start(true, true);
-        up(1);
-        asks(2);
-        happens(new Event.ListCame(new EndpointList(2, false, List.of(box(2, Lifecycle.DRAINING)))));
-        up(2);
-        happens(new Event.LineDown(2));
-        asks(2);
-        assertEquals(List.of("open 1", "send 1", "open 2", "close 2"), done);
-        assertEquals(List.of("1 NOT_SENT", "2 NOT_SENT"), told);
+        connect(1);
+        requestAction(2);
+        handle(new Event.ListCame(new EndpointList(2, false, List.of(server(2, Lifecycle.DRAINING)))));
+        connect(2);
+        handle(new Event.LineDown(2));
+        requestAction(2);
+        assertEquals(List.of("open 1", "send 1", "open 2", "close 2"), effects);
+        assertEquals(List.of("1 NOT_SENT", "2 NOT_SENT"), moduleEvents);
     }
 
     @Test
-    void theWinnersBoxMayDrainAndItsStreamGoesOn() {
-        twoOut();
-        piece(1);
-        happens(new Event.ListCame(new EndpointList(2, false, List.of(box(1, Lifecycle.DRAINING)))));
-        piece(1);
-        happens(new Event.Answered(1, Outcome.OK, true, 0, null));
-        assertEquals(List.of("PassOn", "close 2", "PassOn", "close 1", "EndAnswer"), done);
+    void winnersStreamContinuesWhileItsServerDrains() {
+        startTwoAttempts();
+        receiveChunk(1);
+        handle(new Event.ListCame(new EndpointList(2, false, List.of(server(1, Lifecycle.DRAINING)))));
+        receiveChunk(1);
+        handle(new Event.Answered(1, Outcome.OK, true, 0, null));
+        assertEquals(List.of("PassOn", "close 2", "PassOn", "close 1", "EndAnswer"), effects);
     }
 
-    /** The second waits for the line of the first to be closed, or does not go out at all. */
+    /** A second attempt waits until the first one's connection is closed, or is not sent at all. */
     @Test
-    void noCopyWhereTheSettingsOrTheClassForbidIt() {
+    void noHedgingWhereSettingsOrClassForbidIt() {
         for (boolean[] allowed : new boolean[][] {{false, true}, {true, false}}) {
-            done.clear();
-            told.clear();
+            effects.clear();
+            moduleEvents.clear();
             start(allowed[0], allowed[1]);
-            up(1);
-            asks(2);
-            assertEquals(List.of("1 NOT_SENT"), told);
-            asks(9);
-            asks(3);
-            assertEquals(List.of("open 1", "send 1", "close 1"), done);
-            happens(new Event.LineDown(1));
-            assertEquals(List.of("open 1", "send 1", "close 1", "open 2"), done);
-            assertEquals(List.of("1 NOT_SENT", "0 CANCELLED"), told);
+            connect(1);
+            requestAction(2);
+            assertEquals(List.of("1 NOT_SENT"), moduleEvents);
+            requestAction(9);
+            requestAction(3);
+            assertEquals(List.of("open 1", "send 1", "close 1"), effects);
+            handle(new Event.LineDown(1));
+            assertEquals(List.of("open 1", "send 1", "close 1", "open 2"), effects);
+            assertEquals(List.of("1 NOT_SENT", "0 CANCELLED"), moduleEvents);
         }
     }
 
     @Test
-    void noMoreTriesThanAllowed() {
-        twoOut();
-        asks(3);
-        asks(2);
-        asks(3);
-        assertEquals(List.of("4 NOT_SENT"), told);
+    void attemptLimitIsKept() {
+        startTwoAttempts();
+        requestAction(3);
+        requestAction(2);
+        requestAction(3);
+        assertEquals(List.of("4 NOT_SENT"), moduleEvents);
     }
 
     @Test
-    void bothOutAreToldToTheNextProcess() {
-        twoOut();
-        assertEquals(List.of(1L, 2L), desk.holdings().out().stream().map(s -> s.box()).toList());
-        assertEquals(2, desk.holdings().out().stream().map(s -> s.token()).distinct().count());
-        assertEquals(List.of("r1"), desk.holdings().ids());
-        piece(1);
-        happens(new Event.LineDown(2));
-        assertEquals(List.of(1L), desk.holdings().out().stream().map(s -> s.box()).toList());
+    void bothAttemptsAreReportedToNextProcess() {
+        startTwoAttempts();
+        assertEquals(List.of(1L, 2L), reducer.holdings().out().stream().map(s -> s.box()).toList());
+        assertEquals(2, reducer.holdings().out().stream().map(s -> s.token()).distinct().count());
+        assertEquals(List.of("r1"), reducer.holdings().ids());
+        receiveChunk(1);
+        handle(new Event.LineDown(2));
+        assertEquals(List.of(1L), reducer.holdings().out().stream().map(s -> s.box()).toList());
     }
 
     @Test
-    void nothingIsKeptOnceBothAreClosed() {
+    void noStateIsRetainedOnceBothAreClosed() {
         start(true, true);
-        up(1);
-        asks(2);
-        int before = desk.kept();
-        happens(new Event.ClientLeft(1));
-        happens(new Event.LineDown(1));
-        happens(new Event.LineDown(2));
+        connect(1);
+        requestAction(2);
+        int before = reducer.kept();
+        handle(new Event.ClientLeft(1));
+        handle(new Event.LineDown(1));
+        handle(new Event.LineDown(2));
         now += 60_000_000;
-        happens(new Event.Tick());
-        assertTrue(desk.kept() < before, "kept " + desk.kept());
-        assertEquals(List.of(), desk.holdings().ids());
+        handle(new Event.Tick());
+        assertTrue(reducer.kept() < before, "retained " + reducer.kept());
+        assertEquals(List.of(), reducer.holdings().ids());
     }
 }
--- a/src/test/java/yewdock/DiscoveryTermTest.java
+++ b/src/test/java/yewdock/DiscoveryTermTest.java
@@ -11,21 +11,21 @@
 import umberspread.Routing.Lifecycle;
 import umberspread.Routing.Replica;
 import yewdock.desk.Bounds;
-import yewdock.desk.EndpointList;
 import yewdock.desk.Counters;
 import yewdock.desk.Desk;
 import yewdock.desk.Effect;
+import yewdock.desk.EndpointList;
 import yewdock.desk.Event;
 import yewdock.desk.ModelServer;
 import yewdock.desk.Terms;
 
 /**
- * Whatever is allowed after a call to discovery that failed, was refused or given up: a change counts as told
- * 6 s after discovery had it and could be reached. The desk with the real module, in virtual time.
+ * Whatever happens to discovery calls - failures, refusals, timeouts - a change counts as known 6 s after
+ * discovery had it and could be reached. The reducer with the real module, in virtual time.
  */
 class DiscoveryTermTest {
     private static final long SECOND = 1_000_000;
-    private static final long COUNTS_AS_TOLD = 6 * SECOND;
+    private static final long KNOWN_AFTER = 6 * SECOND;
     private static final long GRACE = SECOND;
     private static final long STEP = 20_000;
     private static final int SEEDS = 12;
@@ -34,7 +34,7 @@
     private static final EndpointList DRAINED = new EndpointList(8, true,
             List.of(server(Lifecycle.DRAINING)));
 
-    /** REFUSED stands for all that ends a call at once: a reset, 503, an answer that can't be read. */
+    /** REFUSED stands for all that ends a call at once: a reset, a 503 or a malformed answer. */
     private enum Failure { REFUSED, SILENT }
 
     private static Routing.Settings settings() {
@@ -50,65 +50,66 @@
         return new ModelServer("s-1", "127.0.0.1:9001", new Replica(1, 0, 0, 1, 1, state, 0));
     }
 
-    /** One router and its discovery. */
+    /** One router and its discovery service. */
     private static final class Rig {
-        private final Desk desk;
-        /** How the next calls fail; after them each is answered. */
+        private final Desk reducer;
+        /** How the next calls fail; calls after them are answered. */
         private final Deque<Failure> failures = new ArrayDeque<>();
-        private Effect.AskList open;
-        private long openedAt;
-        private Failure now;
+        private Effect.AskList openCall;
+        private long calledAt;
+        private Failure currentFailure;
         private boolean drained;
-        private long time = 1000 * SECOND;
+        private long now = 1000 * SECOND;
         private long calls;
 
         Rig(long seed) {
-            desk = new Desk(new Terms(250_000, 30 * SECOND, false, GRACE, 10 * SECOND, true, 4, List.of(true),
-                    List.of("chat"), 0), new Bounds(40, 20, 20, 1 << 20), new Counters(),
+            reducer = new Desk(new Terms(250_000, 30 * SECOND, false, GRACE, 10 * SECOND, true, 4,
+                    List.of(true), List.of("chat"), 0), new Bounds(40, 20, 20, 1 << 20), new Counters(),
                     actions -> new BoundedLoadRouter(settings(), seed, actions));
-            happens(new Event.Started(KNOWN, "127.0.0.1:8500"));
+            handle(new Event.Started(KNOWN, "127.0.0.1:8500"));
         }
 
-        private void happens(Event event) {
+        private void handle(Event event) {
             boolean refused = false;
-            for (Effect effect : desk.reduce(event, time)) {
+            for (Effect effect : reducer.reduce(event, now)) {
                 if (effect instanceof Effect.AskList call) {
                     calls++;
-                    open = call;
-                    openedAt = time;
-                    now = failures.poll();
-                    refused = now == Failure.REFUSED;
+                    openCall = call;
+                    calledAt = now;
+                    currentFailure = failures.poll();
+                    refused = currentFailure == Failure.REFUSED;
                 } else if (effect instanceof Effect.HangUpList) {
-                    open = null;
+                    openCall = null;
                 }
             }
             if (refused) {
-                open = null;
-                happens(new Event.ListFailed());
+                openCall = null;
+                handle(new Event.ListFailed());
             }
         }
 
         private void step() {
-            time += STEP;
-            if (desk.nextDue() <= time) {
-                happens(new Event.Tick());
+            now += STEP;
+            if (reducer.nextDue() <= now) {
+                handle(new Event.Tick());
             }
-            if (open == null || now == Failure.SILENT) {
+            if (openCall == null || currentFailure == Failure.SILENT) {
                 return;
             }
-            boolean news = drained && open.since() < DRAINED.version();
-            if (news || time >= openedAt + open.longest()) {
-                open = null;
-                happens(new Event.ListCame(news ? DRAINED : new EndpointList(drained ? 8 : 7, false,
+            boolean changed = drained && openCall.since() < DRAINED.version();
+            if (changed || now >= calledAt + openCall.longest()) {
+                openCall = null;
+                handle(new Event.ListCame(changed ? DRAINED : new EndpointList(drained ? 8 : 7, false,
                         List.of())));
             }
         }
 
-        /** Lets time pass until the drain is known; fails where it has to be kept before that. */
-        private void learns(long hadAndReached, String what) {
-            long until = hadAndReached + COUNTS_AS_TOLD + GRACE;
-            while (desk.unready().isEmpty()) {
-                assertTrue(time < until, what + ": not told " + (time - hadAndReached) / 1000 + " ms after");
+        /** Lets time pass until the drain is known; fails if that takes longer than the drain may. */
+        private void assertDrainKnownInTime(long reachableSince, String situation) {
+            long deadline = reachableSince + KNOWN_AFTER + GRACE;
+            while (reducer.unready().isEmpty()) {
+                assertTrue(now < deadline, situation + ": drain not known after "
+                        + (now - reachableSince) / 1000 + " ms");
                 step();
             }
         }
@@ -118,117 +119,125 @@
         return (bits >> place & 1) == 0 ? Failure.REFUSED : Failure.SILENT;
     }
 
-    /** An outage of up to seven calls in mixes of two kinds; the drain comes with the last one's start. */
+    /** An outage of up to seven calls with mixed failures; the drain comes when the last of them starts. */
     @Test
-    void afterAnOutageADrainIsToldInTime() {
+    void drainIsKnownInTimeAfterOutage() {
         for (int length = 1; length <= 7; length++) {
             for (int mix : new int[] {0, 1 << length - 1, 0b1010101, 0b0101010, (1 << length) - 1}) {
                 for (int seed = 0; seed < MANY_SEEDS; seed++) {
-                    Rig each = new Rig(seed);
+                    Rig rig = new Rig(seed);
                     for (int i = 0; i < length; i++) {
-                        each.failures.add(kind(mix, i));
+                        rig.failures.add(kind(mix, i));
                     }
-                    while (!each.failures.isEmpty()) {
-                        each.step();
+                    while (!rig.failures.isEmpty()) {
+                        rig.step();
                     }
-                    each.drained = true;
-                    each.learns(Math.min(each.time, each.openedAt), length + " failures, mix " + mix
-                            + ", seed " + seed);
+                    rig.drained = true;
+                    rig.assertDrainKnownInTime(Math.min(rig.now, rig.calledAt), length + " failures, mix "
+                            + mix + ", seed " + seed);
                 }
             }
         }
     }
 
-    /** A watch breaks at any moment, the next call fails too, and the drain came with the first of them. */
+    /** A long poll fails at any moment, the drain comes at that moment, and the next call fails too. */
     @Test
-    void twoFailuresInARowKeepADrain() {
+    void drainIsKeptAfterTwoFailures() {
         for (int mix = 0; mix < 4; mix++) {
-            for (long at = 0; at < 5 * SECOND; at += 10 * STEP) {
-                Rig each = new Rig(mix + at / STEP);
-                while (each.open == null || each.open.longest() == 0 || each.time < each.openedAt + at) {
-                    each.step();
+            for (long brokenAfter = 0; brokenAfter < 5 * SECOND; brokenAfter += 10 * STEP) {
+                Rig rig = new Rig(mix + brokenAfter / STEP);
+                while (rig.openCall == null || rig.openCall.longest() == 0 || rig.now < rig.calledAt
+                        + brokenAfter) {
+                    rig.step();
                 }
-                each.failures.add(kind(mix, 1));
-                each.drained = true;
-                long had = each.time;
+                rig.failures.add(kind(mix, 1));
+                rig.drained = true;
+                long drainedAt = rig.now;
                 if (kind(mix, 0) == Failure.SILENT) {
-                    each.now = Failure.SILENT;
+                    rig.currentFailure = Failure.SILENT;
                 } else {
-                    each.open = null;
-                    each.happens(new Event.ListFailed());
+                    rig.openCall = null;
+                    rig.handle(new Event.ListFailed());
                 }
-                each.learns(had, "watch broken after " + at + ", mix " + mix);
+                rig.assertDrainKnownInTime(drainedAt, "watch broken after " + brokenAfter + ", mix " + mix);
             }
         }
     }
 
     /**
-     * The watch breaks as the drain comes, and up to four calls after it fail, though the service could be
-     * reached all the while: what counts as told 6 s after the drain is known a grace later. Of calls that
-     * nobody answers a third would take all of that time by itself.
+     * The long poll breaks when the drain comes, and up to four calls after it fail although the service can
+     * be reached: the drain is known a grace after the 6 s from its start. Only two of the calls may be
+     * unanswered; the timeout of a third would take up all of that time.
      */
     @Test
-    void fourFailuresOfAnyKindInARowKeepADrainFromTheFirstOn() {
+    void drainIsKeptDuringFourFailures() {
         for (int length = 1; length <= 4; length++) {
             for (int mix = 0; mix < 1 << length; mix++) {
                 for (int seed = 0; seed < MANY_SEEDS && Integer.bitCount(mix) <= 2; seed++) {
-                    Rig each = new Rig(seed);
-                    while (each.open == null || each.open.longest() == 0) {
-                        each.step();
+                    Rig rig = new Rig(seed);
+                    while (rig.openCall == null || rig.openCall.longest() == 0) {
+                        rig.step();
                     }
                     for (int i = 0; i < length; i++) {
-                        each.failures.add(kind(mix, i));
+                        rig.failures.add(kind(mix, i));
                     }
-                    each.drained = true;
-                    long had = each.time;
-                    each.open = null;
-                    each.happens(new Event.ListFailed());
-                    each.learns(had, length + " failures, mix " + mix + ", seed " + seed);
+                    rig.drained = true;
+                    long drainedAt = rig.now;
+                    rig.openCall = null;
+                    rig.handle(new Event.ListFailed());
+                    rig.assertDrainKnownInTime(drainedAt, length + " failures, mix " + mix + ", seed "
+                            + seed);
                 }
             }
         }
     }
 
-    /** A new address fails the first calls; what the list there says counts from when it could be reached. */
+    /** The first calls to a new address fail; its list counts from when the address could be reached. */
     @Test
-    void aListThatMovedAndFailsIsStillToldInTime() {
+    void listAtNewAddressIsKnownInTimeDespiteFailures() {
         for (int mix = 0; mix < 4; mix++) {
             for (int seed = 0; seed < SEEDS; seed++) {
-                Rig each = new Rig(seed);
+                Rig rig = new Rig(seed);
                 for (int i = 0; i < 100; i++) {
-                    each.step();
+                    rig.step();
                 }
-                each.failures.add(kind(mix, 0));
-                each.failures.add(kind(mix, 1));
-                each.drained = true;
-                each.happens(new Event.ListMoved("127.0.0.1:8501"));
-                each.learns(each.openedAt, "moved, mix " + mix + ", seed " + seed);
+                rig.failures.add(kind(mix, 0));
+                rig.failures.add(kind(mix, 1));
+                rig.drained = true;
+                rig.handle(new Event.ListMoved("127.0.0.1:8501"));
+                rig.assertDrainKnownInTime(rig.calledAt, "moved, mix " + mix + ", seed " + seed);
             }
         }
     }
 
-    /** The first calls of a new process fail: it acts on the list it was given, and hears of the drain. */
+    /**
+     * The first calls of a new process fail: it uses the list that it was started with and learns of the
+     * drain.
+     */
     @Test
-    void aNewProcessHearsOfADrainInTime() {
+    void newProcessLearnsOfDrainInTime() {
         for (int mix = 0; mix < 4; mix++) {
             for (int seed = 0; seed < SEEDS; seed++) {
-                Rig each = new Rig(seed);
-                each.failures.add(kind(mix, 0));
-                each.failures.add(kind(mix, 1));
-                each.drained = true;
-                each.learns(each.time, "started, mix " + mix + ", seed " + seed);
+                Rig rig = new Rig(seed);
+                rig.failures.add(kind(mix, 0));
+                rig.failures.add(kind(mix, 1));
+                rig.drained = true;
+                rig.assertDrainKnownInTime(rig.now, "started, mix " + mix + ", seed " + seed);
             }
         }
     }
 
-    /** Calls are priced over the fleet: a minute without news costs no more than twelve and the first. */
+    /**
+     * The whole fleet pays for discovery calls: a minute without changes costs at most twelve and the first
+     * ones.
+     */
     @Test
-    void inCalmTimesNoMoreCallsAreMade() {
-        Rig each = new Rig(3);
-        long from = each.time;
-        while (each.time < from + 60 * SECOND) {
-            each.step();
+    void callRateIsBoundedWithoutChanges() {
+        Rig rig = new Rig(3);
+        long startedAt = rig.now;
+        while (rig.now < startedAt + 60 * SECOND) {
+            rig.step();
         }
-        assertTrue(each.calls <= 14, "calls in a quiet minute: " + each.calls);
+        assertTrue(rig.calls <= 14, "calls in a minute without changes: " + rig.calls);
     }
 }
--- a/src/test/java/yewdock/Exchange.java
+++ b/src/test/java/yewdock/Exchange.java
@@ -29,37 +29,38 @@
 import yewdock.platform.Wires;
 
 /**
- * Plays a recorded exchange against the front and the desk, on a clock of its own, and records what comes of
- * it. A line is "&gt; ms who what" for what happens to the router and "&lt; ms who what" for what it does;
- * "|" stands for CR LF and "\n" for LF, "$name" for what a line "= name text" says.
+ * Replays a recorded exchange against the connection manager and the reducer, on a clock of its own, and
+ * records the result. A line "&gt; ms who what" is an input to the router and a line "&lt; ms who what" an
+ * output; "|" stands for CR LF, "\n" for LF, and "$name" for the text that a line "= name text" defines.
  */
 final class Exchange implements Wires {
     static final Path FOLDER = Path.of("src/test/resources/exchanges");
-    private static final long START = 1_000_000_000_000L;
+    private static final long START_MICROS = 1_000_000_000_000L;
 
-    private final List<String> seen = new ArrayList<>();
+    private final List<String> transcript = new ArrayList<>();
     private final Map<String, FakeWire> wires = new LinkedHashMap<>();
-    private final Map<String, StringBuilder> sent = new TreeMap<>();
-    private final Set<String> stuck = new HashSet<>();
-    private final List<Runnable> leaving = new ArrayList<>();
+    private final Map<String, StringBuilder> sentBytes = new TreeMap<>();
+    private final Set<String> stuckConnections = new HashSet<>();
+    private final List<Runnable> pendingWrites = new ArrayList<>();
     private final Counters counters = new Counters();
-    private final Desk desk;
-    private final Front front;
-    private final Door door;
-    private long micros;
-    private int lines;
-    private int lists;
+    private final Desk reducer;
+    private final Front connectionManager;
+    private final Door adminInterface;
+    private long nowMicros;
+    private int serverConnections;
+    private int discoveryConnections;
 
     private Exchange() throws IOException {
         Config config = Config.read(Files.readString(FOLDER.resolve("config.json")), this::log);
-        desk = new Desk(Terms.of(config.settings(), config.keepalive()), config.bounds(), counters,
+        reducer = new Desk(Terms.of(config.settings(), config.keepalive()), config.bounds(), counters,
                 InOrderModule::new);
-        front = new Front(config, desk, counters, this, () -> START + micros, this::log);
-        door = new Door(front);
-        front.start();
+        connectionManager = new Front(config, reducer, counters, this, () -> START_MICROS + nowMicros,
+                this::log);
+        adminInterface = new Door(connectionManager);
+        connectionManager.start();
     }
 
-    /** The file's lines with all names replaced. */
+    /** Returns the file's lines with all names replaced. */
     static List<String> lines(String name) throws IOException {
         Map<String, String> names = new TreeMap<>((a, b) -> b.compareTo(a));
         List<String> lines = new ArrayList<>();
@@ -67,16 +68,16 @@
             for (String line : Files.readAllLines(file)) {
                 if (line.startsWith("= ")) {
                     String[] parts = line.split(" ", 3);
-                    names.put(parts[1], replaced(parts[2], names));
+                    names.put(parts[1], withNames(parts[2], names));
                 } else if (!line.isBlank() && !line.startsWith("#")) {
-                    lines.add(replaced(line, names));
+                    lines.add(withNames(line, names));
                 }
             }
         }
         return lines;
     }
 
-    private static String replaced(String line, Map<String, String> names) {
+    private static String withNames(String line, Map<String, String> names) {
         String text = line;
         for (Map.Entry<String, String> e : names.entrySet()) {
             text = text.replace("$" + e.getKey(), e.getValue());
@@ -84,7 +85,7 @@
         return text;
     }
 
-    /** Plays the inputs among the lines, what is sent cut in two at this offset; returns what was seen. */
+    /** Replays the input lines, with everything that is sent split in two at the given offset. */
     static Exchange play(List<String> lines, int cut) throws IOException {
         Exchange exchange = new Exchange();
         for (String line : lines) {
@@ -95,20 +96,20 @@
         return exchange;
     }
 
-    /** What was seen, line by line. */
+    /** Returns the inputs and outputs, line by line. */
     List<String> seen() {
-        return seen;
+        return transcript;
     }
 
-    /** Per connection, what the router sent: the messages to clients without their framing. */
+    /** Returns what the router sent on each connection, without the framing of messages to clients. */
     Map<String, String> told() {
         Map<String, String> told = new TreeMap<>();
-        sent.forEach((who, text) -> told.put(who,
-                who.startsWith("c") ? unframed(text.toString()) : text.toString()));
+        sentBytes.forEach((who, text) -> told.put(who,
+                who.startsWith("c") ? withoutFraming(text.toString()) : text.toString()));
         return told;
     }
 
-    private static String unframed(String text) {
+    private static String withoutFraming(String text) {
         StringBuilder all = new StringBuilder();
         MessageReader reader = new MessageReader(MessageReader.Kind.ANSWER, new MessageReader.Sink() {
             @Override
@@ -140,8 +141,8 @@
         return all.toString();
     }
 
-    /** The configuration with "this=that" replaced in its text. */
-    private Config reconfigured(String change) throws IOException {
+    /** Returns the configuration with "this=that" replaced in its text. */
+    private Config configWith(String change) throws IOException {
         String[] parts = change.split("=");
         return Config.read(Files.readString(FOLDER.resolve("config.json")).replace(parts[0], parts[1]),
                 this::log);
@@ -150,32 +151,33 @@
     private void input(String line, int cut) throws IOException {
         String[] parts = line.split(" ", 5);
         long time = Long.parseLong(parts[1]) * 1000;
-        while (desk.nextDue() <= START + time) {
-            micros = Math.max(micros, desk.nextDue() - START);
-            front.happened(new Event.Tick());
-            left();
+        while (reducer.nextDue() <= START_MICROS + time) {
+            nowMicros = Math.max(nowMicros, reducer.nextDue() - START_MICROS);
+            connectionManager.happened(new Event.Tick());
+            flushWrites();
         }
-        micros = time;
-        seen.add(line);
+        nowMicros = time;
+        transcript.add(line);
         String who = parts[2];
         FakeWire wire = wires.get(who);
         switch (parts[3]) {
             case "opens" -> {
                 FakeWire opened = new FakeWire(who);
-                opened.side = who.startsWith("o") ? door.accept(opened) : front.accept(opened);
+                opened.side = who.startsWith("o") ? adminInterface.accept(opened)
+                        : connectionManager.accept(opened);
                 opened.side.up();
             }
             case "up" -> wire.side.up();
             case "breaks" -> wire.broken = true;
             case "idle" -> wire.side.idle();
             case "down" -> wire.side.down();
-            case "stuck" -> stuck.add(who);
+            case "stuck" -> stuckConnections.add(who);
             case "unstuck" -> {
-                stuck.remove(who);
+                stuckConnections.remove(who);
                 wire.writeOut();
             }
-            case "reconfigures" -> front.reconfigure(reconfigured(parts[4]));
-            case "leaves" -> front.happened(new Event.Leave());
+            case "reconfigures" -> connectionManager.reconfigure(configWith(parts[4]));
+            case "leaves" -> connectionManager.happened(new Event.Leave());
             case "passes" -> { }
             case "sends" -> {
                 byte[] bytes = bytes(parts[4]);
@@ -184,19 +186,19 @@
                         Arrays.copyOfRange(bytes, at, bytes.length))) {
                     if (part.length > 0) {
                         wire.side.received(ByteBuffer.wrap(part));
-                        left();
+                        flushWrites();
                     }
                 }
             }
             default -> throw new IllegalArgumentException(line);
         }
-        left();
+        flushWrites();
     }
 
-    /** What was written has left, wherever a connection is not stuck. */
-    private void left() {
-        while (!leaving.isEmpty()) {
-            leaving.remove(0).run();
+    /** Reports everything written as sent, except on stuck connections. */
+    private void flushWrites() {
+        while (!pendingWrites.isEmpty()) {
+            pendingWrites.remove(0).run();
         }
     }
 
@@ -205,19 +207,19 @@
         return filled.replace("|", "\r\n").replace("\\n", "\n").getBytes(StandardCharsets.UTF_8);
     }
 
-    private void saw(String who, String what) {
-        seen.add("< " + micros / 1000 + " " + who + " " + what);
+    private void addOutput(String name, String text) {
+        transcript.add("< " + nowMicros / 1000 + " " + name + " " + text);
     }
 
     private void log(String line) {
-        saw("log", line);
+        addOutput("log", line);
     }
 
     @Override
     public <S extends Side> S connect(String address, Function<Wire, S> makeSide) {
         boolean toList = address.endsWith(":8500") || address.endsWith(":8501");
-        FakeWire wire = new FakeWire(toList ? "list" + ++lists : "line" + ++lines);
-        saw(wire.name, "connects " + address);
+        FakeWire wire = new FakeWire(toList ? "list" + ++discoveryConnections : "line" + ++serverConnections);
+        addOutput(wire.name, "connects " + address);
         S side = makeSide.apply(wire);
         wire.side = side;
         return side;
@@ -225,7 +227,7 @@
 
     @Override
     public void stop() {
-        saw("router", "stops");
+        addOutput("router", "stops");
     }
 
     private final class FakeWire implements Wire {
@@ -245,27 +247,27 @@
                 throw new IllegalStateException("broken");
             }
             String text = StandardCharsets.UTF_8.decode(bytes.duplicate()).toString();
-            sent.computeIfAbsent(name, n -> new StringBuilder()).append(text);
-            saw(name, "sent " + text.replace("x".repeat(70_000), "(70000)").replace("\r\n", "|")
+            sentBytes.computeIfAbsent(name, n -> new StringBuilder()).append(text);
+            addOutput(name, "sent " + text.replace("x".repeat(70_000), "(70000)").replace("\r\n", "|")
                     .replace("\n", "\\n"));
             unwritten.add(bytes.remaining());
-            leaving.add(this::writeOut);
+            pendingWrites.add(this::writeOut);
         }
 
         private void writeOut() {
-            while (!stuck.contains(name) && !unwritten.isEmpty()) {
+            while (!stuckConnections.contains(name) && !unwritten.isEmpty()) {
                 side.written(unwritten.remove(0));
             }
         }
 
         @Override
         public void close() {
-            saw(name, "closed");
+            addOutput(name, "closed");
         }
 
         @Override
         public void closeAfterWriting() {
-            saw(name, "ends");
+            addOutput(name, "ends");
         }
 
         @Override
@@ -281,12 +283,12 @@
 
         @Override
         public void linger() {
-            saw(name, "ends gently");
+            addOutput(name, "ends gently");
         }
 
         @Override
         public void hold(boolean held) {
-            saw(name, held ? "held" : "read on");
+            addOutput(name, held ? "held" : "read on");
         }
     }
 }
--- a/src/test/java/yewdock/OlderListsTest.java
+++ b/src/test/java/yewdock/OlderListsTest.java
@@ -12,15 +12,18 @@
 import umberspread.Routing.ListKind;
 import umberspread.Routing.Replica;
 import yewdock.desk.Bounds;
-import yewdock.desk.EndpointList;
 import yewdock.desk.Counters;
 import yewdock.desk.Desk;
 import yewdock.desk.Effect;
+import yewdock.desk.EndpointList;
 import yewdock.desk.Event;
 import yewdock.desk.ModelServer;
 import yewdock.desk.Terms;
 
-/** Answers with lower versions than the list that is held: a replica that lags, or a service begun anew. */
+/**
+ * Answers with lower versions than the held list, from a discovery replica that lags behind or a service that
+ * was restarted.
+ */
 class OlderListsTest {
     private static final long SECOND = 1_000_000;
     private static final long STEP = 10_000;
@@ -28,12 +31,12 @@
     private static final ModelServer SECOND_SERVER = server(2, Lifecycle.READY);
 
     private final List<String> states = new ArrayList<>(List.of("", "", ""));
-    private Desk desk;
-    private Effect.AskList open;
+    private Desk reducer;
+    private Effect.AskList openCall;
     private long now = 1000 * SECOND;
     private int calls;
 
-    /** Asks for the list from the first moment on and notes each server's state. */
+    /** Follows the list from the start and records each server's state. */
     private final class Module extends QuietModule {
         private final Routing.Actions actions;
 
@@ -59,72 +62,72 @@
         return new ModelServer("s-" + id, "127.0.0.1:900" + id, new Replica(id, 0, 0, 1, 1, state, 0));
     }
 
-    private void start(boolean pushed, long version, ModelServer... known) {
-        start(pushed, 10 * SECOND, version, known);
+    private void start(boolean byAgent, long version, ModelServer... servers) {
+        start(byAgent, 10 * SECOND, version, servers);
     }
 
-    private void start(boolean pushed, long askWithin, long version, ModelServer... known) {
-        desk = new Desk(new Terms(250_000, 30 * SECOND, pushed, SECOND / 2, askWithin, true, 4,
+    private void start(boolean byAgent, long maxPollInterval, long version, ModelServer... servers) {
+        reducer = new Desk(new Terms(250_000, 30 * SECOND, byAgent, SECOND / 2, maxPollInterval, true, 4,
                 List.of(true), List.of("chat"), 0), new Bounds(40, 20, 20, 1 << 20), new Counters(),
                 Module::new);
-        happens(new Event.Started(new EndpointList(version, true, List.of(known)), "127.0.0.1:8500"));
+        handle(new Event.Started(new EndpointList(version, true, List.of(servers)), "127.0.0.1:8500"));
         answer(new EndpointList(version, false, List.of()));
     }
 
-    private void happens(Event event) {
-        for (Effect effect : desk.reduce(event, now)) {
+    private void handle(Event event) {
+        for (Effect effect : reducer.reduce(event, now)) {
             if (effect instanceof Effect.AskList call) {
-                open = call;
+                openCall = call;
                 calls++;
             } else if (effect instanceof Effect.HangUpList) {
-                open = null;
+                openCall = null;
             }
         }
     }
 
     private void answer(EndpointList list) {
-        open = null;
-        happens(new Event.ListCame(list));
+        openCall = null;
+        handle(new Event.ListCame(list));
     }
 
-    /** Lets time pass; each call made meanwhile gets this answer at once. */
-    private void pass(long micros, EndpointList each) {
+    /** Lets time pass; each call for the whole list in that time is answered with the given list at once. */
+    private void pass(long micros, EndpointList answer) {
         for (long until = now + micros; now < until;) {
             now += STEP;
-            if (desk.nextDue() <= now) {
-                happens(new Event.Tick());
+            if (reducer.nextDue() <= now) {
+                handle(new Event.Tick());
             }
-            if (open != null && open.since() < 0) {
-                answer(each);
+            if (openCall != null && openCall.since() < 0) {
+                answer(answer);
             }
         }
     }
 
-    /** The service has none of the versions up to 40 any more: a change since 40 would never come. */
+    /** The service has none of the versions up to 40 any more, so changes since 40 would never come. */
     @Test
-    void afterALowerVersionTheWholeListIsAskedForAtOnceAndADrainInItKept() {
-        for (boolean pushed : new boolean[] {false, true}) {
-            start(pushed, 40, FIRST, SECOND_SERVER);
+    void lowerVersionMakesRouterAskForWholeListAndKeepItsDrains() {
+        for (boolean byAgent : new boolean[] {false, true}) {
+            start(byAgent, 40, FIRST, SECOND_SERVER);
             answer(new EndpointList(3, false, List.of()));
-            assertEquals(-1, open.since());
+            assertEquals(-1, openCall.since());
             answer(new EndpointList(3, true, List.of(server(1, Lifecycle.DRAINING), SECOND_SERVER)));
             assertEquals(List.of("DRAINING", "READY"), states.subList(1, 3));
         }
     }
 
     @Test
-    void aServerThatAnOlderWholeListDoesNotNameGetsNothingNew() {
+    void serverMissingFromOlderWholeListGetsNoNewRequests() {
         start(false, 40, FIRST, SECOND_SERVER);
         answer(new EndpointList(3, true, List.of(SECOND_SERVER)));
         assertEquals(List.of("DRAINING", "READY"), states.subList(1, 3));
     }
 
     @Test
-    void aReplicaThatLagsPutsNothingBack() {
+    void laggingReplicaRestoresNothing() {
         for (boolean full : new boolean[] {false, true}) {
             start(false, 40, FIRST, SECOND_SERVER);
             answer(new EndpointList(41, false, List.of(server(1, Lifecycle.DRAINING))));
-            happens(new Event.ListFailed());
+            handle(new Event.ListFailed());
             answer(new EndpointList(39, full, List.of(FIRST, SECOND_SERVER)));
             assertEquals(List.of("DRAINING", "READY"), states.subList(1, 3));
             pass(SECOND / 2, new EndpointList(39, true, List.of(FIRST, SECOND_SERVER)));
@@ -132,45 +135,45 @@
             pass(3 * SECOND, new EndpointList(41, true, List.of(server(1, Lifecycle.DRAINING),
                     SECOND_SERVER)));
             assertEquals(List.of("DRAINING", "READY"), states.subList(1, 3));
-            assertTrue(open.since() == 41, "the watch goes on from " + open.since());
+            assertTrue(openCall.since() == 41, "the watch goes on from " + openCall.since());
         }
     }
 
     @Test
-    void aServiceThatCountsAnewIsBelievedSoonAndFollowed() {
-        for (boolean pushed : new boolean[] {false, true}) {
-            start(pushed, 40, FIRST);
-            int before = calls;
+    void restartedServiceIsBelievedSoonAndFollowed() {
+        for (boolean byAgent : new boolean[] {false, true}) {
+            start(byAgent, 40, FIRST);
+            int callsBefore = calls;
             answer(new EndpointList(3, false, List.of()));
             pass(3 * SECOND / 2, new EndpointList(4, true, List.of(FIRST, SECOND_SERVER)));
             assertEquals(List.of("READY", "READY"), states.subList(1, 3));
-            assertEquals(4, open.since());
-            assertTrue(calls - before < 15, "calls: " + (calls - before));
+            assertEquals(4, openCall.since());
+            assertTrue(calls - callsBefore < 15, "calls: " + (calls - callsBefore));
             answer(new EndpointList(5, false, List.of(server(2, Lifecycle.DRAINING))));
             assertEquals(List.of("READY", "DRAINING"), states.subList(1, 3));
         }
     }
 
-    /** Without a watch, what changes counts as told after the settings' time: the rest must be shorter. */
+    /** Without a watch, changes count as known after the time in the settings: the delay must be shorter. */
     @Test
-    void theRestAfterChangesInARowLeavesTimeToAsk() {
+    void delayAfterSeriesOfChangesLeavesTimeToCall() {
         start(false, SECOND / 2, 40, FIRST);
         answer(new EndpointList(41, false, List.of(SECOND_SERVER)));
         answer(new EndpointList(42, false, List.of(SECOND_SERVER)));
-        long rested = now;
-        while (open == null) {
+        long delayedFrom = now;
+        while (openCall == null) {
             pass(STEP, null);
         }
-        assertTrue(now - rested <= SECOND / 4 + STEP, "rested for " + (now - rested));
+        assertTrue(now - delayedFrom <= SECOND / 4 + STEP, "delayed for " + (now - delayedFrom));
     }
 
-    /** Versions of one address mean nothing at another. */
+    /** Versions from one address mean nothing at another. */
     @Test
-    void aLowerVersionAtAnotherAddressIsBelievedAtOnce() {
+    void lowerVersionAtAnotherAddressIsBelievedAtOnce() {
         start(false, 40, FIRST);
-        happens(new Event.ListMoved("127.0.0.1:8501"));
+        handle(new Event.ListMoved("127.0.0.1:8501"));
         answer(new EndpointList(2, true, List.of(SECOND_SERVER)));
         assertEquals(List.of("GONE", "READY"), states.subList(1, 3));
-        assertFalse(open.since() < 0);
+        assertFalse(openCall.since() < 0);
     }
 }
--- a/src/test/java/yewdock/PushedListTest.java
+++ b/src/test/java/yewdock/PushedListTest.java
@@ -12,28 +12,28 @@
 import umberspread.Routing.ListKind;
 import umberspread.Routing.Replica;
 import yewdock.desk.Bounds;
-import yewdock.desk.EndpointList;
 import yewdock.desk.Counters;
 import yewdock.desk.Desk;
 import yewdock.desk.Effect;
+import yewdock.desk.EndpointList;
 import yewdock.desk.Event;
-import yewdock.desk.ModelServer;
 import yewdock.desk.ModelRequest;
+import yewdock.desk.ModelServer;
 import yewdock.desk.Terms;
 
-/** A list that is pushed to an agent: what the agent has counts as told, whatever becomes of the calls. */
+/** Discovery through a local agent: what the agent holds counts as known, whatever happens to the calls. */
 class PushedListTest {
     private static final long GRACE = 500_000;
-    private static final Terms PUSHED = new Terms(250_000, 30_000_000, true, GRACE, 10_000_000, true, 4,
+    private static final Terms SETTINGS = new Terms(250_000, 30_000_000, true, GRACE, 10_000_000, true, 4,
             List.of(true), List.of("chat"), 0);
     private final Counters counters = new Counters();
     private final Agent agent = new Agent();
-    private final List<String> told = new ArrayList<>();
-    private final Desk desk = new Desk(PUSHED, new Bounds(40, 20, 20, 1 << 20), counters, Module::new);
+    private final List<String> reports = new ArrayList<>();
+    private final Desk reducer = new Desk(SETTINGS, new Bounds(40, 20, 20, 1 << 20), counters, Module::new);
     private long now;
     private Routing.Actions module;
 
-    /** Sends each request to box 1 and notes what it is told of the list. */
+    /** Sends each request to server 1 and records what it is told of the list. */
     private final class Module extends QuietModule {
         Module(Routing.Actions actions) {
             module = actions;
@@ -41,7 +41,7 @@
 
         @Override
         public void listReceived(long time, ListKind kind, List<Replica> entries) {
-            told.add(kind + " " + entries.stream().map(r -> r.id() + ":" + r.lifecycle()).toList());
+            reports.add(kind + " " + entries.stream().map(r -> r.id() + ":" + r.lifecycle()).toList());
         }
 
         @Override
@@ -52,246 +52,252 @@
         @Override
         public void attemptEnded(long time, long requestId, int attempt, Routing.Outcome outcome, long took,
                 boolean over, long kept, Routing.LoadReport report) {
-            told.add(outcome.name());
+            reports.add(outcome.name());
         }
     }
 
-    /** Answers calls on the desk's clock, except while it is silent. */
+    /** Answers calls on the reducer's clock, except while it is silent. */
     private final class Agent {
-        private EndpointList list = new EndpointList(7, true, List.of(box(1, Lifecycle.READY)));
+        private EndpointList list = new EndpointList(7, true, List.of(server(1, Lifecycle.READY)));
         private boolean silent;
         private boolean refusing;
-        private boolean hasty;
-        private Effect.AskList open;
-        private long openUntil;
-        private final List<Long> calls = new ArrayList<>();
-        private final List<Long> since = new ArrayList<>();
+        private boolean answersAtOnce;
+        private Effect.AskList openCall;
+        private long pollEndsAt;
+        private final List<Long> callTimes = new ArrayList<>();
+        private final List<Long> sinceVersions = new ArrayList<>();
 
-        void called(Effect.AskList call) {
-            calls.add(now);
-            since.add(call.since());
-            open = call;
-            openUntil = hasty ? now : now + call.longest();
+        void call(Effect.AskList call) {
+            callTimes.add(now);
+            sinceVersions.add(call.since());
+            openCall = call;
+            pollEndsAt = answersAtOnce ? now : now + call.longest();
         }
 
-        void look() {
-            if (open == null || silent) {
+        void answerIfDue() {
+            if (openCall == null || silent) {
                 return;
             }
             if (refusing) {
-                open = null;
-                happens(new Event.ListFailed());
-            } else if (open.since() != list.version() || now >= openUntil) {
-                boolean whole = open.since() != list.version();
-                open = null;
-                happens(new Event.ListCame(whole ? list : new EndpointList(list.version(), false,
+                openCall = null;
+                handle(new Event.ListFailed());
+            } else if (openCall.since() != list.version() || now >= pollEndsAt) {
+                boolean changed = openCall.since() != list.version();
+                openCall = null;
+                handle(new Event.ListCame(changed ? list : new EndpointList(list.version(), false,
                         List.of())));
             }
         }
     }
 
-    private static ModelServer box(long id, Lifecycle state) {
+    private static ModelServer server(long id, Lifecycle state) {
         return new ModelServer("s-" + id, "127.0.0.1:9001", new Replica(id, 0, 0, 1, 1, state, 0));
     }
 
-    private List<Effect> happens(Event event) {
-        List<Effect> effects = desk.reduce(event, now);
+    private List<Effect> handle(Event event) {
+        List<Effect> effects = reducer.reduce(event, now);
         for (Effect effect : effects) {
             if (effect instanceof Effect.AskList call) {
-                agent.called(call);
+                agent.call(call);
             } else if (effect instanceof Effect.HangUpList) {
-                agent.open = null;
+                agent.openCall = null;
             } else if (effect instanceof Effect.CloseLine e) {
-                happens(new Event.LineDown(e.line()));
+                handle(new Event.LineDown(e.line()));
             }
         }
         return effects;
     }
 
     private void start() {
-        happens(new Event.Started(agent.list, "127.0.0.1:8500"));
+        handle(new Event.Started(agent.list, "127.0.0.1:8500"));
     }
 
     private void pass(long micros) {
         for (long until = now + micros; now < until;) {
             now += 5_000;
-            if (desk.nextDue() <= now) {
-                happens(new Event.Tick());
+            if (reducer.nextDue() <= now) {
+                handle(new Event.Tick());
             }
-            agent.look();
+            agent.answerIfDue();
         }
     }
 
-    private void drainBoxOne() {
+    private void drainFirstServer() {
         agent.list = new EndpointList(agent.list.version() + 1, true,
-                List.of(box(1, Lifecycle.DRAINING), box(2, Lifecycle.READY)));
+                List.of(server(1, Lifecycle.DRAINING), server(2, Lifecycle.READY)));
     }
 
-    /** How long after now the module is told of the drain. */
-    private long untilTold() {
-        long at = now;
-        while (told.stream().noneMatch(line -> line.contains("1:DRAINING"))) {
+    /** Returns how long after now the module is told of the drain. */
+    private long microsUntilDrainReported() {
+        long start = now;
+        while (reports.stream().noneMatch(line -> line.contains("1:DRAINING"))) {
             pass(5_000);
-            assertTrue(now - at < 60_000_000, "never told");
+            assertTrue(now - start < 60_000_000, "the drain was never reported");
         }
-        return now - at;
+        return now - start;
     }
 
     /**
-     * What the agent has counts as told from a new process's first moment: the known list, which may be
-     * older, is acted on only where the agent stays silent.
+     * What the agent holds counts as known from the start of a process. The list that the process was started
+     * with may be older and is used only if the agent stays silent.
      */
     @Test
-    void aNewProcessDoesNotActOnItsKnownListBeforeTheAgentHasAnswered() {
+    void newProcessWaitsForAgentBeforeUsingKnownList() {
         EndpointList known = agent.list;
-        drainBoxOne();
-        happens(new Event.Started(known, "127.0.0.1:8500"));
-        assertFalse(desk.unready().isEmpty());
-        assertEquals(List.of(), told, "the known list was acted on");
+        drainFirstServer();
+        handle(new Event.Started(known, "127.0.0.1:8500"));
+        assertFalse(reducer.unready().isEmpty());
+        assertEquals(List.of(), reports, "the known list was used");
         pass(5_000);
-        assertEquals("", desk.unready());
-        assertEquals("CACHED [1:DRAINING, 2:READY]", told.get(0));
+        assertEquals("", reducer.unready());
+        assertEquals("CACHED [1:DRAINING, 2:READY]", reports.get(0));
     }
 
     @Test
-    void aNewProcessActsOnItsKnownListWhereTheAgentIsSilent() {
+    void newProcessUsesKnownListIfAgentIsSilent() {
         agent.silent = true;
         start();
         pass(990_000);
-        assertFalse(desk.unready().isEmpty());
+        assertFalse(reducer.unready().isEmpty());
         pass(20_000);
-        assertEquals("", desk.unready());
-        assertEquals(List.of("CACHED [1:READY]"), told);
+        assertEquals("", reducer.unready());
+        assertEquals(List.of("CACHED [1:READY]"), reports);
     }
 
-    /** Before, only the module's call began the watch, and with a pushed list it has no cause to call. */
+    /**
+     * Guards against a watch that only starts with the module's call: with an agent the module has no reason
+     * to call.
+     */
     @Test
-    void theWatchGoesOnFromTheFirstMomentThoughNobodyAsks() {
+    void watchRunsFromStartWithoutModuleCall() {
         start();
-        drainBoxOne();
-        assertTrue(untilTold() < GRACE / 2);
+        drainFirstServer();
+        assertTrue(microsUntilDrainReported() < GRACE / 2);
         pass(10_000_000);
-        assertEquals(List.of(), told.stream().filter(line -> line.startsWith("FAILED")).toList());
-        assertTrue(agent.calls.size() < 120, "a storm: " + agent.calls.size());
+        assertEquals(List.of(), reports.stream().filter(line -> line.startsWith("FAILED")).toList());
+        assertTrue(agent.callTimes.size() < 120, "calls: " + agent.callTimes.size());
     }
 
-    /** What the configuration knew may be long past: the first call asks for all that came after it. */
+    /** The list in the configuration may be outdated: the first call asks for all changes since. */
     @Test
-    void aChangeBetweenTheKnownListAndTheFirstWatchIsTold() {
+    void changeBeforeFirstWatchIsReported() {
         EndpointList known = agent.list;
-        drainBoxOne();
-        happens(new Event.Started(known, "127.0.0.1:8500"));
-        assertEquals(List.of(7L), agent.since);
-        assertTrue(untilTold() < GRACE / 2);
+        drainFirstServer();
+        handle(new Event.Started(known, "127.0.0.1:8500"));
+        assertEquals(List.of(7L), agent.sinceVersions);
+        assertTrue(microsUntilDrainReported() < GRACE / 2);
     }
 
-    /** The agent has the drain, and only the call that is out is dead. */
+    /** The agent holds the drain, and only the connection of the current call is dead. */
     @Test
-    void aDeadCallIsMadeAnewWithinTheGrace() {
+    void deadCallIsRepeatedWithinGrace() {
         start();
         pass(2_000_000);
-        agent.open = null;
-        drainBoxOne();
-        assertTrue(untilTold() < GRACE, "too late");
+        agent.openCall = null;
+        drainFirstServer();
+        assertTrue(microsUntilDrainReported() < GRACE, "the drain was reported too late");
     }
 
     @Test
-    void aResetIsFollowedByTheNextCallAtOnce() {
+    void resetIsFollowedByNextCallAtOnce() {
         start();
         pass(2_000_000);
-        agent.open = null;
-        drainBoxOne();
-        happens(new Event.ListFailed());
-        assertTrue(untilTold() < GRACE / 4);
-        assertTrue(told.stream().noneMatch(line -> line.startsWith("FAILED")), told.toString());
+        agent.openCall = null;
+        drainFirstServer();
+        handle(new Event.ListFailed());
+        assertTrue(microsUntilDrainReported() < GRACE / 4);
+        assertTrue(reports.stream().noneMatch(line -> line.startsWith("FAILED")), reports.toString());
     }
 
-    /** Three boxes are replaced while it is silent: the view comes right as soon as it speaks. */
+    /**
+     * Three servers are replaced while the agent is silent: the list is right as soon as it answers again.
+     */
     @Test
-    void aSilentAgentIsCalledWithoutAStormAndBelievedWhenItIsBack() {
+    void silentAgentIsCalledAtBoundedRateAndBelievedOnRecovery() {
         start();
         pass(1_000_000);
         agent.silent = true;
-        int before = agent.calls.size();
+        int callsBefore = agent.callTimes.size();
         pass(10_000_000);
-        int made = agent.calls.size() - before;
-        assertTrue(made >= 10 && made <= 60, "calls in ten silent seconds: " + made);
-        agent.list = new EndpointList(20, true, List.of(box(11, Lifecycle.READY), box(12, Lifecycle.READY),
-                box(13, Lifecycle.READY)));
+        int callsMade = agent.callTimes.size() - callsBefore;
+        assertTrue(callsMade >= 10 && callsMade <= 60, "calls in ten seconds without answers: " + callsMade);
+        agent.list = new EndpointList(20, true, List.of(server(11, Lifecycle.READY),
+                server(12, Lifecycle.READY), server(13, Lifecycle.READY)));
         agent.silent = false;
         pass(GRACE);
-        assertEquals("FULL [11:READY, 12:READY, 13:READY]", told.get(told.size() - 1));
+        assertEquals("FULL [11:READY, 12:READY, 13:READY]", reports.get(reports.size() - 1));
     }
 
     /**
-     * It has the drain from the moment on at which it can speak again, and the call that is out then stays
-     * dead. Fails with an agent's answers given a whole grace once calls have failed.
+     * The agent holds the drain from the moment at which it can answer again, but the current call stays
+     * dead. Fails if an agent's answers get the whole grace once calls have failed.
      */
     @Test
-    void aDrainThatComesWithTheEndOfAnOutageIsToldWithinTheGrace() {
-        for (long after = 1_000_000; after < 3_000_000; after += 25_000) {
-            PushedListTest each = new PushedListTest();
-            each.start();
-            each.pass(1_000_000);
-            each.agent.silent = true;
-            each.pass(after);
-            each.agent.silent = false;
-            each.agent.open = null;
-            each.drainBoxOne();
-            long until = each.untilTold();
-            assertTrue(until < GRACE, "silent for " + after + ": told after " + until);
+    void drainAtEndOfOutageIsReportedWithinGrace() {
+        for (long outage = 1_000_000; outage < 3_000_000; outage += 25_000) {
+            PushedListTest test = new PushedListTest();
+            test.start();
+            test.pass(1_000_000);
+            test.agent.silent = true;
+            test.pass(outage);
+            test.agent.silent = false;
+            test.agent.openCall = null;
+            test.drainFirstServer();
+            long elapsed = test.microsUntilDrainReported();
+            assertTrue(elapsed < GRACE, "silent for " + outage + ": reported after " + elapsed);
         }
     }
 
     @Test
-    void aRefusingAgentIsCalledWithoutAStorm() {
+    void refusingAgentIsCalledAtBoundedRate() {
         start();
         agent.refusing = true;
         pass(10_000_000);
-        assertTrue(agent.calls.size() >= 40 && agent.calls.size() <= 120, "calls: " + agent.calls.size());
+        assertTrue(agent.callTimes.size() >= 40 && agent.callTimes.size() <= 120,
+                "calls: " + agent.callTimes.size());
         agent.refusing = false;
-        drainBoxOne();
-        assertTrue(untilTold() < GRACE / 2);
+        drainFirstServer();
+        assertTrue(microsUntilDrainReported() < GRACE / 2);
     }
 
-    /** One that never waits must not be asked as fast as it answers, and still within 200 ms. */
+    /** An agent that never waits must not be called as fast as it answers, but still within 200 ms. */
     @Test
-    void anAgentThatNeverWaitsIsNotAskedInALoop() {
+    void agentThatNeverWaitsIsNotCalledInALoop() {
         start();
-        agent.hasty = true;
+        agent.answersAtOnce = true;
         pass(5_000_000);
-        assertTrue(agent.calls.size() <= 110, "calls: " + agent.calls.size());
-        for (int i = 1; i < agent.calls.size(); i++) {
-            assertTrue(agent.calls.get(i) - agent.calls.get(i - 1) < 200_000);
+        assertTrue(agent.callTimes.size() <= 110, "calls: " + agent.callTimes.size());
+        for (int i = 1; i < agent.callTimes.size(); i++) {
+            assertTrue(agent.callTimes.get(i) - agent.callTimes.get(i - 1) < 200_000);
         }
     }
 
-    /** Moved by a new configuration: the whole list is asked for, whatever was out. */
+    /** After a change of the address the whole list is asked for, whatever call was in flight. */
     @Test
-    void aMovedAgentIsAskedForTheWholeList() {
+    void movedAgentIsAskedForWholeList() {
         start();
         pass(1_000_000);
         agent.silent = true;
         pass(3_000_000);
         agent.silent = false;
-        drainBoxOne();
-        happens(new Event.ListMoved("127.0.0.1:8501"));
-        assertEquals(-1L, agent.since.get(agent.since.size() - 1));
-        assertTrue(untilTold() < GRACE / 4);
+        drainFirstServer();
+        handle(new Event.ListMoved("127.0.0.1:8501"));
+        assertEquals(-1L, agent.sinceVersions.get(agent.sinceVersions.size() - 1));
+        assertTrue(microsUntilDrainReported() < GRACE / 4);
     }
 
-    /** The drain comes while the connection is being made: the request must not go out over it. */
+    /** The drain comes while the connection is being opened: the request must not be sent over it. */
     @Test
-    void aDrainStopsATryWhoseLineIsBeingMade() {
+    void drainStopsAttemptWhoseConnectionIsBeingOpened() {
         start();
-        happens(new Event.ClientCame(1));
-        List<Effect> effects = happens(new Event.Asked(1,
+        handle(new Event.ClientCame(1));
+        List<Effect> effects = handle(new Event.Asked(1,
                 new ModelRequest("r1", 0, 0, false, 1, 1, 1, 0, 9, 900_000, 100)));
-        long line = effects.stream().filter(Effect.OpenLine.class::isInstance)
+        long connection = effects.stream().filter(Effect.OpenLine.class::isInstance)
                 .map(Effect.OpenLine.class::cast).findFirst().orElseThrow().line();
-        drainBoxOne();
-        untilTold();
-        assertFalse(happens(new Event.LineUp(line)).stream().anyMatch(Effect.SendTry.class::isInstance));
-        assertEquals("NOT_SENT", told.get(told.size() - 1));
+        drainFirstServer();
+        microsUntilDrainReported();
+        assertFalse(handle(new Event.LineUp(connection)).stream().anyMatch(Effect.SendTry.class::isInstance));
+        assertEquals("NOT_SENT", reports.get(reports.size() - 1));
     }
 }
--- a/src/test/java/yewdock/desk/KnownServersTest.java
+++ b/src/test/java/yewdock/desk/KnownServersTest.java
@@ -10,73 +10,73 @@
 import umberspread.Routing.Lifecycle;
 import umberspread.Routing.Replica;
 
-/** What operators say of boxes, over what the list says. */
+/** Operator overrides applied to the endpoint list. */
 class KnownServersTest {
-    private static final long COLD = 8_700_000;
-    private long now = 1_000_000_000L;
-    private final KnownServers boxes = new KnownServers(() -> now, COLD);
+    private static final long MAX_COLD_MICROS = 8_700_000;
+    private long nowMicros = 1_000_000_000L;
+    private final KnownServers servers = new KnownServers(() -> nowMicros, MAX_COLD_MICROS);
 
-    private static ModelServer box(String address, Lifecycle lifecycle, long startedAt) {
+    private static ModelServer server(String address, Lifecycle lifecycle, long startedAt) {
         return new ModelServer("s-1", address, new Replica(1, 0, 0, 0, 1, lifecycle, startedAt));
     }
 
-    private void list(boolean full, ModelServer... all) {
-        boxes.apply(new EndpointList(1, full, List.of(all)));
+    private void applyList(boolean full, ModelServer... all) {
+        servers.apply(new EndpointList(1, full, List.of(all)));
     }
 
-    private Lifecycle state() {
-        return boxes.get(1).replica().lifecycle();
+    private Lifecycle lifecycle() {
+        return servers.get(1).replica().lifecycle();
     }
 
     @Test
-    void cordonOutlivesWhateverTheListSays() {
-        list(true, box("a:1", Lifecycle.READY, 0));
-        boxes.cordon("s-1");
-        assertEquals(Lifecycle.DRAINING, state());
-        list(false, box("b:1", Lifecycle.READY, 5));
-        assertEquals(Lifecycle.DRAINING, state());
-        list(false, box("b:1", Lifecycle.GONE, 0));
-        list(true);
-        assertTrue(boxes.isCordoned("s-1"));
-        list(true, box("c:1", Lifecycle.READY, 7));
-        assertEquals(Lifecycle.DRAINING, state());
+    void cordonOutlastsListChanges() {
+        applyList(true, server("a:1", Lifecycle.READY, 0));
+        servers.cordon("s-1");
+        assertEquals(Lifecycle.DRAINING, lifecycle());
+        applyList(false, server("b:1", Lifecycle.READY, 5));
+        assertEquals(Lifecycle.DRAINING, lifecycle());
+        applyList(false, server("b:1", Lifecycle.GONE, 0));
+        applyList(true);
+        assertTrue(servers.isCordoned("s-1"));
+        applyList(true, server("c:1", Lifecycle.READY, 7));
+        assertEquals(Lifecycle.DRAINING, lifecycle());
     }
 
     @Test
-    void oneCallBackAfterTwoOutAndItComesBackCold() {
-        list(true, box("a:1", Lifecycle.READY, 0));
-        boxes.cordon("s-1");
-        boxes.cordon("s-1");
-        now += 3_000_000;
-        boxes.uncordon("s-1");
-        assertEquals(Lifecycle.READY, state());
-        assertEquals(now, boxes.get(1).replica().startedAt());
-        // the list tells the restart late, and then another one
-        list(false, box("a:1", Lifecycle.READY, now - 2_000_000));
-        assertEquals(now, boxes.get(1).replica().startedAt());
-        list(false, box("a:1", Lifecycle.READY, now + 1));
-        assertEquals(now + 1, boxes.get(1).replica().startedAt());
+    void uncordonUndoesTwoCordonsAndServerIsCold() {
+        applyList(true, server("a:1", Lifecycle.READY, 0));
+        servers.cordon("s-1");
+        servers.cordon("s-1");
+        nowMicros += 3_000_000;
+        servers.uncordon("s-1");
+        assertEquals(Lifecycle.READY, lifecycle());
+        assertEquals(nowMicros, servers.get(1).replica().startedAt());
+        // the list reports the restart late, and then another one
+        applyList(false, server("a:1", Lifecycle.READY, nowMicros - 2_000_000));
+        assertEquals(nowMicros, servers.get(1).replica().startedAt());
+        applyList(false, server("a:1", Lifecycle.READY, nowMicros + 1));
+        assertEquals(nowMicros + 1, servers.get(1).replica().startedAt());
     }
 
     @Test
-    void whatTheListDrainsStaysOut() {
-        list(true, box("a:1", Lifecycle.DRAINING, 0));
-        boxes.cordon("s-1");
-        boxes.uncordon("s-1");
-        assertEquals(Lifecycle.DRAINING, state());
+    void listedDrainOutlastsUncordon() {
+        applyList(true, server("a:1", Lifecycle.DRAINING, 0));
+        servers.cordon("s-1");
+        servers.uncordon("s-1");
+        assertEquals(Lifecycle.DRAINING, lifecycle());
     }
 
-    /** A mark that the daemon's drain set ends as one set at the door does. */
+    /** An override set by the daemon's drain command ends like one set over the admin interface. */
     @Test
-    void drainAndUndrainAreTheSameMark() {
-        list(true, box("a:1", Lifecycle.READY, 0));
-        boxes.replaceOverrides(Map.of("s-1", BoxMark.DRAINS));
-        assertTrue(boxes.isCordoned("s-1"));
-        boxes.replaceOverrides(Map.of());
-        assertFalse(boxes.isCordoned("s-1"));
-        assertEquals(now, boxes.get(1).replica().startedAt());
-        now += COLD + 1;
-        boxes.cordon("s-2");
-        assertEquals(0, boxes.get(1).replica().startedAt(), "warm by now: the mark is forgotten");
+    void drainAndUndrainEqualCordonAndUncordon() {
+        applyList(true, server("a:1", Lifecycle.READY, 0));
+        servers.replaceOverrides(Map.of("s-1", BoxMark.DRAINS));
+        assertTrue(servers.isCordoned("s-1"));
+        servers.replaceOverrides(Map.of());
+        assertFalse(servers.isCordoned("s-1"));
+        assertEquals(nowMicros, servers.get(1).replica().startedAt());
+        nowMicros += MAX_COLD_MICROS + 1;
+        servers.cordon("s-2");
+        assertEquals(0, servers.get(1).replica().startedAt(), "warm by now: the override has expired");
     }
 }
