--- a/src/main/java/yewdock/desk/Attempt.java
+++ b/src/main/java/yewdock/desk/Attempt.java
@@ -8,7 +8,7 @@
      * Factor that makes tokens distinct: larger than the number of attempts that any deployment allows for a
      * request.
      */
-    private static final long MAX_ATTEMPTS = 1024;
+    private static final long TOKEN_FACTOR = 1024;
 
     final OpenRequest request;
     final int number;
@@ -40,6 +40,6 @@
 
     /** Returns the number that identifies the attempt to other generations. */
     long token() {
-        return request.id * MAX_ATTEMPTS + number % MAX_ATTEMPTS;
+        return request.id * TOKEN_FACTOR + number % MAX_ATTEMPTS;
     }
 }
--- a/src/main/java/yewdock/desk/Bounds.java
+++ b/src/main/java/yewdock/desk/Bounds.java
@@ -9,23 +9,23 @@
     /**
      * File descriptors reserved for the process itself and for connections that are being opened or closed.
      */
-    private static final int KEPT_BACK = 72;
+    private static final int RESERVED_DESCRIPTORS = 72;
     /**
      * Divisor: server connections get at most this fraction of the descriptors. Each open request needs one.
      */
-    private static final int LINES_PART = 3;
+    private static final int CONNECTIONS_DIVISOR = 3;
     /**
      * Divisor: complete requests may use this fraction of the memory; the rest of the heap serves all else.
      */
-    private static final int BYTES_PART = 12;
+    private static final int BYTES_DIVISOR = 12;
     /** Lower bound for the number of connections of each kind. */
-    private static final int LEAST = 16;
+    private static final int MIN_CONNECTIONS = 16;
 
     /** Returns the limits for this many file descriptors and megabytes of memory. */
     public static Bounds within(int descriptors, int megabytes) {
-        int lines = Math.max(LEAST, descriptors / LINES_PART);
-        int clients = Math.max(LEAST, descriptors - lines - KEPT_BACK);
+        int lines = Math.max(MIN_CONNECTIONS, descriptors / CONNECTIONS_DIVISOR);
+        int clients = Math.max(MIN_CONNECTIONS, descriptors - lines - RESERVED_DESCRIPTORS);
         return new Bounds(clients, lines, lines, (int) Math.min(Integer.MAX_VALUE,
-                ((long) megabytes << 20) / BYTES_PART));
+                ((long) megabytes << 20) / BYTES_DIVISOR));
     }
 }
--- a/src/main/java/yewdock/desk/Effect.java
+++ b/src/main/java/yewdock/desk/Effect.java
@@ -37,7 +37,7 @@
     record CutOff(long client) implements Effect {
     }
 
-    /** Refuse a request: it has not run and may be retried, after the given delay if that is not 0. */
+    /** Refuse a request. Retrying it is harmless, after the given delay if that is not 0. */
     record Refuse(long client, long retryAfter) implements Effect {
     }
 
--- a/src/main/java/yewdock/desk/ServerConnections.java
+++ b/src/main/java/yewdock/desk/ServerConnections.java
@@ -61,11 +61,11 @@
 
     /** Takes the connection idle for the shortest time that is long enough for late data to have arrived. */
     private ServerConnection takeSettled(Deque<ServerConnection> idleConnections) {
-        Iterator<ServerConnection> youngestFirst = idleConnections.descendingIterator();
-        while (youngestFirst.hasNext()) {
-            ServerConnection connection = youngestFirst.next();
+        Iterator<ServerConnection> shortestIdleFirst = idleConnections.descendingIterator();
+        while (shortestIdleFirst.hasNext()) {
+            ServerConnection connection = shortestIdleFirst.next();
             if (context.now() - connection.idleSince >= SETTLE_MICROS) {
-                youngestFirst.remove();
+                shortestIdleFirst.remove();
                 return connection;
             }
         }
