--- a/src/main/java/yewdock/desk/Attempt.java
+++ b/src/main/java/yewdock/desk/Attempt.java
@@ -40,6 +40,6 @@
 
     /** Returns the number that identifies the attempt to other generations. */
     long token() {
-        return request.id * TOKEN_FACTOR + number % MAX_ATTEMPTS;
+        return request.id * TOKEN_FACTOR + number % TOKEN_FACTOR;
     }
 }
