--- a/src/main/java/yewdock/desk/Attempts.java
+++ b/src/main/java/yewdock/core/Attempts.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -18,14 +18,15 @@
  */
 final class Attempts {
     private final ReducerContext context;
-    private final Terms settings;
+    private final CoreSettings settings;
     private final KnownServers servers;
     private final ServerConnections connections;
     private final OtherGenerations otherGenerations;
     /** Called after an attempt has ended, with its request, which may have no other attempt in flight. */
     private final Consumer<OpenRequest> whenEnded;
 
-    Attempts(ReducerContext context, Terms settings, KnownServers servers, ServerConnections connections,
+    Attempts(ReducerContext context, CoreSettings settings, KnownServers servers,
+            ServerConnections connections,
             OtherGenerations otherGenerations, Consumer<OpenRequest> whenEnded) {
         this.context = context;
         this.settings = settings;
@@ -38,7 +39,7 @@
     /** Sends an attempt for the module. One that may not be sent ends with NOT_SENT. */
     void send(OpenRequest request, long serverId, long timeoutMicros) {
         Attempt attempt = new Attempt(request, serverId, timeoutMicros, context.now());
-        if (request.isStreaming() || attempt.number >= settings.mostTries()) {
+        if (request.isStreaming() || attempt.number >= settings.maxAttempts()) {
             end(attempt, Outcome.NOT_SENT, 0, null);
         } else if (request.attemptsInFlight.isEmpty()) {
             start(attempt);
@@ -77,7 +78,7 @@
             return;
         }
         addInFlight(attempt);
-        context.runAt(context.now() + settings.connectTimeout(), () -> {
+        context.runAt(context.now() + settings.connectTimeoutMicros(), () -> {
             if (!newConnection.established && attempt.closingOutcome == null) {
                 close(attempt, Outcome.CONNECT_FAILED);
             }
@@ -101,9 +102,10 @@
         attempt.connection = connection;
         context.count("tries.sent");
         if (otherGenerations.mustClaim()) {
-            context.emit(new Effect.TellOthers(new OtherNews.Sent(attempt.token(), attempt.serverId)));
+            context.emit(new Effect.SendToGenerations(new GenerationMessage.AttemptSent(attempt.token(),
+                    attempt.serverId)));
         }
-        context.emit(new Effect.SendTry(connection.id, attempt.request.client,
+        context.emit(new Effect.SendAttempt(connection.id, attempt.request.client,
                 attempt.timeoutAt - context.now()));
     }
 
@@ -123,7 +125,8 @@
     }
 
     /**
-     * Closes an attempt's connection. The attempt stays in flight until {@link Event.LineDown} reports that
+     * Closes an attempt's connection. The attempt stays in flight until {@link Event.ServerDisconnected}
+     * reports that
      * the connection is closed: if the request were sent again before that, it would be in flight twice.
      */
     void close(Attempt attempt, Outcome outcome) {
@@ -164,7 +167,7 @@
         OpenRequest request = attempt.request;
         context.count("tries." + outcome.name().toLowerCase(Locale.ROOT));
         if (request.attemptsInFlight.remove(attempt) && otherGenerations.mustClaim()) {
-            context.emit(new Effect.TellOthers(new OtherNews.Ended(attempt.token())));
+            context.emit(new Effect.SendToGenerations(new GenerationMessage.AttemptEnded(attempt.token())));
         }
         long elapsedMicros = context.now() - attempt.createdAt;
         boolean requestEnded = request.ended;
@@ -222,11 +225,11 @@
     }
 
     /** Returns the attempts in flight of these requests, for the generations that must not repeat them. */
-    static List<OtherNews.Sent> inFlight(Iterable<OpenRequest> requests) {
-        List<OtherNews.Sent> sent = new ArrayList<>();
+    static List<GenerationMessage.AttemptSent> inFlight(Iterable<OpenRequest> requests) {
+        List<GenerationMessage.AttemptSent> sent = new ArrayList<>();
         for (OpenRequest request : requests) {
             request.attemptsInFlight.forEach(attempt ->
-                    sent.add(new OtherNews.Sent(attempt.token(), attempt.serverId)));
+                    sent.add(new GenerationMessage.AttemptSent(attempt.token(), attempt.serverId)));
         }
         return sent;
     }
--- a/src/main/java/yewdock/desk/DiscoveryWatch.java
+++ b/src/main/java/yewdock/core/DiscoveryWatch.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
@@ -79,7 +79,7 @@
     /** Longest delay in microseconds before the call after a change in a series. */
     private static final long SERIES_DELAY_MICROS = 1_000_000;
 
-    private final Terms settings;
+    private final CoreSettings settings;
     private final LongSupplier now;
     private final Timers timers;
     private final Counters counters;
@@ -100,7 +100,7 @@
     private boolean catchingUp;
     private long lastChangeAt = -SERIES_GAP_MICROS;
 
-    DiscoveryWatch(Terms settings, LongSupplier now, Timers timers, Counters counters,
+    DiscoveryWatch(CoreSettings settings, LongSupplier now, Timers timers, Counters counters,
             Consumer<Effect> effects,
             Runnable onFailure) {
         this.settings = settings;
@@ -116,7 +116,7 @@
         address = newAddress;
         versions.startAt(knownVersion);
         calledAt = now.getAsLong();
-        if (settings.listPushed()) {
+        if (settings.discoveryByAgent()) {
             callDiscovery(0);
         } else {
             ensureCalls();
@@ -128,8 +128,8 @@
      * known after that.
      */
     private void ensureCalls() {
-        timers.runAt(now.getAsLong() + settings.askWithin(), () -> {
-            if (!inFlight && now.getAsLong() - calledAt >= settings.askWithin()) {
+        timers.runAt(now.getAsLong() + settings.maxPollIntervalMicros(), () -> {
+            if (!inFlight && now.getAsLong() - calledAt >= settings.maxPollIntervalMicros()) {
                 callDiscovery(0);
             }
             ensureCalls();
@@ -153,7 +153,7 @@
 
     private void restartCall() {
         if (inFlight) {
-            effects.accept(new Effect.HangUpList());
+            effects.accept(new Effect.CancelDiscoveryCall());
         }
         callDiscovery(0);
     }
@@ -178,8 +178,8 @@
 
     /** Returns the shortest pause of the process after which the list is asked for again. */
     private long longPauseMicros() {
-        return settings.listPushed() ? gracePart() : Math.min(KNOWN_AFTER_MICROS - CALL_TIMEOUT_MICROS,
-                settings.askWithin() / 2);
+        return settings.discoveryByAgent() ? gracePart() : Math.min(KNOWN_AFTER_MICROS - CALL_TIMEOUT_MICROS,
+                settings.maxPollIntervalMicros() / 2);
     }
 
     /** The next answer may come from another discovery process, whose versions are unrelated. */
@@ -198,7 +198,7 @@
 
     /** Whether an agent on this machine holds the list. */
     boolean byAgent() {
-        return settings.listPushed();
+        return settings.discoveryByAgent();
     }
 
     String address() {
@@ -243,7 +243,7 @@
         long number = ++callNumber;
         calledAt = now.getAsLong();
         counters.add("list.calls");
-        effects.accept(new Effect.AskList(address, versions.sinceVersion(), pollMicros));
+        effects.accept(new Effect.CallDiscovery(address, versions.sinceVersion(), pollMicros));
         timers.runAt(calledAt + pollMicros + timeoutMicros, () -> {
             if (inFlight && callNumber == number) {
                 callUnanswered(pollMicros > 0);
@@ -258,9 +258,9 @@
      * new call: a service with more callers than capacity may answer it late and refuse the new one.
      */
     private void callUnanswered(boolean longPoll) {
-        boolean mayComeLate = longPoll && !settings.listPushed();
-        effects.accept(mayComeLate ? new Effect.SetListCallAside() : new Effect.HangUpList());
-        if (!settings.listPushed() && unansweredCalls < MAX_IMMEDIATE_REPEATS) {
+        boolean mayComeLate = longPoll && !settings.discoveryByAgent();
+        effects.accept(mayComeLate ? new Effect.SetDiscoveryCallAside() : new Effect.CancelDiscoveryCall());
+        if (!settings.discoveryByAgent() && unansweredCalls < MAX_IMMEDIATE_REPEATS) {
             unansweredCalls++;
             counters.add("list.silent");
             callDiscovery(0, longPoll ? shareOfSlack(REPEATED_CALL_TENTHS) : answerTimeout(0));
@@ -284,12 +284,12 @@
      */
     private long gracePart() {
         return Math.min(LONG_POLL_MICROS, Math.max(MIN_GRACE_PART_MICROS,
-                settings.drainGrace() / GRACE_DIVISOR));
+                settings.drainGraceMicros() / GRACE_DIVISOR));
     }
 
     /** Returns how long the answer may take after a poll of the given length has ended. */
     private long answerTimeout(long pollMicros) {
-        if (settings.listPushed()) {
+        if (settings.discoveryByAgent()) {
             return gracePart() * Math.min(MAX_TIMEOUT_FACTOR, 1 + failures);
         }
         return pollMicros > 0 ? shareOfSlack(LONG_POLL_ANSWER_TENTHS) : CALL_TIMEOUT_MICROS;
@@ -297,7 +297,7 @@
 
     /** Returns this many tenths of the time left after a long poll until a drain must be kept. */
     private long shareOfSlack(int tenths) {
-        return (KNOWN_AFTER_MICROS - LONG_POLL_MICROS + settings.drainGrace()) / TENTHS * tenths;
+        return (KNOWN_AFTER_MICROS - LONG_POLL_MICROS + settings.drainGraceMicros()) / TENTHS * tenths;
     }
 
     /**
@@ -307,7 +307,7 @@
     void olderListReceived(EndpointList list) {
         callAnswered();
         if (list.full()) {
-            callLater(settings.listPushed() ? gracePart() : EndpointListVersions.MAX_LAG_MICROS, 0);
+            callLater(settings.discoveryByAgent() ? gracePart() : EndpointListVersions.MAX_LAG_MICROS, 0);
         } else {
             callDiscovery(0);
         }
@@ -326,14 +326,15 @@
      * Handles an answer and schedules the next call; returns whether the module should be told of the answer.
      */
     boolean listReceived(EndpointList list) {
-        boolean changed = moduleWaits || list.full() || !list.boxes().isEmpty();
+        boolean changed = moduleWaits || list.full() || !list.servers().isEmpty();
         callAnswered();
-        long pollMicros = settings.listPushed() ? gracePart() : list.boxes().isEmpty() ? LONG_POLL_MICROS
-                : LONG_POLL_MICROS - (long) (Mixing.unit(now.getAsLong()) * SPREAD_MICROS);
-        boolean series = !list.boxes().isEmpty() && now.getAsLong() - lastChangeAt < SERIES_GAP_MICROS;
-        lastChangeAt = list.boxes().isEmpty() ? lastChangeAt : now.getAsLong();
-        if (series && !settings.listPushed()) {
-            callLater(Math.min(SERIES_DELAY_MICROS, settings.askWithin() / 2), pollMicros);
+        long pollMicros = settings.discoveryByAgent() ? gracePart() : list.servers().isEmpty()
+                ? LONG_POLL_MICROS
+                : LONG_POLL_MICROS - (long) (Mixing.uniform(now.getAsLong()) * SPREAD_MICROS);
+        boolean series = !list.servers().isEmpty() && now.getAsLong() - lastChangeAt < SERIES_GAP_MICROS;
+        lastChangeAt = list.servers().isEmpty() ? lastChangeAt : now.getAsLong();
+        if (series && !settings.discoveryByAgent()) {
+            callLater(Math.min(SERIES_DELAY_MICROS, settings.maxPollIntervalMicros() / 2), pollMicros);
         } else if (changed || now.getAsLong() - calledAt >= MIN_CALL_INTERVAL_MICROS) {
             callDiscovery(pollMicros);
         } else {
@@ -344,12 +345,12 @@
 
     /** Handles a failed call; returns whether the module should be told of it, which then calls again. */
     boolean callFailed() {
-        boolean reportToModule = moduleWaits || !settings.listPushed();
+        boolean reportToModule = moduleWaits || !settings.discoveryByAgent();
         inFlight = false;
         moduleWaits = false;
         catchingUp = false;
         counters.add("list.failures");
-        if (settings.listPushed()) {
+        if (settings.discoveryByAgent()) {
             callLater(Math.min(gracePart(), AGENT_BACKOFF_MICROS << Math.min(failures, 8)), 0);
             failures++;
         }
--- a/src/main/java/yewdock/desk/EndpointListVersions.java
+++ b/src/main/java/yewdock/core/EndpointListVersions.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 /**
  * Tracks which version of the endpoint list is held and decides which answers of discovery to believe.
--- a/src/main/java/yewdock/desk/Event.java
+++ b/src/main/java/yewdock/core/Event.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 import java.nio.ByteBuffer;
 import java.util.Map;
@@ -13,39 +13,39 @@
      * The router has started, with the last endpoint list that was stored and the address of the discovery
      * service.
      */
-    record Started(EndpointList known, String listAddress) implements Event {
+    record Started(EndpointList endpointList, String discoveryAddress) implements Event {
     }
 
     /** A new configuration names another discovery address. */
-    record ListMoved(String address) implements Event {
+    record DiscoveryAddressChanged(String address) implements Event {
     }
 
     /** A client has connected. */
-    record ClientCame(long client) implements Event {
+    record ClientConnected(long client) implements Event {
     }
 
     /** The first byte of a client's request has been received. */
-    record ClientBegan(long client) implements Event {
+    record ClientRequestStarted(long client) implements Event {
     }
 
     /** A client's response has been written in full and its connection stays open. */
-    record ClientQuiet(long client) implements Event {
+    record ClientIdle(long client) implements Event {
     }
 
     /** A client's request has been received in full. */
-    record Asked(long client, ModelRequest request) implements Event {
+    record RequestReceived(long client, ModelRequest request) implements Event {
     }
 
     /** The client's connection has closed. */
-    record ClientLeft(long client) implements Event {
+    record ClientDisconnected(long client) implements Event {
     }
 
     /** This many response bytes have been written to the client's connection. */
-    record ClientTook(long client, int bytes) implements Event {
+    record ClientBytesWritten(long client, int bytes) implements Event {
     }
 
     /** A connection to a server has been established. */
-    record LineUp(long line) implements Event {
+    record ServerConnected(long connection) implements Event {
     }
 
     /**
@@ -53,124 +53,124 @@
      * process was paused after the decision to send it. The connection closes, which doesn't count against
      * the server.
      */
-    record NotBegun(long line) implements Event {
+    record AttemptNotStarted(long connection) implements Event {
     }
 
     /** The connection to a server has closed, or could not be established. */
-    record LineDown(long line) implements Event {
+    record ServerDisconnected(long connection) implements Event {
     }
 
     /** The last byte of an attempt has been written to its server connection. */
-    record TrySent(long line) implements Event {
+    record AttemptWritten(long connection) implements Event {
     }
 
     /** The first bytes of a response have arrived, but not yet its complete head and first stream event. */
-    record AnswerBegan(long line) implements Event {
+    record ResponseStarted(long connection) implements Event {
     }
 
     /** The data received on a server connection can't be parsed; the rest of it is ignored. */
-    record AnswerSpoilt(long line) implements Event {
+    record ResponseMalformed(long connection) implements Event {
     }
 
     /** A part of a server's response stream. */
-    record Piece(long line, ByteBuffer bytes) implements Event {
+    record ResponseChunk(long connection, ByteBuffer bytes) implements Event {
     }
 
     /**
      * A server's response is complete. The load report is null if the response carries none; reusable tells
      * whether the connection can take another attempt.
      */
-    record Answered(long line, Routing.Outcome outcome, boolean reusable, long keptTokens,
-            Routing.LoadReport report) implements Event {
+    record ResponseCompleted(long connection, Routing.Outcome outcome, boolean reusable, long cachedTokens,
+            Routing.LoadReport loadReport) implements Event {
     }
 
     /** The discovery service has answered with an endpoint list. */
-    record ListCame(EndpointList list) implements Event {
+    record EndpointListReceived(EndpointList list) implements Event {
     }
 
     /**
      * The discovery connection broke or could not be established. The next response may come from another
      * discovery process.
      */
-    record DiscoveryLost() implements Event {
+    record DiscoveryConnectionLost() implements Event {
     }
 
     /** A discovery call that was set aside has been answered, after the call that was made in its place. */
-    record LateListCame(EndpointList list) implements Event {
+    record LateEndpointListReceived(EndpointList list) implements Event {
     }
 
     /** A discovery call has failed. */
-    record ListFailed() implements Event {
+    record DiscoveryCallFailed() implements Event {
     }
 
     /**
      * The router holds a lease on the agreed rules until this time; after that it is in doubt and takes no
      * new requests. The second value is the retry delay for clients that are refused in doubt; 0 gives none.
      */
-    record Leased(long until, long comeBack) implements Event {
+    record LeaseGranted(long untilMicros, long retryAfterMicros) implements Event {
     }
 
     /** The process was paused for about this long and handled nothing meanwhile. */
-    record Resumed(long stalled) implements Event {
+    record ProcessResumed(long pausedMicros) implements Event {
     }
 
     /** Another router instance uses a newer endpoint list than this one. */
-    record ListBehind() implements Event {
+    record EndpointListOutdated() implements Event {
     }
 
     /** Another generation of this router is about to take over and owns the request ids from now on. */
-    record Share() implements Event {
+    record HandoverStarted() implements Event {
     }
 
     /** The full state of another generation; it replaces all that was known of that generation. */
-    record Adopt(int who, Holdings held) implements Event {
+    record GenerationStateReceived(int generation, GenerationState state) implements Event {
     }
 
     /** A message from another generation. */
-    record FromOther(int who, OtherNews news) implements Event {
+    record GenerationMessageReceived(int generation, GenerationMessage message) implements Event {
     }
 
     /** Another generation has ended, and with it its attempts in flight. */
-    record OtherGone(int who) implements Event {
+    record GenerationGone(int generation) implements Event {
     }
 
     /**
      * Another generation now accepts the new connections. This one finishes its open requests, at most until
      * the time limit.
      */
-    record LetGo(long limit) implements Event {
+    record HandedOver(long limitMicros) implements Event {
     }
 
     /**
      * The generation that was to take over has ended: this one owns the request ids and serves as before.
      */
-    record TakeBack() implements Event {
+    record HandoverAborted() implements Event {
     }
 
     /**
      * Endpoint lists are to be sent on to the other processes from now on, because one of them stores them.
      */
-    record Keeping() implements Event {
+    record EndpointListRelayEnabled() implements Event {
     }
 
     /** All operator overrides that hold from now on, by server name. */
-    record Marked(Map<String, BoxMark> marks) implements Event {
+    record OverridesReplaced(Map<String, OperatorOverride> overrides) implements Event {
     }
 
     /** An operator has sent a command; the server name is "" if the command carries none. */
-    record Called(long caller, Call call, String box) implements Event {
+    record OperatorCommandReceived(long caller, OperatorCommand command, String server) implements Event {
     }
 
     /** Another process of this router has recorded an operator override, which holds here too. */
-    record MarkChanged(String box, BoxMark mark) implements Event {
+    record OverrideChanged(String server, OperatorOverride override) implements Event {
     }
 
     /** The state of this router's older process has changed. */
-    record Beside(Older older) implements Event {
+    record OlderGenerationChanged(OlderGeneration older) implements Event {
     }
 
     /** The router is to shut down. */
-    record Leave() implements Event {
+    record ShutdownRequested() implements Event {
     }
 
     /** A timer is due. */
--- a/src/main/java/yewdock/desk/KnownServers.java
+++ b/src/main/java/yewdock/core/KnownServers.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import java.util.function.LongSupplier;
 import umberspread.Routing.Lifecycle;
-import umberspread.Routing.Replica;
+import umberspread.Routing.ServerState;
 
 /**
  * The known servers: what the endpoint list says of each, with the operators' overrides applied. An override
@@ -25,7 +25,7 @@
     /** When the endpoint list first reported each server's current state, in microseconds. */
     private final Map<Long, Long> stateSince = new HashMap<>();
     /** Overrides by server name; they outlast the server's entry in the endpoint list. */
-    private final Map<String, BoxMark> overrides = new TreeMap<>();
+    private final Map<String, OperatorOverride> overrides = new TreeMap<>();
     private final long maxColdMicros;
 
     KnownServers(LongSupplier now, long maxColdMicros) {
@@ -37,11 +37,11 @@
     void apply(EndpointList list) {
         if (list.full()) {
             Set<Long> listedIds = new HashSet<>();
-            list.boxes().forEach(server -> listedIds.add(server.id()));
+            list.servers().forEach(server -> listedIds.add(server.id()));
             listed.keySet().retainAll(listedIds);
             effective.keySet().retainAll(listedIds);
         }
-        for (ModelServer server : list.boxes()) {
+        for (ModelServer server : list.servers()) {
             ModelServer previous = server.isGone() ? listed.remove(server.id())
                     : listed.put(server.id(), server);
             if (previous == null || previous.replica().lifecycle() != server.replica().lifecycle()) {
@@ -59,7 +59,7 @@
     List<ModelServer> endingsIn(EndpointList list, Lifecycle stateIfMissing) {
         List<ModelServer> ending = new ArrayList<>();
         Set<Long> listedIds = new HashSet<>();
-        for (ModelServer server : list.boxes()) {
+        for (ModelServer server : list.servers()) {
             listedIds.add(server.id());
             if (!server.takesWork() && listed.containsKey(server.id())) {
                 ending.add(server);
@@ -74,12 +74,12 @@
     }
 
     /** Replaces all overrides. Servers that no longer drain are back in service. */
-    void replaceOverrides(Map<String, BoxMark> newOverrides) {
-        Map<String, BoxMark> previous = new TreeMap<>(overrides);
+    void replaceOverrides(Map<String, OperatorOverride> newOverrides) {
+        Map<String, OperatorOverride> previous = new TreeMap<>(overrides);
         overrides.clear();
         overrides.putAll(newOverrides);
         previous.forEach((name, override) -> {
-            if (override.kind() == BoxMark.Kind.BACK) {
+            if (override.kind() == OperatorOverride.Kind.BACK) {
                 overrides.putIfAbsent(name, override);
             } else if (override.isDraining() && !newOverrides.containsKey(name)) {
                 markBackInService(name);
@@ -89,14 +89,14 @@
     }
 
     /** Sets one server's override, replacing an earlier one. */
-    void setOverride(String name, BoxMark override) {
+    void setOverride(String name, OperatorOverride override) {
         overrides.put(name, override);
         applyOverrides();
     }
 
     /** Takes a server out of service on an operator's command. */
     void cordon(String name) {
-        setOverride(name, BoxMark.DRAINS);
+        setOverride(name, OperatorOverride.DRAINS);
     }
 
     /** Puts a server back into service on an operator's command. */
@@ -110,17 +110,17 @@
      * whatever the endpoint list says.
      */
     private void markBackInService(String name) {
-        overrides.put(name, new BoxMark(BoxMark.Kind.BACK, now.getAsLong()));
+        overrides.put(name, new OperatorOverride(OperatorOverride.Kind.BACK, now.getAsLong()));
     }
 
     private void applyOverrides() {
-        overrides.values().removeIf(override -> override.kind() == BoxMark.Kind.BACK
-                && override.at() + maxColdMicros < now.getAsLong());
+        overrides.values().removeIf(override -> override.kind() == OperatorOverride.Kind.BACK
+                && override.atEpochMicros() + maxColdMicros < now.getAsLong());
         listed.values().forEach(this::update);
     }
 
     boolean isCordoned(String name) {
-        BoxMark override = overrides.get(name);
+        OperatorOverride override = overrides.get(name);
         return override != null && override.isDraining();
     }
 
@@ -130,7 +130,7 @@
     }
 
     /** Returns the overrides by server name. */
-    Map<String, BoxMark> overrides() {
+    Map<String, OperatorOverride> overrides() {
         return overrides;
     }
 
@@ -145,17 +145,18 @@
     }
 
     private ModelServer withOverrides(ModelServer server) {
-        BoxMark override = overrides.get(server.name());
+        OperatorOverride override = overrides.get(server.name());
         if (override == null || server.isGone()) {
             return server;
         }
         long startedAt = server.replica().startedAt();
         return switch (override.kind()) {
             case DRAINS -> withState(server, Lifecycle.DRAINING);
-            case GONE -> startedAt <= override.at() ? withState(server, Lifecycle.GONE) : server;
+            case GONE -> startedAt <= override.atEpochMicros() ? withState(server, Lifecycle.GONE) : server;
             // a server whose restart is on the list is as old as the list says
-            case BACK -> startedAt >= override.at() ? server : withState(server, server.replica().lifecycle(),
-                    override.at());
+            case BACK -> startedAt >= override.atEpochMicros() ? server : withState(server,
+                    server.replica().lifecycle(),
+                    override.atEpochMicros());
         };
     }
 
@@ -165,15 +166,15 @@
     }
 
     private static ModelServer withState(ModelServer server, Lifecycle lifecycle, long startedAt) {
-        Replica state = server.replica();
-        return new ModelServer(server.name(), server.address(), new Replica(state.id(), state.zone(),
+        ServerState state = server.replica();
+        return new ModelServer(server.name(), server.address(), new ServerState(state.id(), state.zone(),
                 state.kind(), state.cell(), state.weight(), lifecycle, startedAt));
     }
 
     /** Returns the list with the overrides applied. */
     EndpointList withOverrides(EndpointList list) {
         List<ModelServer> result = new ArrayList<>();
-        for (ModelServer server : list.boxes()) {
+        for (ModelServer server : list.servers()) {
             ModelServer changed = withOverrides(server);
             // a whole list reports a server as gone by not containing it
             if (!list.full() || !changed.isGone()) {
--- a/src/main/java/yewdock/desk/ModelServer.java
+++ b/src/main/java/yewdock/core/ModelServer.java
@@ -1,9 +1,9 @@
-package yewdock.desk;
+package yewdock.core;
 
 import umberspread.Routing;
 
 /** An entry of the endpoint list: one server, its address, and what the module is told of it. */
-public record ModelServer(String name, String address, Routing.Replica replica) {
+public record ModelServer(String name, String address, Routing.ServerState replica) {
     /** Returns the server's id. */
     public long id() {
         return replica.id();
--- a/src/main/java/yewdock/desk/OpenRequest.java
+++ b/src/main/java/yewdock/core/OpenRequest.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -34,7 +34,7 @@
         this.id = id;
         this.clientRequestId = request.id();
         this.client = client;
-        this.memoryBytes = request.size();
+        this.memoryBytes = request.memoryBytes();
         this.requestClass = request.requestClass();
         this.deadline = deadline;
     }
--- a/src/main/java/yewdock/desk/OpenRequests.java
+++ b/src/main/java/yewdock/core/OpenRequests.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -17,7 +17,7 @@
     private static final long ANSWER_SLACK_MICROS = 10_000;
 
     private final ReducerContext context;
-    private final Bounds limits;
+    private final ResourceLimits limits;
     private final List<String> classNames;
     private final OtherGenerations otherGenerations;
     private final Attempts attempts;
@@ -28,12 +28,12 @@
     private long lastId;
     private int requestBytes;
 
-    OpenRequests(ReducerContext context, Terms settings, Bounds limits, KnownServers servers,
+    OpenRequests(ReducerContext context, CoreSettings settings, ResourceLimits limits, KnownServers servers,
             ServerConnections connections,
             OtherGenerations otherGenerations) {
         this.context = context;
         this.limits = limits;
-        this.classNames = settings.classes();
+        this.classNames = settings.classNames();
         this.otherGenerations = otherGenerations;
         this.attempts = new Attempts(context, settings, servers, connections, otherGenerations,
                 this::removeIfDone);
@@ -98,16 +98,17 @@
      * Accepts a request that has waited this many microseconds since it was received, or refuses it at the
      * limits.
      */
-    void admit(Event.Asked event, long waitedMicros) {
+    void admit(Event.RequestReceived event, long waitedMicros) {
         ModelRequest received = event.request();
-        if (requests.size() >= limits.requests() || requestBytes + received.size() > limits.bytes()) {
+        if (requests.size() >= limits.maxRequests() || requestBytes
+                + received.memoryBytes() > limits.maxRequestBytes()) {
             context.count("answers.refused_for_room");
             countEnd(received, RequestOutcome.REJECTED);
             context.emit(new Effect.Refuse(event.client(), 0));
             releaseId(received.id());
             return;
         }
-        long timeoutMicros = Math.max(0, received.patience() - waitedMicros);
+        long timeoutMicros = Math.max(0, received.timeoutMicros() - waitedMicros);
         OpenRequest request = new OpenRequest(++lastId, received, event.client(),
                 context.now() + timeoutMicros);
         requestBytes += request.memoryBytes;
@@ -116,16 +117,16 @@
         byClient.put(request.client, request);
         context.runAt(request.deadline + ANSWER_SLACK_MICROS, () -> failIfUnanswered(request));
         context.callModule(request.id, m -> m.requestArrived(context.now(), new Routing.Request(request.id,
-                received.requestClass(), received.municipality(), received.repeat(), received.session(),
-                received.sharedBeginning(), received.promptTokens(), received.beginningTokens(),
-                received.mostTokens(), timeoutMicros)));
+                received.requestClass(), received.tenant(), received.markedAsRetry(), received.session(),
+                received.sharedPrefix(), received.promptTokens(), received.prefixTokens(),
+                received.maxOutputTokens(), timeoutMicros)));
     }
 
     /** Rejects a request whose id belongs to an open request. */
-    void rejectDuplicate(Event.Asked event) {
+    void rejectDuplicate(Event.RequestReceived event) {
         context.count("answers.twin");
         countEnd(event.request(), RequestOutcome.FAILED);
-        context.emit(new Effect.TurnDownTwin(event.client()));
+        context.emit(new Effect.RejectDuplicate(event.client()));
     }
 
     void clientDisconnected(long client) {
@@ -133,7 +134,7 @@
         if (request != null) {
             context.count(request.isStreaming() ? "answers.left_midway" : "answers.left_before");
             finish(request, RequestOutcome.FAILED);
-            context.callModule(request.id, m -> m.requestGone(context.now(), request.id));
+            context.callModule(request.id, m -> m.requestAbandoned(context.now(), request.id));
             attempts.closeAll(request, Outcome.CANCELLED);
         }
     }
@@ -166,7 +167,7 @@
         }
         context.count(request.isStreaming() ? "answers.cut_off" : "answers.failed");
         finish(request, RequestOutcome.FAILED);
-        context.emit(request.isStreaming() ? new Effect.CutOff(request.client)
+        context.emit(request.isStreaming() ? new Effect.AbortResponse(request.client)
                 : new Effect.Fail(request.client));
         attempts.closeAll(request, attemptOutcome);
     }
@@ -174,14 +175,14 @@
     /** Fails a request on the reducer's own account and tells the module that it is gone. */
     void failAndReport(OpenRequest request, Outcome attemptOutcome) {
         fail(request, attemptOutcome);
-        context.callModule(request.id, m -> m.requestGone(context.now(), request.id));
+        context.callModule(request.id, m -> m.requestAbandoned(context.now(), request.id));
     }
 
     /** The attempt's stream is complete: finishes the response and closes the request's other attempts. */
     void complete(Attempt attempt) {
         OpenRequest request = attempt.request;
         context.count("answers.served");
-        context.emit(new Effect.EndAnswer(request.client));
+        context.emit(new Effect.EndResponse(request.client));
         finish(request, RequestOutcome.COMPLETED);
         attempts.closeOthers(attempt);
     }
@@ -193,7 +194,7 @@
         OpenRequest request = attempt.request;
         if (attempt.isWinner() && !request.ended) {
             context.count("answers.cut_off");
-            context.emit(new Effect.CutOff(request.client));
+            context.emit(new Effect.AbortResponse(request.client));
             finish(request, RequestOutcome.FAILED);
         }
     }
@@ -217,7 +218,7 @@
     /** Tells the generation that owns the request ids that this one is free again. */
     private void releaseId(String id) {
         if (otherGenerations.mustClaim()) {
-            context.emit(new Effect.TellOthers(new OtherNews.Released(id)));
+            context.emit(new Effect.SendToGenerations(new GenerationMessage.RequestReleased(id)));
         }
     }
 }
--- /dev/null
+++ b/src/main/java/yewdock/core/OperatorCommand.java
@@ -0,0 +1,17 @@
+package yewdock.core;
+
+/** The commands of the operators' admin interface. */
+public enum OperatorCommand {
+    HEALTH(false), COUNTERS(false), CORDON(true), UNCORDON(true), QUIESCE(false), RESUME(false);
+
+    private final boolean namesServer;
+
+    OperatorCommand(boolean namesBox) {
+        this.namesServer = namesBox;
+    }
+
+    /** Whether the command takes the name of a server. */
+    public boolean namesServer() {
+        return namesServer;
+    }
+}
--- a/src/main/java/yewdock/desk/OperatorCommands.java
+++ b/src/main/java/yewdock/core/OperatorCommands.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 import java.util.List;
 import java.util.Locale;
@@ -22,7 +22,7 @@
     static final long CLOSE_IDLE_INTERVAL_MICROS = 300_000;
 
     private final ReducerContext context;
-    private final Terms settings;
+    private final CoreSettings settings;
     private final Counters counters;
     private final KnownServers servers;
     private final IntSupplier pendingRequests;
@@ -32,7 +32,7 @@
     private boolean quiesced;
     private long closeIdleAt;
 
-    OperatorCommands(ReducerContext context, Terms settings, Counters counters, KnownServers servers,
+    OperatorCommands(ReducerContext context, CoreSettings settings, Counters counters, KnownServers servers,
             IntSupplier pendingRequests, Supplier<String> notReadyReason, Runnable overrideChanged) {
         this.context = context;
         this.settings = settings;
@@ -47,15 +47,16 @@
         return quiesced;
     }
 
-    void execute(Event.Called event, boolean shuttingDown) {
-        context.count("calls." + event.call().name().toLowerCase(Locale.ROOT));
-        switch (event.call()) {
+    void execute(Event.OperatorCommandReceived event, boolean shuttingDown) {
+        context.count("calls." + event.command().name().toLowerCase(Locale.ROOT));
+        switch (event.command()) {
             case HEALTH -> {
                 String reason = notReadyReason.get();
                 answer(event, reason.isEmpty(), reason.isEmpty() ? "ready" : reason);
             }
-            case COUNTERS -> context.callModule(0, m -> context.emit(new Effect.AnswerFigures(event.caller(),
-                    statistics(m.avoided(context.now())))));
+            case COUNTERS -> context.callModule(0, m ->
+                    context.emit(new Effect.AnswerStatistics(event.caller(),
+                    statistics(m.unavailableServers(context.now())))));
             case CORDON -> cordon(event);
             case UNCORDON -> uncordon(event);
             case QUIESCE -> quiesce(event);
@@ -67,8 +68,8 @@
         }
     }
 
-    private void cordon(Event.Called event) {
-        String server = event.box();
+    private void cordon(Event.OperatorCommandReceived event) {
+        String server = event.server();
         if (servers.isCordoned(server)) {
             answer(event, true, server + " was cordoned before");
         } else if (!servers.isListed(server)) {
@@ -81,8 +82,8 @@
         }
     }
 
-    private void uncordon(Event.Called event) {
-        String server = event.box();
+    private void uncordon(Event.OperatorCommandReceived event) {
+        String server = event.server();
         if (servers.isCordoned(server)) {
             servers.uncordon(server);
             overrideChanged(server);
@@ -97,10 +98,10 @@
 
     private void overrideChanged(String server) {
         overrideChanged.run();
-        context.emit(new Effect.MarkChanged(server, servers.overrides().get(server)));
+        context.emit(new Effect.PublishOverride(server, servers.overrides().get(server)));
     }
 
-    private void quiesce(Event.Called event) {
+    private void quiesce(Event.OperatorCommandReceived event) {
         if (!quiesced) {
             quiesced = true;
             context.log("quiesced");
@@ -121,12 +122,13 @@
         });
     }
 
-    private void answer(Event.Called event, boolean accepted, String text) {
-        context.emit(new Effect.AnswerCall(event.caller(), accepted, text));
+    private void answer(Event.OperatorCommandReceived event, boolean accepted, String text) {
+        context.emit(new Effect.AnswerCommand(event.caller(), accepted, text));
     }
 
-    private Figures statistics(Set<Long> avoidedByModule) {
-        List<Figures.OfClass> classes = settings.classes().stream().map(className -> new Figures.OfClass(
+    private RouterStatistics statistics(Set<Long> avoidedByModule) {
+        List<RouterStatistics.ClassStatistics> classes = settings.classNames().stream().map(className ->
+                new RouterStatistics.ClassStatistics(
                 className, count(className, RequestOutcome.COMPLETED),
                 count(className, RequestOutcome.REJECTED),
                 count(className, RequestOutcome.FAILED))).toList();
@@ -136,7 +138,7 @@
             unavailable += current == null || !current.takesWork() || avoidedByModule.contains(server.id())
                     ? 1 : 0;
         }
-        return new Figures(classes, counters.get("tries.written"), pendingRequests.getAsInt(),
+        return new RouterStatistics(classes, counters.get("tries.written"), pendingRequests.getAsInt(),
                 servers.listed().size(), unavailable);
     }
 
--- a/src/main/java/yewdock/desk/OtherGenerations.java
+++ b/src/main/java/yewdock/core/OtherGenerations.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -25,16 +25,16 @@
     /** Accepts or rejects requests whose claims have been decided. */
     interface RequestAdmission {
         /** Accepts a request that has waited this many microseconds for the answer to its claim. */
-        void admit(Event.Asked event, long waitedMicros);
+        void admit(Event.RequestReceived event, long waitedMicros);
 
         /** Rejects a request whose id belongs to an open request. */
-        void rejectDuplicate(Event.Asked event);
+        void rejectDuplicate(Event.RequestReceived event);
 
         /** Refuses a request whose claim was not answered in time. */
-        void refuse(Event.Asked event);
+        void refuse(Event.RequestReceived event);
     }
 
-    private record Claim(Event.Asked event, long number, long receivedAt) {
+    private record Claim(Event.RequestReceived event, long number, long receivedAt) {
     }
 
     private final LongSupplier now;
@@ -112,10 +112,10 @@
     }
 
     /** Replaces the known state of a generation. */
-    void adoptState(int generation, Holdings state) {
-        openIds.put(generation, new HashSet<>(state.ids()));
+    void adoptState(int generation, GenerationState state) {
+        openIds.put(generation, new HashSet<>(state.requestIds()));
         Set<Long> tokens = attemptsInFlight.computeIfAbsent(generation, key -> new HashSet<>());
-        state.out().forEach(sent -> tokens.add(sent.token()));
+        state.attemptsInFlight().forEach(sent -> tokens.add(sent.token()));
     }
 
     /** Forgets a generation that has ended and returns its attempts in flight, which have ended with it. */
@@ -139,33 +139,33 @@
     }
 
     /** Asks the owner of the request ids whether this request may be accepted. */
-    void claim(Event.Asked event) {
+    void claim(Event.RequestReceived event) {
         counters.add("claims.made");
         claim(event, now.getAsLong());
     }
 
-    private void claim(Event.Asked event, long receivedAt) {
+    private void claim(Event.RequestReceived event, long receivedAt) {
         String id = event.request().id();
         Claim claim = new Claim(event, ++lastClaimNumber, receivedAt);
         pendingClaims.put(id, claim);
-        effects.accept(new Effect.TellOthers(new OtherNews.Claim(id, claim.number)));
+        effects.accept(new Effect.SendToGenerations(new GenerationMessage.Claim(id, claim.number)));
         timers.runAt(now.getAsLong() + CLAIM_TIMEOUT_MICROS, () -> {
             if (pendingClaims.remove(id, claim)) {
                 counters.add("claims.unanswered");
-                effects.accept(new Effect.TellOthers(new OtherNews.Released(id)));
+                effects.accept(new Effect.SendToGenerations(new GenerationMessage.RequestReleased(id)));
                 admission.refuse(event);
             }
         });
     }
 
     /** Gives up the client's requests that are being claimed and returns them. */
-    List<Event.Asked> clientDisconnected(long client) {
-        List<Event.Asked> abandoned = new ArrayList<>();
+    List<Event.RequestReceived> clientDisconnected(long client) {
+        List<Event.RequestReceived> abandoned = new ArrayList<>();
         for (Claim claim : List.copyOf(pendingClaims.values())) {
             if (claim.event.client() == client) {
                 abandoned.add(claim.event);
                 pendingClaims.remove(claim.event.request().id());
-                effects.accept(new Effect.TellOthers(new OtherNews.Released(claim.event.request().id())));
+                effects.accept(new Effect.SendToGenerations(new GenerationMessage.RequestReleased(claim.event.request().id())));
             }
         }
         return abandoned;
@@ -175,21 +175,21 @@
      * Answers another generation's claim, which is refused if this generation doesn't own the ids or the id
      * is open here or in a third one.
      */
-    void answerClaim(int generation, OtherNews.Claim claim, boolean isOpenHere) {
+    void answerClaim(int generation, GenerationMessage.Claim claim, boolean isOpenHere) {
         boolean elsewhere = openIds.entrySet().stream()
                 .anyMatch(entry -> entry.getKey() != generation && entry.getValue().contains(claim.id()));
         boolean granted = !mustClaim && !isOpenHere && !elsewhere;
         if (granted) {
             openIds.computeIfAbsent(generation, key -> new HashSet<>()).add(claim.id());
         }
-        effects.accept(new Effect.TellOthers(
-                new OtherNews.Claimed(generation, claim.id(), claim.number(), granted)));
+        effects.accept(new Effect.SendToGenerations(
+                new GenerationMessage.ClaimAnswer(generation, claim.id(), claim.claimNumber(), granted)));
     }
 
     /** Accepts or rejects a request when its claim is answered; an answer to an older claim is ignored. */
-    void claimAnswered(OtherNews.Claimed answer) {
+    void claimAnswered(GenerationMessage.ClaimAnswer answer) {
         Claim claim = pendingClaims.get(answer.id());
-        if (claim == null || claim.number != answer.number()) {
+        if (claim == null || claim.number != answer.claimNumber()) {
             return;
         }
         pendingClaims.remove(answer.id());
--- a/src/main/java/yewdock/desk/Desk.java
+++ b/src/main/java/yewdock/core/Reducer.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 import java.util.List;
 import java.util.Map;
@@ -21,7 +21,7 @@
  * {@link
  * OtherGenerations} the state shared with other generations.
  */
-public final class Desk {
+public final class Reducer {
     /**
      * On shutdown, new connections may still arrive for 0.4 s and requests for 0.7 s. Idle client connections
      * are closed after this delay in microseconds.
@@ -48,9 +48,9 @@
     private final OperatorCommands commands;
     /** The module has not been given any server yet, because the agent has not answered. */
     private boolean awaitingAgent;
-    private boolean leaving;
-    private boolean lettingGo;
-    private Older olderGeneration = Older.NONE;
+    private boolean isShuttingDown;
+    private boolean isHandedOver;
+    private OlderGeneration olderGeneration = OlderGeneration.NONE;
     /** Endpoint lists are sent on to the other processes, one of which stores them. */
     private boolean relaying;
     /** Time limit for open requests after another generation took over, in microseconds. */
@@ -59,25 +59,28 @@
     private boolean stopped;
 
     /** Creates the reducer and the module, which gets its actions. */
-    public Desk(Terms settings, Bounds limits, Counters counters,
+    public Reducer(CoreSettings settings, ResourceLimits limits, Counters counters,
             Function<Routing.Actions, Routing.Events> makeModule) {
         this.context = new ReducerContext(counters);
-        this.servers = new KnownServers(context::now, settings.coldFor());
-        this.clients = new ClientConnections(limits.clients(), context::now, context.timers(), counters,
+        this.servers = new KnownServers(context::now, settings.maxColdMicros());
+        this.clients = new ClientConnections(limits.maxClientConnections(), context::now, context.timers(),
+                counters,
                 context::emit);
         this.watch = new DiscoveryWatch(settings, context::now, context.timers(), counters, context::emit,
                 this::discoveryCallFailed);
         this.otherGenerations = new OtherGenerations(context::now, context.timers(), counters, context::emit,
                 new Admission());
-        this.connections = new ServerConnections(context, limits.lines(), settings.keepalive(), servers);
+        this.connections = new ServerConnections(context, limits.maxServerConnections(),
+                settings.keepaliveMicros(), servers);
         this.openRequests = new OpenRequests(context, settings, limits, servers, connections,
                 otherGenerations);
         this.attempts = openRequests.attempts();
         this.responses = new ResponseStreams(context, connections, openRequests);
         this.commands = new OperatorCommands(context, settings, counters, servers, () -> openRequests.count()
                 + otherGenerations.pendingClaims(),
-                () -> lettingGo ? "a newer process serves"
-                        : olderGeneration == Older.FINISHES ? "an older process finishes" : unready(),
+                () -> isHandedOver ? "a newer process serves"
+                        : olderGeneration == OlderGeneration.FINISHING ? "an older process finishes"
+                                : notReadyReason(),
                 this::reportKnownServers);
         context.module(makeModule.apply(new ActionQueue()));
     }
@@ -89,12 +92,12 @@
         for (ReducerContext.Step step = context.nextStep(); step != null; step = context.nextStep()) {
             run(step);
         }
-        if (leaving && !stopped && openRequests.isEmpty() && !otherGenerations.hasClaims()
+        if (isShuttingDown && !stopped && openRequests.isEmpty() && !otherGenerations.hasClaims()
                 && context.now() >= exitAt) {
             stopped = true;
             context.emit(new Effect.Stop());
         }
-        if (lettingGo && !stopped && openRequests.isEmpty() && !otherGenerations.hasClaims()
+        if (isHandedOver && !stopped && openRequests.isEmpty() && !otherGenerations.hasClaims()
                 && (clients.count() == 0 || context.now() >= finishUntil)) {
             stopped = true;
             context.emit(new Effect.Stop());
@@ -103,19 +106,19 @@
     }
 
     /** Returns the time of the next {@link Event.Tick} in microseconds, or Long.MAX_VALUE. */
-    public long nextDue() {
+    public long nextTimerDue() {
         return context.timers().nextTime();
     }
 
     /** Returns why a request that arrived now could not be served; empty if it could. */
-    public String unready() {
-        if (leaving && !lettingGo) {
+    public String notReadyReason() {
+        if (isShuttingDown && !isHandedOver) {
             return "leaving";
         }
         if (commands.quiesced()) {
             return "quiesced";
         }
-        if (olderGeneration == Older.SERVES) {
+        if (olderGeneration == OlderGeneration.SERVING) {
             return "an older process serves";
         }
         if (context.inDoubt()) {
@@ -128,7 +131,7 @@
     }
 
     /** Whether an operator has quiesced this router. */
-    public boolean quiesced() {
+    public boolean isQuiesced() {
         return commands.quiesced();
     }
 
@@ -136,7 +139,7 @@
      * Returns the number of entries held for requests, clients, connections and timers. When the router is
      * idle it returns to its value at the start.
      */
-    public int kept() {
+    public int retainedEntries() {
         return openRequests.retainedEntries() + connections.retainedEntries() + servers.retainedEntries()
                 + clients.count() + context.retainedEntries() + otherGenerations.retainedEntries();
     }
@@ -145,70 +148,70 @@
      * Whether the discovery call after a pause of the process is still open. Nothing new should be sent
      * before its answer, which may tell of a drain.
      */
-    public boolean catchesUp() {
+    public boolean isCatchingUp() {
         return watch.catchingUp();
     }
 
     /** Whether the router is shutting down. */
-    public boolean leaving() {
-        return leaving;
+    public boolean isShuttingDown() {
+        return isShuttingDown;
     }
 
     /** Whether another generation accepts new connections and this one only finishes its open requests. */
-    public boolean lettingGo() {
-        return lettingGo;
+    public boolean isHandedOver() {
+        return isHandedOver;
     }
 
     /**
      * Restores when an earlier generation learned of each server's state, by server id. Entries of servers
      * that aren't known are ignored, and so are later times.
      */
-    public void recallTold(Map<Long, Long> earlier) {
+    public void restoreToldAt(Map<Long, Long> earlier) {
         servers.restoreStateTimes(earlier);
     }
 
     /** Returns all operator overrides by server name. */
-    public Map<String, BoxMark> marks() {
+    public Map<String, OperatorOverride> operatorOverrides() {
         return Map.copyOf(servers.overrides());
     }
 
     /** Returns the state that other generations need so that no request id or attempt is used twice. */
-    public Holdings holdings() {
+    public GenerationState generationState() {
         List<String> ids = openRequests.requestIds();
         ids.addAll(otherGenerations.claimedIds());
-        return new Holdings(ids, Attempts.inFlight(openRequests.all()),
+        return new GenerationState(ids, Attempts.inFlight(openRequests.all()),
                 new EndpointList(watch.version(), true, servers.listed()), watch.address(),
                         servers.stateSince());
     }
 
     private void dispatch(Event event) {
-        if (event instanceof Event.Piece e) {
+        if (event instanceof Event.ResponseChunk e) {
             responses.chunkReceived(e);
-        } else if (event instanceof Event.ClientTook e) {
+        } else if (event instanceof Event.ClientBytesWritten e) {
             responses.clientBytesWritten(e);
-        } else if (event instanceof Event.Asked e) {
+        } else if (event instanceof Event.RequestReceived e) {
             requestReceived(e);
-        } else if (event instanceof Event.Answered e) {
+        } else if (event instanceof Event.ResponseCompleted e) {
             responses.responseCompleted(e);
-        } else if (event instanceof Event.AnswerBegan e) {
-            responses.responseStarted(e.line());
-        } else if (event instanceof Event.AnswerSpoilt e) {
-            responses.responseMalformed(e.line());
-        } else if (event instanceof Event.TrySent e) {
-            attempts.written(e.line());
-        } else if (event instanceof Event.NotBegun e) {
-            attempts.notStarted(e.line());
-        } else if (event instanceof Event.LineUp e) {
-            attempts.connected(e.line());
-        } else if (event instanceof Event.LineDown e) {
-            responses.connectionClosed(e.line());
-        } else if (event instanceof Event.ClientCame e) {
+        } else if (event instanceof Event.ResponseStarted e) {
+            responses.responseStarted(e.connection());
+        } else if (event instanceof Event.ResponseMalformed e) {
+            responses.responseMalformed(e.connection());
+        } else if (event instanceof Event.AttemptWritten e) {
+            attempts.written(e.connection());
+        } else if (event instanceof Event.AttemptNotStarted e) {
+            attempts.notStarted(e.connection());
+        } else if (event instanceof Event.ServerConnected e) {
+            attempts.connected(e.connection());
+        } else if (event instanceof Event.ServerDisconnected e) {
+            responses.connectionClosed(e.connection());
+        } else if (event instanceof Event.ClientConnected e) {
             clients.connected(e.client());
-        } else if (event instanceof Event.ClientBegan e) {
+        } else if (event instanceof Event.ClientRequestStarted e) {
             clients.requestStarted(e.client());
-        } else if (event instanceof Event.ClientQuiet e) {
+        } else if (event instanceof Event.ClientIdle e) {
             clients.idle(e.client());
-        } else if (event instanceof Event.ClientLeft e) {
+        } else if (event instanceof Event.ClientDisconnected e) {
             clients.disconnected(e.client());
             otherGenerations.clientDisconnected(e.client()).forEach(
                     abandoned -> openRequests.countEnd(abandoned.request(), RequestOutcome.FAILED));
@@ -218,51 +221,52 @@
                     task = context.timers().poll(context.now())) {
                 run(new ReducerContext.Step(0, task));
             }
-        } else if (event instanceof Event.ListCame e) {
+        } else if (event instanceof Event.EndpointListReceived e) {
             listReceived(e.list());
-        } else if (event instanceof Event.LateListCame e) {
+        } else if (event instanceof Event.LateEndpointListReceived e) {
             lateListReceived(e.list());
-        } else if (event instanceof Event.DiscoveryLost) {
+        } else if (event instanceof Event.DiscoveryConnectionLost) {
             watch.connectionLost();
-        } else if (event instanceof Event.ListFailed) {
+        } else if (event instanceof Event.DiscoveryCallFailed) {
             discoveryCallFailed();
         } else if (event instanceof Event.Started e) {
             started(e);
-        } else if (event instanceof Event.ListMoved e) {
+        } else if (event instanceof Event.DiscoveryAddressChanged e) {
             watch.moveTo(e.address());
-        } else if (event instanceof Event.FromOther e) {
-            messageReceived(e.who(), e.news());
-        } else if (event instanceof Event.Share) {
-            context.emit(new Effect.ShareOut(holdings()));
+        } else if (event instanceof Event.GenerationMessageReceived e) {
+            messageReceived(e.generation(), e.message());
+        } else if (event instanceof Event.HandoverStarted) {
+            context.emit(new Effect.SendGenerationState(generationState()));
             otherGenerations.releaseOwnership();
-        } else if (event instanceof Event.Adopt e) {
-            adoptState(e.who(), e.held());
-        } else if (event instanceof Event.OtherGone e) {
-            otherGenerations.generationEnded(e.who()).forEach(token -> reportAttemptEnded(e.who(), token));
-        } else if (event instanceof Event.LetGo e) {
-            handOver(e.limit());
-        } else if (event instanceof Event.TakeBack) {
-            lettingGo = false;
+        } else if (event instanceof Event.GenerationStateReceived e) {
+            adoptState(e.generation(), e.state());
+        } else if (event instanceof Event.GenerationGone e) {
+            otherGenerations.generationEnded(e.generation()).forEach(token ->
+                    reportAttemptEnded(e.generation(), token));
+        } else if (event instanceof Event.HandedOver e) {
+            handOver(e.limitMicros());
+        } else if (event instanceof Event.HandoverAborted) {
+            isHandedOver = false;
             clients.setCloseEarly(false);
             otherGenerations.takeOwnership();
-        } else if (event instanceof Event.Marked e) {
-            overridesReplaced(e.marks());
-        } else if (event instanceof Event.Leased e) {
-            context.extendLease(e.until(), e.comeBack());
-        } else if (event instanceof Event.Resumed e) {
-            watch.processResumed(e.stalled());
-        } else if (event instanceof Event.ListBehind) {
+        } else if (event instanceof Event.OverridesReplaced e) {
+            overridesReplaced(e.overrides());
+        } else if (event instanceof Event.LeaseGranted e) {
+            context.extendLease(e.untilMicros(), e.retryAfterMicros());
+        } else if (event instanceof Event.ProcessResumed e) {
+            watch.processResumed(e.pausedMicros());
+        } else if (event instanceof Event.EndpointListOutdated) {
             watch.listOutdated();
-        } else if (event instanceof Event.MarkChanged e) {
-            servers.setOverride(e.box(), e.mark());
+        } else if (event instanceof Event.OverrideChanged e) {
+            servers.setOverride(e.server(), e.override());
             reportKnownServers();
-        } else if (event instanceof Event.Beside e) {
+        } else if (event instanceof Event.OlderGenerationChanged e) {
             olderGeneration = e.older();
-        } else if (event instanceof Event.Keeping) {
+        } else if (event instanceof Event.EndpointListRelayEnabled) {
             relaying = true;
-        } else if (event instanceof Event.Called e) {
-            commands.execute(e, leaving);
-        } else if (event instanceof Event.Leave) {
+        } else if (event instanceof Event.OperatorCommandReceived e) {
+            commands.execute(e, isShuttingDown);
+        } else if (event instanceof Event.ShutdownRequested) {
             shutDown();
         }
     }
@@ -286,14 +290,17 @@
     }
 
     private long requestOf(Event event) {
-        if (event instanceof Event.Asked e) {
+        if (event instanceof Event.RequestReceived e) {
             OpenRequest request = openRequests.byClient(e.client());
             return request == null ? 0 : request.id;
         }
-        ServerConnection connection = event instanceof Event.Piece chunk ? connections.get(chunk.line())
-                : event instanceof Event.Answered completed ? connections.get(completed.line())
-                : event instanceof Event.LineUp established ? connections.get(established.line())
-                : event instanceof Event.LineDown closed ? connections.get(closed.line()) : null;
+        ServerConnection connection = event instanceof Event.ResponseChunk chunk
+                ? connections.get(chunk.connection())
+                : event instanceof Event.ResponseCompleted completed ? connections.get(completed.connection())
+                : event instanceof Event.ServerConnected established
+                        ? connections.get(established.connection())
+                : event instanceof Event.ServerDisconnected closed ? connections.get(closed.connection())
+                        : null;
         return connection != null && connection.attempt != null ? connection.attempt.request.id : 0;
     }
 
@@ -340,7 +347,7 @@
         }
 
         @Override
-        public void followList() {
+        public void watchEndpointList() {
             context.queueAction(0, watch::followList);
         }
 
@@ -355,7 +362,7 @@
         }
     }
 
-    private void requestReceived(Event.Asked event) {
+    private void requestReceived(Event.RequestReceived event) {
         context.count("requests.taken");
         clients.requestReceived(event.client());
         ModelRequest request = event.request();
@@ -372,7 +379,7 @@
     }
 
     /** Refuses a request that the module has not been told of. */
-    private void refuseDirectly(Event.Asked event, long retryAfterMicros) {
+    private void refuseDirectly(Event.RequestReceived event, long retryAfterMicros) {
         context.count("answers.refused");
         openRequests.countEnd(event.request(), RequestOutcome.REJECTED);
         context.emit(new Effect.Refuse(event.client(), retryAfterMicros));
@@ -381,8 +388,8 @@
     // ---- endpoint list
 
     private void started(Event.Started event) {
-        EndpointList endpointList = event.known();
-        watch.start(event.listAddress(), endpointList.version());
+        EndpointList endpointList = event.endpointList();
+        watch.start(event.discoveryAddress(), endpointList.version());
         servers.apply(endpointList);
         context.callModule(0, m -> m.started(context.now()));
         awaitingAgent = watch.byAgent();
@@ -433,7 +440,8 @@
 
     private void applyList(EndpointList newList) {
         if (otherGenerations.hasOthers() || relaying) {
-            context.emit(new Effect.TellOthers(new OtherNews.Told(newList, watch.address())));
+            context.emit(new Effect.SendToGenerations(new GenerationMessage.EndpointListRelayed(newList,
+                    watch.address())));
         }
         servers.apply(newList);
         connections.closeUnusableIdle();
@@ -449,7 +457,7 @@
      * Operator overrides take effect at once, whatever the list contains and whether or not discovery
      * responds.
      */
-    private void overridesReplaced(Map<String, BoxMark> overrides) {
+    private void overridesReplaced(Map<String, OperatorOverride> overrides) {
         servers.replaceOverrides(overrides);
         reportKnownServers();
     }
@@ -477,60 +485,60 @@
         }
     }
 
-    private static List<Routing.Replica> serverStates(EndpointList list) {
-        return list.boxes().stream().map(ModelServer::replica).toList();
+    private static List<Routing.ServerState> serverStates(EndpointList list) {
+        return list.servers().stream().map(ModelServer::replica).toList();
     }
 
     // ---- other generations
 
     private final class Admission implements OtherGenerations.RequestAdmission {
         @Override
-        public void admit(Event.Asked event, long waitedMicros) {
+        public void admit(Event.RequestReceived event, long waitedMicros) {
             openRequests.admit(event, waitedMicros);
         }
 
         @Override
-        public void rejectDuplicate(Event.Asked event) {
+        public void rejectDuplicate(Event.RequestReceived event) {
             openRequests.rejectDuplicate(event);
         }
 
         @Override
-        public void refuse(Event.Asked event) {
-            Desk.this.refuseDirectly(event, 0);
+        public void refuse(Event.RequestReceived event) {
+            Reducer.this.refuseDirectly(event, 0);
         }
     }
 
-    private void messageReceived(int generation, OtherNews message) {
-        if (message instanceof OtherNews.Claim claim) {
+    private void messageReceived(int generation, GenerationMessage message) {
+        if (message instanceof GenerationMessage.Claim claim) {
             otherGenerations.answerClaim(generation, claim, openRequests.isOpen(claim.id()));
-        } else if (message instanceof OtherNews.Claimed answer) {
+        } else if (message instanceof GenerationMessage.ClaimAnswer answer) {
             otherGenerations.claimAnswered(answer);
-        } else if (message instanceof OtherNews.Released released) {
+        } else if (message instanceof GenerationMessage.RequestReleased released) {
             otherGenerations.requestReleased(generation, released.id());
-        } else if (message instanceof OtherNews.Sent sent) {
+        } else if (message instanceof GenerationMessage.AttemptSent sent) {
             otherGenerations.attemptSent(generation, sent.token());
-            context.callModule(0, m -> m.otherSent(context.now(), generation + "/" + sent.token(),
-                    sent.box()));
-        } else if (message instanceof OtherNews.Ended ended) {
+            context.callModule(0, m -> m.otherGenerationSent(context.now(), generation + "/" + sent.token(),
+                    sent.server()));
+        } else if (message instanceof GenerationMessage.AttemptEnded ended) {
             otherGenerations.attemptEnded(generation, ended.token());
             reportAttemptEnded(generation, ended.token());
-        } else if (message instanceof OtherNews.Told relayed) {
-            applyRelayedList(relayed.list(), relayed.address());
+        } else if (message instanceof GenerationMessage.EndpointListRelayed relayed) {
+            applyRelayedList(relayed.list(), relayed.discoveryAddress());
         }
     }
 
     private void reportAttemptEnded(int generation, long token) {
-        context.callModule(0, m -> m.otherEnded(context.now(), generation + "/" + token));
+        context.callModule(0, m -> m.otherGenerationEnded(context.now(), generation + "/" + token));
     }
 
-    private void adoptState(int generation, Holdings state) {
+    private void adoptState(int generation, GenerationState state) {
         otherGenerations.generationEnded(generation).forEach(token -> reportAttemptEnded(generation, token));
         otherGenerations.adoptState(generation, state);
-        for (OtherNews.Sent sent : state.out()) {
-            context.callModule(0, m -> m.otherSent(context.now(), generation + "/" + sent.token(),
-                    sent.box()));
+        for (GenerationMessage.AttemptSent sent : state.attemptsInFlight()) {
+            context.callModule(0, m -> m.otherGenerationSent(context.now(), generation + "/" + sent.token(),
+                    sent.server()));
         }
-        applyRelayedList(state.boxes(), state.listAddress());
+        applyRelayedList(state.endpointList(), state.discoveryAddress());
     }
 
     /**
@@ -554,12 +562,12 @@
      * finish until the time limit.
      */
     private void handOver(long limitMicros) {
-        lettingGo = true;
+        isHandedOver = true;
         finishUntil = context.now() + limitMicros;
         clients.setCloseEarly(true);
         long finishBy = finishUntil;
         context.runAt(finishBy, () -> {
-            if (lettingGo && finishUntil == finishBy) {
+            if (isHandedOver && finishUntil == finishBy) {
                 List.copyOf(openRequests.all()).forEach(request -> {
                     context.count("answers.over_the_limit");
                     openRequests.failAndReport(request, Outcome.CANCELLED);
@@ -575,8 +583,8 @@
      * must be answered.
      */
     private void shutDown() {
-        if (!leaving) {
-            leaving = true;
+        if (!isShuttingDown) {
+            isShuttingDown = true;
             exitAt = context.now() + MIN_SHUTDOWN_MICROS;
             context.log("leaving");
             context.runAt(context.now() + CLOSE_IDLE_AFTER_MICROS, () ->
--- a/src/main/java/yewdock/desk/Bounds.java
+++ b/src/main/java/yewdock/core/ResourceLimits.java
@@ -1,11 +1,12 @@
-package yewdock.desk;
+package yewdock.core;
 
 /**
  * The limits on what the router holds at once: client connections, server connections, open requests and
  * bytes of request data. At a limit it closes idle connections and refuses requests, before it runs out of
  * file descriptors or memory.
  */
-public record Bounds(int clients, int lines, int requests, int bytes) {
+public record ResourceLimits(int maxClientConnections, int maxServerConnections, int maxRequests,
+        int maxRequestBytes) {
     /**
      * File descriptors reserved for the process itself and for connections that are being opened or closed.
      */
@@ -22,10 +23,10 @@
     private static final int MIN_CONNECTIONS = 16;
 
     /** Returns the limits for this many file descriptors and megabytes of memory. */
-    public static Bounds within(int descriptors, int megabytes) {
+    public static ResourceLimits within(int descriptors, int megabytes) {
         int lines = Math.max(MIN_CONNECTIONS, descriptors / CONNECTIONS_DIVISOR);
         int clients = Math.max(MIN_CONNECTIONS, descriptors - lines - RESERVED_DESCRIPTORS);
-        return new Bounds(clients, lines, lines, (int) Math.min(Integer.MAX_VALUE,
+        return new ResourceLimits(clients, lines, lines, (int) Math.min(Integer.MAX_VALUE,
                 ((long) megabytes << 20) / BYTES_DIVISOR));
     }
 }
--- a/src/main/java/yewdock/desk/ResponseStreams.java
+++ b/src/main/java/yewdock/core/ResponseStreams.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 import umberspread.Routing.Outcome;
 
@@ -72,14 +72,15 @@
         } else if (attempt != null && attempt.written) {
             attempts.close(attempt, Outcome.ERROR);
         }
-        // An attempt that was never written in full has not run: LineDown, which follows the report of the
+        // An attempt that was never written in full has not run: ServerDisconnected, which follows the report
+        // of the
         // last byte, tells the two cases apart.
         connections.discard(connection);
     }
 
     /** Forwards a part of a stream; the first part makes its attempt the winner. */
-    void chunkReceived(Event.Piece event) {
-        ServerConnection connection = connections.get(event.line());
+    void chunkReceived(Event.ResponseChunk event) {
+        ServerConnection connection = connections.get(event.connection());
         Attempt attempt = connection == null ? null : connection.attempt;
         if (attempt == null || attempt.closingOutcome != null || attempt.request.ended) {
             return;
@@ -87,7 +88,7 @@
         OpenRequest request = attempt.request;
         attempt.lastDataAt = context.now();
         request.unwrittenBytes += event.bytes().remaining();
-        context.emit(new Effect.PassOn(request.client, event.bytes()));
+        context.emit(new Effect.ForwardChunk(request.client, event.bytes()));
         if (!request.isStreaming()) {
             attempts.win(attempt);
             context.runAt(context.now() + SILENCE_TIMEOUT_MICROS, () -> checkSilence(attempt));
@@ -98,7 +99,7 @@
     }
 
     /** Records that the client has taken bytes, and resumes reading once few enough are left. */
-    void clientBytesWritten(Event.ClientTook event) {
+    void clientBytesWritten(Event.ClientBytesWritten event) {
         OpenRequest request = openRequests.byClient(event.client());
         if (request == null || !request.isStreaming()) {
             return;
@@ -135,8 +136,8 @@
     }
 
     /** Ends the attempt on a connection whose response is complete, and releases the connection. */
-    void responseCompleted(Event.Answered event) {
-        ServerConnection connection = connections.get(event.line());
+    void responseCompleted(Event.ResponseCompleted event) {
+        ServerConnection connection = connections.get(event.connection());
         Attempt attempt = connection == null ? null : connection.attempt;
         if (attempt == null || attempt.closingOutcome != null) {
             return;
@@ -150,7 +151,7 @@
             openRequests.abortIfStreaming(attempt);
             outcome = Outcome.RESET;
         }
-        attempts.end(attempt, outcome, event.keptTokens(), event.report());
+        attempts.end(attempt, outcome, event.cachedTokens(), event.loadReport());
     }
 
     /**
--- a/src/main/java/yewdock/desk/ServerConnection.java
+++ b/src/main/java/yewdock/core/ServerConnection.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 /** A connection to a server. It carries one attempt at a time. */
 final class ServerConnection {
--- a/src/main/java/yewdock/desk/ServerConnections.java
+++ b/src/main/java/yewdock/core/ServerConnections.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -99,14 +99,14 @@
         attempt.connection = connection;
         connections.put(connection.id, connection);
         context.count("lines.opened");
-        context.emit(new Effect.OpenLine(connection.id, server.address()));
+        context.emit(new Effect.OpenServerConnection(connection.id, server.address()));
         return connection;
     }
 
     void close(ServerConnection connection) {
         if (!connection.closing) {
             connection.closing = true;
-            context.emit(new Effect.CloseLine(connection.id));
+            context.emit(new Effect.CloseServerConnection(connection.id));
         }
     }
 
@@ -165,7 +165,7 @@
     void pauseReading(ServerConnection connection) {
         if (!connection.readingPaused) {
             connection.readingPaused = true;
-            context.emit(new Effect.HoldLine(connection.id, true));
+            context.emit(new Effect.PauseReading(connection.id, true));
         }
     }
 
@@ -173,7 +173,7 @@
     void resumeReading(ServerConnection connection) {
         if (connection.readingPaused) {
             connection.readingPaused = false;
-            context.emit(new Effect.HoldLine(connection.id, false));
+            context.emit(new Effect.PauseReading(connection.id, false));
         }
     }
 
--- a/src/test/java/yewdock/PushedListTest.java
+++ b/src/test/java/yewdock/AgentDiscoveryTest.java
@@ -10,26 +10,28 @@
 import umberspread.Routing;
 import umberspread.Routing.Lifecycle;
 import umberspread.Routing.ListKind;
-import umberspread.Routing.Replica;
-import yewdock.desk.Bounds;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Effect;
-import yewdock.desk.EndpointList;
-import yewdock.desk.Event;
-import yewdock.desk.ModelRequest;
-import yewdock.desk.ModelServer;
-import yewdock.desk.Terms;
+import umberspread.Routing.ServerState;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Effect;
+import yewdock.core.EndpointList;
+import yewdock.core.Event;
+import yewdock.core.ModelRequest;
+import yewdock.core.ModelServer;
+import yewdock.core.Reducer;
+import yewdock.core.ResourceLimits;
 
 /** Discovery through a local agent: what the agent holds counts as known, whatever happens to the calls. */
-class PushedListTest {
+class AgentDiscoveryTest {
     private static final long GRACE = 500_000;
-    private static final Terms SETTINGS = new Terms(250_000, 30_000_000, true, GRACE, 10_000_000, true, 4,
+    private static final CoreSettings SETTINGS = new CoreSettings(250_000, 30_000_000, true, GRACE,
+            10_000_000, true, 4,
             List.of(true), List.of("chat"), 0);
     private final Counters counters = new Counters();
     private final Agent agent = new Agent();
     private final List<String> reports = new ArrayList<>();
-    private final Desk reducer = new Desk(SETTINGS, new Bounds(40, 20, 20, 1 << 20), counters, Module::new);
+    private final Reducer reducer = new Reducer(SETTINGS, new ResourceLimits(40, 20, 20, 1 << 20), counters,
+            Module::new);
     private long now;
     private Routing.Actions module;
 
@@ -40,7 +42,7 @@
         }
 
         @Override
-        public void listReceived(long time, ListKind kind, List<Replica> entries) {
+        public void listReceived(long time, ListKind kind, List<ServerState> entries) {
             reports.add(kind + " " + entries.stream().map(r -> r.id() + ":" + r.lifecycle()).toList());
         }
 
@@ -62,16 +64,16 @@
         private boolean silent;
         private boolean refusing;
         private boolean answersAtOnce;
-        private Effect.AskList openCall;
+        private Effect.CallDiscovery openCall;
         private long pollEndsAt;
         private final List<Long> callTimes = new ArrayList<>();
         private final List<Long> sinceVersions = new ArrayList<>();
 
-        void call(Effect.AskList call) {
+        void call(Effect.CallDiscovery call) {
             callTimes.add(now);
-            sinceVersions.add(call.since());
+            sinceVersions.add(call.sinceVersion());
             openCall = call;
-            pollEndsAt = answersAtOnce ? now : now + call.longest();
+            pollEndsAt = answersAtOnce ? now : now + call.maxWaitMicros();
         }
 
         void answerIfDue() {
@@ -80,29 +82,29 @@
             }
             if (refusing) {
                 openCall = null;
-                handle(new Event.ListFailed());
-            } else if (openCall.since() != list.version() || now >= pollEndsAt) {
-                boolean changed = openCall.since() != list.version();
+                handle(new Event.DiscoveryCallFailed());
+            } else if (openCall.sinceVersion() != list.version() || now >= pollEndsAt) {
+                boolean changed = openCall.sinceVersion() != list.version();
                 openCall = null;
-                handle(new Event.ListCame(changed ? list : new EndpointList(list.version(), false,
+                handle(new Event.EndpointListReceived(changed ? list : new EndpointList(list.version(), false,
                         List.of())));
             }
         }
     }
 
     private static ModelServer server(long id, Lifecycle state) {
-        return new ModelServer("s-" + id, "127.0.0.1:9001", new Replica(id, 0, 0, 1, 1, state, 0));
+        return new ModelServer("s-" + id, "127.0.0.1:9001", new ServerState(id, 0, 0, 1, 1, state, 0));
     }
 
     private List<Effect> handle(Event event) {
         List<Effect> effects = reducer.reduce(event, now);
         for (Effect effect : effects) {
-            if (effect instanceof Effect.AskList call) {
+            if (effect instanceof Effect.CallDiscovery call) {
                 agent.call(call);
-            } else if (effect instanceof Effect.HangUpList) {
+            } else if (effect instanceof Effect.CancelDiscoveryCall) {
                 agent.openCall = null;
-            } else if (effect instanceof Effect.CloseLine e) {
-                handle(new Event.LineDown(e.line()));
+            } else if (effect instanceof Effect.CloseServerConnection e) {
+                handle(new Event.ServerDisconnected(e.connection()));
             }
         }
         return effects;
@@ -115,7 +117,7 @@
     private void pass(long micros) {
         for (long until = now + micros; now < until;) {
             now += 5_000;
-            if (reducer.nextDue() <= now) {
+            if (reducer.nextTimerDue() <= now) {
                 handle(new Event.Tick());
             }
             agent.answerIfDue();
@@ -146,10 +148,10 @@
         EndpointList known = agent.list;
         drainFirstServer();
         handle(new Event.Started(known, "127.0.0.1:8500"));
-        assertFalse(reducer.unready().isEmpty());
+        assertFalse(reducer.notReadyReason().isEmpty());
         assertEquals(List.of(), reports, "the known list was used");
         pass(5_000);
-        assertEquals("", reducer.unready());
+        assertEquals("", reducer.notReadyReason());
         assertEquals("CACHED [1:DRAINING, 2:READY]", reports.get(0));
     }
 
@@ -158,9 +160,9 @@
         agent.silent = true;
         start();
         pass(990_000);
-        assertFalse(reducer.unready().isEmpty());
+        assertFalse(reducer.notReadyReason().isEmpty());
         pass(20_000);
-        assertEquals("", reducer.unready());
+        assertEquals("", reducer.notReadyReason());
         assertEquals(List.of("CACHED [1:READY]"), reports);
     }
 
@@ -204,7 +206,7 @@
         pass(2_000_000);
         agent.openCall = null;
         drainFirstServer();
-        handle(new Event.ListFailed());
+        handle(new Event.DiscoveryCallFailed());
         assertTrue(microsUntilDrainReported() < GRACE / 4);
         assertTrue(reports.stream().noneMatch(line -> line.startsWith("FAILED")), reports.toString());
     }
@@ -235,7 +237,7 @@
     @Test
     void drainAtEndOfOutageIsReportedWithinGrace() {
         for (long outage = 1_000_000; outage < 3_000_000; outage += 25_000) {
-            PushedListTest test = new PushedListTest();
+            AgentDiscoveryTest test = new AgentDiscoveryTest();
             test.start();
             test.pass(1_000_000);
             test.agent.silent = true;
@@ -281,7 +283,7 @@
         pass(3_000_000);
         agent.silent = false;
         drainFirstServer();
-        handle(new Event.ListMoved("127.0.0.1:8501"));
+        handle(new Event.DiscoveryAddressChanged("127.0.0.1:8501"));
         assertEquals(-1L, agent.sinceVersions.get(agent.sinceVersions.size() - 1));
         assertTrue(microsUntilDrainReported() < GRACE / 4);
     }
@@ -290,14 +292,14 @@
     @Test
     void drainStopsAttemptWhoseConnectionIsBeingOpened() {
         start();
-        handle(new Event.ClientCame(1));
-        List<Effect> effects = handle(new Event.Asked(1,
+        handle(new Event.ClientConnected(1));
+        List<Effect> effects = handle(new Event.RequestReceived(1,
                 new ModelRequest("r1", 0, 0, false, 1, 1, 1, 0, 9, 900_000, 100)));
-        long connection = effects.stream().filter(Effect.OpenLine.class::isInstance)
-                .map(Effect.OpenLine.class::cast).findFirst().orElseThrow().line();
+        long connection = effects.stream().filter(Effect.OpenServerConnection.class::isInstance)
+                .map(Effect.OpenServerConnection.class::cast).findFirst().orElseThrow().connection();
         drainFirstServer();
         microsUntilDrainReported();
-        assertFalse(handle(new Event.LineUp(connection)).stream().anyMatch(Effect.SendTry.class::isInstance));
+        assertFalse(handle(new Event.ServerConnected(connection)).stream().anyMatch(Effect.SendAttempt.class::isInstance));
         assertEquals("NOT_SENT", reports.get(reports.size() - 1));
     }
 }
--- a/src/test/java/yewdock/BusyDiscoveryTest.java
+++ b/src/test/java/yewdock/BusyDiscoveryTest.java
@@ -11,15 +11,15 @@
 import umberspread.BoundedLoadRouter;
 import umberspread.Routing;
 import umberspread.Routing.Lifecycle;
-import umberspread.Routing.Replica;
-import yewdock.desk.Bounds;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Effect;
-import yewdock.desk.EndpointList;
-import yewdock.desk.Event;
-import yewdock.desk.ModelServer;
-import yewdock.desk.Terms;
+import umberspread.Routing.ServerState;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Effect;
+import yewdock.core.EndpointList;
+import yewdock.core.Event;
+import yewdock.core.ModelServer;
+import yewdock.core.Reducer;
+import yewdock.core.ResourceLimits;
 
 /**
  * Many routers call one service, which handles calls in turn: it answers or fails a call within 2 s, and a
@@ -46,10 +46,10 @@
 
     /** One router, and its call as the service sees it. */
     private final class Router {
-        private final Desk reducer;
-        private Effect.AskList openCall;
+        private final Reducer reducer;
+        private Effect.CallDiscovery openCall;
         /** A long poll without an answer in time that has not been cancelled. */
-        private Effect.AskList callAside;
+        private Effect.CallDiscovery callAside;
         private long handledAt;
         private long calledAt;
         private boolean refused;
@@ -62,15 +62,16 @@
 
         Router(int seed) {
             offset = seed % STEP;
-            reducer = new Desk(new Terms(250_000, 30 * SECOND, false, grace, 10 * SECOND, true, 4,
-                    List.of(true), List.of("chat"), 0), new Bounds(40, 20, 20, 1 << 20), new Counters(),
+            reducer = new Reducer(new CoreSettings(250_000, 30 * SECOND, false, grace, 10 * SECOND, true, 4,
+                    List.of(true), List.of("chat"), 0), new ResourceLimits(40, 20, 20, 1 << 20),
+                            new Counters(),
                     actions -> new BoundedLoadRouter(settings(), seed, actions));
             handle(new Event.Started(list(7, true, Lifecycle.READY), "127.0.0.1:8500"));
         }
 
         private void handle(Event event) {
             for (Effect effect : reducer.reduce(event, now + offset)) {
-                if (effect instanceof Effect.AskList call) {
+                if (effect instanceof Effect.CallDiscovery call) {
                     openCall = call;
                     calledAt = now;
                     silent = false;
@@ -79,31 +80,32 @@
                         busyUntil = Math.max(now, busyUntil) + serviceTime;
                         handledAt = busyUntil;
                     }
-                } else if (effect instanceof Effect.SetListCallAside) {
+                } else if (effect instanceof Effect.SetDiscoveryCallAside) {
                     callAside = openCall;
                     openCall = null;
-                } else if (effect instanceof Effect.HangUpList) {
+                } else if (effect instanceof Effect.CancelDiscoveryCall) {
                     openCall = null;
                 }
             }
         }
 
         private void step() {
-            if (reducer.nextDue() <= now + offset) {
+            if (reducer.nextTimerDue() <= now + offset) {
                 handle(new Event.Tick());
             }
             if (openCall == null || silent) {
                 return;
             }
-            boolean changed = openCall.since() < version;
+            boolean changed = openCall.sinceVersion() < version;
             if (refused) {
                 openCall = null;
-                handle(new Event.ListFailed());
-            } else if (now >= handledAt && (changed || now >= calledAt + openCall.longest())) {
+                handle(new Event.DiscoveryCallFailed());
+            } else if (now >= handledAt && (changed || now >= calledAt + openCall.maxWaitMicros())) {
                 openCall = null;
                 answers++;
                 knownVersion = version;
-                handle(new Event.ListCame(changed ? list(version, false, drained ? Lifecycle.DRAINING
+                handle(new Event.EndpointListReceived(changed ? list(version, false, drained
+                        ? Lifecycle.DRAINING
                         : Lifecycle.READY) : new EndpointList(version, false, List.of())));
             }
         }
@@ -115,7 +117,7 @@
                 openCall = null;
                 answers++;
                 knownVersion = version;
-                handle(new Event.ListCame(list(version, false, Lifecycle.DRAINING)));
+                handle(new Event.EndpointListReceived(list(version, false, Lifecycle.DRAINING)));
             }
         }
 
@@ -125,13 +127,14 @@
         }
 
         boolean knowsDrain() {
-            return !reducer.unready().isEmpty();
+            return !reducer.notReadyReason().isEmpty();
         }
     }
 
     private Routing.Settings settings() {
         return new Routing.Settings(ROUTERS, 0, 0, List.of(new Routing.RequestClass("chat",
-                Routing.Effect.RETRYABLE, Routing.DedupGroup.ALL, 0, SECOND, 0, 0, 4 * SECOND, 1, 0, true,
+                Routing.RetrySafety.RETRYABLE, Routing.DedupGroup.ALL, 0, SECOND, 0, 0, 4 * SECOND, 1, 0,
+                        true,
                 Routing.Placement.ANYWHERE)),
                 List.of(), 0.1, true, new Routing.Limits(4, false, true, false, 250_000, 0),
                 new Routing.Contract(grace, 10 * SECOND, 0.3, 3, 2 * SECOND, 10 * SECOND,
@@ -140,7 +143,7 @@
 
     private static EndpointList list(long version, boolean full, Lifecycle state) {
         return new EndpointList(version, full, List.of(new ModelServer("s-1", "127.0.0.1:9001",
-                new Replica(1, 0, 0, 1, 1, state, 0))));
+                new ServerState(1, 0, 0, 1, 1, state, 0))));
     }
 
     private List<Router> routers(int seed, int count) {
--- a/src/test/java/yewdock/ChurnTest.java
+++ b/src/test/java/yewdock/ChurnTest.java
@@ -9,25 +9,26 @@
 import org.junit.jupiter.api.Test;
 import umberspread.Routing.Lifecycle;
 import umberspread.Routing.Outcome;
-import umberspread.Routing.Replica;
-import yewdock.desk.Bounds;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Effect;
-import yewdock.desk.EndpointList;
-import yewdock.desk.Event;
-import yewdock.desk.ModelRequest;
-import yewdock.desk.ModelServer;
-import yewdock.desk.Terms;
+import umberspread.Routing.ServerState;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Effect;
+import yewdock.core.EndpointList;
+import yewdock.core.Event;
+import yewdock.core.ModelRequest;
+import yewdock.core.ModelServer;
+import yewdock.core.Reducer;
+import yewdock.core.ResourceLimits;
 
 /** Clients and servers that come and go for as long as the router runs must leave no state behind. */
 class ChurnTest {
-    private static final Terms SETTINGS = new Terms(250_000, 5_000_000, false, 1_000_000, 10_000_000, false,
+    private static final CoreSettings SETTINGS = new CoreSettings(250_000, 5_000_000, false, 1_000_000,
+            10_000_000, false,
             4, List.of(), List.of("chat"), 0);
     private static final int ROUNDS = 600;
     private static final long STEP = 50_000;
     private final Counters counters = new Counters();
-    private final Desk reducer = new Desk(SETTINGS, new Bounds(40, 20, 20, 1 << 20), counters,
+    private final Reducer reducer = new Reducer(SETTINGS, new ResourceLimits(40, 20, 20, 1 << 20), counters,
             InOrderModule::new);
     private long now;
     private long lastClient;
@@ -36,10 +37,10 @@
     private List<Effect> handle(Event event) {
         List<Effect> effects = reducer.reduce(event, now);
         for (Effect effect : effects) {
-            if (effect instanceof Effect.CloseLine e) {
-                handle(new Event.LineDown(e.line()));
+            if (effect instanceof Effect.CloseServerConnection e) {
+                handle(new Event.ServerDisconnected(e.connection()));
             } else if (effect instanceof Effect.CloseClient e) {
-                handle(new Event.ClientLeft(e.client()));
+                handle(new Event.ClientDisconnected(e.client()));
             }
         }
         return effects;
@@ -47,8 +48,8 @@
 
     private void pass(long micros) {
         long until = now + micros;
-        while (reducer.nextDue() <= until) {
-            now = Math.max(now, reducer.nextDue());
+        while (reducer.nextTimerDue() <= until) {
+            now = Math.max(now, reducer.nextTimerDue());
             handle(new Event.Tick());
         }
         now = until;
@@ -59,11 +60,11 @@
      */
     private int retainedAtRest() {
         pass(60_000_000);
-        return reducer.kept();
+        return reducer.retainedEntries();
     }
 
     private static ModelServer server(long id, Lifecycle state) {
-        return new ModelServer("s-" + id, "127.0.0.1:9001", new Replica(id, 0, 0, 1, 1, state, 0));
+        return new ModelServer("s-" + id, "127.0.0.1:9001", new ServerState(id, 0, 0, 1, 1, state, 0));
     }
 
     private static <E extends Effect> E first(List<Effect> effects, Class<E> kind) {
@@ -74,29 +75,29 @@
      * One client's request, which ends in one of several ways; every third client stays connected and idle.
      */
     private void runRequest(int round) {
-        handle(new Event.ClientCame(++lastClient));
-        handle(new Event.ClientBegan(lastClient));
-        List<Effect> effects = new ArrayList<>(handle(new Event.Asked(lastClient,
+        handle(new Event.ClientConnected(++lastClient));
+        handle(new Event.ClientRequestStarted(lastClient));
+        List<Effect> effects = new ArrayList<>(handle(new Event.RequestReceived(lastClient,
                 new ModelRequest("r" + round, 0, 0, false, round, round, 1, 0, 9, 900_000, 100))));
-        if (effects.stream().anyMatch(Effect.OpenLine.class::isInstance)) {
-            long connection = first(effects, Effect.OpenLine.class).line();
-            effects.addAll(handle(new Event.LineUp(connection)));
+        if (effects.stream().anyMatch(Effect.OpenServerConnection.class::isInstance)) {
+            long connection = first(effects, Effect.OpenServerConnection.class).connection();
+            effects.addAll(handle(new Event.ServerConnected(connection)));
         }
-        long connection = first(effects, Effect.SendTry.class).line();
-        handle(new Event.TrySent(connection));
+        long connection = first(effects, Effect.SendAttempt.class).connection();
+        handle(new Event.AttemptWritten(connection));
         switch (round % 4) {
-            case 0 -> handle(new Event.AnswerSpoilt(connection));
-            case 1 -> handle(new Event.ClientLeft(lastClient));
-            case 2 -> handle(new Event.LineDown(connection));
+            case 0 -> handle(new Event.ResponseMalformed(connection));
+            case 1 -> handle(new Event.ClientDisconnected(lastClient));
+            case 2 -> handle(new Event.ServerDisconnected(connection));
             default -> {
-                handle(new Event.Piece(connection, ByteBuffer.wrap(new byte[] {1})));
-                handle(new Event.Answered(connection, Outcome.OK, true, 0, null));
+                handle(new Event.ResponseChunk(connection, ByteBuffer.wrap(new byte[] {1})));
+                handle(new Event.ResponseCompleted(connection, Outcome.OK, true, 0, null));
             }
         }
         if (round % 3 == 0) {
-            handle(new Event.ClientQuiet(lastClient));
+            handle(new Event.ClientIdle(lastClient));
         } else {
-            handle(new Event.ClientLeft(lastClient));
+            handle(new Event.ClientDisconnected(lastClient));
         }
     }
 
@@ -108,11 +109,11 @@
         int max = 0;
         for (int round = 0; round < ROUNDS; round++) {
             runRequest(round);
-            max = Math.max(max, reducer.kept());
+            max = Math.max(max, reducer.retainedEntries());
             pass(STEP);
             if (round % 10 == 9) {
                 long oldServer = round / 10 + 1;
-                handle(new Event.ListCame(new EndpointList(oldServer + 1, false,
+                handle(new Event.EndpointListReceived(new EndpointList(oldServer + 1, false,
                         List.of(server(oldServer + 1, Lifecycle.READY), server(oldServer, Lifecycle.GONE)))));
             }
         }
--- a/src/test/java/yewdock/DiscoveryTermTest.java
+++ b/src/test/java/yewdock/DiscoveryDeadlineTest.java
@@ -9,21 +9,21 @@
 import umberspread.BoundedLoadRouter;
 import umberspread.Routing;
 import umberspread.Routing.Lifecycle;
-import umberspread.Routing.Replica;
-import yewdock.desk.Bounds;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Effect;
-import yewdock.desk.EndpointList;
-import yewdock.desk.Event;
-import yewdock.desk.ModelServer;
-import yewdock.desk.Terms;
+import umberspread.Routing.ServerState;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Effect;
+import yewdock.core.EndpointList;
+import yewdock.core.Event;
+import yewdock.core.ModelServer;
+import yewdock.core.Reducer;
+import yewdock.core.ResourceLimits;
 
 /**
  * Whatever happens to discovery calls - failures, refusals, timeouts - a change counts as known 6 s after
  * discovery had it and could be reached. The reducer with the real module, in virtual time.
  */
-class DiscoveryTermTest {
+class DiscoveryDeadlineTest {
     private static final long SECOND = 1_000_000;
     private static final long KNOWN_AFTER = 6 * SECOND;
     private static final long GRACE = SECOND;
@@ -39,7 +39,8 @@
 
     private static Routing.Settings settings() {
         return new Routing.Settings(1, 0, 0, List.of(new Routing.RequestClass("chat",
-                Routing.Effect.RETRYABLE, Routing.DedupGroup.ALL, 0, SECOND, 0, 0, 4 * SECOND, 1, 0, true,
+                Routing.RetrySafety.RETRYABLE, Routing.DedupGroup.ALL, 0, SECOND, 0, 0, 4 * SECOND, 1, 0,
+                        true,
                 Routing.Placement.ANYWHERE)),
                 List.of(), 0.1, true, new Routing.Limits(4, false, true, false, 250_000, 0),
                 new Routing.Contract(GRACE, 8 * SECOND, 0.3, 3, 2 * SECOND, 10 * SECOND,
@@ -47,15 +48,15 @@
     }
 
     private static ModelServer server(Lifecycle state) {
-        return new ModelServer("s-1", "127.0.0.1:9001", new Replica(1, 0, 0, 1, 1, state, 0));
+        return new ModelServer("s-1", "127.0.0.1:9001", new ServerState(1, 0, 0, 1, 1, state, 0));
     }
 
     /** One router and its discovery service. */
     private static final class Rig {
-        private final Desk reducer;
+        private final Reducer reducer;
         /** How the next calls fail; calls after them are answered. */
         private final Deque<Failure> failures = new ArrayDeque<>();
-        private Effect.AskList openCall;
+        private Effect.CallDiscovery openCall;
         private long calledAt;
         private Failure currentFailure;
         private boolean drained;
@@ -63,8 +64,9 @@
         private long calls;
 
         Rig(long seed) {
-            reducer = new Desk(new Terms(250_000, 30 * SECOND, false, GRACE, 10 * SECOND, true, 4,
-                    List.of(true), List.of("chat"), 0), new Bounds(40, 20, 20, 1 << 20), new Counters(),
+            reducer = new Reducer(new CoreSettings(250_000, 30 * SECOND, false, GRACE, 10 * SECOND, true, 4,
+                    List.of(true), List.of("chat"), 0), new ResourceLimits(40, 20, 20, 1 << 20),
+                            new Counters(),
                     actions -> new BoundedLoadRouter(settings(), seed, actions));
             handle(new Event.Started(KNOWN, "127.0.0.1:8500"));
         }
@@ -72,34 +74,35 @@
         private void handle(Event event) {
             boolean refused = false;
             for (Effect effect : reducer.reduce(event, now)) {
-                if (effect instanceof Effect.AskList call) {
+                if (effect instanceof Effect.CallDiscovery call) {
                     calls++;
                     openCall = call;
                     calledAt = now;
                     currentFailure = failures.poll();
                     refused = currentFailure == Failure.REFUSED;
-                } else if (effect instanceof Effect.HangUpList) {
+                } else if (effect instanceof Effect.CancelDiscoveryCall) {
                     openCall = null;
                 }
             }
             if (refused) {
                 openCall = null;
-                handle(new Event.ListFailed());
+                handle(new Event.DiscoveryCallFailed());
             }
         }
 
         private void step() {
             now += STEP;
-            if (reducer.nextDue() <= now) {
+            if (reducer.nextTimerDue() <= now) {
                 handle(new Event.Tick());
             }
             if (openCall == null || currentFailure == Failure.SILENT) {
                 return;
             }
-            boolean changed = drained && openCall.since() < DRAINED.version();
-            if (changed || now >= calledAt + openCall.longest()) {
+            boolean changed = drained && openCall.sinceVersion() < DRAINED.version();
+            if (changed || now >= calledAt + openCall.maxWaitMicros()) {
                 openCall = null;
-                handle(new Event.ListCame(changed ? DRAINED : new EndpointList(drained ? 8 : 7, false,
+                handle(new Event.EndpointListReceived(changed ? DRAINED : new EndpointList(drained ? 8 : 7,
+                        false,
                         List.of())));
             }
         }
@@ -107,7 +110,7 @@
         /** Lets time pass until the drain is known; fails if that takes longer than the drain may. */
         private void assertDrainKnownInTime(long reachableSince, String situation) {
             long deadline = reachableSince + KNOWN_AFTER + GRACE;
-            while (reducer.unready().isEmpty()) {
+            while (reducer.notReadyReason().isEmpty()) {
                 assertTrue(now < deadline, situation + ": drain not known after "
                         + (now - reachableSince) / 1000 + " ms");
                 step();
@@ -146,7 +149,7 @@
         for (int mix = 0; mix < 4; mix++) {
             for (long brokenAfter = 0; brokenAfter < 5 * SECOND; brokenAfter += 10 * STEP) {
                 Rig rig = new Rig(mix + brokenAfter / STEP);
-                while (rig.openCall == null || rig.openCall.longest() == 0 || rig.now < rig.calledAt
+                while (rig.openCall == null || rig.openCall.maxWaitMicros() == 0 || rig.now < rig.calledAt
                         + brokenAfter) {
                     rig.step();
                 }
@@ -157,7 +160,7 @@
                     rig.currentFailure = Failure.SILENT;
                 } else {
                     rig.openCall = null;
-                    rig.handle(new Event.ListFailed());
+                    rig.handle(new Event.DiscoveryCallFailed());
                 }
                 rig.assertDrainKnownInTime(drainedAt, "watch broken after " + brokenAfter + ", mix " + mix);
             }
@@ -175,7 +178,7 @@
             for (int mix = 0; mix < 1 << length; mix++) {
                 for (int seed = 0; seed < MANY_SEEDS && Integer.bitCount(mix) <= 2; seed++) {
                     Rig rig = new Rig(seed);
-                    while (rig.openCall == null || rig.openCall.longest() == 0) {
+                    while (rig.openCall == null || rig.openCall.maxWaitMicros() == 0) {
                         rig.step();
                     }
                     for (int i = 0; i < length; i++) {
@@ -184,7 +187,7 @@
                     rig.drained = true;
                     long drainedAt = rig.now;
                     rig.openCall = null;
-                    rig.handle(new Event.ListFailed());
+                    rig.handle(new Event.DiscoveryCallFailed());
                     rig.assertDrainKnownInTime(drainedAt, length + " failures, mix " + mix + ", seed "
                             + seed);
                 }
@@ -204,7 +207,7 @@
                 rig.failures.add(kind(mix, 0));
                 rig.failures.add(kind(mix, 1));
                 rig.drained = true;
-                rig.handle(new Event.ListMoved("127.0.0.1:8501"));
+                rig.handle(new Event.DiscoveryAddressChanged("127.0.0.1:8501"));
                 rig.assertDrainKnownInTime(rig.calledAt, "moved, mix " + mix + ", seed " + seed);
             }
         }
--- a/src/test/java/yewdock/CopiesTest.java
+++ b/src/test/java/yewdock/HedgingTest.java
@@ -10,27 +10,27 @@
 import umberspread.Routing;
 import umberspread.Routing.Lifecycle;
 import umberspread.Routing.Outcome;
-import umberspread.Routing.Replica;
-import yewdock.desk.Bounds;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Effect;
-import yewdock.desk.EndpointList;
-import yewdock.desk.Event;
-import yewdock.desk.ModelRequest;
-import yewdock.desk.ModelServer;
-import yewdock.desk.Terms;
+import umberspread.Routing.ServerState;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Effect;
+import yewdock.core.EndpointList;
+import yewdock.core.Event;
+import yewdock.core.ModelRequest;
+import yewdock.core.ModelServer;
+import yewdock.core.Reducer;
+import yewdock.core.ResourceLimits;
 
 /**
  * Several attempts of one request: which one wins, what happens to the others, and when none may be sent.
  */
-class CopiesTest {
+class HedgingTest {
     private static final int MAX_ATTEMPTS = 4;
     private final Counters counters = new Counters();
     private final List<String> moduleEvents = new ArrayList<>();
     private final List<String> effects = new ArrayList<>();
     private Routing.Actions module;
-    private Desk reducer;
+    private Reducer reducer;
     private long now;
 
     /** Takes no decisions of its own: the test requests the actions. */
@@ -56,7 +56,7 @@
         }
 
         @Override
-        public void requestGone(long time, long requestId) {
+        public void requestAbandoned(long time, long requestId) {
             moduleEvents.add("gone");
         }
 
@@ -71,30 +71,32 @@
     }
 
     private static ModelServer server(long id, Lifecycle state) {
-        return new ModelServer("s-" + id, "127.0.0.1:900" + id, new Replica(id, 0, 0, 1, 1, state, 0));
+        return new ModelServer("s-" + id, "127.0.0.1:900" + id, new ServerState(id, 0, 0, 1, 1, state, 0));
     }
 
     private void start(boolean hedging, boolean idempotent) {
-        reducer = new Desk(new Terms(250_000, 30_000_000, false, 500_000, 10_000_000, hedging, MAX_ATTEMPTS,
+        reducer = new Reducer(new CoreSettings(250_000, 30_000_000, false, 500_000, 10_000_000, hedging,
+                MAX_ATTEMPTS,
                 List.of(idempotent), List.of("chat"), 0),
-                new Bounds(40, 20, 20, 1 << 20), counters, Module::new);
+                new ResourceLimits(40, 20, 20, 1 << 20), counters, Module::new);
         handle(new Event.Started(new EndpointList(1, true, List.of(server(1, Lifecycle.READY),
                 server(2, Lifecycle.READY), server(3, Lifecycle.READY))), "127.0.0.1:8500"));
-        handle(new Event.ClientCame(1));
-        handle(new Event.Asked(1, new ModelRequest("r1", 0, 0, false, 1, 1, 1, 0, 9, 6_000_000, 100)));
+        handle(new Event.ClientConnected(1));
+        handle(new Event.RequestReceived(1, new ModelRequest("r1", 0, 0, false, 1, 1, 1, 0, 9, 6_000_000,
+                100)));
     }
 
     private void handle(Event event) {
         for (Effect effect : reducer.reduce(event, now)) {
-            if (effect instanceof Effect.SendTry e) {
-                effects.add("send " + e.line());
-                handle(new Event.TrySent(e.line()));
-            } else if (effect instanceof Effect.OpenLine e) {
-                effects.add("open " + e.line());
-            } else if (effect instanceof Effect.CloseLine e) {
-                effects.add("close " + e.line());
-            } else if (effect instanceof Effect.PassOn || effect instanceof Effect.EndAnswer
-                    || effect instanceof Effect.CutOff || effect instanceof Effect.Fail
+            if (effect instanceof Effect.SendAttempt e) {
+                effects.add("send " + e.connection());
+                handle(new Event.AttemptWritten(e.connection()));
+            } else if (effect instanceof Effect.OpenServerConnection e) {
+                effects.add("open " + e.connection());
+            } else if (effect instanceof Effect.CloseServerConnection e) {
+                effects.add("close " + e.connection());
+            } else if (effect instanceof Effect.ForwardChunk || effect instanceof Effect.EndResponse
+                    || effect instanceof Effect.AbortResponse || effect instanceof Effect.Fail
                     || effect instanceof Effect.Refuse) {
                 effects.add(effect.getClass().getSimpleName());
             }
@@ -102,11 +104,11 @@
     }
 
     private void connect(long connection) {
-        handle(new Event.LineUp(connection));
+        handle(new Event.ServerConnected(connection));
     }
 
     private void receiveChunk(long connection) {
-        handle(new Event.Piece(connection, ByteBuffer.wrap(new byte[] {1})));
+        handle(new Event.ResponseChunk(connection, ByteBuffer.wrap(new byte[] {1})));
     }
 
     /** Makes the module act: 1 to 3 sends an attempt to that server, other values as in woken. */
@@ -131,8 +133,8 @@
         receiveChunk(2);
         assertEquals(List.of("PassOn", "close 1"), effects);
         assertEquals(List.of("first 1"), moduleEvents);
-        handle(new Event.LineDown(1));
-        handle(new Event.Answered(2, Outcome.OK, true, 0, null));
+        handle(new Event.ServerDisconnected(1));
+        handle(new Event.ResponseCompleted(2, Outcome.OK, true, 0, null));
         assertEquals(List.of("first 1", "0 CANCELLED", "1 OK over"), moduleEvents);
         assertEquals(List.of("PassOn", "close 1", "EndAnswer"), effects);
         assertEquals(1, counters.get("answers.served"));
@@ -144,20 +146,20 @@
         startTwoAttempts();
         receiveChunk(1);
         receiveChunk(2);
-        handle(new Event.Answered(2, Outcome.OK, true, 0, null));
+        handle(new Event.ResponseCompleted(2, Outcome.OK, true, 0, null));
         receiveChunk(1);
-        handle(new Event.Answered(1, Outcome.OK, true, 0, null));
+        handle(new Event.ResponseCompleted(1, Outcome.OK, true, 0, null));
         assertEquals(List.of("PassOn", "close 2", "PassOn", "EndAnswer"), effects);
-        handle(new Event.LineDown(2));
+        handle(new Event.ServerDisconnected(2));
         assertEquals(List.of("first 0", "0 OK over", "1 CANCELLED over"), moduleEvents);
     }
 
     @Test
     void otherAttemptSurvivesOneFailureAndModuleHandlesTwo() {
         startTwoAttempts();
-        handle(new Event.Answered(1, Outcome.ERROR, true, 0, null));
+        handle(new Event.ResponseCompleted(1, Outcome.ERROR, true, 0, null));
         assertEquals(List.of("0 ERROR"), moduleEvents);
-        handle(new Event.LineDown(2));
+        handle(new Event.ServerDisconnected(2));
         assertEquals(List.of("0 ERROR", "1 RESET"), moduleEvents);
         assertEquals(List.of(), effects);
         requestAction(8);
@@ -168,8 +170,8 @@
     void malformedResponseOfLoserDoesNotAffectWinner() {
         startTwoAttempts();
         receiveChunk(1);
-        handle(new Event.AnswerSpoilt(2));
-        handle(new Event.LineDown(2));
+        handle(new Event.ResponseMalformed(2));
+        handle(new Event.ServerDisconnected(2));
         receiveChunk(1);
         assertEquals(List.of("PassOn", "close 2", "PassOn"), effects);
         assertEquals(List.of("first 0", "1 CANCELLED"), moduleEvents);
@@ -178,8 +180,8 @@
     @Test
     void malformedResponseBeforeFirstEventLeavesOtherAttempt() {
         startTwoAttempts();
-        handle(new Event.AnswerSpoilt(1));
-        handle(new Event.LineDown(1));
+        handle(new Event.ResponseMalformed(1));
+        handle(new Event.ServerDisconnected(1));
         receiveChunk(2);
         assertEquals(List.of("close 1", "PassOn"), effects);
         assertEquals(List.of("0 ERROR", "first 1"), moduleEvents);
@@ -188,9 +190,9 @@
     @Test
     void clientDisconnectEndsBothAttempts() {
         startTwoAttempts();
-        handle(new Event.ClientLeft(1));
-        handle(new Event.LineDown(2));
-        handle(new Event.LineDown(1));
+        handle(new Event.ClientDisconnected(1));
+        handle(new Event.ServerDisconnected(2));
+        handle(new Event.ServerDisconnected(1));
         assertEquals(List.of("close 1", "close 2"), effects);
         assertEquals(List.of("gone", "1 CANCELLED over", "0 CANCELLED over"), moduleEvents);
         assertEquals(0, counters.get("faults"));
@@ -202,9 +204,10 @@
         start(true, true);
         connect(1);
         requestAction(2);
-        handle(new Event.ListCame(new EndpointList(2, false, List.of(server(2, Lifecycle.DRAINING)))));
+        handle(new Event.EndpointListReceived(new EndpointList(2, false,
+                List.of(server(2, Lifecycle.DRAINING)))));
         connect(2);
-        handle(new Event.LineDown(2));
+        handle(new Event.ServerDisconnected(2));
         requestAction(2);
         assertEquals(List.of("open 1", "send 1", "open 2", "close 2"), effects);
         assertEquals(List.of("1 NOT_SENT", "2 NOT_SENT"), moduleEvents);
@@ -214,9 +217,10 @@
     void winnersStreamContinuesWhileItsServerDrains() {
         startTwoAttempts();
         receiveChunk(1);
-        handle(new Event.ListCame(new EndpointList(2, false, List.of(server(1, Lifecycle.DRAINING)))));
+        handle(new Event.EndpointListReceived(new EndpointList(2, false,
+                List.of(server(1, Lifecycle.DRAINING)))));
         receiveChunk(1);
-        handle(new Event.Answered(1, Outcome.OK, true, 0, null));
+        handle(new Event.ResponseCompleted(1, Outcome.OK, true, 0, null));
         assertEquals(List.of("PassOn", "close 2", "PassOn", "close 1", "EndAnswer"), effects);
     }
 
@@ -233,7 +237,7 @@
             requestAction(9);
             requestAction(3);
             assertEquals(List.of("open 1", "send 1", "close 1"), effects);
-            handle(new Event.LineDown(1));
+            handle(new Event.ServerDisconnected(1));
             assertEquals(List.of("open 1", "send 1", "close 1", "open 2"), effects);
             assertEquals(List.of("1 NOT_SENT", "0 CANCELLED"), moduleEvents);
         }
@@ -251,12 +255,15 @@
     @Test
     void bothAttemptsAreReportedToNextProcess() {
         startTwoAttempts();
-        assertEquals(List.of(1L, 2L), reducer.holdings().out().stream().map(s -> s.box()).toList());
-        assertEquals(2, reducer.holdings().out().stream().map(s -> s.token()).distinct().count());
-        assertEquals(List.of("r1"), reducer.holdings().ids());
+        assertEquals(List.of(1L, 2L), reducer.generationState().attemptsInFlight().stream().map(s ->
+                s.server()).toList());
+        assertEquals(2, reducer.generationState().attemptsInFlight().stream().map(s ->
+                s.token()).distinct().count());
+        assertEquals(List.of("r1"), reducer.generationState().requestIds());
         receiveChunk(1);
-        handle(new Event.LineDown(2));
-        assertEquals(List.of(1L), reducer.holdings().out().stream().map(s -> s.box()).toList());
+        handle(new Event.ServerDisconnected(2));
+        assertEquals(List.of(1L), reducer.generationState().attemptsInFlight().stream().map(s ->
+                s.server()).toList());
     }
 
     @Test
@@ -264,13 +271,13 @@
         start(true, true);
         connect(1);
         requestAction(2);
-        int before = reducer.kept();
-        handle(new Event.ClientLeft(1));
-        handle(new Event.LineDown(1));
-        handle(new Event.LineDown(2));
+        int before = reducer.retainedEntries();
+        handle(new Event.ClientDisconnected(1));
+        handle(new Event.ServerDisconnected(1));
+        handle(new Event.ServerDisconnected(2));
         now += 60_000_000;
         handle(new Event.Tick());
-        assertTrue(reducer.kept() < before, "retained " + reducer.kept());
-        assertEquals(List.of(), reducer.holdings().ids());
+        assertTrue(reducer.retainedEntries() < before, "retained " + reducer.retainedEntries());
+        assertEquals(List.of(), reducer.generationState().requestIds());
     }
 }
--- a/src/test/java/yewdock/OlderListsTest.java
+++ b/src/test/java/yewdock/OutdatedEndpointListTest.java
@@ -10,29 +10,29 @@
 import umberspread.Routing;
 import umberspread.Routing.Lifecycle;
 import umberspread.Routing.ListKind;
-import umberspread.Routing.Replica;
-import yewdock.desk.Bounds;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Effect;
-import yewdock.desk.EndpointList;
-import yewdock.desk.Event;
-import yewdock.desk.ModelServer;
-import yewdock.desk.Terms;
+import umberspread.Routing.ServerState;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Effect;
+import yewdock.core.EndpointList;
+import yewdock.core.Event;
+import yewdock.core.ModelServer;
+import yewdock.core.Reducer;
+import yewdock.core.ResourceLimits;
 
 /**
  * Answers with lower versions than the held list, from a discovery replica that lags behind or a service that
  * was restarted.
  */
-class OlderListsTest {
+class OutdatedEndpointListTest {
     private static final long SECOND = 1_000_000;
     private static final long STEP = 10_000;
     private static final ModelServer FIRST = server(1, Lifecycle.READY);
     private static final ModelServer SECOND_SERVER = server(2, Lifecycle.READY);
 
     private final List<String> states = new ArrayList<>(List.of("", "", ""));
-    private Desk reducer;
-    private Effect.AskList openCall;
+    private Reducer reducer;
+    private Effect.CallDiscovery openCall;
     private long now = 1000 * SECOND;
     private int calls;
 
@@ -46,11 +46,11 @@
 
         @Override
         public void started(long time) {
-            actions.followList();
+            actions.watchEndpointList();
         }
 
         @Override
-        public void listReceived(long time, ListKind kind, List<Replica> entries) {
+        public void listReceived(long time, ListKind kind, List<ServerState> entries) {
             if (kind == ListKind.FULL || kind == ListKind.CACHED) {
                 states.replaceAll(state -> "GONE");
             }
@@ -59,7 +59,7 @@
     }
 
     private static ModelServer server(long id, Lifecycle state) {
-        return new ModelServer("s-" + id, "127.0.0.1:900" + id, new Replica(id, 0, 0, 1, 1, state, 0));
+        return new ModelServer("s-" + id, "127.0.0.1:900" + id, new ServerState(id, 0, 0, 1, 1, state, 0));
     }
 
     private void start(boolean byAgent, long version, ModelServer... servers) {
@@ -67,8 +67,9 @@
     }
 
     private void start(boolean byAgent, long maxPollInterval, long version, ModelServer... servers) {
-        reducer = new Desk(new Terms(250_000, 30 * SECOND, byAgent, SECOND / 2, maxPollInterval, true, 4,
-                List.of(true), List.of("chat"), 0), new Bounds(40, 20, 20, 1 << 20), new Counters(),
+        reducer = new Reducer(new CoreSettings(250_000, 30 * SECOND, byAgent, SECOND / 2, maxPollInterval,
+                true, 4,
+                List.of(true), List.of("chat"), 0), new ResourceLimits(40, 20, 20, 1 << 20), new Counters(),
                 Module::new);
         handle(new Event.Started(new EndpointList(version, true, List.of(servers)), "127.0.0.1:8500"));
         answer(new EndpointList(version, false, List.of()));
@@ -76,10 +77,10 @@
 
     private void handle(Event event) {
         for (Effect effect : reducer.reduce(event, now)) {
-            if (effect instanceof Effect.AskList call) {
+            if (effect instanceof Effect.CallDiscovery call) {
                 openCall = call;
                 calls++;
-            } else if (effect instanceof Effect.HangUpList) {
+            } else if (effect instanceof Effect.CancelDiscoveryCall) {
                 openCall = null;
             }
         }
@@ -87,17 +88,17 @@
 
     private void answer(EndpointList list) {
         openCall = null;
-        handle(new Event.ListCame(list));
+        handle(new Event.EndpointListReceived(list));
     }
 
     /** Lets time pass; each call for the whole list in that time is answered with the given list at once. */
     private void pass(long micros, EndpointList answer) {
         for (long until = now + micros; now < until;) {
             now += STEP;
-            if (reducer.nextDue() <= now) {
+            if (reducer.nextTimerDue() <= now) {
                 handle(new Event.Tick());
             }
-            if (openCall != null && openCall.since() < 0) {
+            if (openCall != null && openCall.sinceVersion() < 0) {
                 answer(answer);
             }
         }
@@ -109,7 +110,7 @@
         for (boolean byAgent : new boolean[] {false, true}) {
             start(byAgent, 40, FIRST, SECOND_SERVER);
             answer(new EndpointList(3, false, List.of()));
-            assertEquals(-1, openCall.since());
+            assertEquals(-1, openCall.sinceVersion());
             answer(new EndpointList(3, true, List.of(server(1, Lifecycle.DRAINING), SECOND_SERVER)));
             assertEquals(List.of("DRAINING", "READY"), states.subList(1, 3));
         }
@@ -127,7 +128,7 @@
         for (boolean full : new boolean[] {false, true}) {
             start(false, 40, FIRST, SECOND_SERVER);
             answer(new EndpointList(41, false, List.of(server(1, Lifecycle.DRAINING))));
-            handle(new Event.ListFailed());
+            handle(new Event.DiscoveryCallFailed());
             answer(new EndpointList(39, full, List.of(FIRST, SECOND_SERVER)));
             assertEquals(List.of("DRAINING", "READY"), states.subList(1, 3));
             pass(SECOND / 2, new EndpointList(39, true, List.of(FIRST, SECOND_SERVER)));
@@ -135,7 +136,7 @@
             pass(3 * SECOND, new EndpointList(41, true, List.of(server(1, Lifecycle.DRAINING),
                     SECOND_SERVER)));
             assertEquals(List.of("DRAINING", "READY"), states.subList(1, 3));
-            assertTrue(openCall.since() == 41, "the watch goes on from " + openCall.since());
+            assertTrue(openCall.sinceVersion() == 41, "the watch goes on from " + openCall.sinceVersion());
         }
     }
 
@@ -147,7 +148,7 @@
             answer(new EndpointList(3, false, List.of()));
             pass(3 * SECOND / 2, new EndpointList(4, true, List.of(FIRST, SECOND_SERVER)));
             assertEquals(List.of("READY", "READY"), states.subList(1, 3));
-            assertEquals(4, openCall.since());
+            assertEquals(4, openCall.sinceVersion());
             assertTrue(calls - callsBefore < 15, "calls: " + (calls - callsBefore));
             answer(new EndpointList(5, false, List.of(server(2, Lifecycle.DRAINING))));
             assertEquals(List.of("READY", "DRAINING"), states.subList(1, 3));
@@ -171,9 +172,9 @@
     @Test
     void lowerVersionAtAnotherAddressIsBelievedAtOnce() {
         start(false, 40, FIRST);
-        handle(new Event.ListMoved("127.0.0.1:8501"));
+        handle(new Event.DiscoveryAddressChanged("127.0.0.1:8501"));
         answer(new EndpointList(2, true, List.of(SECOND_SERVER)));
         assertEquals(List.of("GONE", "READY"), states.subList(1, 3));
-        assertFalse(openCall.since() < 0);
+        assertFalse(openCall.sinceVersion() < 0);
     }
 }
--- a/src/test/java/yewdock/AskedListTest.java
+++ b/src/test/java/yewdock/PolledDiscoveryTest.java
@@ -9,21 +9,21 @@
 import umberspread.Routing;
 import umberspread.Routing.Lifecycle;
 import umberspread.Routing.ListKind;
-import umberspread.Routing.Replica;
-import yewdock.desk.Bounds;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Effect;
-import yewdock.desk.EndpointList;
-import yewdock.desk.Event;
-import yewdock.desk.ModelServer;
-import yewdock.desk.Terms;
+import umberspread.Routing.ServerState;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Effect;
+import yewdock.core.EndpointList;
+import yewdock.core.Event;
+import yewdock.core.ModelServer;
+import yewdock.core.Reducer;
+import yewdock.core.ResourceLimits;
 
 /**
  * Polled discovery with failing calls and long polls that get no answer. Whatever happens to a call, a change
  * counts as known 6 s after the service had it and could be reached, and a drain must be kept a second later.
  */
-class AskedListTest {
+class PolledDiscoveryTest {
     private static final long SECOND = 1_000_000;
     private static final long GRACE = SECOND;
     private static final long STEP = 50_000;
@@ -31,11 +31,13 @@
     private static final EndpointList DRAINED = new EndpointList(8, false,
             List.of(server(Lifecycle.DRAINING)));
     private final Counters counters = new Counters();
-    private final Desk reducer = new Desk(new Terms(250_000, 30 * SECOND, false, GRACE, 10 * SECOND, true, 4,
-            List.of(true), List.of("chat"), 0), new Bounds(40, 20, 20, 1 << 20), counters, Module::new);
+    private final Reducer reducer = new Reducer(new CoreSettings(250_000, 30 * SECOND, false, GRACE,
+            10 * SECOND, true, 4,
+            List.of(true), List.of("chat"), 0), new ResourceLimits(40, 20, 20, 1 << 20), counters,
+                    Module::new);
     private final List<Long> callTimes = new ArrayList<>();
     private Routing.Actions module;
-    private Effect.AskList openCall;
+    private Effect.CallDiscovery openCall;
     private long calledAt;
     private boolean drained;
     private long silentUntil = Long.MIN_VALUE;
@@ -51,11 +53,11 @@
 
         @Override
         public void started(long time) {
-            module.followList();
+            module.watchEndpointList();
         }
 
         @Override
-        public void listReceived(long time, ListKind kind, List<Replica> entries) {
+        public void listReceived(long time, ListKind kind, List<ServerState> entries) {
             if (kind == ListKind.FAILED) {
                 reportedFailures++;
                 module.wakeAt(time + SECOND, 1);
@@ -66,21 +68,21 @@
 
         @Override
         public void woken(long time, int token) {
-            module.followList();
+            module.watchEndpointList();
         }
     }
 
     private static ModelServer server(Lifecycle state) {
-        return new ModelServer("s-1", "127.0.0.1:9001", new Replica(1, 0, 0, 1, 1, state, 0));
+        return new ModelServer("s-1", "127.0.0.1:9001", new ServerState(1, 0, 0, 1, 1, state, 0));
     }
 
     private void handle(Event event) {
         for (Effect effect : reducer.reduce(event, now)) {
-            if (effect instanceof Effect.AskList call) {
+            if (effect instanceof Effect.CallDiscovery call) {
                 callTimes.add(now);
                 openCall = call;
                 calledAt = now;
-            } else if (effect instanceof Effect.HangUpList) {
+            } else if (effect instanceof Effect.CancelDiscoveryCall) {
                 openCall = null;
             }
         }
@@ -93,16 +95,17 @@
     private void pass(long micros) {
         for (long until = now + micros; now < until;) {
             now += STEP;
-            if (reducer.nextDue() <= now) {
+            if (reducer.nextTimerDue() <= now) {
                 handle(new Event.Tick());
             }
             if (openCall == null || now < silentUntil) {
                 continue;
             }
-            boolean changed = drained && openCall.since() < DRAINED.version();
-            if (changed || now >= calledAt + openCall.longest()) {
+            boolean changed = drained && openCall.sinceVersion() < DRAINED.version();
+            if (changed || now >= calledAt + openCall.maxWaitMicros()) {
                 openCall = null;
-                handle(new Event.ListCame(changed ? DRAINED : new EndpointList(drained ? 8 : 7, false,
+                handle(new Event.EndpointListReceived(changed ? DRAINED : new EndpointList(drained ? 8 : 7,
+                        false,
                         List.of())));
             }
         }
@@ -116,7 +119,7 @@
     @Test
     void drainIsKeptAfterTwoUnansweredCalls() {
         for (long silentAfter = 0; silentAfter < 5 * SECOND; silentAfter += STEP) {
-            AskedListTest test = new AskedListTest();
+            PolledDiscoveryTest test = new PolledDiscoveryTest();
             test.drainWithUnansweredCalls(silentAfter);
         }
     }
@@ -155,7 +158,7 @@
         pass(SECOND);
         openCall = null;
         int callsBefore = callTimes.size();
-        handle(new Event.ListBehind());
+        handle(new Event.EndpointListOutdated());
         assertEquals(callsBefore + 1, callTimes.size());
         pass(2 * STEP);
         assertTrue(drainKnownAt <= now, "the drain is not known");
--- a/src/test/java/yewdock/Exchange.java
+++ b/src/test/java/yewdock/RecordedExchange.java
@@ -14,26 +14,26 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Function;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Event;
-import yewdock.desk.Terms;
-import yewdock.door.Door;
+import yewdock.admin.AdminInterface;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Event;
+import yewdock.core.Reducer;
 import yewdock.http.BadMessageException;
-import yewdock.http.Head;
+import yewdock.http.MessageHead;
 import yewdock.http.MessageReader;
 import yewdock.platform.Config;
-import yewdock.platform.Front;
-import yewdock.platform.Side;
-import yewdock.platform.Wire;
-import yewdock.platform.Wires;
+import yewdock.platform.Connection;
+import yewdock.platform.ConnectionHandler;
+import yewdock.platform.ConnectionManager;
+import yewdock.platform.Transport;
 
 /**
  * Replays a recorded exchange against the connection manager and the reducer, on a clock of its own, and
  * records the result. A line "&gt; ms who what" is an input to the router and a line "&lt; ms who what" an
  * output; "|" stands for CR LF, "\n" for LF, and "$name" for the text that a line "= name text" defines.
  */
-final class Exchange implements Wires {
+final class RecordedExchange implements Transport {
     static final Path FOLDER = Path.of("src/test/resources/exchanges");
     private static final long START_MICROS = 1_000_000_000_000L;
 
@@ -43,20 +43,22 @@
     private final Set<String> stuckConnections = new HashSet<>();
     private final List<Runnable> pendingWrites = new ArrayList<>();
     private final Counters counters = new Counters();
-    private final Desk reducer;
-    private final Front connectionManager;
-    private final Door adminInterface;
+    private final Reducer reducer;
+    private final ConnectionManager connectionManager;
+    private final AdminInterface adminInterface;
     private long nowMicros;
     private int serverConnections;
     private int discoveryConnections;
 
-    private Exchange() throws IOException {
+    private RecordedExchange() throws IOException {
         Config config = Config.read(Files.readString(FOLDER.resolve("config.json")), this::log);
-        reducer = new Desk(Terms.of(config.settings(), config.keepalive()), config.bounds(), counters,
+        reducer = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()), config.bounds(),
+                counters,
                 InOrderModule::new);
-        connectionManager = new Front(config, reducer, counters, this, () -> START_MICROS + nowMicros,
+        connectionManager = new ConnectionManager(config, reducer, counters, this, () -> START_MICROS
+                + nowMicros,
                 this::log);
-        adminInterface = new Door(connectionManager);
+        adminInterface = new AdminInterface(connectionManager);
         connectionManager.start();
     }
 
@@ -86,8 +88,8 @@
     }
 
     /** Replays the input lines, with everything that is sent split in two at the given offset. */
-    static Exchange play(List<String> lines, int cut) throws IOException {
-        Exchange exchange = new Exchange();
+    static RecordedExchange play(List<String> lines, int cut) throws IOException {
+        RecordedExchange exchange = new RecordedExchange();
         for (String line : lines) {
             if (line.startsWith("> ")) {
                 exchange.input(line, cut);
@@ -111,9 +113,9 @@
 
     private static String withoutFraming(String text) {
         StringBuilder all = new StringBuilder();
-        MessageReader reader = new MessageReader(MessageReader.Kind.ANSWER, new MessageReader.Sink() {
+        MessageReader reader = new MessageReader(MessageReader.Kind.RESPONSE, new MessageReader.Sink() {
             @Override
-            public void head(Head head) {
+            public void head(MessageHead head) {
                 all.append(head);
             }
 
@@ -131,8 +133,8 @@
             ByteBuffer bytes = ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
             while (bytes.hasRemaining()) {
                 reader.read(bytes);
-                if (reader.done()) {
-                    reader.next();
+                if (reader.isComplete()) {
+                    reader.startNext();
                 }
             }
         } catch (BadMessageException e) {
@@ -151,9 +153,9 @@
     private void input(String line, int cut) throws IOException {
         String[] parts = line.split(" ", 5);
         long time = Long.parseLong(parts[1]) * 1000;
-        while (reducer.nextDue() <= START_MICROS + time) {
-            nowMicros = Math.max(nowMicros, reducer.nextDue() - START_MICROS);
-            connectionManager.happened(new Event.Tick());
+        while (reducer.nextTimerDue() <= START_MICROS + time) {
+            nowMicros = Math.max(nowMicros, reducer.nextTimerDue() - START_MICROS);
+            connectionManager.dispatch(new Event.Tick());
             flushWrites();
         }
         nowMicros = time;
@@ -165,19 +167,19 @@
                 FakeWire opened = new FakeWire(who);
                 opened.side = who.startsWith("o") ? adminInterface.accept(opened)
                         : connectionManager.accept(opened);
-                opened.side.up();
+                opened.side.onConnected();
             }
-            case "up" -> wire.side.up();
+            case "up" -> wire.side.onConnected();
             case "breaks" -> wire.broken = true;
-            case "idle" -> wire.side.idle();
-            case "down" -> wire.side.down();
+            case "idle" -> wire.side.onIdle();
+            case "down" -> wire.side.onClosed();
             case "stuck" -> stuckConnections.add(who);
             case "unstuck" -> {
                 stuckConnections.remove(who);
                 wire.writeOut();
             }
             case "reconfigures" -> connectionManager.reconfigure(configWith(parts[4]));
-            case "leaves" -> connectionManager.happened(new Event.Leave());
+            case "leaves" -> connectionManager.dispatch(new Event.ShutdownRequested());
             case "passes" -> { }
             case "sends" -> {
                 byte[] bytes = bytes(parts[4]);
@@ -185,7 +187,7 @@
                 for (byte[] part : List.of(Arrays.copyOf(bytes, at),
                         Arrays.copyOfRange(bytes, at, bytes.length))) {
                     if (part.length > 0) {
-                        wire.side.received(ByteBuffer.wrap(part));
+                        wire.side.onReceived(ByteBuffer.wrap(part));
                         flushWrites();
                     }
                 }
@@ -216,7 +218,7 @@
     }
 
     @Override
-    public <S extends Side> S connect(String address, Function<Wire, S> makeSide) {
+    public <S extends ConnectionHandler> S connect(String address, Function<Connection, S> makeSide) {
         boolean toList = address.endsWith(":8500") || address.endsWith(":8501");
         FakeWire wire = new FakeWire(toList ? "list" + ++discoveryConnections : "line" + ++serverConnections);
         addOutput(wire.name, "connects " + address);
@@ -230,10 +232,10 @@
         addOutput("router", "stops");
     }
 
-    private final class FakeWire implements Wire {
+    private final class FakeWire implements Connection {
         private final String name;
         private final List<Integer> unwritten = new ArrayList<>();
-        private Side side;
+        private ConnectionHandler side;
         private boolean broken;
 
         FakeWire(String name) {
@@ -256,7 +258,7 @@
 
         private void writeOut() {
             while (!stuckConnections.contains(name) && !unwritten.isEmpty()) {
-                side.written(unwritten.remove(0));
+                side.onWritten(unwritten.remove(0));
             }
         }
 
@@ -271,23 +273,23 @@
         }
 
         @Override
-        public boolean hasUnheard() {
+        public boolean hasUndelivered() {
             return false;
         }
 
         @Override
-        public boolean closeUnlessUnheard() {
+        public boolean closeUnlessUndelivered() {
             closeAfterWriting();
             return true;
         }
 
         @Override
-        public void linger() {
+        public void closeLingering() {
             addOutput(name, "ends gently");
         }
 
         @Override
-        public void hold(boolean held) {
+        public void setReadingPaused(boolean held) {
             addOutput(name, held ? "held" : "read on");
         }
     }
--- a/src/test/java/yewdock/BoundsTest.java
+++ b/src/test/java/yewdock/ResourceLimitsTest.java
@@ -8,44 +8,45 @@
 import java.util.Set;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import yewdock.desk.Bounds;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Effect;
-import yewdock.desk.EndpointList;
-import yewdock.desk.Event;
-import yewdock.desk.ModelRequest;
-import yewdock.desk.Terms;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Effect;
+import yewdock.core.EndpointList;
+import yewdock.core.Event;
+import yewdock.core.ModelRequest;
+import yewdock.core.Reducer;
+import yewdock.core.ResourceLimits;
 
 /** The router refuses requests before it runs out of memory or file descriptors. */
-class BoundsTest {
-    private static final Terms SETTINGS = new Terms(250_000, 5_000_000, false, 1_000_000, 10_000_000, false,
+class ResourceLimitsTest {
+    private static final CoreSettings SETTINGS = new CoreSettings(250_000, 5_000_000, false, 1_000_000,
+            10_000_000, false,
             4, List.of(), List.of("chat"), 0);
     private static final int MEGABYTE = 1 << 20;
     private final Counters counters = new Counters();
-    private final Desk reducer = new Desk(SETTINGS,
-            new Bounds(480, 400, 500, 16 * MEGABYTE), counters, InOrderModule::new);
+    private final Reducer reducer = new Reducer(SETTINGS,
+            new ResourceLimits(480, 400, 500, 16 * MEGABYTE), counters, InOrderModule::new);
 
     private List<Effect> sendRequest(long client, int size) {
         ModelRequest request = new ModelRequest("r" + client, 0, 0, false, 1, 1, 1, 0, 2, 9_000_000, size);
-        return reducer.reduce(new Event.Asked(client, request), 1_000);
+        return reducer.reduce(new Event.RequestReceived(client, request), 1_000);
     }
 
     /** The requests are for 2 tokens, so the module leaves them all open. */
     @Test
     void refusesAtMemoryLimitAndAcceptsAgainBelowIt() {
-        reducer.reduce(new Event.Started(EndpointList.NOTHING, "127.0.0.1:8500"), 0);
+        reducer.reduce(new Event.Started(EndpointList.UNKNOWN, "127.0.0.1:8500"), 0);
         for (int client = 1; client <= 16; client++) {
             assertEquals(List.of(), sendRequest(client, MEGABYTE));
         }
         assertEquals(List.of(new Effect.Refuse(17, 0)), sendRequest(17, 1));
-        reducer.reduce(new Event.ClientLeft(3), 2_000);
+        reducer.reduce(new Event.ClientDisconnected(3), 2_000);
         assertEquals(List.of(), sendRequest(18, MEGABYTE));
     }
 
     @Test
     void refusesAtRequestLimit() {
-        reducer.reduce(new Event.Started(EndpointList.NOTHING, "127.0.0.1:8500"), 0);
+        reducer.reduce(new Event.Started(EndpointList.UNKNOWN, "127.0.0.1:8500"), 0);
         IntStream.rangeClosed(1, 500).forEach(client -> assertEquals(List.of(), sendRequest(client, 1)));
         assertEquals(List.of(new Effect.Refuse(501, 0)), sendRequest(501, 1));
         assertEquals(1, counters.get("answers.refused_for_room"));
@@ -63,7 +64,7 @@
         lines.add("> 1 c1 down");
         lines.add("> 2 c41 opens");
         lines.add("> 2 c41 sends POST /v1/chat/completions HTTP/1.1|Content-Length: 260000||(70000)");
-        var sentMessages = Exchange.play(lines, 0).told();
+        var sentMessages = RecordedExchange.play(lines, 0).told();
         assertTrue(sentMessages.get("c40").contains("503"), sentMessages.get("c40"));
         assertEquals(Set.of("c40"), sentMessages.keySet());
     }
@@ -71,20 +72,21 @@
     /** Idle or silent connections must not keep a new client out: one is closed for each new one. */
     @Test
     void closesLongestIdleConnectionForNewClient() {
-        Desk small = new Desk(SETTINGS, new Bounds(4, 4, 4, MEGABYTE), counters,
+        Reducer small = new Reducer(SETTINGS, new ResourceLimits(4, 4, 4, MEGABYTE), counters,
                 InOrderModule::new);
-        small.reduce(new Event.Started(EndpointList.NOTHING, "127.0.0.1:8500"), 0);
+        small.reduce(new Event.Started(EndpointList.UNKNOWN, "127.0.0.1:8500"), 0);
         for (long client = 1; client <= 4; client++) {
-            assertEquals(List.of(), small.reduce(new Event.ClientCame(client), client));
+            assertEquals(List.of(), small.reduce(new Event.ClientConnected(client), client));
         }
-        small.reduce(new Event.ClientQuiet(3), 10);
-        small.reduce(new Event.Asked(1, new ModelRequest("a", 0, 0, false, 1, 1, 1, 0, 2, 9_000_000, 1)), 11);
-        assertEquals(List.of(new Effect.CloseClient(3)), small.reduce(new Event.ClientCame(5), 12));
-        assertEquals(List.of(new Effect.CloseClient(2)), small.reduce(new Event.ClientCame(6), 13));
-        small.reduce(new Event.ClientLeft(3), 14);
-        small.reduce(new Event.ClientLeft(2), 14);
-        small.reduce(new Event.ClientLeft(4), 14);
-        assertEquals(List.of(), small.reduce(new Event.ClientCame(7), 15));
+        small.reduce(new Event.ClientIdle(3), 10);
+        small.reduce(new Event.RequestReceived(1, new ModelRequest("a", 0, 0, false, 1, 1, 1, 0, 2, 9_000_000,
+                1)), 11);
+        assertEquals(List.of(new Effect.CloseClient(3)), small.reduce(new Event.ClientConnected(5), 12));
+        assertEquals(List.of(new Effect.CloseClient(2)), small.reduce(new Event.ClientConnected(6), 13));
+        small.reduce(new Event.ClientDisconnected(3), 14);
+        small.reduce(new Event.ClientDisconnected(2), 14);
+        small.reduce(new Event.ClientDisconnected(4), 14);
+        assertEquals(List.of(), small.reduce(new Event.ClientConnected(7), 15));
     }
 
     /**
@@ -93,17 +95,18 @@
      */
     @Test
     void keepsConnectionsWithPartlyReceivedRequest() {
-        Desk small = new Desk(SETTINGS, new Bounds(3, 3, 3, MEGABYTE), counters, InOrderModule::new);
-        small.reduce(new Event.Started(EndpointList.NOTHING, "127.0.0.1:8500"), 0);
+        Reducer small = new Reducer(SETTINGS, new ResourceLimits(3, 3, 3, MEGABYTE), counters,
+                InOrderModule::new);
+        small.reduce(new Event.Started(EndpointList.UNKNOWN, "127.0.0.1:8500"), 0);
         for (long client = 1; client <= 3; client++) {
-            small.reduce(new Event.ClientCame(client), client);
+            small.reduce(new Event.ClientConnected(client), client);
         }
-        small.reduce(new Event.ClientBegan(1), 4);
-        assertEquals(List.of(new Effect.CloseClient(2)), small.reduce(new Event.ClientCame(4), 5));
-        small.reduce(new Event.ClientLeft(2), 6);
-        small.reduce(new Event.ClientBegan(3), 7);
-        small.reduce(new Event.ClientBegan(4), 8);
-        assertEquals(List.of(), small.reduce(new Event.ClientCame(5), 9));
+        small.reduce(new Event.ClientRequestStarted(1), 4);
+        assertEquals(List.of(new Effect.CloseClient(2)), small.reduce(new Event.ClientConnected(4), 5));
+        small.reduce(new Event.ClientDisconnected(2), 6);
+        small.reduce(new Event.ClientRequestStarted(3), 7);
+        small.reduce(new Event.ClientRequestStarted(4), 8);
+        assertEquals(List.of(), small.reduce(new Event.ClientConnected(5), 9));
         // each still has its time to be received in full, counted from when its connection was made
         assertTrue(small.reduce(new Event.Tick(), 2_500_001).contains(new Effect.CloseClient(1)));
     }
@@ -111,13 +114,14 @@
     /** Each request's timeout runs from its own start, whatever order the requests started in. */
     @Test
     void closesPartlyReceivedRequestsInOrderOfTimeout() {
-        Desk wide = new Desk(SETTINGS, new Bounds(9, 9, 9, MEGABYTE), counters, InOrderModule::new);
-        wide.reduce(new Event.Started(EndpointList.NOTHING, "127.0.0.1:8500"), 0);
-        wide.reduce(new Event.ClientCame(1), 1);
-        wide.reduce(new Event.ClientCame(2), 2);
-        wide.reduce(new Event.ClientQuiet(2), 1_000_000);
-        wide.reduce(new Event.ClientBegan(2), 2_000_000);
-        wide.reduce(new Event.ClientBegan(1), 2_400_000);
+        Reducer wide = new Reducer(SETTINGS, new ResourceLimits(9, 9, 9, MEGABYTE), counters,
+                InOrderModule::new);
+        wide.reduce(new Event.Started(EndpointList.UNKNOWN, "127.0.0.1:8500"), 0);
+        wide.reduce(new Event.ClientConnected(1), 1);
+        wide.reduce(new Event.ClientConnected(2), 2);
+        wide.reduce(new Event.ClientIdle(2), 1_000_000);
+        wide.reduce(new Event.ClientRequestStarted(2), 2_000_000);
+        wide.reduce(new Event.ClientRequestStarted(1), 2_400_000);
         assertTrue(wide.reduce(new Event.Tick(), 2_500_001).contains(new Effect.CloseClient(1)));
     }
 
@@ -125,9 +129,10 @@
     @Test
     void staysWithinDescriptors() {
         for (int descriptors = 256; descriptors <= 1024; descriptors++) {
-            Bounds limits = Bounds.within(descriptors, 160);
-            assertTrue(limits.clients() + limits.lines() + 64 <= descriptors, limits.toString());
-            assertTrue(limits.requests() >= descriptors / 3, limits.toString());
+            ResourceLimits limits = ResourceLimits.within(descriptors, 160);
+            assertTrue(limits.maxClientConnections() + limits.maxServerConnections() + 64 <= descriptors,
+                    limits.toString());
+            assertTrue(limits.maxRequests() >= descriptors / 3, limits.toString());
         }
     }
 }
--- a/src/test/java/yewdock/desk/KnownServersTest.java
+++ b/src/test/java/yewdock/core/KnownServersTest.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import umberspread.Routing.Lifecycle;
-import umberspread.Routing.Replica;
+import umberspread.Routing.ServerState;
 
 /** Operator overrides applied to the endpoint list. */
 class KnownServersTest {
@@ -17,7 +17,7 @@
     private final KnownServers servers = new KnownServers(() -> nowMicros, MAX_COLD_MICROS);
 
     private static ModelServer server(String address, Lifecycle lifecycle, long startedAt) {
-        return new ModelServer("s-1", address, new Replica(1, 0, 0, 0, 1, lifecycle, startedAt));
+        return new ModelServer("s-1", address, new ServerState(1, 0, 0, 0, 1, lifecycle, startedAt));
     }
 
     private void applyList(boolean full, ModelServer... all) {
@@ -70,7 +70,7 @@
     @Test
     void drainAndUndrainEqualCordonAndUncordon() {
         applyList(true, server("a:1", Lifecycle.READY, 0));
-        servers.replaceOverrides(Map.of("s-1", BoxMark.DRAINS));
+        servers.replaceOverrides(Map.of("s-1", OperatorOverride.DRAINS));
         assertTrue(servers.isCordoned("s-1"));
         servers.replaceOverrides(Map.of());
         assertFalse(servers.isCordoned("s-1"));
