--- a/src/main/java/yewdock/daemon/ProcessHandover.java
+++ b/src/main/java/yewdock/daemon/ProcessHandover.java
@@ -222,7 +222,8 @@
         if (predecessor != null) {
             sockets.postDelayed(Math.max(0, READY_MILLIS - age()),
                     () -> front.dispatch(new Event.OlderGenerationChanged(OlderGeneration.NONE)));
-            predecessor.send(Frame.newBuilder().setLetGo(LetGo.newBuilder().setLimitMicros(LET_GO_MICROS)).build());
+            predecessor.send(Frame.newBuilder().setLetGo(
+                    LetGo.newBuilder().setLimitMicros(LET_GO_MICROS)).build());
             EventLog.info("succession.took_over", "boxes",
                     desk.generationState().endpointList().servers().size());
         }
--- a/src/test/java/yewdock/sockets/ForeignSettingsTest.java
+++ b/src/test/java/yewdock/sockets/ForeignSettingsTest.java
@@ -63,7 +63,8 @@
         MinaTransport sockets = new MinaTransport(config.bounds().maxClientConnections(),
                 config.settings().contract().drainGrace());
         Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
-                config.bounds(), counters,
+                config.bounds(),
+                counters,
                 actions -> new BoundedLoadRouter(config.settings(), config.seed(), actions));
         return new Running(Listening.start(sockets,
                 new ConnectionManager(config, desk, counters, sockets, sockets.clock(), log::add), desk),
--- a/src/test/java/yewdock/sockets/GoneClientTest.java
+++ b/src/test/java/yewdock/sockets/GoneClientTest.java
@@ -42,7 +42,8 @@
                 .replaceAll("127.0.0.1:900[12]", "127.0.0.1:" + silentServer.getLocalPort());
         Config config = Config.read(file, line -> { });
         Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
-                config.bounds(), counters,
+                config.bounds(),
+                counters,
                 actions -> new GenerationRouter(config.settings(), 1, actions));
         ConnectionManager front = new ConnectionManager(config, desk, counters, sockets, sockets.clock(),
                 line -> { });
