--- a/src/main/java/yewdock/core/Attempts.java
+++ b/src/main/java/yewdock/core/Attempts.java
@@ -26,8 +26,8 @@
     private final Consumer<OpenRequest> whenEnded;
 
     Attempts(ReducerContext context, CoreSettings settings, KnownServers servers,
-            ServerConnections connections,
-            OtherGenerations otherGenerations, Consumer<OpenRequest> whenEnded) {
+            ServerConnections connections, OtherGenerations otherGenerations,
+            Consumer<OpenRequest> whenEnded) {
         this.context = context;
         this.settings = settings;
         this.servers = servers;
--- a/src/main/java/yewdock/core/CoreSettings.java
+++ b/src/main/java/yewdock/core/CoreSettings.java
@@ -19,9 +19,8 @@
  * @param maxColdMicros longest time for which a server is cold after its start
  */
 public record CoreSettings(long connectTimeoutMicros, long keepaliveMicros, boolean discoveryByAgent,
-        long drainGraceMicros, long maxPollIntervalMicros,
-        boolean hedging, int maxAttempts, List<Boolean> idempotentByClass, List<String> classNames,
-                long maxColdMicros) {
+        long drainGraceMicros, long maxPollIntervalMicros, boolean hedging, int maxAttempts,
+        List<Boolean> idempotentByClass, List<String> classNames, long maxColdMicros) {
     public CoreSettings {
         idempotentByClass = List.copyOf(idempotentByClass);
         classNames = List.copyOf(classNames);
@@ -31,14 +30,12 @@
     public static CoreSettings of(Routing.Settings moduleSettings, long keepaliveMicros) {
         Routing.Contract contract = moduleSettings.contract();
         return new CoreSettings(moduleSettings.limits().connectTimeout(), keepaliveMicros,
-                !moduleSettings.pullsEndpointList(),
-                contract.drainGrace(), contract.maxDiscoveryInterval(),
-                        moduleSettings.limits().allowsHedging(),
-                moduleSettings.limits().maxAttempts(),
-                moduleSettings.classes().stream().map(c ->
-                        c.retrySafety() != Routing.RetrySafety.FRAGILE).toList(),
+                !moduleSettings.pullsEndpointList(), contract.drainGrace(), contract.maxDiscoveryInterval(),
+                moduleSettings.limits().allowsHedging(), moduleSettings.limits().maxAttempts(),
+                moduleSettings.classes().stream()
+                        .map(c -> c.retrySafety() != Routing.RetrySafety.FRAGILE).toList(),
                 moduleSettings.classes().stream().map(Routing.RequestClass::name).toList(),
-                        contract.warmUpTime());
+                contract.warmUpTime());
     }
 
     /** Whether two attempts of a request of this class may be in flight together. */
--- a/src/main/java/yewdock/core/DiscoveryWatch.java
+++ b/src/main/java/yewdock/core/DiscoveryWatch.java
@@ -101,8 +101,7 @@
     private long lastChangeAt = -SERIES_GAP_MICROS;
 
     DiscoveryWatch(CoreSettings settings, LongSupplier now, Timers timers, Counters counters,
-            Consumer<Effect> effects,
-            Runnable onFailure) {
+            Consumer<Effect> effects, Runnable onFailure) {
         this.settings = settings;
         this.now = now;
         this.timers = timers;
--- a/src/main/java/yewdock/core/EndpointListVersions.java
+++ b/src/main/java/yewdock/core/EndpointListVersions.java
@@ -43,12 +43,12 @@
     }
 
     /** Records an answer and returns whether the servers it lists as in service may be believed. */
-    boolean follows(EndpointList answer, long now) {
+    boolean follows(EndpointList answer, long nowMicros) {
         boolean older = answer.version() < newest;
         if (older) {
-            olderSince = Math.min(olderSince, now);
+            olderSince = Math.min(olderSince, nowMicros);
         }
-        boolean restarted = older && answer.full() && now - olderSince >= MAX_LAG_MICROS;
+        boolean restarted = older && answer.full() && nowMicros - olderSince >= MAX_LAG_MICROS;
         if (older && !restarted) {
             fullListWanted = true;
             return false;
--- a/src/main/java/yewdock/core/GenerationState.java
+++ b/src/main/java/yewdock/core/GenerationState.java
@@ -8,8 +8,7 @@
  * flight, and its endpoint list with the times, in microseconds, at which it learned of each server's state.
  */
 public record GenerationState(List<String> requestIds, List<GenerationMessage.AttemptSent> attemptsInFlight,
-        EndpointList endpointList, String discoveryAddress,
-        Map<Long, Long> toldAt) {
+        EndpointList endpointList, String discoveryAddress, Map<Long, Long> toldAt) {
     public GenerationState {
         requestIds = List.copyOf(requestIds);
         attemptsInFlight = List.copyOf(attemptsInFlight);
--- a/src/main/java/yewdock/core/KnownServers.java
+++ b/src/main/java/yewdock/core/KnownServers.java
@@ -154,9 +154,8 @@
             case DRAINS -> withState(server, Lifecycle.DRAINING);
             case GONE -> startedAt <= override.atEpochMicros() ? withState(server, Lifecycle.GONE) : server;
             // a server whose restart is on the list is as old as the list says
-            case BACK -> startedAt >= override.atEpochMicros() ? server : withState(server,
-                    server.replica().lifecycle(),
-                    override.atEpochMicros());
+            case BACK -> startedAt >= override.atEpochMicros() ? server
+                    : withState(server, server.replica().lifecycle(), override.atEpochMicros());
         };
     }
 
@@ -208,8 +207,8 @@
      * Takes over the times at which an earlier process learned of server states, where they are earlier than
      * the known ones.
      */
-    void restoreStateTimes(Map<Long, Long> earlier) {
-        earlier.forEach((serverId, at) -> stateSince.computeIfPresent(serverId,
+    void restoreStateTimes(Map<Long, Long> earlierTimes) {
+        earlierTimes.forEach((serverId, at) -> stateSince.computeIfPresent(serverId,
                 (id, since) -> Math.min(since, at)));
     }
 
--- a/src/main/java/yewdock/core/ModelRequest.java
+++ b/src/main/java/yewdock/core/ModelRequest.java
@@ -7,6 +7,5 @@
  */
 public record ModelRequest(String id, int requestClass, int tenant, boolean markedAsRetry, long session,
         long sharedPrefix, double promptTokens, double prefixTokens, double maxOutputTokens,
-                long timeoutMicros,
-        int memoryBytes) {
+        long timeoutMicros, int memoryBytes) {
 }
--- a/src/main/java/yewdock/core/OpenRequests.java
+++ b/src/main/java/yewdock/core/OpenRequests.java
@@ -29,8 +29,7 @@
     private int requestBytes;
 
     OpenRequests(ReducerContext context, CoreSettings settings, ResourceLimits limits, KnownServers servers,
-            ServerConnections connections,
-            OtherGenerations otherGenerations) {
+            ServerConnections connections, OtherGenerations otherGenerations) {
         this.context = context;
         this.limits = limits;
         this.classNames = settings.classNames();
--- a/src/main/java/yewdock/core/OperatorCommand.java
+++ b/src/main/java/yewdock/core/OperatorCommand.java
@@ -6,8 +6,8 @@
 
     private final boolean namesServer;
 
-    OperatorCommand(boolean namesBox) {
-        this.namesServer = namesBox;
+    OperatorCommand(boolean namesServer) {
+        this.namesServer = namesServer;
     }
 
     /** Whether the command takes the name of a server. */
--- a/src/main/java/yewdock/core/OperatorCommands.java
+++ b/src/main/java/yewdock/core/OperatorCommandHandler.java
@@ -10,7 +10,7 @@
  * Executes the operators' commands. Each is answered within the same event, so that a positive answer holds
  * from then on. Cordons are kept in {@link KnownServers}, the quiesced state is kept here.
  */
-final class OperatorCommands {
+final class OperatorCommandHandler {
     /**
      * Delay in microseconds from the quiesce command to closing idle client connections. New connections stop
      * arriving within 0.3 s after /ready has begun to fail.
@@ -32,7 +32,8 @@
     private boolean quiesced;
     private long closeIdleAt;
 
-    OperatorCommands(ReducerContext context, CoreSettings settings, Counters counters, KnownServers servers,
+    OperatorCommandHandler(ReducerContext context, CoreSettings settings, Counters counters,
+            KnownServers servers,
             IntSupplier pendingRequests, Supplier<String> notReadyReason, Runnable overrideChanged) {
         this.context = context;
         this.settings = settings;
@@ -112,9 +113,9 @@
     }
 
     /** Closes idle client connections, and repeats until the router is resumed. */
-    private void closeIdleClients(long time) {
-        context.runAt(time, () -> {
-            if (quiesced && closeIdleAt == time) {
+    private void closeIdleClients(long timeMicros) {
+        context.runAt(timeMicros, () -> {
+            if (quiesced && closeIdleAt == timeMicros) {
                 context.emit(new Effect.CloseIdleClients());
                 closeIdleAt = context.now() + CLOSE_IDLE_INTERVAL_MICROS;
                 closeIdleClients(closeIdleAt);
--- a/src/main/java/yewdock/core/OtherGenerations.java
+++ b/src/main/java/yewdock/core/OtherGenerations.java
@@ -165,7 +165,8 @@
             if (claim.event.client() == client) {
                 abandoned.add(claim.event);
                 pendingClaims.remove(claim.event.request().id());
-                effects.accept(new Effect.SendToGenerations(new GenerationMessage.RequestReleased(claim.event.request().id())));
+                effects.accept(new Effect.SendToGenerations(
+                        new GenerationMessage.RequestReleased(claim.event.request().id())));
             }
         }
         return abandoned;
--- a/src/main/java/yewdock/core/Reducer.java
+++ b/src/main/java/yewdock/core/Reducer.java
@@ -45,11 +45,11 @@
     private final OpenRequests openRequests;
     private final Attempts attempts;
     private final ResponseStreams responses;
-    private final OperatorCommands commands;
+    private final OperatorCommandHandler commands;
     /** The module has not been given any server yet, because the agent has not answered. */
     private boolean awaitingAgent;
-    private boolean isShuttingDown;
-    private boolean isHandedOver;
+    private boolean shuttingDown;
+    private boolean handedOver;
     private OlderGeneration olderGeneration = OlderGeneration.NONE;
     /** Endpoint lists are sent on to the other processes, one of which stores them. */
     private boolean relaying;
@@ -64,8 +64,7 @@
         this.context = new ReducerContext(counters);
         this.servers = new KnownServers(context::now, settings.maxColdMicros());
         this.clients = new ClientConnections(limits.maxClientConnections(), context::now, context.timers(),
-                counters,
-                context::emit);
+                counters, context::emit);
         this.watch = new DiscoveryWatch(settings, context::now, context.timers(), counters, context::emit,
                 this::discoveryCallFailed);
         this.otherGenerations = new OtherGenerations(context::now, context.timers(), counters, context::emit,
@@ -76,28 +75,28 @@
                 otherGenerations);
         this.attempts = openRequests.attempts();
         this.responses = new ResponseStreams(context, connections, openRequests);
-        this.commands = new OperatorCommands(context, settings, counters, servers, () -> openRequests.count()
-                + otherGenerations.pendingClaims(),
-                () -> isHandedOver ? "a newer process serves"
+        this.commands = new OperatorCommandHandler(context, settings, counters, servers,
+                () -> openRequests.count() + otherGenerations.pendingClaims(),
+                () -> handedOver ? "a newer process serves"
                         : olderGeneration == OlderGeneration.FINISHING ? "an older process finishes"
-                                : notReadyReason(),
+                        : notReadyReason(),
                 this::reportKnownServers);
         context.module(makeModule.apply(new ActionQueue()));
     }
 
     /** Handles one event at the given time in microseconds and returns its effects. */
-    public List<Effect> reduce(Event event, long time) {
-        context.begin(time);
+    public List<Effect> reduce(Event event, long timeMicros) {
+        context.begin(timeMicros);
         run(new ReducerContext.Step(requestOf(event), () -> dispatch(event)));
         for (ReducerContext.Step step = context.nextStep(); step != null; step = context.nextStep()) {
             run(step);
         }
-        if (isShuttingDown && !stopped && openRequests.isEmpty() && !otherGenerations.hasClaims()
+        if (shuttingDown && !stopped && openRequests.isEmpty() && !otherGenerations.hasClaims()
                 && context.now() >= exitAt) {
             stopped = true;
             context.emit(new Effect.Stop());
         }
-        if (isHandedOver && !stopped && openRequests.isEmpty() && !otherGenerations.hasClaims()
+        if (handedOver && !stopped && openRequests.isEmpty() && !otherGenerations.hasClaims()
                 && (clients.count() == 0 || context.now() >= finishUntil)) {
             stopped = true;
             context.emit(new Effect.Stop());
@@ -112,7 +111,7 @@
 
     /** Returns why a request that arrived now could not be served; empty if it could. */
     public String notReadyReason() {
-        if (isShuttingDown && !isHandedOver) {
+        if (shuttingDown && !handedOver) {
             return "leaving";
         }
         if (commands.quiesced()) {
@@ -154,20 +153,20 @@
 
     /** Whether the router is shutting down. */
     public boolean isShuttingDown() {
-        return isShuttingDown;
+        return shuttingDown;
     }
 
     /** Whether another generation accepts new connections and this one only finishes its open requests. */
     public boolean isHandedOver() {
-        return isHandedOver;
+        return handedOver;
     }
 
     /**
      * Restores when an earlier generation learned of each server's state, by server id. Entries of servers
      * that aren't known are ignored, and so are later times.
      */
-    public void restoreToldAt(Map<Long, Long> earlier) {
-        servers.restoreStateTimes(earlier);
+    public void restoreToldAt(Map<Long, Long> earlierTimes) {
+        servers.restoreStateTimes(earlierTimes);
     }
 
     /** Returns all operator overrides by server name. */
@@ -181,7 +180,7 @@
         ids.addAll(otherGenerations.claimedIds());
         return new GenerationState(ids, Attempts.inFlight(openRequests.all()),
                 new EndpointList(watch.version(), true, servers.listed()), watch.address(),
-                        servers.stateSince());
+                servers.stateSince());
     }
 
     private void dispatch(Event event) {
@@ -241,12 +240,12 @@
         } else if (event instanceof Event.GenerationStateReceived e) {
             adoptState(e.generation(), e.state());
         } else if (event instanceof Event.GenerationGone e) {
-            otherGenerations.generationEnded(e.generation()).forEach(token ->
-                    reportAttemptEnded(e.generation(), token));
+            otherGenerations.generationEnded(e.generation())
+                    .forEach(token -> reportAttemptEnded(e.generation(), token));
         } else if (event instanceof Event.HandedOver e) {
             handOver(e.limitMicros());
         } else if (event instanceof Event.HandoverAborted) {
-            isHandedOver = false;
+            handedOver = false;
             clients.setCloseEarly(false);
             otherGenerations.takeOwnership();
         } else if (event instanceof Event.OverridesReplaced e) {
@@ -265,7 +264,7 @@
         } else if (event instanceof Event.EndpointListRelayEnabled) {
             relaying = true;
         } else if (event instanceof Event.OperatorCommandReceived e) {
-            commands.execute(e, isShuttingDown);
+            commands.execute(e, shuttingDown);
         } else if (event instanceof Event.ShutdownRequested) {
             shutDown();
         }
@@ -562,12 +561,12 @@
      * finish until the time limit.
      */
     private void handOver(long limitMicros) {
-        isHandedOver = true;
+        handedOver = true;
         finishUntil = context.now() + limitMicros;
         clients.setCloseEarly(true);
         long finishBy = finishUntil;
         context.runAt(finishBy, () -> {
-            if (isHandedOver && finishUntil == finishBy) {
+            if (handedOver && finishUntil == finishBy) {
                 List.copyOf(openRequests.all()).forEach(request -> {
                     context.count("answers.over_the_limit");
                     openRequests.failAndReport(request, Outcome.CANCELLED);
@@ -583,8 +582,8 @@
      * must be answered.
      */
     private void shutDown() {
-        if (!isShuttingDown) {
-            isShuttingDown = true;
+        if (!shuttingDown) {
+            shuttingDown = true;
             exitAt = context.now() + MIN_SHUTDOWN_MICROS;
             context.log("leaving");
             context.runAt(context.now() + CLOSE_IDLE_AFTER_MICROS, () ->
--- a/src/main/java/yewdock/core/ReducerContext.java
+++ b/src/main/java/yewdock/core/ReducerContext.java
@@ -57,8 +57,8 @@
     }
 
     /** Starts the handling of an event; time never goes back. */
-    void begin(long time) {
-        now = Math.max(now, time);
+    void begin(long timeMicros) {
+        now = Math.max(now, timeMicros);
         effects = new ArrayList<>();
     }
 
@@ -86,8 +86,8 @@
         return timers;
     }
 
-    void runAt(long time, Runnable task) {
-        timers.runAt(time, task);
+    void runAt(long timeMicros, Runnable task) {
+        timers.runAt(timeMicros, task);
     }
 
     /** Queues a call to the module. */
--- a/src/main/java/yewdock/core/ResourceLimits.java
+++ b/src/main/java/yewdock/core/ResourceLimits.java
@@ -24,9 +24,9 @@
 
     /** Returns the limits for this many file descriptors and megabytes of memory. */
     public static ResourceLimits within(int descriptors, int megabytes) {
-        int lines = Math.max(MIN_CONNECTIONS, descriptors / CONNECTIONS_DIVISOR);
-        int clients = Math.max(MIN_CONNECTIONS, descriptors - lines - RESERVED_DESCRIPTORS);
-        return new ResourceLimits(clients, lines, lines, (int) Math.min(Integer.MAX_VALUE,
+        int servers = Math.max(MIN_CONNECTIONS, descriptors / CONNECTIONS_DIVISOR);
+        int clients = Math.max(MIN_CONNECTIONS, descriptors - servers - RESERVED_DESCRIPTORS);
+        return new ResourceLimits(clients, servers, servers, (int) Math.min(Integer.MAX_VALUE,
                 ((long) megabytes << 20) / BYTES_DIVISOR));
     }
 }
--- a/src/main/java/yewdock/core/RouterStatistics.java
+++ b/src/main/java/yewdock/core/RouterStatistics.java
@@ -10,8 +10,7 @@
  * @param pending requests accepted and not ended
  * @param servers servers on the endpoint list
  * @param unavailableServers those of them that get no new requests now, by an operator's override, by their
- * state on the
- *     list or by the module's choice
+ *     state on the list or by the module's choice
  */
 public record RouterStatistics(List<ClassStatistics> classes, long attempts, int pending, int servers,
         int unavailableServers) {
--- a/src/main/java/yewdock/core/Timers.java
+++ b/src/main/java/yewdock/core/Timers.java
@@ -15,8 +15,8 @@
             new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
     private long order;
 
-    void runAt(long time, Runnable task) {
-        heap.add(new Due(time, order++, task));
+    void runAt(long timeMicros, Runnable task) {
+        heap.add(new Due(timeMicros, order++, task));
     }
 
     /** Returns the earliest timer's time, or Long.MAX_VALUE if there is none. */
@@ -29,7 +29,7 @@
     }
 
     /** Removes and returns the next task that is due, or null. */
-    Runnable poll(long now) {
-        return nextTime() <= now ? heap.poll().task : null;
+    Runnable poll(long nowMicros) {
+        return nextTime() <= nowMicros ? heap.poll().task : null;
     }
 }
--- a/src/test/java/yewdock/AgentDiscoveryTest.java
+++ b/src/test/java/yewdock/AgentDiscoveryTest.java
@@ -25,8 +25,7 @@
 class AgentDiscoveryTest {
     private static final long GRACE = 500_000;
     private static final CoreSettings SETTINGS = new CoreSettings(250_000, 30_000_000, true, GRACE,
-            10_000_000, true, 4,
-            List.of(true), List.of("chat"), 0);
+            10_000_000, true, 4, List.of(true), List.of("chat"), 0);
     private final Counters counters = new Counters();
     private final Agent agent = new Agent();
     private final List<String> reports = new ArrayList<>();
@@ -299,7 +298,8 @@
                 .map(Effect.OpenServerConnection.class::cast).findFirst().orElseThrow().connection();
         drainFirstServer();
         microsUntilDrainReported();
-        assertFalse(handle(new Event.ServerConnected(connection)).stream().anyMatch(Effect.SendAttempt.class::isInstance));
+        assertFalse(handle(new Event.ServerConnected(connection)).stream()
+                .anyMatch(Effect.SendAttempt.class::isInstance));
         assertEquals("NOT_SENT", reports.get(reports.size() - 1));
     }
 }
--- a/src/test/java/yewdock/BusyDiscoveryTest.java
+++ b/src/test/java/yewdock/BusyDiscoveryTest.java
@@ -64,8 +64,7 @@
             offset = seed % STEP;
             reducer = new Reducer(new CoreSettings(250_000, 30 * SECOND, false, grace, 10 * SECOND, true, 4,
                     List.of(true), List.of("chat"), 0), new ResourceLimits(40, 20, 20, 1 << 20),
-                            new Counters(),
-                    actions -> new BoundedLoadRouter(settings(), seed, actions));
+                    new Counters(), actions -> new BoundedLoadRouter(settings(), seed, actions));
             handle(new Event.Started(list(7, true, Lifecycle.READY), "127.0.0.1:8500"));
         }
 
@@ -134,8 +133,7 @@
     private Routing.Settings settings() {
         return new Routing.Settings(ROUTERS, 0, 0, List.of(new Routing.RequestClass("chat",
                 Routing.RetrySafety.RETRYABLE, Routing.DedupGroup.ALL, 0, SECOND, 0, 0, 4 * SECOND, 1, 0,
-                        true,
-                Routing.Placement.ANYWHERE)),
+                true, Routing.Placement.ANYWHERE)),
                 List.of(), 0.1, true, new Routing.Limits(4, false, true, false, 250_000, 0),
                 new Routing.Contract(grace, 10 * SECOND, 0.3, 3, 2 * SECOND, 10 * SECOND,
                         Routing.AttemptBudget.NONE), new Routing.Prices(0, 0, 0, 0, 0));
--- a/src/test/java/yewdock/ChurnTest.java
+++ b/src/test/java/yewdock/ChurnTest.java
@@ -23,8 +23,7 @@
 /** Clients and servers that come and go for as long as the router runs must leave no state behind. */
 class ChurnTest {
     private static final CoreSettings SETTINGS = new CoreSettings(250_000, 5_000_000, false, 1_000_000,
-            10_000_000, false,
-            4, List.of(), List.of("chat"), 0);
+            10_000_000, false, 4, List.of(), List.of("chat"), 0);
     private static final int ROUNDS = 600;
     private static final long STEP = 50_000;
     private final Counters counters = new Counters();
--- a/src/test/java/yewdock/DiscoveryDeadlineTest.java
+++ b/src/test/java/yewdock/DiscoveryDeadlineTest.java
@@ -40,8 +40,7 @@
     private static Routing.Settings settings() {
         return new Routing.Settings(1, 0, 0, List.of(new Routing.RequestClass("chat",
                 Routing.RetrySafety.RETRYABLE, Routing.DedupGroup.ALL, 0, SECOND, 0, 0, 4 * SECOND, 1, 0,
-                        true,
-                Routing.Placement.ANYWHERE)),
+                true, Routing.Placement.ANYWHERE)),
                 List.of(), 0.1, true, new Routing.Limits(4, false, true, false, 250_000, 0),
                 new Routing.Contract(GRACE, 8 * SECOND, 0.3, 3, 2 * SECOND, 10 * SECOND,
                         Routing.AttemptBudget.NONE), new Routing.Prices(0, 0, 0, 0, 0));
@@ -66,8 +65,7 @@
         Rig(long seed) {
             reducer = new Reducer(new CoreSettings(250_000, 30 * SECOND, false, GRACE, 10 * SECOND, true, 4,
                     List.of(true), List.of("chat"), 0), new ResourceLimits(40, 20, 20, 1 << 20),
-                            new Counters(),
-                    actions -> new BoundedLoadRouter(settings(), seed, actions));
+                    new Counters(), actions -> new BoundedLoadRouter(settings(), seed, actions));
             handle(new Event.Started(KNOWN, "127.0.0.1:8500"));
         }
 
@@ -101,9 +99,8 @@
             boolean changed = drained && openCall.sinceVersion() < DRAINED.version();
             if (changed || now >= calledAt + openCall.maxWaitMicros()) {
                 openCall = null;
-                handle(new Event.EndpointListReceived(changed ? DRAINED : new EndpointList(drained ? 8 : 7,
-                        false,
-                        List.of())));
+                handle(new Event.EndpointListReceived(changed ? DRAINED
+                        : new EndpointList(drained ? 8 : 7, false, List.of())));
             }
         }
 
--- a/src/test/java/yewdock/HedgingTest.java
+++ b/src/test/java/yewdock/HedgingTest.java
@@ -76,8 +76,7 @@
 
     private void start(boolean hedging, boolean idempotent) {
         reducer = new Reducer(new CoreSettings(250_000, 30_000_000, false, 500_000, 10_000_000, hedging,
-                MAX_ATTEMPTS,
-                List.of(idempotent), List.of("chat"), 0),
+                MAX_ATTEMPTS, List.of(idempotent), List.of("chat"), 0),
                 new ResourceLimits(40, 20, 20, 1 << 20), counters, Module::new);
         handle(new Event.Started(new EndpointList(1, true, List.of(server(1, Lifecycle.READY),
                 server(2, Lifecycle.READY), server(3, Lifecycle.READY))), "127.0.0.1:8500"));
@@ -131,12 +130,12 @@
     void firstEventWinsAndOtherAttemptIsClosed() {
         startTwoAttempts();
         receiveChunk(2);
-        assertEquals(List.of("PassOn", "close 1"), effects);
+        assertEquals(List.of("ForwardChunk", "close 1"), effects);
         assertEquals(List.of("first 1"), moduleEvents);
         handle(new Event.ServerDisconnected(1));
         handle(new Event.ResponseCompleted(2, Outcome.OK, true, 0, null));
         assertEquals(List.of("first 1", "0 CANCELLED", "1 OK over"), moduleEvents);
-        assertEquals(List.of("PassOn", "close 1", "EndAnswer"), effects);
+        assertEquals(List.of("ForwardChunk", "close 1", "EndResponse"), effects);
         assertEquals(1, counters.get("answers.served"));
     }
 
@@ -149,7 +148,7 @@
         handle(new Event.ResponseCompleted(2, Outcome.OK, true, 0, null));
         receiveChunk(1);
         handle(new Event.ResponseCompleted(1, Outcome.OK, true, 0, null));
-        assertEquals(List.of("PassOn", "close 2", "PassOn", "EndAnswer"), effects);
+        assertEquals(List.of("ForwardChunk", "close 2", "ForwardChunk", "EndResponse"), effects);
         handle(new Event.ServerDisconnected(2));
         assertEquals(List.of("first 0", "0 OK over", "1 CANCELLED over"), moduleEvents);
     }
@@ -173,7 +172,7 @@
         handle(new Event.ResponseMalformed(2));
         handle(new Event.ServerDisconnected(2));
         receiveChunk(1);
-        assertEquals(List.of("PassOn", "close 2", "PassOn"), effects);
+        assertEquals(List.of("ForwardChunk", "close 2", "ForwardChunk"), effects);
         assertEquals(List.of("first 0", "1 CANCELLED"), moduleEvents);
     }
 
@@ -183,7 +182,7 @@
         handle(new Event.ResponseMalformed(1));
         handle(new Event.ServerDisconnected(1));
         receiveChunk(2);
-        assertEquals(List.of("close 1", "PassOn"), effects);
+        assertEquals(List.of("close 1", "ForwardChunk"), effects);
         assertEquals(List.of("0 ERROR", "first 1"), moduleEvents);
     }
 
@@ -221,7 +220,7 @@
                 List.of(server(1, Lifecycle.DRAINING)))));
         receiveChunk(1);
         handle(new Event.ResponseCompleted(1, Outcome.OK, true, 0, null));
-        assertEquals(List.of("PassOn", "close 2", "PassOn", "close 1", "EndAnswer"), effects);
+        assertEquals(List.of("ForwardChunk", "close 2", "ForwardChunk", "close 1", "EndResponse"), effects);
     }
 
     /** A second attempt waits until the first one's connection is closed, or is not sent at all. */
--- a/src/test/java/yewdock/OutdatedEndpointListTest.java
+++ b/src/test/java/yewdock/OutdatedEndpointListTest.java
@@ -68,9 +68,8 @@
 
     private void start(boolean byAgent, long maxPollInterval, long version, ModelServer... servers) {
         reducer = new Reducer(new CoreSettings(250_000, 30 * SECOND, byAgent, SECOND / 2, maxPollInterval,
-                true, 4,
-                List.of(true), List.of("chat"), 0), new ResourceLimits(40, 20, 20, 1 << 20), new Counters(),
-                Module::new);
+                true, 4, List.of(true), List.of("chat"), 0), new ResourceLimits(40, 20, 20, 1 << 20),
+                new Counters(), Module::new);
         handle(new Event.Started(new EndpointList(version, true, List.of(servers)), "127.0.0.1:8500"));
         answer(new EndpointList(version, false, List.of()));
     }
--- a/src/test/java/yewdock/PolledDiscoveryTest.java
+++ b/src/test/java/yewdock/PolledDiscoveryTest.java
@@ -32,9 +32,8 @@
             List.of(server(Lifecycle.DRAINING)));
     private final Counters counters = new Counters();
     private final Reducer reducer = new Reducer(new CoreSettings(250_000, 30 * SECOND, false, GRACE,
-            10 * SECOND, true, 4,
-            List.of(true), List.of("chat"), 0), new ResourceLimits(40, 20, 20, 1 << 20), counters,
-                    Module::new);
+            10 * SECOND, true, 4, List.of(true), List.of("chat"), 0),
+            new ResourceLimits(40, 20, 20, 1 << 20), counters, Module::new);
     private final List<Long> callTimes = new ArrayList<>();
     private Routing.Actions module;
     private Effect.CallDiscovery openCall;
@@ -104,9 +103,8 @@
             boolean changed = drained && openCall.sinceVersion() < DRAINED.version();
             if (changed || now >= calledAt + openCall.maxWaitMicros()) {
                 openCall = null;
-                handle(new Event.EndpointListReceived(changed ? DRAINED : new EndpointList(drained ? 8 : 7,
-                        false,
-                        List.of())));
+                handle(new Event.EndpointListReceived(changed ? DRAINED
+                        : new EndpointList(drained ? 8 : 7, false, List.of())));
             }
         }
     }
--- a/src/test/java/yewdock/RecordedExchange.java
+++ b/src/test/java/yewdock/RecordedExchange.java
@@ -38,7 +38,7 @@
     private static final long START_MICROS = 1_000_000_000_000L;
 
     private final List<String> transcript = new ArrayList<>();
-    private final Map<String, FakeWire> wires = new LinkedHashMap<>();
+    private final Map<String, FakeConnection> connections = new LinkedHashMap<>();
     private final Map<String, StringBuilder> sentBytes = new TreeMap<>();
     private final Set<String> stuckConnections = new HashSet<>();
     private final List<Runnable> pendingWrites = new ArrayList<>();
@@ -53,11 +53,9 @@
     private RecordedExchange() throws IOException {
         Config config = Config.read(Files.readString(FOLDER.resolve("config.json")), this::log);
         reducer = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()), config.bounds(),
-                counters,
-                InOrderModule::new);
-        connectionManager = new ConnectionManager(config, reducer, counters, this, () -> START_MICROS
-                + nowMicros,
-                this::log);
+                counters, InOrderModule::new);
+        connectionManager = new ConnectionManager(config, reducer, counters, this,
+                () -> START_MICROS + nowMicros, this::log);
         adminInterface = new AdminInterface(connectionManager);
         connectionManager.start();
     }
@@ -105,28 +103,28 @@
 
     /** Returns what the router sent on each connection, without the framing of messages to clients. */
     Map<String, String> told() {
-        Map<String, String> told = new TreeMap<>();
-        sentBytes.forEach((who, text) -> told.put(who,
-                who.startsWith("c") ? withoutFraming(text.toString()) : text.toString()));
-        return told;
+        Map<String, String> messages = new TreeMap<>();
+        sentBytes.forEach((name, text) -> messages.put(name,
+                name.startsWith("c") ? withoutFraming(text.toString()) : text.toString()));
+        return messages;
     }
 
     private static String withoutFraming(String text) {
-        StringBuilder all = new StringBuilder();
+        StringBuilder messages = new StringBuilder();
         MessageReader reader = new MessageReader(MessageReader.Kind.RESPONSE, new MessageReader.Sink() {
             @Override
             public void head(MessageHead head) {
-                all.append(head);
+                messages.append(head);
             }
 
             @Override
             public void body(ByteBuffer piece) {
-                all.append(StandardCharsets.UTF_8.decode(piece));
+                messages.append(StandardCharsets.UTF_8.decode(piece));
             }
 
             @Override
             public void end() {
-                all.append("(end)");
+                messages.append("(end)");
             }
         });
         try {
@@ -140,7 +138,7 @@
         } catch (BadMessageException e) {
             throw new IllegalStateException(text, e);
         }
-        return all.toString();
+        return messages.toString();
     }
 
     /** Returns the configuration with "this=that" replaced in its text. */
@@ -150,33 +148,34 @@
                 this::log);
     }
 
+    /** Handles one input line, after all timers that are due before it. */
     private void input(String line, int cut) throws IOException {
         String[] parts = line.split(" ", 5);
-        long time = Long.parseLong(parts[1]) * 1000;
-        while (reducer.nextTimerDue() <= START_MICROS + time) {
+        long timeMicros = Long.parseLong(parts[1]) * 1000;
+        while (reducer.nextTimerDue() <= START_MICROS + timeMicros) {
             nowMicros = Math.max(nowMicros, reducer.nextTimerDue() - START_MICROS);
             connectionManager.dispatch(new Event.Tick());
             flushWrites();
         }
-        nowMicros = time;
+        nowMicros = timeMicros;
         transcript.add(line);
-        String who = parts[2];
-        FakeWire wire = wires.get(who);
+        String name = parts[2];
+        FakeConnection connection = connections.get(name);
         switch (parts[3]) {
             case "opens" -> {
-                FakeWire opened = new FakeWire(who);
-                opened.side = who.startsWith("o") ? adminInterface.accept(opened)
+                FakeConnection opened = new FakeConnection(name);
+                opened.handler = name.startsWith("o") ? adminInterface.accept(opened)
                         : connectionManager.accept(opened);
-                opened.side.onConnected();
+                opened.handler.onConnected();
             }
-            case "up" -> wire.side.onConnected();
-            case "breaks" -> wire.broken = true;
-            case "idle" -> wire.side.onIdle();
-            case "down" -> wire.side.onClosed();
-            case "stuck" -> stuckConnections.add(who);
+            case "up" -> connection.handler.onConnected();
+            case "breaks" -> connection.broken = true;
+            case "idle" -> connection.handler.onIdle();
+            case "down" -> connection.handler.onClosed();
+            case "stuck" -> stuckConnections.add(name);
             case "unstuck" -> {
-                stuckConnections.remove(who);
-                wire.writeOut();
+                stuckConnections.remove(name);
+                connection.writeOut();
             }
             case "reconfigures" -> connectionManager.reconfigure(configWith(parts[4]));
             case "leaves" -> connectionManager.dispatch(new Event.ShutdownRequested());
@@ -187,7 +186,7 @@
                 for (byte[] part : List.of(Arrays.copyOf(bytes, at),
                         Arrays.copyOfRange(bytes, at, bytes.length))) {
                     if (part.length > 0) {
-                        wire.side.onReceived(ByteBuffer.wrap(part));
+                        connection.handler.onReceived(ByteBuffer.wrap(part));
                         flushWrites();
                     }
                 }
@@ -218,13 +217,14 @@
     }
 
     @Override
-    public <S extends ConnectionHandler> S connect(String address, Function<Connection, S> makeSide) {
-        boolean toList = address.endsWith(":8500") || address.endsWith(":8501");
-        FakeWire wire = new FakeWire(toList ? "list" + ++discoveryConnections : "line" + ++serverConnections);
-        addOutput(wire.name, "connects " + address);
-        S side = makeSide.apply(wire);
-        wire.side = side;
-        return side;
+    public <S extends ConnectionHandler> S connect(String address, Function<Connection, S> makeHandler) {
+        boolean toDiscovery = address.endsWith(":8500") || address.endsWith(":8501");
+        FakeConnection connection = new FakeConnection(toDiscovery ? "list" + ++discoveryConnections : "line"
+                + ++serverConnections);
+        addOutput(connection.name, "connects " + address);
+        S handler = makeHandler.apply(connection);
+        connection.handler = handler;
+        return handler;
     }
 
     @Override
@@ -232,15 +232,16 @@
         addOutput("router", "stops");
     }
 
-    private final class FakeWire implements Connection {
+    /** A connection that records what the router does with it. */
+    private final class FakeConnection implements Connection {
         private final String name;
         private final List<Integer> unwritten = new ArrayList<>();
-        private ConnectionHandler side;
+        private ConnectionHandler handler;
         private boolean broken;
 
-        FakeWire(String name) {
+        FakeConnection(String name) {
             this.name = name;
-            wires.put(name, this);
+            connections.put(name, this);
         }
 
         @Override
@@ -258,7 +259,7 @@
 
         private void writeOut() {
             while (!stuckConnections.contains(name) && !unwritten.isEmpty()) {
-                side.onWritten(unwritten.remove(0));
+                handler.onWritten(unwritten.remove(0));
             }
         }
 
@@ -289,8 +290,8 @@
         }
 
         @Override
-        public void setReadingPaused(boolean held) {
-            addOutput(name, held ? "held" : "read on");
+        public void setReadingPaused(boolean paused) {
+            addOutput(name, paused ? "held" : "read on");
         }
     }
 }
--- a/src/test/java/yewdock/ResourceLimitsTest.java
+++ b/src/test/java/yewdock/ResourceLimitsTest.java
@@ -20,8 +20,7 @@
 /** The router refuses requests before it runs out of memory or file descriptors. */
 class ResourceLimitsTest {
     private static final CoreSettings SETTINGS = new CoreSettings(250_000, 5_000_000, false, 1_000_000,
-            10_000_000, false,
-            4, List.of(), List.of("chat"), 0);
+            10_000_000, false, 4, List.of(), List.of("chat"), 0);
     private static final int MEGABYTE = 1 << 20;
     private final Counters counters = new Counters();
     private final Reducer reducer = new Reducer(SETTINGS,
