--- a/src/main/java/yewdock/core/Attempts.java
+++ b/src/main/java/yewdock/core/Attempts.java
@@ -126,8 +126,8 @@
 
     /**
      * Closes an attempt's connection. The attempt stays in flight until {@link Event.ServerDisconnected}
-     * reports that
-     * the connection is closed: if the request were sent again before that, it would be in flight twice.
+     * reports that the connection is closed: if the request were sent again before that, it would be in
+     * flight twice.
      */
     void close(Attempt attempt, Outcome outcome) {
         if (attempt.closingOutcome == null) {
--- a/src/main/java/yewdock/core/DiscoveryWatch.java
+++ b/src/main/java/yewdock/core/DiscoveryWatch.java
@@ -210,9 +210,9 @@
     }
 
     /**
-     * Whether an answer follows the held list; to be called once for each answer, before {@link
-     * #listReceived}. From an answer that doesn't follow, only changes that end the use of a server may be
-     * taken.
+     * Whether an answer follows the held list; to be called once for each answer, before
+     * {@link #listReceived}. From an answer that doesn't follow, only changes that end the use of a server
+     * may be taken.
      */
     boolean follows(EndpointList list) {
         boolean follows = versions.follows(list, now.getAsLong());
--- a/src/main/java/yewdock/core/Reducer.java
+++ b/src/main/java/yewdock/core/Reducer.java
@@ -14,12 +14,9 @@
  * rules for sending it.
  *
  * <p>Events are dispatched to the components: {@link OpenRequests} keeps the open requests, {@link Attempts}
- * and
- * {@link ResponseStreams} carry out their attempts, {@link ServerConnections} manages the server connections,
- * {@link
- * DiscoveryWatch} the watch on the endpoint list, {@link ClientConnections} the idle client connections and
- * {@link
- * OtherGenerations} the state shared with other generations.
+ * and {@link ResponseStreams} carry out their attempts, {@link ServerConnections} manages the server
+ * connections, {@link DiscoveryWatch} the watch on the endpoint list, {@link ClientConnections} the idle
+ * client connections and {@link OtherGenerations} the state shared with other generations.
  */
 public final class Reducer {
     /**
