--- a/src/main/java/yewdock/core/ResponseStreams.java
+++ b/src/main/java/yewdock/core/ResponseStreams.java
@@ -73,8 +73,7 @@
             attempts.close(attempt, Outcome.ERROR);
         }
         // An attempt that was never written in full has not run: ServerDisconnected, which follows the report
-        // of the
-        // last byte, tells the two cases apart.
+        // of the last byte, tells the two cases apart.
         connections.discard(connection);
     }
 
