--- a/src/main/java/yewdock/core/DiscoveryWatch.java
+++ b/src/main/java/yewdock/core/DiscoveryWatch.java
@@ -5,184 +5,214 @@
 import umberspread.Mixing;
 
 /**
- * The watch on the box list, as a part of the reducer: one call at a time, at one address.
+ * The watch on the endpoint list: one discovery call at a time, at one address.
  *
- * <p>A list that is asked is one service for all routers, so the module says when a call is made anew after
- * a failure; the watch only sees that a call is never forgotten. A list that is pushed lies with an agent on
- * this machine, and what the agent has counts as told: there the watch goes on by itself from the first
- * moment, and a call that brings nothing is made anew well within the time in which a drain must be kept.
+ * <p>Where discovery is polled, it is one service for all routers, and the module decides when to call again
+ * after a failure; the watch only ensures that a call is never forgotten. Where an agent on this machine
+ * holds the list, its contents count as known at any moment: the watch runs by itself from the start, and a
+ * call without an answer is repeated well within the time in which a drain must be kept.
  */
 final class DiscoveryWatch {
-    /** How long a call for the list may wait for news. */
-    static final long WAIT = 5_000_000;
+    /** Length of a long poll in microseconds. */
+    static final long LONG_POLL_MICROS = 5_000_000;
     /**
-     * A change is told to all at once, and their next calls go out together: were they to end together, or
-     * to be given up together where they fall silent, those that follow would wait for each other. Each
-     * waits for less by a part of this that is drawn.
+     * Range in microseconds by which long polls are randomly shortened. A change reaches all routers at once,
+     * so their next calls start together; if those also ended together, or were given up together when they
+     * got no answer, the calls after them would wait for each other.
      */
-    private static final long APART = 1_300_000;
-    /** What the service has counts as told so long after, whatever call has failed or said nothing. */
-    private static final long COUNTS_AS_TOLD = 6_000_000;
+    private static final long SPREAD_MICROS = 1_300_000;
     /**
-     * Of what is left of that time and the drain's grace after the wait, the answer to a call that waited
-     * may take three tenths, and that of the call made anew after it, which may have to wait its turn,
-     * six: of two silent calls in a row the second is given up with a tenth left in which the third brings
-     * the news.
+     * Time in microseconds after which a change in discovery counts as known, even if a call failed or was
+     * not answered.
      */
-    private static final int WAITED_TENTHS = 3;
-    private static final int ANEW_TENTHS = 6;
+    private static final long KNOWN_AFTER_MICROS = 6_000_000;
     /**
-     * Any other call keeps its turn: a busy service answers a call, or fails it, once it has waited for 2 s.
-     * Given up before that, its turn is spent on nobody, and the next call waits behind it: many routers that
-     * do so keep a service busy for ever, and none of them hears of anything.
+     * Shares, in tenths, of what is left of that time and the drain grace after a long poll. Three tenths are
+     * for the answer to the long poll, six for the answer to the call that follows it, which may have to
+     * queue at the service. If both get no answer, the second is given up with a tenth left for the third to
+     * deliver the change.
      */
-    private static final long TURN = 2_100_000;
+    private static final int LONG_POLL_ANSWER_TENTHS = 3;
+    private static final int REPEATED_CALL_TENTHS = 6;
+    /**
+     * Timeout in microseconds of any other call. A busy service answers or fails a call after it has queued
+     * for 2 s. A call given up earlier still uses its place in the queue, and the next call queues behind it:
+     * many routers that do so would keep the service busy for ever and none would get an answer.
+     */
+    private static final long CALL_TIMEOUT_MICROS = 2_100_000;
     private static final int TENTHS = 10;
-    /** So many silent calls in a row are followed by the next at once; after that the module says when. */
-    private static final int SILENT_CALLS = 2;
-    /** Of the drain's grace, a call at an agent may wait for this part, and its answer take another. */
-    private static final int GRACE_PARTS = 4;
-    private static final long LEAST_PART = 50_000;
     /**
-     * An agent's answers may take so many times longer once calls have failed: it may be slow. No longer, or
-     * an agent that has the list again the moment after such a call went out is heard past the grace.
+     * Unanswered calls in a row after which the next call is made at once; after that the module decides
+     * when.
+     */
+    private static final int MAX_IMMEDIATE_REPEATS = 2;
+    /**
+     * Divisor of the drain grace: a long poll at an agent may last this fraction, and its answer may take
+     * another.
+     */
+    private static final int GRACE_DIVISOR = 4;
+    /** Lower bound for each of these fractions, in microseconds. */
+    private static final long MIN_GRACE_PART_MICROS = 50_000;
+    /**
+     * Longest factor for an agent's answer time after calls have failed, since the agent may be slow. With a
+     * larger one, a list that the agent recovers just after such a call was sent would arrive after the
+     * grace.
      */
-    private static final int MOST_PATIENCE = 2;
-    /** The first call after a failure at an agent waits so long, each further one twice as long. */
-    private static final long AGAIN = 20_000;
-    /** An answer with no news that did not wait is followed by a call so much later: 200 ms end a watch. */
-    private static final long PACE = 50_000;
+    private static final int MAX_TIMEOUT_FACTOR = 2;
+    /**
+     * Delay in microseconds before the first call after a failure at an agent; it doubles with each failure.
+     */
+    private static final long AGENT_BACKOFF_MICROS = 20_000;
+    /**
+     * Delay in microseconds before the call after an immediate answer without changes. Discovery ends a watch
+     * after 200 ms without a call.
+     */
+    private static final long MIN_CALL_INTERVAL_MICROS = 50_000;
 
     /**
-     * News so soon after the last is one of a series, as a release brings: there the next call waits a
-     * little, and brings what has changed by then. Calls that follow each change at once would be more
-     * than a service of many routers has turns for, and those who hear of everything would leave none to
-     * the others.
+     * Time in microseconds after a change in which another one counts as part of a series, such as a release
+     * brings. After such a change the next call is delayed and collects what has changed by then. With an
+     * immediate call after each change, the calls of many routers would exceed the service's capacity, and
+     * the routers that hear of every change would crowd out the others.
      */
-    private static final long SERIES = 2_000_000;
-    private static final long REST = 1_000_000;
+    private static final long SERIES_GAP_MICROS = 2_000_000;
+    /** Longest delay in microseconds before the call after a change in a series. */
+    private static final long SERIES_DELAY_MICROS = 1_000_000;
 
-    private final CoreSettings terms;
+    private final CoreSettings settings;
     private final LongSupplier now;
     private final Timers timers;
     private final Counters counters;
     private final Consumer<Effect> effects;
-    private final Runnable whenLate;
+    private final Runnable onFailure;
     private final EndpointListVersions versions = new EndpointListVersions();
     private String address;
-    private long call;
+    /** Number of the current call; a timer of an older call has no effect. */
+    private long callNumber;
     private long calledAt;
-    private boolean out;
-    private boolean asked;
+    /** Whether a call is in flight. */
+    private boolean inFlight;
+    /** Whether the module waits for an answer. */
+    private boolean moduleWaits;
     private int failures;
-    private int silences;
-    private boolean catchesUp;
-    private long newsAt = -SERIES;
+    private int unansweredCalls;
+    /** Whether the call after a pause of the process is in flight. */
+    private boolean catchingUp;
+    private long lastChangeAt = -SERIES_GAP_MICROS;
 
-    DiscoveryWatch(CoreSettings terms, LongSupplier now, Timers timers, Counters counters,
-            Consumer<Effect> effects,
-            Runnable whenLate) {
-        this.terms = terms;
+    DiscoveryWatch(CoreSettings settings, LongSupplier now, Timers timers, Counters counters,
+            Consumer<Effect> effects, Runnable onFailure) {
+        this.settings = settings;
         this.now = now;
         this.timers = timers;
         this.counters = counters;
         this.effects = effects;
-        this.whenLate = whenLate;
+        this.onFailure = onFailure;
     }
 
-    /** Where the list is to be had, and which version of it is known. */
-    void begin(String where, long known) {
-        address = where;
-        versions.startWith(known);
+    /** Starts the watch at an address, with the known version of the list. */
+    void start(String newAddress, long knownVersion) {
+        address = newAddress;
+        versions.startAt(knownVersion);
         calledAt = now.getAsLong();
-        if (terms.discoveryByAgent()) {
-            ask(0);
+        if (settings.discoveryByAgent()) {
+            callDiscovery(0);
         } else {
-            remember();
+            ensureCalls();
         }
     }
 
-    /** Against a module that forgets to call: nothing told for so long counts as told all the same. */
-    private void remember() {
-        timers.at(now.getAsLong() + terms.maxPollIntervalMicros(), () -> {
-            if (!out && now.getAsLong() - calledAt >= terms.maxPollIntervalMicros()) {
-                ask(0);
+    /**
+     * Calls discovery if the module has not done so within the longest allowed time, since changes count as
+     * known after that.
+     */
+    private void ensureCalls() {
+        timers.runAt(now.getAsLong() + settings.maxPollIntervalMicros(), () -> {
+            if (!inFlight && now.getAsLong() - calledAt >= settings.maxPollIntervalMicros()) {
+                callDiscovery(0);
             }
-            remember();
+            ensureCalls();
         });
     }
 
     /**
-     * The list is to be had elsewhere from now on. Asked at once, and for the whole list: the versions of the
-     * one may mean nothing to the other, and what the old one knew last may be long past.
+     * Moves the watch to another address. The whole list is asked for at once: the versions of the two
+     * addresses may be unrelated, and the last list from the old address may be outdated.
      */
-    void move(String where) {
-        if (where.equals(address)) {
+    void moveTo(String newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
-        address = where;
-        versions.startWith(EndpointListVersions.NONE);
+        address = newAddress;
+        versions.startAt(EndpointListVersions.NONE);
         failures = 0;
-        silences = 0;
-        hangUpAndAsk();
+        unansweredCalls = 0;
+        restartCall();
     }
 
-    private void hangUpAndAsk() {
-        if (out) {
+    private void restartCall() {
+        if (inFlight) {
             effects.accept(new Effect.CancelDiscoveryCall());
         }
-        ask(0);
+        callDiscovery(0);
     }
 
     /**
-     * The process stood still. An answer that waited was read by now, but changes after it were not watched,
-     * and may count as told by now or before the next answer: after a long pause the list is asked for anew.
+     * Handles a pause of the process. An answer that arrived during the pause has been read by now, but
+     * changes after it were not watched and may count as known before the next answer. After a long pause the
+     * list is therefore asked for again.
      */
-    void resumed(long stalled) {
-        if (stalled >= longestPause()) {
+    void processResumed(long pausedMicros) {
+        if (pausedMicros >= longPauseMicros()) {
             counters.add("list.resumed");
-            catchesUp = true;
-            hangUpAndAsk();
+            catchingUp = true;
+            restartCall();
         }
     }
 
-    /** Whether the call after a pause is still to be answered. */
-    boolean catchesUp() {
-        return catchesUp;
+    /** Whether the call after a pause is still unanswered. */
+    boolean catchingUp() {
+        return catchingUp;
     }
 
-    private long longestPause() {
-        return terms.discoveryByAgent() ? part() : Math.min(COUNTS_AS_TOLD - TURN,
-                terms.maxPollIntervalMicros() / 2);
+    /** Returns the shortest pause of the process after which the list is asked for again. */
+    private long longPauseMicros() {
+        return settings.discoveryByAgent() ? gracePart() : Math.min(KNOWN_AFTER_MICROS - CALL_TIMEOUT_MICROS,
+                settings.maxPollIntervalMicros() / 2);
     }
 
-    /** Discovery may be another process from now on, whose versions mean something else. */
-    void lost() {
-        versions.wantWhole();
+    /** The next answer may come from another discovery process, whose versions are unrelated. */
+    void connectionLost() {
+        versions.requestFullList();
     }
 
-    /** Another router has a newer list: the call that is out should have brought it, so it is broken. */
-    void askAnew() {
+    /**
+     * Another router has a newer list: the current call should have delivered it, so it is given up as
+     * broken.
+     */
+    void listOutdated() {
         counters.add("list.behind");
-        hangUpAndAsk();
+        restartCall();
     }
 
-    boolean pushed() {
-        return terms.discoveryByAgent();
+    /** Whether an agent on this machine holds the list. */
+    boolean byAgent() {
+        return settings.discoveryByAgent();
     }
 
     String address() {
         return address;
     }
 
-    /** The version of the list that is held, or -1. */
+    /** Returns the version of the held list, or -1. */
     long version() {
         return versions.newest();
     }
 
     /**
-     * Whether an answer follows the list that is held; called once for each, before {@link #came}. Of one
-     * that does not, only what ends a server's use may be taken over.
+     * Whether an answer follows the held list; to be called once for each answer, before
+     * {@link #listReceived}. From an answer that doesn't follow, only changes that end the use of a server
+     * may be taken.
      */
     boolean follows(EndpointList list) {
         boolean follows = versions.follows(list, now.getAsLong());
@@ -192,123 +222,137 @@
         return follows;
     }
 
-    /** The module wants the list, and all changes from now on. */
-    void follow() {
-        asked = true;
-        if (!out) {
-            ask(0);
+    /** The module asks for the list and all its changes from now on. */
+    void followList() {
+        moduleWaits = true;
+        if (!inFlight) {
+            callDiscovery(0);
         }
     }
 
-    /** A watch goes on only if its next call comes within 200 ms of the last answer: it is made at once. */
-    private void ask(long wait) {
-        ask(wait, patience(wait));
+    /**
+     * Makes a call. Discovery keeps a watch only if the next call comes within 200 ms of the last answer.
+     */
+    private void callDiscovery(long pollMicros) {
+        callDiscovery(pollMicros, answerTimeout(pollMicros));
     }
 
-    private void ask(long wait, long patience) {
-        out = true;
-        long mine = ++call;
+    private void callDiscovery(long pollMicros, long timeoutMicros) {
+        inFlight = true;
+        long number = ++callNumber;
         calledAt = now.getAsLong();
         counters.add("list.calls");
-        effects.accept(new Effect.CallDiscovery(address, versions.since(), wait));
-        timers.at(calledAt + wait + patience, () -> {
-            if (out && call == mine) {
-                silent(wait > 0);
+        effects.accept(new Effect.CallDiscovery(address, versions.sinceVersion(), pollMicros));
+        timers.runAt(calledAt + pollMicros + timeoutMicros, () -> {
+            if (inFlight && callNumber == number) {
+                callUnanswered(pollMicros > 0);
             }
         });
     }
 
     /**
-     * A list that is asked has said nothing for too long: that call is broken, or the service is late, and
-     * what was missed counts as told soon. Asked anew at once; a service that stays silent is the module's to
-     * spare. A watch stays open meanwhile: a service with more callers than turns may answer it late and
-     * refuse the new call.
+     * Handles a call that got no answer in time: its connection is broken or the service is late, and changes
+     * it should have delivered count as known soon. Where discovery is polled, the call is repeated at once,
+     * and only a service that stays silent is left to the module's backoff. A long poll stays open beside the
+     * new call: a service with more callers than capacity may answer it late and refuse the new one.
      */
-    private void silent(boolean watched) {
-        boolean mayComeLate = watched && !terms.discoveryByAgent();
+    private void callUnanswered(boolean longPoll) {
+        boolean mayComeLate = longPoll && !settings.discoveryByAgent();
         effects.accept(mayComeLate ? new Effect.SetDiscoveryCallAside() : new Effect.CancelDiscoveryCall());
-        if (!terms.discoveryByAgent() && silences < SILENT_CALLS) {
-            silences++;
+        if (!settings.discoveryByAgent() && unansweredCalls < MAX_IMMEDIATE_REPEATS) {
+            unansweredCalls++;
             counters.add("list.silent");
-            ask(0, watched ? tenths(ANEW_TENTHS) : patience(0));
+            callDiscovery(0, longPoll ? shareOfSlack(REPEATED_CALL_TENTHS) : answerTimeout(0));
         } else {
-            whenLate.run();
+            onFailure.run();
         }
     }
 
-    private void askLater(long delay, long wait) {
-        long last = call;
-        timers.at(now.getAsLong() + delay, () -> {
-            if (!out && call == last) {
-                ask(wait);
+    /** Makes a call after a delay, unless another one has been made by then. */
+    private void callLater(long delayMicros, long pollMicros) {
+        long lastNumber = callNumber;
+        timers.runAt(now.getAsLong() + delayMicros, () -> {
+            if (!inFlight && callNumber == lastNumber) {
+                callDiscovery(pollMicros);
             }
         });
     }
 
-    /** Half of the grace is left for what comes after the answer. */
-    private long part() {
-        return Math.min(WAIT, Math.max(LEAST_PART, terms.drainGraceMicros() / GRACE_PARTS));
+    /**
+     * Returns the length of a long poll at an agent: half of the grace is left for what follows the answer.
+     */
+    private long gracePart() {
+        return Math.min(LONG_POLL_MICROS, Math.max(MIN_GRACE_PART_MICROS,
+                settings.drainGraceMicros() / GRACE_DIVISOR));
     }
 
-    private long patience(long wait) {
-        if (terms.discoveryByAgent()) {
-            return part() * Math.min(MOST_PATIENCE, 1 + failures);
+    /** Returns how long the answer may take after a poll of the given length has ended. */
+    private long answerTimeout(long pollMicros) {
+        if (settings.discoveryByAgent()) {
+            return gracePart() * Math.min(MAX_TIMEOUT_FACTOR, 1 + failures);
         }
-        return wait > 0 ? tenths(WAITED_TENTHS) : TURN;
+        return pollMicros > 0 ? shareOfSlack(LONG_POLL_ANSWER_TENTHS) : CALL_TIMEOUT_MICROS;
     }
 
-    private long tenths(int parts) {
-        return (COUNTS_AS_TOLD - WAIT + terms.drainGraceMicros()) / TENTHS * parts;
+    /** Returns this many tenths of the time left after a long poll until a drain must be kept. */
+    private long shareOfSlack(int tenths) {
+        return (KNOWN_AFTER_MICROS - LONG_POLL_MICROS + settings.drainGraceMicros()) / TENTHS * tenths;
     }
 
-    /** An answer that does not follow the held list: the whole list is asked for until one is believed. */
-    void cameOlder(EndpointList list) {
-        answered();
+    /**
+     * Handles an answer that doesn't follow the held list: the whole list is asked for until an answer is
+     * believed.
+     */
+    void olderListReceived(EndpointList list) {
+        callAnswered();
         if (list.full()) {
-            askLater(terms.discoveryByAgent() ? part() : EndpointListVersions.LONGEST_LAG, 0);
+            callLater(settings.discoveryByAgent() ? gracePart() : EndpointListVersions.MAX_LAG_MICROS, 0);
         } else {
-            ask(0);
+            callDiscovery(0);
         }
     }
 
-    private void answered() {
-        out = false;
-        asked = false;
+    private void callAnswered() {
+        inFlight = false;
+        moduleWaits = false;
         failures = 0;
-        silences = 0;
-        catchesUp = false;
+        unansweredCalls = 0;
+        catchingUp = false;
         counters.add("list.answers");
     }
 
-    /** An answer has come and the next call goes out; tells whether the module should hear of the answer. */
-    boolean came(EndpointList list) {
-        boolean news = asked || list.full() || !list.servers().isEmpty();
-        answered();
-        long wait = terms.discoveryByAgent() ? part() : list.servers().isEmpty() ? WAIT
-                : WAIT - (long) (Mixing.uniform(now.getAsLong()) * APART);
-        boolean series = !list.servers().isEmpty() && now.getAsLong() - newsAt < SERIES;
-        newsAt = list.servers().isEmpty() ? newsAt : now.getAsLong();
-        if (series && !terms.discoveryByAgent()) {
-            askLater(Math.min(REST, terms.maxPollIntervalMicros() / 2), wait);
-        } else if (news || now.getAsLong() - calledAt >= PACE) {
-            ask(wait);
+    /**
+     * Handles an answer and schedules the next call; returns whether the module should be told of the answer.
+     */
+    boolean listReceived(EndpointList list) {
+        boolean changed = moduleWaits || list.full() || !list.servers().isEmpty();
+        callAnswered();
+        long pollMicros = settings.discoveryByAgent() ? gracePart() : list.servers().isEmpty()
+                ? LONG_POLL_MICROS
+                : LONG_POLL_MICROS - (long) (Mixing.uniform(now.getAsLong()) * SPREAD_MICROS);
+        boolean series = !list.servers().isEmpty() && now.getAsLong() - lastChangeAt < SERIES_GAP_MICROS;
+        lastChangeAt = list.servers().isEmpty() ? lastChangeAt : now.getAsLong();
+        if (series && !settings.discoveryByAgent()) {
+            callLater(Math.min(SERIES_DELAY_MICROS, settings.maxPollIntervalMicros() / 2), pollMicros);
+        } else if (changed || now.getAsLong() - calledAt >= MIN_CALL_INTERVAL_MICROS) {
+            callDiscovery(pollMicros);
         } else {
-            askLater(PACE, wait);
+            callLater(MIN_CALL_INTERVAL_MICROS, pollMicros);
         }
-        return news;
+        return changed;
     }
 
-    /** A call has failed; tells whether the module should hear of it, which then calls again. */
-    boolean failed() {
-        boolean tell = asked || !terms.discoveryByAgent();
-        out = false;
-        asked = false;
-        catchesUp = false;
+    /** Handles a failed call; returns whether the module should be told of it, which then calls again. */
+    boolean callFailed() {
+        boolean reportToModule = moduleWaits || !settings.discoveryByAgent();
+        inFlight = false;
+        moduleWaits = false;
+        catchingUp = false;
         counters.add("list.failures");
-        if (terms.discoveryByAgent()) {
-            askLater(Math.min(part(), AGAIN << Math.min(failures, 8)), 0);
+        if (settings.discoveryByAgent()) {
+            callLater(Math.min(gracePart(), AGENT_BACKOFF_MICROS << Math.min(failures, 8)), 0);
             failures++;
         }
-        return tell;
+        return reportToModule;
     }
 }
--- a/src/main/java/yewdock/core/GenerationMessage.java
+++ b/src/main/java/yewdock/core/GenerationMessage.java
@@ -1,32 +1,34 @@
 package yewdock.core;
 
 /**
- * What the processes of one router tell each other while more than one of them lives: an old generation that
- * finishes what it has, and the new one that has taken its place.
+ * A message between the processes of one router while an old generation finishes its requests and a new one
+ * has taken over.
  */
 public sealed interface GenerationMessage {
-    /** A finishing generation asks whether it may take a request of this id. */
+    /**
+     * A finishing generation asks the owner of the request ids whether it may accept a request with this id.
+     */
     record Claim(String id, long claimNumber) implements GenerationMessage {
     }
 
-    /** The answer to a claim of the generation to. */
+    /** The answer to a claim, for the generation that made it. */
     record ClaimAnswer(int generation, String id, long claimNumber, boolean granted)
             implements GenerationMessage {
     }
 
-    /** No request of this id is open here any more. */
+    /** The request with this id is no longer open in the sender. */
     record RequestReleased(String id) implements GenerationMessage {
     }
 
-    /** A try has gone out to a box. */
+    /** An attempt has been sent to a server. */
     record AttemptSent(long token, long server) implements GenerationMessage {
     }
 
-    /** A try that was told as sent is over. */
+    /** An attempt that was reported as sent has ended. */
     record AttemptEnded(long token) implements GenerationMessage {
     }
 
-    /** What the box list at this address has told. */
+    /** An endpoint list or changes to it, as received from discovery at this address. */
     record EndpointListRelayed(EndpointList list, String discoveryAddress) implements GenerationMessage {
     }
 }
--- a/src/main/java/yewdock/core/KnownServers.java
+++ b/src/main/java/yewdock/core/KnownServers.java
@@ -13,193 +13,206 @@
 import umberspread.Routing.ServerState;
 
 /**
- * The boxes, as a part of the reducer: what the list tells of each, with what operators say laid over it. A
- * mark never changes what was told, so that taking it back brings back what the list says by then.
+ * The known servers: what the endpoint list says of each, with the operators' overrides applied. An override
+ * never changes the stored list entry, so lifting it restores the list's current state.
  */
 final class KnownServers {
     private final LongSupplier now;
-    private final Map<Long, ModelServer> told = new HashMap<>();
-    private final Map<Long, ModelServer> boxes = new HashMap<>();
-    /** When the list first told the state that each box has. */
-    private final Map<Long, Long> toldAt = new HashMap<>();
-    /** By the boxes' names, not by what the list says of them: a mark outlives the list's entry. */
-    private final Map<String, OperatorOverride> marks = new TreeMap<>();
-    private final long coldFor;
-
-    KnownServers(LongSupplier now, long coldFor) {
+    /** The servers as the endpoint list has them, by id. */
+    private final Map<Long, ModelServer> listed = new HashMap<>();
+    /** The servers with the overrides applied, by id. */
+    private final Map<Long, ModelServer> effective = new HashMap<>();
+    /** When the endpoint list first reported each server's current state, in microseconds. */
+    private final Map<Long, Long> stateSince = new HashMap<>();
+    /** Overrides by server name; they outlast the server's entry in the endpoint list. */
+    private final Map<String, OperatorOverride> overrides = new TreeMap<>();
+    private final long maxColdMicros;
+
+    KnownServers(LongSupplier now, long maxColdMicros) {
         this.now = now;
-        this.coldFor = coldFor;
+        this.maxColdMicros = maxColdMicros;
     }
 
-    /** The list tells something. */
-    void keep(EndpointList list) {
+    /** Applies an endpoint list or changes to it. */
+    void apply(EndpointList list) {
         if (list.full()) {
-            Set<Long> named = new HashSet<>();
-            list.servers().forEach(box -> named.add(box.id()));
-            told.keySet().retainAll(named);
-            boxes.keySet().retainAll(named);
+            Set<Long> listedIds = new HashSet<>();
+            list.servers().forEach(server -> listedIds.add(server.id()));
+            listed.keySet().retainAll(listedIds);
+            effective.keySet().retainAll(listedIds);
         }
-        for (ModelServer box : list.servers()) {
-            ModelServer before = box.isGone() ? told.remove(box.id()) : told.put(box.id(), box);
-            if (before == null || before.replica().lifecycle() != box.replica().lifecycle()) {
-                toldAt.put(box.id(), now.getAsLong());
+        for (ModelServer server : list.servers()) {
+            ModelServer previous = server.isGone() ? listed.remove(server.id())
+                    : listed.put(server.id(), server);
+            if (previous == null || previous.replica().lifecycle() != server.replica().lifecycle()) {
+                stateSince.put(server.id(), now.getAsLong());
             }
-            place(box);
+            update(server);
         }
-        toldAt.keySet().retainAll(told.keySet());
+        stateSince.keySet().retainAll(listed.keySet());
     }
 
     /**
-     * What ends the use of known servers in a list that may not be believed otherwise. In a whole list a
-     * server's end is that it is not named; it counts as this state here.
+     * Returns the changes that end the use of known servers, from a list that may not be believed otherwise.
+     * Servers that a whole list doesn't contain are returned with the given state.
      */
-    List<ModelServer> endingsIn(EndpointList list, Lifecycle unnamed) {
+    List<ModelServer> endingsIn(EndpointList list, Lifecycle stateIfMissing) {
         List<ModelServer> ending = new ArrayList<>();
-        Set<Long> named = new HashSet<>();
+        Set<Long> listedIds = new HashSet<>();
         for (ModelServer server : list.servers()) {
-            named.add(server.id());
-            if (!server.takesWork() && told.containsKey(server.id())) {
+            listedIds.add(server.id());
+            if (!server.takesWork() && listed.containsKey(server.id())) {
                 ending.add(server);
             }
         }
-        for (ModelServer server : told.values()) {
-            if (list.full() && !named.contains(server.id())) {
-                ending.add(as(server, unnamed));
+        for (ModelServer server : listed.values()) {
+            if (list.full() && !listedIds.contains(server.id())) {
+                ending.add(withState(server, stateIfMissing));
             }
         }
         return ending;
     }
 
-    /** These are all the marks that hold from now on; what drains no more is back. */
-    void mark(Map<String, OperatorOverride> all) {
-        Map<String, OperatorOverride> before = new TreeMap<>(marks);
-        marks.clear();
-        marks.putAll(all);
-        before.forEach((name, mark) -> {
-            if (mark.kind() == OperatorOverride.Kind.BACK) {
-                marks.putIfAbsent(name, mark);
-            } else if (mark.drains() && !all.containsKey(name)) {
-                back(name);
+    /** Replaces all overrides. Servers that no longer drain are back in service. */
+    void replaceOverrides(Map<String, OperatorOverride> newOverrides) {
+        Map<String, OperatorOverride> previous = new TreeMap<>(overrides);
+        overrides.clear();
+        overrides.putAll(newOverrides);
+        previous.forEach((name, override) -> {
+            if (override.kind() == OperatorOverride.Kind.BACK) {
+                overrides.putIfAbsent(name, override);
+            } else if (override.isDraining() && !newOverrides.containsKey(name)) {
+                markBackInService(name);
             }
         });
-        marksChanged();
+        applyOverrides();
     }
 
-    /** This is said of the box from now on, whatever was said of it before. */
-    void mark(String name, OperatorOverride mark) {
-        marks.put(name, mark);
-        marksChanged();
+    /** Sets one server's override, replacing an earlier one. */
+    void setOverride(String name, OperatorOverride override) {
+        overrides.put(name, override);
+        applyOverrides();
     }
 
-    /** An operator puts the box out of use. */
+    /** Takes a server out of service on an operator's command. */
     void cordon(String name) {
-        mark(name, OperatorOverride.DRAINS);
+        setOverride(name, OperatorOverride.DRAINS);
     }
 
-    /** An operator puts the box back into use. */
+    /** Puts a server back into service on an operator's command. */
     void uncordon(String name) {
-        back(name);
-        marksChanged();
+        markBackInService(name);
+        applyOverrides();
     }
 
-    /** It was restarted while it was out of use, or stood empty: whatever the list says, it is cold. */
-    private void back(String name) {
-        marks.put(name, new OperatorOverride(OperatorOverride.Kind.BACK, now.getAsLong()));
+    /**
+     * Marks a server as back in service. It was restarted or idle while out of service, so it counts as cold
+     * whatever the endpoint list says.
+     */
+    private void markBackInService(String name) {
+        overrides.put(name, new OperatorOverride(OperatorOverride.Kind.BACK, now.getAsLong()));
     }
 
-    private void marksChanged() {
-        marks.values().removeIf(mark -> mark.kind() == OperatorOverride.Kind.BACK
-                && mark.atEpochMicros() + coldFor < now.getAsLong());
-        told.values().forEach(this::place);
+    private void applyOverrides() {
+        overrides.values().removeIf(override -> override.kind() == OperatorOverride.Kind.BACK
+                && override.atEpochMicros() + maxColdMicros < now.getAsLong());
+        listed.values().forEach(this::update);
     }
 
-    boolean cordoned(String name) {
-        OperatorOverride mark = marks.get(name);
-        return mark != null && mark.drains();
+    boolean isCordoned(String name) {
+        OperatorOverride override = overrides.get(name);
+        return override != null && override.isDraining();
     }
 
-    /** Whether the list has a box of this name. */
-    boolean named(String name) {
-        return told.values().stream().anyMatch(box -> box.name().equals(name));
+    /** Whether the endpoint list has a server of this name. */
+    boolean isListed(String name) {
+        return listed.values().stream().anyMatch(server -> server.name().equals(name));
     }
 
-    Map<String, OperatorOverride> marks() {
-        return marks;
+    /** Returns the overrides by server name. */
+    Map<String, OperatorOverride> overrides() {
+        return overrides;
     }
 
-    private void place(ModelServer box) {
-        ModelServer over = over(box);
-        if (over.isGone()) {
-            boxes.remove(box.id());
+    /** Stores a server with its override applied, or removes it if it is gone. */
+    private void update(ModelServer server) {
+        ModelServer effectiveServer = withOverrides(server);
+        if (effectiveServer.isGone()) {
+            effective.remove(server.id());
         } else {
-            boxes.put(box.id(), over);
+            effective.put(server.id(), effectiveServer);
         }
     }
 
-    private ModelServer over(ModelServer box) {
-        OperatorOverride mark = marks.get(box.name());
-        if (mark == null || box.isGone()) {
-            return box;
+    private ModelServer withOverrides(ModelServer server) {
+        OperatorOverride override = overrides.get(server.name());
+        if (override == null || server.isGone()) {
+            return server;
         }
-        long startedAt = box.replica().startedAt();
-        return switch (mark.kind()) {
-            case DRAINS -> as(box, Lifecycle.DRAINING);
-            case GONE -> startedAt <= mark.atEpochMicros() ? as(box, Lifecycle.GONE) : box;
-            // a box whose restart the list tells is as old as the list says
-            case BACK -> startedAt >= mark.atEpochMicros() ? box : as(box, box.replica().lifecycle(),
-                    mark.atEpochMicros());
+        long startedAt = server.replica().startedAt();
+        return switch (override.kind()) {
+            case DRAINS -> withState(server, Lifecycle.DRAINING);
+            case GONE -> startedAt <= override.atEpochMicros() ? withState(server, Lifecycle.GONE) : server;
+            // a server whose restart is on the list is as old as the list says
+            case BACK -> startedAt >= override.atEpochMicros() ? server
+                    : withState(server, server.replica().lifecycle(), override.atEpochMicros());
         };
     }
 
-    /** The box in another state. */
-    static ModelServer as(ModelServer box, Lifecycle lifecycle) {
-        return as(box, lifecycle, box.replica().startedAt());
+    /** Returns the server with another state. */
+    static ModelServer withState(ModelServer server, Lifecycle lifecycle) {
+        return withState(server, lifecycle, server.replica().startedAt());
     }
 
-    private static ModelServer as(ModelServer box, Lifecycle lifecycle, long startedAt) {
-        ServerState r = box.replica();
-        return new ModelServer(box.name(), box.address(), new ServerState(r.id(), r.zone(), r.kind(),
-                r.cell(),
-                r.weight(), lifecycle, startedAt));
+    private static ModelServer withState(ModelServer server, Lifecycle lifecycle, long startedAt) {
+        ServerState state = server.replica();
+        return new ModelServer(server.name(), server.address(), new ServerState(state.id(), state.zone(),
+                state.kind(), state.cell(), state.weight(), lifecycle, startedAt));
     }
 
-    /** What the list tells, as it holds under the marks. */
-    EndpointList over(EndpointList list) {
-        List<ModelServer> over = new ArrayList<>();
-        for (ModelServer box : list.servers()) {
-            ModelServer next = over(box);
-            // a whole list says that a box is gone by not naming it
-            if (!list.full() || !next.isGone()) {
-                over.add(next);
+    /** Returns the list with the overrides applied. */
+    EndpointList withOverrides(EndpointList list) {
+        List<ModelServer> result = new ArrayList<>();
+        for (ModelServer server : list.servers()) {
+            ModelServer changed = withOverrides(server);
+            // a whole list reports a server as gone by not containing it
+            if (!list.full() || !changed.isGone()) {
+                result.add(changed);
             }
         }
-        return new EndpointList(list.version(), list.full(), over);
+        return new EndpointList(list.version(), list.full(), result);
     }
 
-    /** A box as it is to be used; null if there is none. */
+    /** Returns a server with overrides applied; null if there is none. */
     ModelServer get(long id) {
-        return boxes.get(id);
+        return effective.get(id);
     }
 
+    /** Returns all servers with overrides applied. */
     Collection<ModelServer> all() {
-        return boxes.values();
+        return effective.values();
     }
 
-    /** All as the list tells them. */
-    List<ModelServer> told() {
-        return List.copyOf(told.values());
+    /** Returns all servers as the endpoint list has them. */
+    List<ModelServer> listed() {
+        return List.copyOf(listed.values());
     }
 
-    Map<Long, Long> toldAt() {
-        return toldAt;
+    /** Returns when the endpoint list first reported each server's current state, in microseconds, by id. */
+    Map<Long, Long> stateSince() {
+        return stateSince;
     }
 
-    /** An earlier process was told of some states before; what is known already stands. */
-    void recallTold(Map<Long, Long> earlier) {
-        earlier.forEach((box, at) -> toldAt.computeIfPresent(box, (id, since) -> Math.min(since, at)));
+    /**
+     * Takes over the times at which an earlier process learned of server states, where they are earlier than
+     * the known ones.
+     */
+    void restoreStateTimes(Map<Long, Long> earlierTimes) {
+        earlierTimes.forEach((serverId, at) -> stateSince.computeIfPresent(serverId,
+                (id, since) -> Math.min(since, at)));
     }
 
-    int kept() {
-        return boxes.size() + toldAt.size();
+    int retainedEntries() {
+        return effective.size() + stateSince.size();
     }
 }
--- a/src/main/java/yewdock/core/OperatorCommand.java
+++ b/src/main/java/yewdock/core/OperatorCommand.java
@@ -1,16 +1,16 @@
 package yewdock.core;
 
-/** What an operator can call for at the door. */
+/** The commands of the operators' admin interface. */
 public enum OperatorCommand {
     HEALTH(false), COUNTERS(false), CORDON(true), UNCORDON(true), QUIESCE(false), RESUME(false);
 
     private final boolean namesServer;
 
-    OperatorCommand(boolean namesBox) {
-        this.namesServer = namesBox;
+    OperatorCommand(boolean namesServer) {
+        this.namesServer = namesServer;
     }
 
-    /** Whether the call names a model box. */
+    /** Whether the command takes the name of a server. */
     public boolean namesServer() {
         return namesServer;
     }
--- a/src/main/java/yewdock/core/Reducer.java
+++ b/src/main/java/yewdock/core/Reducer.java
@@ -8,528 +8,584 @@
 import umberspread.Routing.Outcome;
 
 /**
- * The core: everything that the router knows and owes, and the only place where that changes. One event at
- * a time goes into {@link #reduce}, and what must be done about it comes out. It does no I/O, reads no clock
- * and knows nothing of HTTP. Which box a request goes to is the module's choice; the desk keeps the rules
- * of carrying it out.
+ * The core of the router: it holds all state and is the only place where state changes. {@link #reduce} takes
+ * one event at a time and returns the effects that the transport has to carry out. It does no I/O, reads no
+ * clock and knows nothing of HTTP. The module chooses the server of each attempt; the reducer enforces the
+ * rules for sending it.
  *
- * <p>It deals events out to its parts: {@link Answers} owes clients, {@link Tries} and {@link Streams} carry
- * requests out, {@link Lines} are the connections to boxes, {@link DiscoveryWatch} watches the list,
- * {@link Clients} keeps connections at rest and {@link Others} the router's other processes in mind.
+ * <p>Events are dispatched to the components: {@link OpenRequests} keeps the open requests, {@link Attempts}
+ * and {@link ResponseStreams} carry out their attempts, {@link ServerConnections} manages the server
+ * connections, {@link DiscoveryWatch} the watch on the endpoint list, {@link ClientConnections} the idle
+ * client connections and {@link OtherGenerations} the state shared with other generations.
  */
 public final class Reducer {
-    /** After being told to leave: new connections still come for 0.4 s, and requests count for 0.7 s. */
-    static final long LEAVE_IDLE_AFTER = 500_000;
-    static final long LEAVE_AFTER = 800_000;
     /**
-     * What an agent on this machine has counts as told from a process's first moment: the list that the
-     * process was started with, which may be old, is not acted on before the agent has answered, or has
-     * been silent so long.
+     * On shutdown, new connections may still arrive for 0.4 s and requests for 0.7 s. Idle client connections
+     * are closed after this delay in microseconds.
      */
-    static final long AGENT_FIRST = 1_000_000;
+    static final long CLOSE_IDLE_AFTER_MICROS = 500_000;
+    /** Earliest exit after the start of a shutdown, in microseconds. */
+    static final long MIN_SHUTDOWN_MICROS = 800_000;
+    /**
+     * Where a local agent holds the endpoint list, its contents bind the router from the start of the
+     * process. The list that the process was started with may be outdated, so it is used only once the agent
+     * has been silent for this many microseconds.
+     */
+    static final long AGENT_TIMEOUT_MICROS = 1_000_000;
 
-    private final Turn turn;
-    private final Clients clients;
+    private final ReducerContext context;
+    private final ClientConnections clients;
     private final DiscoveryWatch watch;
-    private final Others others;
-    private final KnownServers boxes;
-    private final Lines lines;
-    private final Answers answers;
-    private final Tries tries;
-    private final Streams streams;
-    private final Calls calls;
-    /** Whether the module has yet to be told of any box, since the agent has not answered. */
-    private boolean unheard;
-    private boolean isShuttingDown;
-    private boolean isHandedOver;
-    private OlderGeneration older = OlderGeneration.NONE;
-    /** What the list tells is told on, to be kept. */
-    private boolean keeping;
-    private long letGoUntil;
-    private long leaveAt;
+    private final OtherGenerations otherGenerations;
+    private final KnownServers servers;
+    private final ServerConnections connections;
+    private final OpenRequests openRequests;
+    private final Attempts attempts;
+    private final ResponseStreams responses;
+    private final OperatorCommandHandler commands;
+    /** The module has not been given any server yet, because the agent has not answered. */
+    private boolean awaitingAgent;
+    private boolean shuttingDown;
+    private boolean handedOver;
+    private OlderGeneration olderGeneration = OlderGeneration.NONE;
+    /** Endpoint lists are sent on to the other processes, one of which stores them. */
+    private boolean relaying;
+    /** Time limit for open requests after another generation took over, in microseconds. */
+    private long finishUntil;
+    private long exitAt;
     private boolean stopped;
 
-    /** Makes the desk and, with the actions that it gives, the module. */
-    public Reducer(CoreSettings terms, ResourceLimits bounds, Counters counters,
+    /** Creates the reducer and the module, which gets its actions. */
+    public Reducer(CoreSettings settings, ResourceLimits limits, Counters counters,
             Function<Routing.Actions, Routing.Events> makeModule) {
-        this.turn = new Turn(counters);
-        this.boxes = new KnownServers(turn::now, terms.maxColdMicros());
-        this.clients = new Clients(bounds.maxClientConnections(), turn::now, turn.timers(), counters,
-                turn::effect);
-        this.watch = new DiscoveryWatch(terms, turn::now, turn.timers(), counters, turn::effect,
-                this::listFailed);
-        this.others = new Others(turn::now, turn.timers(), counters, turn::effect, new Door());
-        this.lines = new Lines(turn, bounds.maxServerConnections(), terms.keepaliveMicros(), boxes);
-        this.answers = new Answers(turn, terms, bounds, boxes, lines, others);
-        this.tries = answers.tries();
-        this.streams = new Streams(turn, lines, answers);
-        this.calls = new Calls(turn, terms, counters, boxes, () -> answers.open() + others.claims(),
-                () -> isHandedOver ? "a newer process serves"
-                        : older == OlderGeneration.FINISHING ? "an older process finishes" : notReadyReason(),
-                this::changedHere);
-        turn.module(makeModule.apply(new Collector()));
-    }
-
-    /** Takes one event and tells what to do about it. */
-    public List<Effect> reduce(Event event, long time) {
-        turn.begin(time);
-        run(new Turn.Step(requestOf(event), () -> take(event)));
-        for (Turn.Step step = turn.next(); step != null; step = turn.next()) {
+        this.context = new ReducerContext(counters);
+        this.servers = new KnownServers(context::now, settings.maxColdMicros());
+        this.clients = new ClientConnections(limits.maxClientConnections(), context::now, context.timers(),
+                counters, context::emit);
+        this.watch = new DiscoveryWatch(settings, context::now, context.timers(), counters, context::emit,
+                this::discoveryCallFailed);
+        this.otherGenerations = new OtherGenerations(context::now, context.timers(), counters, context::emit,
+                new Admission());
+        this.connections = new ServerConnections(context, limits.maxServerConnections(),
+                settings.keepaliveMicros(), servers);
+        this.openRequests = new OpenRequests(context, settings, limits, servers, connections,
+                otherGenerations);
+        this.attempts = openRequests.attempts();
+        this.responses = new ResponseStreams(context, connections, openRequests);
+        this.commands = new OperatorCommandHandler(context, settings, counters, servers,
+                () -> openRequests.count() + otherGenerations.pendingClaims(),
+                () -> handedOver ? "a newer process serves"
+                        : olderGeneration == OlderGeneration.FINISHING ? "an older process finishes"
+                        : notReadyReason(),
+                this::reportKnownServers);
+        context.module(makeModule.apply(new ActionQueue()));
+    }
+
+    /** Handles one event at the given time in microseconds and returns its effects. */
+    public List<Effect> reduce(Event event, long timeMicros) {
+        context.begin(timeMicros);
+        run(new ReducerContext.Step(requestOf(event), () -> dispatch(event)));
+        for (ReducerContext.Step step = context.nextStep(); step != null; step = context.nextStep()) {
             run(step);
         }
-        if (isShuttingDown && !stopped && answers.none() && !others.claiming() && turn.now() >= leaveAt) {
+        if (shuttingDown && !stopped && openRequests.isEmpty() && !otherGenerations.hasClaims()
+                && context.now() >= exitAt) {
             stopped = true;
-            turn.effect(new Effect.Stop());
+            context.emit(new Effect.Stop());
         }
-        if (isHandedOver && !stopped && answers.none() && !others.claiming()
-                && (clients.count() == 0 || turn.now() >= letGoUntil)) {
+        if (handedOver && !stopped && openRequests.isEmpty() && !otherGenerations.hasClaims()
+                && (clients.count() == 0 || context.now() >= finishUntil)) {
             stopped = true;
-            turn.effect(new Effect.Stop());
+            context.emit(new Effect.Stop());
         }
-        return turn.effects();
+        return context.effects();
     }
 
-    /** When the next {@link Event.Tick} is due. */
+    /** Returns the time of the next {@link Event.Tick} in microseconds, or Long.MAX_VALUE. */
     public long nextTimerDue() {
-        return turn.timers().next();
+        return context.timers().nextTime();
     }
 
-    /** Why a request that came now could not be served; empty if it could. */
+    /** Returns why a request that arrived now could not be served; empty if it could. */
     public String notReadyReason() {
-        if (isShuttingDown && !isHandedOver) {
+        if (shuttingDown && !handedOver) {
             return "leaving";
         }
-        if (calls.quiesced()) {
+        if (commands.quiesced()) {
             return "quiesced";
         }
-        if (older == OlderGeneration.SERVING) {
+        if (olderGeneration == OlderGeneration.SERVING) {
             return "an older process serves";
         }
-        if (turn.inDoubt()) {
+        if (context.inDoubt()) {
             return "in doubt about what is agreed";
         }
-        if (unheard) {
+        if (awaitingAgent) {
             return "the agent that has the box list has not answered";
         }
-        return boxes.all().stream().anyMatch(ModelServer::takesWork) ? "" : "no model box takes work";
+        return servers.all().stream().anyMatch(ModelServer::takesWork) ? "" : "no model box takes work";
     }
 
-    /** Whether an operator has told it to send clients away. */
+    /** Whether an operator has quiesced this router. */
     public boolean isQuiesced() {
-        return calls.quiesced();
+        return commands.quiesced();
     }
 
-    /** How much is kept of requests, clients, lines and times to come: at rest, as much as at the start. */
+    /**
+     * Returns the number of entries held for requests, clients, connections and timers. When the router is
+     * idle it returns to its value at the start.
+     */
     public int retainedEntries() {
-        return answers.kept() + lines.kept() + boxes.kept() + clients.count() + turn.kept() + others.kept();
+        return openRequests.retainedEntries() + connections.retainedEntries() + servers.retainedEntries()
+                + clients.count() + context.retainedEntries() + otherGenerations.retainedEntries();
     }
 
-    /** Whether discovery is asked for what a pause may have hidden: nothing new should go out before that. */
+    /**
+     * Whether the discovery call after a pause of the process is still open. Nothing new should be sent
+     * before its answer, which may tell of a drain.
+     */
     public boolean isCatchingUp() {
-        return watch.catchesUp();
+        return watch.catchingUp();
     }
 
+    /** Whether the router is shutting down. */
     public boolean isShuttingDown() {
-        return isShuttingDown;
+        return shuttingDown;
     }
 
-    /** Whether another generation serves new connections, and this one only finishes. */
+    /** Whether another generation accepts new connections and this one only finishes its open requests. */
     public boolean isHandedOver() {
-        return isHandedOver;
+        return handedOver;
     }
 
-    /** When an earlier generation was told of the boxes' states; what is known already stands. */
-    public void restoreToldAt(Map<Long, Long> earlier) {
-        boxes.recallTold(earlier);
+    /**
+     * Restores when an earlier generation learned of each server's state, by server id. Entries of servers
+     * that aren't known are ignored, and so are later times.
+     */
+    public void restoreToldAt(Map<Long, Long> earlierTimes) {
+        servers.restoreStateTimes(earlierTimes);
     }
 
-    /** All that operators have said of boxes, by their names. */
+    /** Returns all operator overrides by server name. */
     public Map<String, OperatorOverride> operatorOverrides() {
-        return Map.copyOf(boxes.marks());
+        return Map.copyOf(servers.overrides());
     }
 
-    /** What this generation holds that no other may double. */
+    /** Returns the state that other generations need so that no request id or attempt is used twice. */
     public GenerationState generationState() {
-        List<String> ids = answers.names();
-        ids.addAll(others.claimed());
-        return new GenerationState(ids, Tries.sent(answers.all()),
-                new EndpointList(watch.version(), true, boxes.told()), watch.address(), boxes.toldAt());
+        List<String> ids = openRequests.requestIds();
+        ids.addAll(otherGenerations.claimedIds());
+        return new GenerationState(ids, Attempts.inFlight(openRequests.all()),
+                new EndpointList(watch.version(), true, servers.listed()), watch.address(),
+                servers.stateSince());
     }
 
-    private void take(Event event) {
+    private void dispatch(Event event) {
         if (event instanceof Event.ResponseChunk e) {
-            streams.piece(e);
+            responses.chunkReceived(e);
         } else if (event instanceof Event.ClientBytesWritten e) {
-            streams.clientTook(e);
+            responses.clientBytesWritten(e);
         } else if (event instanceof Event.RequestReceived e) {
-            asked(e);
+            requestReceived(e);
         } else if (event instanceof Event.ResponseCompleted e) {
-            streams.answered(e);
+            responses.responseCompleted(e);
         } else if (event instanceof Event.ResponseStarted e) {
-            streams.answerBegan(e.connection());
+            responses.responseStarted(e.connection());
         } else if (event instanceof Event.ResponseMalformed e) {
-            streams.answerSpoilt(e.connection());
+            responses.responseMalformed(e.connection());
         } else if (event instanceof Event.AttemptWritten e) {
-            tries.written(e.connection());
+            attempts.written(e.connection());
         } else if (event instanceof Event.AttemptNotStarted e) {
-            tries.notBegun(e.connection());
+            attempts.notStarted(e.connection());
         } else if (event instanceof Event.ServerConnected e) {
-            tries.lineUp(e.connection());
+            attempts.connected(e.connection());
         } else if (event instanceof Event.ServerDisconnected e) {
-            streams.lineDown(e.connection());
+            responses.connectionClosed(e.connection());
         } else if (event instanceof Event.ClientConnected e) {
-            clients.came(e.client());
+            clients.connected(e.client());
         } else if (event instanceof Event.ClientRequestStarted e) {
-            clients.began(e.client());
+            clients.requestStarted(e.client());
         } else if (event instanceof Event.ClientIdle e) {
-            clients.quiet(e.client());
+            clients.idle(e.client());
         } else if (event instanceof Event.ClientDisconnected e) {
-            clients.left(e.client());
-            others.clientLeft(e.client()).forEach(a -> answers.ended(a.request(), Ending.FAILED));
-            answers.clientLeft(e.client());
+            clients.disconnected(e.client());
+            otherGenerations.clientDisconnected(e.client()).forEach(
+                    abandoned -> openRequests.countEnd(abandoned.request(), RequestOutcome.FAILED));
+            openRequests.clientDisconnected(e.client());
         } else if (event instanceof Event.Tick) {
-            for (Runnable task = turn.timers().poll(turn.now()); task != null;
-                    task = turn.timers().poll(turn.now())) {
-                run(new Turn.Step(0, task));
+            for (Runnable task = context.timers().poll(context.now()); task != null;
+                    task = context.timers().poll(context.now())) {
+                run(new ReducerContext.Step(0, task));
             }
         } else if (event instanceof Event.EndpointListReceived e) {
-            listCame(e.list());
+            listReceived(e.list());
         } else if (event instanceof Event.LateEndpointListReceived e) {
-            lateListCame(e.list());
+            lateListReceived(e.list());
         } else if (event instanceof Event.DiscoveryConnectionLost) {
-            watch.lost();
+            watch.connectionLost();
         } else if (event instanceof Event.DiscoveryCallFailed) {
-            listFailed();
+            discoveryCallFailed();
         } else if (event instanceof Event.Started e) {
             started(e);
         } else if (event instanceof Event.DiscoveryAddressChanged e) {
-            watch.move(e.address());
+            watch.moveTo(e.address());
         } else if (event instanceof Event.GenerationMessageReceived e) {
-            fromOther(e.generation(), e.message());
+            messageReceived(e.generation(), e.message());
         } else if (event instanceof Event.HandoverStarted) {
-            turn.effect(new Effect.SendGenerationState(generationState()));
-            others.share();
+            context.emit(new Effect.SendGenerationState(generationState()));
+            otherGenerations.releaseOwnership();
         } else if (event instanceof Event.GenerationStateReceived e) {
-            adopt(e.generation(), e.state());
+            adoptState(e.generation(), e.state());
         } else if (event instanceof Event.GenerationGone e) {
-            others.gone(e.generation()).forEach(token -> otherEnded(e.generation(), token));
+            otherGenerations.generationEnded(e.generation())
+                    .forEach(token -> reportAttemptEnded(e.generation(), token));
         } else if (event instanceof Event.HandedOver e) {
-            letGo(e.limitMicros());
+            handOver(e.limitMicros());
         } else if (event instanceof Event.HandoverAborted) {
-            isHandedOver = false;
-            clients.hurry(false);
-            others.own();
+            handedOver = false;
+            clients.setCloseEarly(false);
+            otherGenerations.takeOwnership();
         } else if (event instanceof Event.OverridesReplaced e) {
-            marked(e.overrides());
+            overridesReplaced(e.overrides());
         } else if (event instanceof Event.LeaseGranted e) {
-            turn.leased(e.untilMicros(), e.retryAfterMicros());
+            context.extendLease(e.untilMicros(), e.retryAfterMicros());
         } else if (event instanceof Event.ProcessResumed e) {
-            watch.resumed(e.pausedMicros());
+            watch.processResumed(e.pausedMicros());
         } else if (event instanceof Event.EndpointListOutdated) {
-            watch.askAnew();
+            watch.listOutdated();
         } else if (event instanceof Event.OverrideChanged e) {
-            boxes.mark(e.server(), e.override());
-            changedHere();
+            servers.setOverride(e.server(), e.override());
+            reportKnownServers();
         } else if (event instanceof Event.OlderGenerationChanged e) {
-            older = e.older();
+            olderGeneration = e.older();
         } else if (event instanceof Event.EndpointListRelayEnabled) {
-            keeping = true;
+            relaying = true;
         } else if (event instanceof Event.OperatorCommandReceived e) {
-            calls.called(e, isShuttingDown);
+            commands.execute(e, shuttingDown);
         } else if (event instanceof Event.ShutdownRequested) {
-            leave();
+            shutDown();
         }
     }
 
-    /** One request's fault must not stop the others: it is logged, counted, and the request answered. */
-    private void run(Turn.Step step) {
+    /**
+     * Runs one step. An exception must affect only the request it belongs to: it is logged and counted, and
+     * that request is answered with a failure.
+     */
+    private void run(ReducerContext.Step step) {
         try {
             step.task().run();
         } catch (RuntimeException e) {
-            turn.count("faults");
+            context.count("faults");
             StackTraceElement[] trace = e.getStackTrace();
-            turn.log("fault: " + e + (trace.length > 0 ? " at " + trace[0] : ""));
-            Owed o = answers.get(step.request());
-            if (o != null && !o.over) {
-                answers.failOurselves(o, Outcome.CANCELLED);
+            context.log("fault: " + e + (trace.length > 0 ? " at " + trace[0] : ""));
+            OpenRequest request = openRequests.get(step.requestId());
+            if (request != null && !request.ended) {
+                openRequests.failAndReport(request, Outcome.CANCELLED);
             }
         }
     }
 
     private long requestOf(Event event) {
         if (event instanceof Event.RequestReceived e) {
-            Owed o = answers.ofClient(e.client());
-            return o == null ? 0 : o.id;
+            OpenRequest request = openRequests.byClient(e.client());
+            return request == null ? 0 : request.id;
         }
-        Line line = event instanceof Event.ResponseChunk p ? lines.get(p.connection())
-                : event instanceof Event.ResponseCompleted a ? lines.get(a.connection())
-                : event instanceof Event.ServerConnected u ? lines.get(u.connection())
-                : event instanceof Event.ServerDisconnected d ? lines.get(d.connection()) : null;
-        return line != null && line.current != null ? line.current.owed.id : 0;
+        ServerConnection connection = event instanceof Event.ResponseChunk chunk
+                ? connections.get(chunk.connection())
+                : event instanceof Event.ResponseCompleted completed ? connections.get(completed.connection())
+                : event instanceof Event.ServerConnected established
+                        ? connections.get(established.connection())
+                : event instanceof Event.ServerDisconnected closed ? connections.get(closed.connection())
+                        : null;
+        return connection != null && connection.attempt != null ? connection.attempt.request.id : 0;
     }
 
-    /** Keeps what the module asks for until its event is over: it must not be called from inside itself. */
-    private final class Collector implements Routing.Actions {
+    /**
+     * Queues the module's actions until the current step is over, so that the module is never called from
+     * within one of its own calls.
+     */
+    private final class ActionQueue implements Routing.Actions {
         @Override
-        public void send(long requestId, long replicaId, long timeout) {
-            turn.ask(requestId, () -> {
-                Owed o = answers.get(requestId);
-                if (o == null || o.over) {
-                    turn.count("tries.for_nothing");
+        public void send(long requestId, long serverId, long timeoutMicros) {
+            context.queueAction(requestId, () -> {
+                OpenRequest request = openRequests.get(requestId);
+                if (request == null || request.ended) {
+                    context.count("tries.for_nothing");
                 } else {
-                    tries.send(o, replicaId, timeout);
+                    attempts.send(request, serverId, timeoutMicros);
                 }
             });
         }
 
         @Override
         public void cancel(long requestId, int attempt) {
-            turn.ask(requestId, () -> {
-                Owed o = answers.get(requestId);
-                if (o != null) {
-                    tries.cancel(o, attempt);
+            context.queueAction(requestId, () -> {
+                OpenRequest request = openRequests.get(requestId);
+                if (request != null) {
+                    attempts.cancel(request, attempt);
                 }
             });
         }
 
         @Override
-        public void refuse(long requestId, long retryAfter) {
-            turn.ask(requestId, () -> answers.refuse(requestId, retryAfter));
+        public void refuse(long requestId, long retryAfterMicros) {
+            context.queueAction(requestId, () -> openRequests.refuse(requestId, retryAfterMicros));
         }
 
         @Override
         public void fail(long requestId) {
-            turn.ask(requestId, () -> {
-                Owed o = answers.get(requestId);
-                if (o != null) {
-                    answers.fail(o, Outcome.CANCELLED);
+            context.queueAction(requestId, () -> {
+                OpenRequest request = openRequests.get(requestId);
+                if (request != null) {
+                    openRequests.fail(request, Outcome.CANCELLED);
                 }
             });
         }
 
         @Override
         public void watchEndpointList() {
-            turn.ask(0, watch::follow);
+            context.queueAction(0, watch::followList);
         }
 
         @Override
         public void wakeAt(long time, int token) {
-            turn.at(time, () -> turn.tell(0, m -> m.woken(turn.now(), token)));
+            context.runAt(time, () -> context.callModule(0, m -> m.woken(context.now(), token)));
         }
 
         @Override
         public void log(String line) {
-            turn.log(line);
+            context.log(line);
         }
     }
 
-    private void asked(Event.RequestReceived e) {
-        turn.count("requests.taken");
-        clients.asked(e.client());
-        ModelRequest r = e.request();
-        if (answers.open(r.id()) || others.holds(r.id())) {
-            answers.twin(e);
-        } else if (turn.inDoubt()) {
-            turn.count("answers.refused_in_doubt");
-            turnAway(e, turn.comeBack());
-        } else if (others.asking()) {
-            others.claim(e);
+    private void requestReceived(Event.RequestReceived event) {
+        context.count("requests.taken");
+        clients.requestReceived(event.client());
+        ModelRequest request = event.request();
+        if (openRequests.isOpen(request.id()) || otherGenerations.isClaimedOrOpen(request.id())) {
+            openRequests.rejectDuplicate(event);
+        } else if (context.inDoubt()) {
+            context.count("answers.refused_in_doubt");
+            refuseDirectly(event, context.retryAfterMicros());
+        } else if (otherGenerations.mustClaim()) {
+            otherGenerations.claim(event);
         } else {
-            answers.admit(e, 0);
+            openRequests.admit(event, 0);
         }
     }
 
-    /** Refuses a request that the module has not heard of. */
-    private void turnAway(Event.RequestReceived e, long comeBack) {
-        turn.count("answers.refused");
-        answers.ended(e.request(), Ending.REJECTED);
-        turn.effect(new Effect.Refuse(e.client(), comeBack));
+    /** Refuses a request that the module has not been told of. */
+    private void refuseDirectly(Event.RequestReceived event, long retryAfterMicros) {
+        context.count("answers.refused");
+        openRequests.countEnd(event.request(), RequestOutcome.REJECTED);
+        context.emit(new Effect.Refuse(event.client(), retryAfterMicros));
     }
 
-    // ---- the box list
+    // ---- endpoint list
 
-    private void started(Event.Started e) {
-        EndpointList known = e.endpointList();
-        watch.begin(e.discoveryAddress(), known.version());
-        boxes.keep(known);
-        turn.tell(0, m -> m.started(turn.now()));
-        unheard = watch.pushed();
-        if (unheard) {
-            turn.at(turn.now() + AGENT_FIRST, this::heard);
+    private void started(Event.Started event) {
+        EndpointList endpointList = event.endpointList();
+        watch.start(event.discoveryAddress(), endpointList.version());
+        servers.apply(endpointList);
+        context.callModule(0, m -> m.started(context.now()));
+        awaitingAgent = watch.byAgent();
+        if (awaitingAgent) {
+            context.runAt(context.now() + AGENT_TIMEOUT_MICROS, this::useKnownServers);
         } else {
-            turn.tell(0, m -> m.listReceived(turn.now(), ListKind.CACHED, replicas(boxes.over(known))));
+            context.callModule(0, m -> m.listReceived(context.now(), ListKind.CACHED,
+                    serverStates(servers.withOverrides(endpointList))));
         }
     }
 
-    /** From now on the module acts on what is known. */
-    private void heard() {
-        if (unheard) {
-            unheard = false;
-            changedHere();
+    /** From now on the module is told of the known servers. */
+    private void useKnownServers() {
+        if (awaitingAgent) {
+            awaitingAgent = false;
+            reportKnownServers();
         }
     }
 
-    private void listCame(EndpointList list) {
+    private void listReceived(EndpointList list) {
         if (watch.follows(list)) {
-            take(list);
-            if (watch.came(list)) {
-                tellModule(list);
+            applyList(list);
+            if (watch.listReceived(list)) {
+                reportList(list);
             }
             return;
         }
-        // as a change to the held list; a server that it does not name may only be unknown to a replica
-        EndpointList endings = new EndpointList(watch.version(), false,
-                boxes.endingsIn(list, Routing.Lifecycle.DRAINING));
-        take(endings);
-        watch.cameOlder(list);
-        tellModule(endings);
+        // The list is treated as a change to the held one: a server that it does not contain may only be
+        // missing from a discovery replica that lags behind.
+        EndpointList changes = new EndpointList(watch.version(), false,
+                servers.endingsIn(list, Routing.Lifecycle.DRAINING));
+        applyList(changes);
+        watch.olderListReceived(list);
+        reportList(changes);
     }
 
-    /** What discovery has written counts as told, though the watch goes on elsewhere by now. */
-    private void lateListCame(EndpointList list) {
-        turn.count("list.late_answers");
+    /**
+     * Handles the answer to a call that was set aside. What discovery has answered counts as known, although
+     * the watch has moved on to another call.
+     */
+    private void lateListReceived(EndpointList list) {
+        context.count("list.late_answers");
         if (list.version() > watch.version() && watch.follows(list)) {
-            take(list);
-            tellModule(list);
+            applyList(list);
+            reportList(list);
         }
     }
 
-    private void take(EndpointList list) {
-        if (others.any() || keeping) {
-            turn.effect(new Effect.SendToGenerations(new GenerationMessage.EndpointListRelayed(list,
+    private void applyList(EndpointList newList) {
+        if (otherGenerations.hasOthers() || relaying) {
+            context.emit(new Effect.SendToGenerations(new GenerationMessage.EndpointListRelayed(newList,
                     watch.address())));
         }
-        boxes.keep(list);
-        lines.closeIdleToLeavers();
-        heard();
+        servers.apply(newList);
+        connections.closeUnusableIdle();
+        useKnownServers();
     }
 
-    private void tellModule(EndpointList list) {
-        turn.tell(0, m -> m.listReceived(turn.now(), list.full() ? ListKind.FULL : ListKind.DELTA,
-                replicas(boxes.over(list))));
+    private void reportList(EndpointList list) {
+        context.callModule(0, m -> m.listReceived(context.now(), list.full() ? ListKind.FULL : ListKind.DELTA,
+                serverStates(servers.withOverrides(list))));
     }
 
-    /** An operator's word acts at once, whatever the list says and whether or not it answers. */
-    private void marked(Map<String, OperatorOverride> marks) {
-        boxes.mark(marks);
-        changedHere();
+    /**
+     * Operator overrides take effect at once, whatever the list contains and whether or not discovery
+     * responds.
+     */
+    private void overridesReplaced(Map<String, OperatorOverride> overrides) {
+        servers.replaceOverrides(overrides);
+        reportKnownServers();
     }
 
     /**
-     * The boxes have changed without an answer of the list's. As one it would make the module believe that it
-     * watches the list already, and a generation that has not asked yet never would.
+     * Tells the module of servers that changed without a new list from discovery. They are reported as a
+     * cached list: the module would take a full list as proof that the watch is running, and in a generation
+     * that has not called discovery yet it would never start one.
      */
-    private void changedHere() {
-        lines.closeIdleToLeavers();
-        if (unheard) {
+    private void reportKnownServers() {
+        connections.closeUnusableIdle();
+        if (awaitingAgent) {
             return;
         }
-        EndpointList all = new EndpointList(watch.version(), true, List.copyOf(boxes.all()));
-        turn.tell(0, m -> m.listReceived(turn.now(), ListKind.CACHED, replicas(all)));
+        EndpointList all = new EndpointList(watch.version(), true, List.copyOf(servers.all()));
+        context.callModule(0, m -> m.listReceived(context.now(), ListKind.CACHED, serverStates(all)));
     }
 
-    /** Where the list is asked, the module decides when to call again: it backs off while it is down. */
-    private void listFailed() {
-        if (watch.failed()) {
-            turn.tell(0, m -> m.listReceived(turn.now(), ListKind.FAILED, List.of()));
+    /**
+     * Where discovery is polled, the module decides when to call again: it backs off while discovery is down.
+     */
+    private void discoveryCallFailed() {
+        if (watch.callFailed()) {
+            context.callModule(0, m -> m.listReceived(context.now(), ListKind.FAILED, List.of()));
         }
     }
 
-    private static List<Routing.ServerState> replicas(EndpointList list) {
+    private static List<Routing.ServerState> serverStates(EndpointList list) {
         return list.servers().stream().map(ModelServer::replica).toList();
     }
 
     // ---- other generations
 
-    private final class Door implements Others.Door {
+    private final class Admission implements OtherGenerations.RequestAdmission {
         @Override
-        public void admit(Event.RequestReceived asked, long waited) {
-            answers.admit(asked, waited);
+        public void admit(Event.RequestReceived event, long waitedMicros) {
+            openRequests.admit(event, waitedMicros);
         }
 
         @Override
-        public void twin(Event.RequestReceived asked) {
-            answers.twin(asked);
+        public void rejectDuplicate(Event.RequestReceived event) {
+            openRequests.rejectDuplicate(event);
         }
 
         @Override
-        public void turnAway(Event.RequestReceived asked) {
-            Reducer.this.turnAway(asked, 0);
+        public void refuse(Event.RequestReceived event) {
+            Reducer.this.refuseDirectly(event, 0);
         }
     }
 
-    private void fromOther(int who, GenerationMessage news) {
-        if (news instanceof GenerationMessage.Claim n) {
-            others.claimedBy(who, n, answers.open(n.id()));
-        } else if (news instanceof GenerationMessage.ClaimAnswer n) {
-            others.answered(n);
-        } else if (news instanceof GenerationMessage.RequestReleased n) {
-            others.released(who, n.id());
-        } else if (news instanceof GenerationMessage.AttemptSent n) {
-            others.sent(who, n.token());
-            turn.tell(0, m -> m.otherGenerationSent(turn.now(), who + "/" + n.token(), n.server()));
-        } else if (news instanceof GenerationMessage.AttemptEnded n) {
-            others.ended(who, n.token());
-            otherEnded(who, n.token());
-        } else if (news instanceof GenerationMessage.EndpointListRelayed n) {
-            toldByOther(n.list(), n.discoveryAddress());
+    private void messageReceived(int generation, GenerationMessage message) {
+        if (message instanceof GenerationMessage.Claim claim) {
+            otherGenerations.answerClaim(generation, claim, openRequests.isOpen(claim.id()));
+        } else if (message instanceof GenerationMessage.ClaimAnswer answer) {
+            otherGenerations.claimAnswered(answer);
+        } else if (message instanceof GenerationMessage.RequestReleased released) {
+            otherGenerations.requestReleased(generation, released.id());
+        } else if (message instanceof GenerationMessage.AttemptSent sent) {
+            otherGenerations.attemptSent(generation, sent.token());
+            context.callModule(0, m -> m.otherGenerationSent(context.now(), generation + "/" + sent.token(),
+                    sent.server()));
+        } else if (message instanceof GenerationMessage.AttemptEnded ended) {
+            otherGenerations.attemptEnded(generation, ended.token());
+            reportAttemptEnded(generation, ended.token());
+        } else if (message instanceof GenerationMessage.EndpointListRelayed relayed) {
+            applyRelayedList(relayed.list(), relayed.discoveryAddress());
         }
     }
 
-    private void otherEnded(int who, long token) {
-        turn.tell(0, m -> m.otherGenerationEnded(turn.now(), who + "/" + token));
+    private void reportAttemptEnded(int generation, long token) {
+        context.callModule(0, m -> m.otherGenerationEnded(context.now(), generation + "/" + token));
     }
 
-    private void adopt(int who, GenerationState held) {
-        others.gone(who).forEach(token -> otherEnded(who, token));
-        others.adopt(who, held);
-        for (GenerationMessage.AttemptSent sent : held.attemptsInFlight()) {
-            turn.tell(0, m -> m.otherGenerationSent(turn.now(), who + "/" + sent.token(), sent.server()));
+    private void adoptState(int generation, GenerationState state) {
+        otherGenerations.generationEnded(generation).forEach(token -> reportAttemptEnded(generation, token));
+        otherGenerations.adoptState(generation, state);
+        for (GenerationMessage.AttemptSent sent : state.attemptsInFlight()) {
+            context.callModule(0, m -> m.otherGenerationSent(context.now(), generation + "/" + sent.token(),
+                    sent.server()));
         }
-        toldByOther(held.endpointList(), held.discoveryAddress());
+        applyRelayedList(state.endpointList(), state.discoveryAddress());
     }
 
     /**
-     * A drain told to one generation is kept by all at once. Only what ends work at a box is taken up, and
-     * only news: this generation's own watch goes on from where it stands, and tells the rest.
+     * Applies the drains and removals in a list that another generation received, so that all generations
+     * keep a drain. Only changes that end the use of a server are taken, and only from newer list versions;
+     * this generation's own watch continues at its version and delivers the rest.
      */
-    private void toldByOther(EndpointList list, String address) {
+    private void applyRelayedList(EndpointList list, String address) {
         if (!address.equals(watch.address()) || list.version() <= watch.version()) {
             return;
         }
-        List<ModelServer> ending = boxes.endingsIn(list, Routing.Lifecycle.GONE);
-        if (!ending.isEmpty()) {
-            boxes.keep(new EndpointList(watch.version(), false, ending));
-            changedHere();
+        List<ModelServer> changes = servers.endingsIn(list, Routing.Lifecycle.GONE);
+        if (!changes.isEmpty()) {
+            servers.apply(new EndpointList(watch.version(), false, changes));
+            reportKnownServers();
         }
     }
 
-    /** Clients are led away between requests; what is open runs to its end, or to the limit. */
-    private void letGo(long limit) {
-        isHandedOver = true;
-        letGoUntil = turn.now() + limit;
-        clients.hurry(true);
-        long until = letGoUntil;
-        turn.at(until, () -> {
-            if (isHandedOver && letGoUntil == until) {
-                List.copyOf(answers.all()).forEach(o -> {
-                    turn.count("answers.over_the_limit");
-                    answers.failOurselves(o, Outcome.CANCELLED);
+    /**
+     * Another generation took over: client connections are closed between requests, and open requests may
+     * finish until the time limit.
+     */
+    private void handOver(long limitMicros) {
+        handedOver = true;
+        finishUntil = context.now() + limitMicros;
+        clients.setCloseEarly(true);
+        long finishBy = finishUntil;
+        context.runAt(finishBy, () -> {
+            if (handedOver && finishUntil == finishBy) {
+                List.copyOf(openRequests.all()).forEach(request -> {
+                    context.count("answers.over_the_limit");
+                    openRequests.failAndReport(request, Outcome.CANCELLED);
                 });
             }
         });
     }
 
-    // ---- leaving
+    // ---- shutdown
 
-    /** Serving goes on: new connections come for a while, and what was taken is still owed its answer. */
-    private void leave() {
-        if (!isShuttingDown) {
-            isShuttingDown = true;
-            leaveAt = turn.now() + LEAVE_AFTER;
-            turn.log("leaving");
-            turn.at(turn.now() + LEAVE_IDLE_AFTER, () -> turn.effect(new Effect.CloseIdleClients()));
-            turn.at(leaveAt, () -> { });
+    /**
+     * Starts the shutdown. The router still serves for a while: new connections arrive, and accepted requests
+     * must be answered.
+     */
+    private void shutDown() {
+        if (!shuttingDown) {
+            shuttingDown = true;
+            exitAt = context.now() + MIN_SHUTDOWN_MICROS;
+            context.log("leaving");
+            context.runAt(context.now() + CLOSE_IDLE_AFTER_MICROS, () ->
+                    context.emit(new Effect.CloseIdleClients()));
+            context.runAt(exitAt, () -> { });
         }
     }
 }
--- a/src/main/java/yewdock/core/Timers.java
+++ b/src/main/java/yewdock/core/Timers.java
@@ -3,7 +3,10 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Times to come, each with what is due then; what has become pointless must see so for itself. */
+/**
+ * Timers, each with a task to run at a time in microseconds. Timers can't be cancelled: a task must itself
+ * check whether it still applies.
+ */
 final class Timers {
     private record Due(long at, long order, Runnable task) {
     }
@@ -12,11 +15,12 @@
             new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
     private long order;
 
-    void at(long time, Runnable task) {
-        heap.add(new Due(time, order++, task));
+    void runAt(long timeMicros, Runnable task) {
+        heap.add(new Due(timeMicros, order++, task));
     }
 
-    long next() {
+    /** Returns the earliest timer's time, or Long.MAX_VALUE if there is none. */
+    long nextTime() {
         return heap.isEmpty() ? Long.MAX_VALUE : heap.peek().at;
     }
 
@@ -24,8 +28,8 @@
         return heap.size();
     }
 
-    /** Takes the next task that is due, or null. */
-    Runnable poll(long now) {
-        return next() <= now ? heap.poll().task : null;
+    /** Removes and returns the next task that is due, or null. */
+    Runnable poll(long nowMicros) {
+        return nextTime() <= nowMicros ? heap.poll().task : null;
     }
 }
--- a/src/test/java/yewdock/OutdatedEndpointListTest.java
+++ b/src/test/java/yewdock/OutdatedEndpointListTest.java
@@ -20,7 +20,10 @@
 import yewdock.core.Reducer;
 import yewdock.core.ResourceLimits;
 
-/** Answers with lower versions than the list that is held: a replica that lags, or a service begun anew. */
+/**
+ * Answers with lower versions than the held list, from a discovery replica that lags behind or a service that
+ * was restarted.
+ */
 class OutdatedEndpointListTest {
     private static final long SECOND = 1_000_000;
     private static final long STEP = 10_000;
@@ -28,12 +31,12 @@
     private static final ModelServer SECOND_SERVER = server(2, Lifecycle.READY);
 
     private final List<String> states = new ArrayList<>(List.of("", "", ""));
-    private Reducer desk;
-    private Effect.CallDiscovery open;
+    private Reducer reducer;
+    private Effect.CallDiscovery openCall;
     private long now = 1000 * SECOND;
     private int calls;
 
-    /** Asks for the list from the first moment on and notes each server's state. */
+    /** Follows the list from the start and records each server's state. */
     private final class Module extends QuietModule {
         private final Routing.Actions actions;
 
@@ -59,72 +62,72 @@
         return new ModelServer("s-" + id, "127.0.0.1:900" + id, new ServerState(id, 0, 0, 1, 1, state, 0));
     }
 
-    private void start(boolean pushed, long version, ModelServer... known) {
-        start(pushed, 10 * SECOND, version, known);
+    private void start(boolean byAgent, long version, ModelServer... servers) {
+        start(byAgent, 10 * SECOND, version, servers);
     }
 
-    private void start(boolean pushed, long askWithin, long version, ModelServer... known) {
-        desk = new Reducer(new CoreSettings(250_000, 30 * SECOND, pushed, SECOND / 2, askWithin, true, 4,
-                List.of(true), List.of("chat"), 0), new ResourceLimits(40, 20, 20, 1 << 20), new Counters(),
-                Module::new);
-        happens(new Event.Started(new EndpointList(version, true, List.of(known)), "127.0.0.1:8500"));
+    private void start(boolean byAgent, long maxPollInterval, long version, ModelServer... servers) {
+        reducer = new Reducer(new CoreSettings(250_000, 30 * SECOND, byAgent, SECOND / 2, maxPollInterval,
+                true, 4, List.of(true), List.of("chat"), 0), new ResourceLimits(40, 20, 20, 1 << 20),
+                new Counters(), Module::new);
+        handle(new Event.Started(new EndpointList(version, true, List.of(servers)), "127.0.0.1:8500"));
         answer(new EndpointList(version, false, List.of()));
     }
 
-    private void happens(Event event) {
-        for (Effect effect : desk.reduce(event, now)) {
+    private void handle(Event event) {
+        for (Effect effect : reducer.reduce(event, now)) {
             if (effect instanceof Effect.CallDiscovery call) {
-                open = call;
+                openCall = call;
                 calls++;
             } else if (effect instanceof Effect.CancelDiscoveryCall) {
-                open = null;
+                openCall = null;
             }
         }
     }
 
     private void answer(EndpointList list) {
-        open = null;
-        happens(new Event.EndpointListReceived(list));
+        openCall = null;
+        handle(new Event.EndpointListReceived(list));
     }
 
-    /** Lets time pass; each call made meanwhile gets this answer at once. */
-    private void pass(long micros, EndpointList each) {
+    /** Lets time pass; each call for the whole list in that time is answered with the given list at once. */
+    private void pass(long micros, EndpointList answer) {
         for (long until = now + micros; now < until;) {
             now += STEP;
-            if (desk.nextTimerDue() <= now) {
-                happens(new Event.Tick());
+            if (reducer.nextTimerDue() <= now) {
+                handle(new Event.Tick());
             }
-            if (open != null && open.sinceVersion() < 0) {
-                answer(each);
+            if (openCall != null && openCall.sinceVersion() < 0) {
+                answer(answer);
             }
         }
     }
 
-    /** The service has none of the versions up to 40 any more: a change since 40 would never come. */
+    /** The service has none of the versions up to 40 any more, so changes since 40 would never come. */
     @Test
-    void afterALowerVersionTheWholeListIsAskedForAtOnceAndADrainInItKept() {
-        for (boolean pushed : new boolean[] {false, true}) {
-            start(pushed, 40, FIRST, SECOND_SERVER);
+    void lowerVersionMakesRouterAskForWholeListAndKeepItsDrains() {
+        for (boolean byAgent : new boolean[] {false, true}) {
+            start(byAgent, 40, FIRST, SECOND_SERVER);
             answer(new EndpointList(3, false, List.of()));
-            assertEquals(-1, open.sinceVersion());
+            assertEquals(-1, openCall.sinceVersion());
             answer(new EndpointList(3, true, List.of(server(1, Lifecycle.DRAINING), SECOND_SERVER)));
             assertEquals(List.of("DRAINING", "READY"), states.subList(1, 3));
         }
     }
 
     @Test
-    void aServerThatAnOlderWholeListDoesNotNameGetsNothingNew() {
+    void serverMissingFromOlderWholeListGetsNoNewRequests() {
         start(false, 40, FIRST, SECOND_SERVER);
         answer(new EndpointList(3, true, List.of(SECOND_SERVER)));
         assertEquals(List.of("DRAINING", "READY"), states.subList(1, 3));
     }
 
     @Test
-    void aReplicaThatLagsPutsNothingBack() {
+    void laggingReplicaRestoresNothing() {
         for (boolean full : new boolean[] {false, true}) {
             start(false, 40, FIRST, SECOND_SERVER);
             answer(new EndpointList(41, false, List.of(server(1, Lifecycle.DRAINING))));
-            happens(new Event.DiscoveryCallFailed());
+            handle(new Event.DiscoveryCallFailed());
             answer(new EndpointList(39, full, List.of(FIRST, SECOND_SERVER)));
             assertEquals(List.of("DRAINING", "READY"), states.subList(1, 3));
             pass(SECOND / 2, new EndpointList(39, true, List.of(FIRST, SECOND_SERVER)));
@@ -132,45 +135,45 @@
             pass(3 * SECOND, new EndpointList(41, true, List.of(server(1, Lifecycle.DRAINING),
                     SECOND_SERVER)));
             assertEquals(List.of("DRAINING", "READY"), states.subList(1, 3));
-            assertTrue(open.sinceVersion() == 41, "the watch goes on from " + open.sinceVersion());
+            assertTrue(openCall.sinceVersion() == 41, "the watch goes on from " + openCall.sinceVersion());
         }
     }
 
     @Test
-    void aServiceThatCountsAnewIsBelievedSoonAndFollowed() {
-        for (boolean pushed : new boolean[] {false, true}) {
-            start(pushed, 40, FIRST);
-            int before = calls;
+    void restartedServiceIsBelievedSoonAndFollowed() {
+        for (boolean byAgent : new boolean[] {false, true}) {
+            start(byAgent, 40, FIRST);
+            int callsBefore = calls;
             answer(new EndpointList(3, false, List.of()));
             pass(3 * SECOND / 2, new EndpointList(4, true, List.of(FIRST, SECOND_SERVER)));
             assertEquals(List.of("READY", "READY"), states.subList(1, 3));
-            assertEquals(4, open.sinceVersion());
-            assertTrue(calls - before < 15, "calls: " + (calls - before));
+            assertEquals(4, openCall.sinceVersion());
+            assertTrue(calls - callsBefore < 15, "calls: " + (calls - callsBefore));
             answer(new EndpointList(5, false, List.of(server(2, Lifecycle.DRAINING))));
             assertEquals(List.of("READY", "DRAINING"), states.subList(1, 3));
         }
     }
 
-    /** Without a watch, what changes counts as told after the settings' time: the rest must be shorter. */
+    /** Without a watch, changes count as known after the time in the settings: the delay must be shorter. */
     @Test
-    void theRestAfterChangesInARowLeavesTimeToAsk() {
+    void delayAfterSeriesOfChangesLeavesTimeToCall() {
         start(false, SECOND / 2, 40, FIRST);
         answer(new EndpointList(41, false, List.of(SECOND_SERVER)));
         answer(new EndpointList(42, false, List.of(SECOND_SERVER)));
-        long rested = now;
-        while (open == null) {
+        long delayedFrom = now;
+        while (openCall == null) {
             pass(STEP, null);
         }
-        assertTrue(now - rested <= SECOND / 4 + STEP, "rested for " + (now - rested));
+        assertTrue(now - delayedFrom <= SECOND / 4 + STEP, "delayed for " + (now - delayedFrom));
     }
 
-    /** Versions of one address mean nothing at another. */
+    /** Versions from one address mean nothing at another. */
     @Test
-    void aLowerVersionAtAnotherAddressIsBelievedAtOnce() {
+    void lowerVersionAtAnotherAddressIsBelievedAtOnce() {
         start(false, 40, FIRST);
-        happens(new Event.DiscoveryAddressChanged("127.0.0.1:8501"));
+        handle(new Event.DiscoveryAddressChanged("127.0.0.1:8501"));
         answer(new EndpointList(2, true, List.of(SECOND_SERVER)));
         assertEquals(List.of("GONE", "READY"), states.subList(1, 3));
-        assertFalse(open.sinceVersion() < 0);
+        assertFalse(openCall.sinceVersion() < 0);
     }
 }
--- a/src/test/java/yewdock/RecordedExchange.java
+++ b/src/test/java/yewdock/RecordedExchange.java
@@ -29,38 +29,38 @@
 import yewdock.platform.Transport;
 
 /**
- * Plays a recorded exchange against the front and the desk, on a clock of its own, and records what comes of
- * it. A line is "&gt; ms who what" for what happens to the router and "&lt; ms who what" for what it does;
- * "|" stands for CR LF and "\n" for LF, "$name" for what a line "= name text" says.
+ * Replays a recorded exchange against the connection manager and the reducer, on a clock of its own, and
+ * records the result. A line "&gt; ms who what" is an input to the router and a line "&lt; ms who what" an
+ * output; "|" stands for CR LF, "\n" for LF, and "$name" for the text that a line "= name text" defines.
  */
 final class RecordedExchange implements Transport {
     static final Path FOLDER = Path.of("src/test/resources/exchanges");
-    private static final long START = 1_000_000_000_000L;
+    private static final long START_MICROS = 1_000_000_000_000L;
 
-    private final List<String> seen = new ArrayList<>();
-    private final Map<String, FakeWire> wires = new LinkedHashMap<>();
-    private final Map<String, StringBuilder> sent = new TreeMap<>();
-    private final Set<String> stuck = new HashSet<>();
-    private final List<Runnable> leaving = new ArrayList<>();
+    private final List<String> transcript = new ArrayList<>();
+    private final Map<String, FakeConnection> connections = new LinkedHashMap<>();
+    private final Map<String, StringBuilder> sentBytes = new TreeMap<>();
+    private final Set<String> stuckConnections = new HashSet<>();
+    private final List<Runnable> pendingWrites = new ArrayList<>();
     private final Counters counters = new Counters();
-    private final Reducer desk;
-    private final ConnectionManager front;
-    private final AdminInterface door;
-    private long micros;
-    private int lines;
-    private int lists;
+    private final Reducer reducer;
+    private final ConnectionManager connectionManager;
+    private final AdminInterface adminInterface;
+    private long nowMicros;
+    private int serverConnections;
+    private int discoveryConnections;
 
     private RecordedExchange() throws IOException {
         Config config = Config.read(Files.readString(FOLDER.resolve("config.json")), this::log);
-        desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()), config.bounds(),
-                counters,
-                InOrderModule::new);
-        front = new ConnectionManager(config, desk, counters, this, () -> START + micros, this::log);
-        door = new AdminInterface(front);
-        front.start();
+        reducer = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()), config.bounds(),
+                counters, InOrderModule::new);
+        connectionManager = new ConnectionManager(config, reducer, counters, this,
+                () -> START_MICROS + nowMicros, this::log);
+        adminInterface = new AdminInterface(connectionManager);
+        connectionManager.start();
     }
 
-    /** The file's lines with all names replaced. */
+    /** Returns the file's lines with all names replaced. */
     static List<String> lines(String name) throws IOException {
         Map<String, String> names = new TreeMap<>((a, b) -> b.compareTo(a));
         List<String> lines = new ArrayList<>();
@@ -68,16 +68,16 @@
             for (String line : Files.readAllLines(file)) {
                 if (line.startsWith("= ")) {
                     String[] parts = line.split(" ", 3);
-                    names.put(parts[1], replaced(parts[2], names));
+                    names.put(parts[1], withNames(parts[2], names));
                 } else if (!line.isBlank() && !line.startsWith("#")) {
-                    lines.add(replaced(line, names));
+                    lines.add(withNames(line, names));
                 }
             }
         }
         return lines;
     }
 
-    private static String replaced(String line, Map<String, String> names) {
+    private static String withNames(String line, Map<String, String> names) {
         String text = line;
         for (Map.Entry<String, String> e : names.entrySet()) {
             text = text.replace("$" + e.getKey(), e.getValue());
@@ -85,7 +85,7 @@
         return text;
     }
 
-    /** Plays the inputs among the lines, what is sent cut in two at this offset; returns what was seen. */
+    /** Replays the input lines, with everything that is sent split in two at the given offset. */
     static RecordedExchange play(List<String> lines, int cut) throws IOException {
         RecordedExchange exchange = new RecordedExchange();
         for (String line : lines) {
@@ -96,35 +96,35 @@
         return exchange;
     }
 
-    /** What was seen, line by line. */
+    /** Returns the inputs and outputs, line by line. */
     List<String> seen() {
-        return seen;
+        return transcript;
     }
 
-    /** Per connection, what the router sent: the messages to clients without their framing. */
+    /** Returns what the router sent on each connection, without the framing of messages to clients. */
     Map<String, String> told() {
-        Map<String, String> told = new TreeMap<>();
-        sent.forEach((who, text) -> told.put(who,
-                who.startsWith("c") ? unframed(text.toString()) : text.toString()));
-        return told;
+        Map<String, String> messages = new TreeMap<>();
+        sentBytes.forEach((name, text) -> messages.put(name,
+                name.startsWith("c") ? withoutFraming(text.toString()) : text.toString()));
+        return messages;
     }
 
-    private static String unframed(String text) {
-        StringBuilder all = new StringBuilder();
+    private static String withoutFraming(String text) {
+        StringBuilder messages = new StringBuilder();
         MessageReader reader = new MessageReader(MessageReader.Kind.RESPONSE, new MessageReader.Sink() {
             @Override
             public void head(MessageHead head) {
-                all.append(head);
+                messages.append(head);
             }
 
             @Override
             public void body(ByteBuffer piece) {
-                all.append(StandardCharsets.UTF_8.decode(piece));
+                messages.append(StandardCharsets.UTF_8.decode(piece));
             }
 
             @Override
             public void end() {
-                all.append("(end)");
+                messages.append("(end)");
             }
         });
         try {
@@ -138,45 +138,47 @@
         } catch (BadMessageException e) {
             throw new IllegalStateException(text, e);
         }
-        return all.toString();
+        return messages.toString();
     }
 
-    /** The configuration with "this=that" replaced in its text. */
-    private Config reconfigured(String change) throws IOException {
+    /** Returns the configuration with "this=that" replaced in its text. */
+    private Config configWith(String change) throws IOException {
         String[] parts = change.split("=");
         return Config.read(Files.readString(FOLDER.resolve("config.json")).replace(parts[0], parts[1]),
                 this::log);
     }
 
+    /** Handles one input line, after all timers that are due before it. */
     private void input(String line, int cut) throws IOException {
         String[] parts = line.split(" ", 5);
-        long time = Long.parseLong(parts[1]) * 1000;
-        while (desk.nextTimerDue() <= START + time) {
-            micros = Math.max(micros, desk.nextTimerDue() - START);
-            front.dispatch(new Event.Tick());
-            left();
+        long timeMicros = Long.parseLong(parts[1]) * 1000;
+        while (reducer.nextTimerDue() <= START_MICROS + timeMicros) {
+            nowMicros = Math.max(nowMicros, reducer.nextTimerDue() - START_MICROS);
+            connectionManager.dispatch(new Event.Tick());
+            flushWrites();
         }
-        micros = time;
-        seen.add(line);
-        String who = parts[2];
-        FakeWire wire = wires.get(who);
+        nowMicros = timeMicros;
+        transcript.add(line);
+        String name = parts[2];
+        FakeConnection connection = connections.get(name);
         switch (parts[3]) {
             case "opens" -> {
-                FakeWire opened = new FakeWire(who);
-                opened.side = who.startsWith("o") ? door.accept(opened) : front.accept(opened);
-                opened.side.onConnected();
+                FakeConnection opened = new FakeConnection(name);
+                opened.handler = name.startsWith("o") ? adminInterface.accept(opened)
+                        : connectionManager.accept(opened);
+                opened.handler.onConnected();
             }
-            case "up" -> wire.side.onConnected();
-            case "breaks" -> wire.broken = true;
-            case "idle" -> wire.side.onIdle();
-            case "down" -> wire.side.onClosed();
-            case "stuck" -> stuck.add(who);
+            case "up" -> connection.handler.onConnected();
+            case "breaks" -> connection.broken = true;
+            case "idle" -> connection.handler.onIdle();
+            case "down" -> connection.handler.onClosed();
+            case "stuck" -> stuckConnections.add(name);
             case "unstuck" -> {
-                stuck.remove(who);
-                wire.writeOut();
+                stuckConnections.remove(name);
+                connection.writeOut();
             }
-            case "reconfigures" -> front.reconfigure(reconfigured(parts[4]));
-            case "leaves" -> front.dispatch(new Event.ShutdownRequested());
+            case "reconfigures" -> connectionManager.reconfigure(configWith(parts[4]));
+            case "leaves" -> connectionManager.dispatch(new Event.ShutdownRequested());
             case "passes" -> { }
             case "sends" -> {
                 byte[] bytes = bytes(parts[4]);
@@ -184,20 +186,20 @@
                 for (byte[] part : List.of(Arrays.copyOf(bytes, at),
                         Arrays.copyOfRange(bytes, at, bytes.length))) {
                     if (part.length > 0) {
-                        wire.side.onReceived(ByteBuffer.wrap(part));
-                        left();
+                        connection.handler.onReceived(ByteBuffer.wrap(part));
+                        flushWrites();
                     }
                 }
             }
             default -> throw new IllegalArgumentException(line);
         }
-        left();
+        flushWrites();
     }
 
-    /** What was written has left, wherever a connection is not stuck. */
-    private void left() {
-        while (!leaving.isEmpty()) {
-            leaving.remove(0).run();
+    /** Reports everything written as sent, except on stuck connections. */
+    private void flushWrites() {
+        while (!pendingWrites.isEmpty()) {
+            pendingWrites.remove(0).run();
         }
     }
 
@@ -206,38 +208,40 @@
         return filled.replace("|", "\r\n").replace("\\n", "\n").getBytes(StandardCharsets.UTF_8);
     }
 
-    private void saw(String who, String what) {
-        seen.add("< " + micros / 1000 + " " + who + " " + what);
+    private void addOutput(String name, String text) {
+        transcript.add("< " + nowMicros / 1000 + " " + name + " " + text);
     }
 
     private void log(String line) {
-        saw("log", line);
+        addOutput("log", line);
     }
 
     @Override
-    public <S extends ConnectionHandler> S connect(String address, Function<Connection, S> makeSide) {
-        boolean toList = address.endsWith(":8500") || address.endsWith(":8501");
-        FakeWire wire = new FakeWire(toList ? "list" + ++lists : "line" + ++lines);
-        saw(wire.name, "connects " + address);
-        S side = makeSide.apply(wire);
-        wire.side = side;
-        return side;
+    public <S extends ConnectionHandler> S connect(String address, Function<Connection, S> makeHandler) {
+        boolean toDiscovery = address.endsWith(":8500") || address.endsWith(":8501");
+        FakeConnection connection = new FakeConnection(toDiscovery ? "list" + ++discoveryConnections : "line"
+                + ++serverConnections);
+        addOutput(connection.name, "connects " + address);
+        S handler = makeHandler.apply(connection);
+        connection.handler = handler;
+        return handler;
     }
 
     @Override
     public void stop() {
-        saw("router", "stops");
+        addOutput("router", "stops");
     }
 
-    private final class FakeWire implements Connection {
+    /** A connection that records what the router does with it. */
+    private final class FakeConnection implements Connection {
         private final String name;
         private final List<Integer> unwritten = new ArrayList<>();
-        private ConnectionHandler side;
+        private ConnectionHandler handler;
         private boolean broken;
 
-        FakeWire(String name) {
+        FakeConnection(String name) {
             this.name = name;
-            wires.put(name, this);
+            connections.put(name, this);
         }
 
         @Override
@@ -246,27 +250,27 @@
                 throw new IllegalStateException("broken");
             }
             String text = StandardCharsets.UTF_8.decode(bytes.duplicate()).toString();
-            sent.computeIfAbsent(name, n -> new StringBuilder()).append(text);
-            saw(name, "sent " + text.replace("x".repeat(70_000), "(70000)").replace("\r\n", "|")
+            sentBytes.computeIfAbsent(name, n -> new StringBuilder()).append(text);
+            addOutput(name, "sent " + text.replace("x".repeat(70_000), "(70000)").replace("\r\n", "|")
                     .replace("\n", "\\n"));
             unwritten.add(bytes.remaining());
-            leaving.add(this::writeOut);
+            pendingWrites.add(this::writeOut);
         }
 
         private void writeOut() {
-            while (!stuck.contains(name) && !unwritten.isEmpty()) {
-                side.onWritten(unwritten.remove(0));
+            while (!stuckConnections.contains(name) && !unwritten.isEmpty()) {
+                handler.onWritten(unwritten.remove(0));
             }
         }
 
         @Override
         public void close() {
-            saw(name, "closed");
+            addOutput(name, "closed");
         }
 
         @Override
         public void closeAfterWriting() {
-            saw(name, "ends");
+            addOutput(name, "ends");
         }
 
         @Override
@@ -282,12 +286,12 @@
 
         @Override
         public void closeLingering() {
-            saw(name, "ends gently");
+            addOutput(name, "ends gently");
         }
 
         @Override
-        public void setReadingPaused(boolean held) {
-            saw(name, held ? "held" : "read on");
+        public void setReadingPaused(boolean paused) {
+            addOutput(name, paused ? "held" : "read on");
         }
     }
 }
