--- a/src/main/java/yewdock/http/EventLines.java
+++ b/src/main/java/yewdock/http/EventLines.java
@@ -6,47 +6,47 @@
 import java.util.function.Consumer;
 
 /**
- * Cuts an event stream into its lines, as bytes come; lines over the bound are dropped unseen. A line ends
- * with CR, LF or both; an empty one ends an event.
+ * Splits a stream of server-sent events into lines as bytes arrive. A line ends with CR, LF or both; an empty
+ * line ends an event. Lines over 16 KiB are dropped.
  */
 public final class EventLines {
-    private static final int MOST_LINE = 16 * 1024;
+    private static final int MAX_LINE_BYTES = 16 * 1024;
 
-    private final Consumer<String> lines;
-    private final Runnable empty;
-    private boolean afterReturn;
-    private byte[] kept = new byte[256];
+    private final Consumer<String> onLine;
+    private final Runnable onEventEnd;
+    private boolean afterCarriageReturn;
+    private byte[] line = new byte[256];
     private int length;
 
-    /** Where its lines go, and who is told of each empty one. */
-    public EventLines(Consumer<String> lines, Runnable empty) {
-        this.lines = lines;
-        this.empty = empty;
+    /** Makes a reader that passes on each line and runs {@code onEventEnd} for each empty one. */
+    public EventLines(Consumer<String> onLine, Runnable onEventEnd) {
+        this.onLine = onLine;
+        this.onEventEnd = onEventEnd;
     }
 
-    /** Reads all of the piece, without moving its position. */
+    /** Reads the whole piece without changing its position. */
     public void read(ByteBuffer piece) {
         for (int i = piece.position(); i < piece.limit(); i++) {
             byte b = piece.get(i);
-            boolean pair = afterReturn && b == '\n';
-            afterReturn = b == '\r';
-            if (pair) {
+            boolean endOfCrLf = afterCarriageReturn && b == '\n';
+            afterCarriageReturn = b == '\r';
+            if (endOfCrLf) {
                 continue;
             }
             if (b == '\n' || b == '\r') {
                 if (length == 0) {
-                    empty.run();
-                } else if (length <= MOST_LINE) {
-                    lines.accept(new String(kept, 0, length, StandardCharsets.UTF_8));
+                    onEventEnd.run();
+                } else if (length <= MAX_LINE_BYTES) {
+                    onLine.accept(new String(line, 0, length, StandardCharsets.UTF_8));
                 }
                 length = 0;
-            } else if (length < MOST_LINE) {
-                if (length == kept.length) {
-                    kept = Arrays.copyOf(kept, 2 * length);
+            } else if (length < MAX_LINE_BYTES) {
+                if (length == line.length) {
+                    line = Arrays.copyOf(line, 2 * length);
                 }
-                kept[length++] = b;
+                line[length++] = b;
             } else {
-                length = MOST_LINE + 1;
+                length = MAX_LINE_BYTES + 1;
             }
         }
     }
--- a/src/main/java/yewdock/http/MessageReader.java
+++ b/src/main/java/yewdock/http/MessageReader.java
@@ -7,28 +7,30 @@
 import java.util.List;
 
 /**
- * Reads HTTP/1.1 messages from bytes as they come, cut anywhere. After a message's end it reads nothing
- * more until {@link #next}; what came behind it stays in the caller's buffer.
+ * Incremental parser of HTTP/1.1 messages. After a message's end it reads nothing more until {@link #next};
+ * bytes behind the message stay in the caller's buffer.
  */
 public final class MessageReader {
+    /** Longest head, or trailers, of a message. */
     public static final int MOST_HEAD = 32 * 1024;
+    /** Longest body of a request, and longest chunk of any message. */
     public static final int MOST_BODY = 256 * 1024;
-    /** A line that gives a chunk's size, with what may stand behind the size. */
-    private static final int MOST_SIZE_LINE = 256;
-    private static final String START = "HTTP/1.";
+    /** Longest line with a chunk's size, including chunk extensions. */
+    private static final int MAX_CHUNK_SIZE_LINE_BYTES = 256;
+    private static final String VERSION_PREFIX = "HTTP/1.";
 
-    /** Which side's messages come. */
+    /** The kind of messages to parse. */
     public enum Kind { REQUEST, ANSWER }
 
-    /** Takes what was read. */
+    /** Receives the parts of a message as they are parsed. */
     public interface Sink {
-        /** The head is whole. */
+        /** The head is complete. */
         void head(Head head) throws BadMessageException;
 
-        /** A piece of the body, without its framing. */
+        /** A piece of the body, without chunk framing. */
         void body(ByteBuffer piece) throws BadMessageException;
 
-        /** The message is whole. */
+        /** The message is complete. */
         void end();
     }
 
@@ -37,121 +39,124 @@
     private final Kind kind;
     private final Sink sink;
     private State state = State.HEAD;
-    private byte[] line = new byte[256];
+    private byte[] lineBuffer = new byte[256];
     private int lineLength;
-    private int headLength;
-    private final List<String> lines = new ArrayList<>();
-    private long left;
-    private long bodyLength;
+    private int headBytes;
+    private final List<String> headLines = new ArrayList<>();
+    private long remaining;
+    private long bodyBytes;
 
+    /** Makes a parser for one direction of a connection. */
     public MessageReader(Kind kind, Sink sink) {
         this.kind = kind;
         this.sink = sink;
     }
 
-    /** Whether nothing of the next message has come. */
+    /** Whether no byte of the next message has been read. */
     public boolean untouched() {
-        return state == State.HEAD && lines.isEmpty() && lineLength == 0;
+        return state == State.HEAD && headLines.isEmpty() && lineLength == 0;
     }
 
-    /** Whether the message is whole. */
+    /** Whether the message is complete. */
     public boolean done() {
         return state == State.DONE;
     }
 
-    /** Whether the message's body goes on to the end of its connection. */
+    /** Whether the message's body ends only when its connection closes. */
     public boolean endsWithConnection() {
         return state == State.UNTIL_CLOSE;
     }
 
-    /** Makes ready for the next message. */
+    /** Prepares for the next message. */
     public void next() {
         state = State.HEAD;
         lineLength = 0;
-        headLength = 0;
-        bodyLength = 0;
-        lines.clear();
+        headBytes = 0;
+        bodyBytes = 0;
+        headLines.clear();
     }
 
-    /** Reads up to the end of the message or of the bytes. */
+    /** Reads up to the end of the message or of the buffer. */
     public void read(ByteBuffer in) throws BadMessageException {
         while (in.hasRemaining() && state != State.DONE) {
             switch (state) {
-                case FIXED, CHUNK, UNTIL_CLOSE -> piece(in);
+                case FIXED, CHUNK, UNTIL_CLOSE -> readBody(in);
                 default -> {
-                    if (lineRead(in)) {
-                        String text = new String(line, 0, lineLength, StandardCharsets.ISO_8859_1);
+                    if (readLine(in)) {
+                        String text = new String(lineBuffer, 0, lineLength, StandardCharsets.ISO_8859_1);
                         lineLength = 0;
-                        took(text);
+                        acceptLine(text);
                     }
                 }
             }
         }
     }
 
-    private void piece(ByteBuffer in) throws BadMessageException {
-        int n = state == State.UNTIL_CLOSE ? in.remaining() : (int) Math.min(in.remaining(), left);
+    private void readBody(ByteBuffer in) throws BadMessageException {
+        int n = state == State.UNTIL_CLOSE ? in.remaining() : (int) Math.min(in.remaining(), remaining);
         ByteBuffer piece = in.slice(in.position(), n);
         in.position(in.position() + n);
-        left -= n;
+        remaining -= n;
         sink.body(piece);
-        if (left == 0 && state == State.FIXED) {
+        if (remaining == 0 && state == State.FIXED) {
             finish();
-        } else if (left == 0 && state == State.CHUNK) {
+        } else if (remaining == 0 && state == State.CHUNK) {
             state = State.CHUNK_END;
         }
     }
 
-    /** Takes bytes up to a line's end; true when the line is whole. Bounded, for heads and trailers alike. */
-    private boolean lineRead(ByteBuffer in) throws BadMessageException {
+    /** Reads up to a line's end; true when the line is complete. Limits heads and trailers alike. */
+    private boolean readLine(ByteBuffer in) throws BadMessageException {
         while (in.hasRemaining()) {
             byte b = in.get();
-            if (++headLength > MOST_HEAD) {
+            if (++headBytes > MOST_HEAD) {
                 throw new BadMessageException(431, "the head is over " + MOST_HEAD + " bytes");
             }
             if (b == '\n') {
-                if (lineLength > 0 && line[lineLength - 1] == '\r') {
+                if (lineLength > 0 && lineBuffer[lineLength - 1] == '\r') {
                     lineLength--;
                 } else if (kind == Kind.REQUEST) {
-                    // others may read the same bytes as other lines, and so as another request
+                    // other parsers may split the lines differently: request smuggling
                     throw new BadMessageException(400, "a line ends without CR");
                 }
                 return true;
             }
-            if (lineLength == line.length) {
-                line = Arrays.copyOf(line, line.length * 2);
+            if (lineLength == lineBuffer.length) {
+                lineBuffer = Arrays.copyOf(lineBuffer, lineBuffer.length * 2);
             }
-            line[lineLength++] = b;
-            unfit(b);
+            lineBuffer[lineLength++] = b;
+            rejectMalformedLine(b);
         }
         return false;
     }
 
-    /** What can't become a line that fits is told at once: its sender may send no more, nor close. */
-    private void unfit(byte last) throws BadMessageException {
-        if (state == State.HEAD && kind == Kind.ANSWER && lines.isEmpty() && lineLength <= START.length()
-                && last != START.charAt(lineLength - 1) && !(lineLength == 1 && last == '\r')) {
+    /** Rejects a line as soon as it can't become valid: its sender may neither send the rest nor close. */
+    private void rejectMalformedLine(byte lastByte) throws BadMessageException {
+        if (state == State.HEAD && kind == Kind.ANSWER && headLines.isEmpty()
+                && lineLength <= VERSION_PREFIX.length()
+                && lastByte != VERSION_PREFIX.charAt(lineLength - 1)
+                && !(lineLength == 1 && lastByte == '\r')) {
             throw new BadMessageException(400, "the first line is malformed");
         }
-        if (state == State.CHUNK_END && !(lineLength == 1 && last == '\r')) {
+        if (state == State.CHUNK_END && !(lineLength == 1 && lastByte == '\r')) {
             throw new BadMessageException(400, "a chunk is longer than it said");
         }
-        if (state == State.CHUNK_SIZE && (lineLength > MOST_SIZE_LINE
-                || lineLength == 1 && Character.digit(last, 16) < 0)) {
+        if (state == State.CHUNK_SIZE && (lineLength > MAX_CHUNK_SIZE_LINE_BYTES
+                || lineLength == 1 && Character.digit(lastByte, 16) < 0)) {
             throw new BadMessageException(400, "a chunk's size is malformed");
         }
     }
 
-    private void took(String text) throws BadMessageException {
+    private void acceptLine(String text) throws BadMessageException {
         switch (state) {
             case HEAD -> {
                 if (!text.isEmpty()) {
-                    lines.add(text);
-                } else if (!lines.isEmpty()) {
-                    headRead();
+                    headLines.add(text);
+                } else if (!headLines.isEmpty()) {
+                    parseHead();
                 }
             }
-            case CHUNK_SIZE -> chunk(text);
+            case CHUNK_SIZE -> startChunk(text);
             case CHUNK_END -> {
                 if (!text.isEmpty()) {
                     throw new BadMessageException(400, "a chunk is longer than it said");
@@ -167,88 +172,89 @@
         }
     }
 
-    private void headRead() throws BadMessageException {
-        String[] start = lines.get(0).split(" ", 3);
-        boolean request = kind == Kind.REQUEST;
-        if (start.length < (request ? 3 : 2) || !(request ? start[2] : start[0]).matches("HTTP/1\\.[01]")
-                || request && (!start[0].matches("[A-Z]{1,20}") || !start[1].matches("[!-~]+"))
-                || !request && !start[1].matches("[1-5][0-9][0-9]")) {
+    private void parseHead() throws BadMessageException {
+        String[] start = headLines.get(0).split(" ", 3);
+        boolean isRequest = kind == Kind.REQUEST;
+        if (start.length < (isRequest ? 3 : 2)
+                || !(isRequest ? start[2] : start[0]).matches("HTTP/1\\.[01]")
+                || isRequest && (!start[0].matches("[A-Z]{1,20}") || !start[1].matches("[!-~]+"))
+                || !isRequest && !start[1].matches("[1-5][0-9][0-9]")) {
             throw new BadMessageException(400, "the first line is malformed");
         }
         List<Head.Field> fields = new ArrayList<>();
-        for (String row : lines.subList(1, lines.size())) {
-            int colon = row.indexOf(':');
-            if (colon <= 0 || !row.substring(0, colon).matches("[!#-'*+.^-z|~0-9A-Z-]+")) {
+        for (String fieldLine : headLines.subList(1, headLines.size())) {
+            int colon = fieldLine.indexOf(':');
+            if (colon <= 0 || !fieldLine.substring(0, colon).matches("[!#-'*+.^-z|~0-9A-Z-]+")) {
                 throw new BadMessageException(400, "a header line is malformed");
             }
-            if (request && row.chars().anyMatch(c -> c < ' ' && c != '\t' || c == 127)) {
-                // a lone CR is a line's end to some readers
+            if (isRequest && fieldLine.chars().anyMatch(c -> c < ' ' && c != '\t' || c == 127)) {
+                // some parsers treat a lone CR as a line's end
                 throw new BadMessageException(400, "a header line is malformed");
             }
-            fields.add(new Head.Field(row.substring(0, colon), row.substring(colon + 1).strip()));
+            fields.add(new Head.Field(fieldLine.substring(0, colon), fieldLine.substring(colon + 1).strip()));
         }
         Head head = new Head(start[0], start[1], start.length > 2 ? start[2] : "", fields);
-        lines.clear();
-        if (!request && head.status() < 200) {
-            // the answer is yet to come; all heads before it together have the bound of one
+        headLines.clear();
+        if (!isRequest && head.status() < 200) {
+            // an interim response; all heads up to the final one share the limit of one head
             return;
         }
-        frame(head);
+        startBody(head);
     }
 
-    /** Tells from the head where the body ends. Two ways of telling would let a second request hide in it. */
-    private void frame(Head head) throws BadMessageException {
+    /** Determines how the body is delimited. Two contradicting lengths would allow request smuggling. */
+    private void startBody(Head head) throws BadMessageException {
         List<String> lengths = head.fields().stream().filter(f -> f.name().equalsIgnoreCase("Content-Length"))
                 .map(Head.Field::value).toList();
-        String coding = head.field("Transfer-Encoding");
-        if (coding != null && !lengths.isEmpty() || lengths.size() > 1
+        String transferEncoding = head.field("Transfer-Encoding");
+        if (transferEncoding != null && !lengths.isEmpty() || lengths.size() > 1
                 || head.count("Transfer-Encoding") > 1) {
             throw new BadMessageException(400, "the body's length is given in two ways");
         }
-        if (coding != null && !coding.equalsIgnoreCase("chunked")) {
+        if (transferEncoding != null && !transferEncoding.equalsIgnoreCase("chunked")) {
             throw new BadMessageException(kind == Kind.REQUEST ? 501 : 400, "unknown transfer encoding");
         }
         if (!lengths.isEmpty()) {
             if (!lengths.get(0).matches("[0-9]{1,15}")) {
                 throw new BadMessageException(400, "Content-Length is not a number");
             }
-            left = Long.parseLong(lengths.get(0));
+            remaining = Long.parseLong(lengths.get(0));
         } else {
-            left = 0;
+            remaining = 0;
         }
-        grow(left);
-        boolean bare = kind == Kind.ANSWER && (head.status() == 204 || head.status() == 304);
+        addToBodyLength(remaining);
+        boolean bodyless = kind == Kind.ANSWER && (head.status() == 204 || head.status() == 304);
         sink.head(head);
-        if (coding != null && !bare) {
+        if (transferEncoding != null && !bodyless) {
             state = State.CHUNK_SIZE;
-        } else if (left > 0 && !bare) {
+        } else if (remaining > 0 && !bodyless) {
             state = State.FIXED;
-        } else if (kind == Kind.ANSWER && lengths.isEmpty() && !bare) {
+        } else if (kind == Kind.ANSWER && lengths.isEmpty() && !bodyless) {
             state = State.UNTIL_CLOSE;
         } else {
             finish();
         }
     }
 
-    private void chunk(String text) throws BadMessageException {
+    private void startChunk(String text) throws BadMessageException {
         int semicolon = text.indexOf(';');
         String size = (semicolon < 0 ? text : text.substring(0, semicolon)).strip();
         if (!size.matches("[0-9a-fA-F]{1,7}")) {
             throw new BadMessageException(400, "a chunk's size is malformed");
         }
-        headLength = 0;
-        left = Integer.parseInt(size, 16);
-        if (left > MOST_BODY) {
+        headBytes = 0;
+        remaining = Integer.parseInt(size, 16);
+        if (remaining > MOST_BODY) {
             throw new BadMessageException(413, "a chunk is over " + MOST_BODY + " bytes");
         }
-        grow(left);
-        state = left == 0 ? State.TRAILERS : State.CHUNK;
+        addToBodyLength(remaining);
+        state = remaining == 0 ? State.TRAILERS : State.CHUNK;
     }
 
-    /** Only requests are kept whole; an answer may stream for as long as it likes. */
-    private void grow(long more) throws BadMessageException {
-        bodyLength += more;
-        if (kind == Kind.REQUEST && bodyLength > MOST_BODY) {
+    /** Limits the bodies of requests, which are buffered; responses are streamed and may be of any length. */
+    private void addToBodyLength(long bytes) throws BadMessageException {
+        bodyBytes += bytes;
+        if (kind == Kind.REQUEST && bodyBytes > MOST_BODY) {
             throw new BadMessageException(413, "the body is over " + MOST_BODY + " bytes");
         }
     }
--- a/src/main/java/yewdock/platform/Arrival.java
+++ b/src/main/java/yewdock/platform/Arrival.java
@@ -1,26 +1,27 @@
 package yewdock.platform;
 
 /**
- * When bytes came, in microseconds of the router's clock. They were read at the latest time; where the
- * process stood still before that, they may have waited since the earliest.
+ * The time at which bytes arrived, as a range in microseconds of the router's clock. They were read at
+ * {@code latest}; if the process was suspended before that, they may have waited since {@code earliest}.
  */
 public record Arrival(long earliest, long latest) {
-    /** A client that is there at the latest time has this part of its patience left on average. */
-    private static final int EXPECTED_PART = 2;
+    /** A client that is still connected at the latest time has half of its timeout left on average. */
+    private static final int EXPECTED_DIVISOR = 2;
 
-    /** Bytes that came at this time. */
+    /** The arrival of bytes that were read as soon as they came. */
     public static Arrival at(long time) {
         return new Arrival(time, time);
     }
 
     /**
-     * What is left now to a client that would wait for so long when these bytes came. No more than what is
-     * left for certain; but a client that is still there after a long pause has asked within the pause,
-     * nobody knows when, and is not failed unheard.
+     * Returns what is left now of a client's timeout that started when these bytes arrived, in microseconds,
+     * at least 0. It counts from the earliest possible arrival. But a client that is still connected after a
+     * long pause sent its request at an unknown time within the pause: it gets no less than half of what the
+     * latest arrival would leave, so that it is not failed without an attempt.
      */
-    long left(long patience, long now) {
-        long atLeast = patience - Math.max(0, now - earliest);
-        long atMost = patience - Math.max(0, now - latest);
-        return Math.max(0, Math.max(atLeast, atMost / EXPECTED_PART));
+    long remaining(long timeout, long now) {
+        long minRemaining = timeout - Math.max(0, now - earliest);
+        long maxRemaining = timeout - Math.max(0, now - latest);
+        return Math.max(0, Math.max(minRemaining, maxRemaining / EXPECTED_DIVISOR));
     }
 }
--- a/src/main/java/yewdock/platform/BoxSide.java
+++ b/src/main/java/yewdock/platform/BoxSide.java
@@ -15,195 +15,196 @@
 import yewdock.http.Head;
 import yewdock.http.MessageReader;
 
-/** A line to a model box: writes one try at a time, reads its answer. */
+/** A server connection: writes one attempt at a time and reads its response. */
 final class BoxSide implements Side, MessageReader.Sink {
-    /** Fields that belong to one connection, or that the router writes itself. */
-    private static final Set<String> OWN = Set.of("connection", "keep-alive", "transfer-encoding",
+    /** Header fields that apply to a single connection, or that the router writes itself. */
+    private static final Set<String> NOT_FORWARDED = Set.of("connection", "keep-alive", "transfer-encoding",
             "content-length", "expect", "te", "trailer", "upgrade", "proxy-connection", "x-time-left");
-    private static final double MICROS = 1e6;
-    /** A first event longer than this goes to the client before it is whole. */
-    private static final int MOST_OPENING = 16 * 1024;
+    private static final double MICROS_PER_SECOND = 1e6;
+    /** A first event longer than this is passed to the client before it is complete. */
+    private static final int MAX_PENDING_START_BYTES = 16 * 1024;
 
     private final Front front;
-    private final long line;
+    private final long connectionId;
     private final Wire wire;
     private final MessageReader reader = new MessageReader(MessageReader.Kind.ANSWER, this);
-    private final EventLines events = new EventLines(this::eventLine, this::eventEnd);
+    private final EventLines events = new EventLines(this::onEventLine, this::onEventEnd);
     /**
-     * What has come of a stream whose first event is not whole yet. A client that had a part of that event
-     * could only be cut off if the server's connection broke; without it the request may still be tried
-     * elsewhere.
+     * What has been received of a stream whose first event is not complete. If the server connection breaks
+     * after a client has got a part of that event, the client can only be disconnected; as long as it has
+     * got nothing, the request can be retried on another server.
      */
-    private final ByteArrayOutputStream opening = new ByteArrayOutputStream();
-    private boolean data;
-    private boolean opened;
-    private boolean busy;
-    /** Whether a part of the answer's body has come, and of a stream the first event. */
-    private boolean flowing;
-    /** Whether the line has brought an answer before. */
-    private boolean used;
-    private int toWrite;
+    private final ByteArrayOutputStream pendingStart = new ByteArrayOutputStream();
+    private boolean dataLineSeen;
+    private boolean firstEventComplete;
+    private boolean attemptOpen;
+    /** Whether the response's body has started; for a stream, whether its first event has been passed on. */
+    private boolean bodyStarted;
+    /** Whether an earlier attempt on this connection got a complete response. */
+    private boolean respondedBefore;
+    private int unwrittenBytes;
     private Head head;
-    private LoadReport report;
-    private long kept;
-    private boolean gone;
+    private LoadReport loadReport;
+    private long cachedTokens;
+    private boolean closing;
 
-    BoxSide(Front front, long line, Wire wire) {
+    BoxSide(Front front, long connectionId, Wire wire) {
         this.front = front;
-        this.line = line;
+        this.connectionId = connectionId;
         this.wire = wire;
     }
 
     @Override
     public void up() {
-        if (!gone) {
-            front.happened(new Event.LineUp(line));
+        if (!closing) {
+            front.happened(new Event.LineUp(connectionId));
         }
     }
 
-    void send(ClientRequest request, long patience) {
+    void send(ClientRequest request, long timeoutMicros) {
         StringBuilder text = new StringBuilder(512);
         text.append(request.head().method()).append(' ').append(request.head().target())
                 .append(" HTTP/1.1\r\n");
         for (Head.Field f : request.head().fields()) {
-            if (!OWN.contains(f.name().toLowerCase(Locale.ROOT))) {
+            if (!NOT_FORWARDED.contains(f.name().toLowerCase(Locale.ROOT))) {
                 text.append(f.name()).append(": ").append(f.value()).append("\r\n");
             }
         }
         text.append(String.format(Locale.ROOT, "X-Time-Left: %.3f\r\nContent-Length: %d\r\n\r\n",
-                Math.max(0, patience) / MICROS, request.body().length));
+                Math.max(0, timeoutMicros) / MICROS_PER_SECOND, request.body().length));
         byte[] start = text.toString().getBytes(StandardCharsets.ISO_8859_1);
         ByteBuffer all = ByteBuffer.allocate(start.length + request.body().length);
         all.put(start).put(request.body()).flip();
-        busy = true;
-        flowing = false;
-        opened = false;
-        data = false;
-        opening.reset();
+        attemptOpen = true;
+        bodyStarted = false;
+        firstEventComplete = false;
+        dataLineSeen = false;
+        pendingStart.reset();
         head = null;
-        report = null;
-        kept = 0;
-        toWrite = all.remaining();
+        loadReport = null;
+        cachedTokens = 0;
+        unwrittenBytes = all.remaining();
         wire.write(all);
     }
 
     @Override
     public void idle() {
-        // the desk keeps the times of the router's own connections
+        // the reducer times the connections that the router opens
     }
 
     @Override
     public void written(int bytes) {
-        toWrite -= bytes;
-        if (toWrite == 0) {
-            front.happened(new Event.TrySent(line));
+        unwrittenBytes -= bytes;
+        if (unwrittenBytes == 0) {
+            front.happened(new Event.TrySent(connectionId));
         }
     }
 
     @Override
     public void notBegun() {
-        front.happened(new Event.NotBegun(line));
+        front.happened(new Event.NotBegun(connectionId));
     }
 
     @Override
     public void received(ByteBuffer bytes) {
-        if (gone) {
+        if (closing) {
             return;
         }
         try {
             while (bytes.hasRemaining()) {
-                // Also before a try is written: it belongs to the one before, and would pass for this one's.
-                if (!busy || used && toWrite > 0) {
-                    throw new BadMessageException(502, "an answer that nobody asked for");
+                // On a reused connection, bytes that come before the attempt is written belong to the
+                // previous one and would be taken for this attempt's response.
+                if (!attemptOpen || respondedBefore && unwrittenBytes > 0) {
+                    throw new BadMessageException(502, "unexpected response: no request is open");
                 }
                 reader.read(bytes);
                 if (reader.done()) {
                     reader.next();
-                    whole(!bytes.hasRemaining());
+                    responseComplete(!bytes.hasRemaining());
                 }
             }
-            if (busy && !flowing && !reader.untouched()) {
-                front.happened(new Event.AnswerBegan(line));
+            if (attemptOpen && !bodyStarted && !reader.untouched()) {
+                front.happened(new Event.AnswerBegan(connectionId));
             }
         } catch (BadMessageException e) {
             front.counters().add("boxes.malformed_answers");
-            gone = true;
-            front.happened(new Event.AnswerSpoilt(line));
+            closing = true;
+            front.happened(new Event.AnswerSpoilt(connectionId));
         }
     }
 
     @Override
     public void head(Head read) {
         head = read;
-        report = LoadReports.of(read.field(LoadReports.HEADER));
+        loadReport = LoadReports.of(read.field(LoadReports.HEADER));
     }
 
     @Override
     public void body(ByteBuffer piece) {
         if (head.status() != 200) {
-            flowing = true;
+            bodyStarted = true;
             return;
         }
-        boolean first = !flowing;
+        boolean first = !bodyStarted;
         events.read(piece);
         if (!first) {
-            front.happened(new Event.Piece(line, piece));
+            front.happened(new Event.Piece(connectionId, piece));
             return;
         }
         byte[] bytes = new byte[piece.remaining()];
         piece.get(bytes);
-        opening.writeBytes(bytes);
-        if (opened || opening.size() > MOST_OPENING) {
-            passOpening();
+        pendingStart.writeBytes(bytes);
+        if (firstEventComplete || pendingStart.size() > MAX_PENDING_START_BYTES) {
+            flushPendingStart();
         }
     }
 
-    private void passOpening() {
-        flowing = true;
-        ByteBuffer all = ByteBuffer.wrap(opening.toByteArray());
-        opening.reset();
-        front.happened(new Event.Piece(line, all));
+    private void flushPendingStart() {
+        bodyStarted = true;
+        ByteBuffer all = ByteBuffer.wrap(pendingStart.toByteArray());
+        pendingStart.reset();
+        front.happened(new Event.Piece(connectionId, all));
     }
 
     @Override
     public void end() {
-        // taken up by received, once the reader has let go of the bytes
+        // handled by received(), once the reader has returned
     }
 
-    private void whole(boolean clean) {
-        if (opening.size() > 0) {
-            passOpening();
+    private void responseComplete(boolean nothingBehind) {
+        if (pendingStart.size() > 0) {
+            flushPendingStart();
         }
-        busy = false;
-        used = true;
+        attemptOpen = false;
+        respondedBefore = true;
         Outcome outcome = switch (head.status()) {
             case 200 -> Outcome.OK;
             case 503, 504 -> "1".equals(head.field("X-Unprocessed")) ? Outcome.FULL : Outcome.ERROR;
             default -> Outcome.ERROR;
         };
-        front.happened(new Event.Answered(line, outcome, clean && toWrite == 0 && head.keepsAlive(), kept,
-                report));
+        front.happened(new Event.Answered(connectionId, outcome,
+                nothingBehind && unwrittenBytes == 0 && head.keepsAlive(), cachedTokens, loadReport));
     }
 
-    /** A stream's last lines carry the load report, in a comment, and how much of the prompt was kept. */
-    private void eventLine(String text) {
-        data |= text.startsWith("data");
+    /** A stream's last lines carry the load report, in a comment, and how many prompt tokens were cached. */
+    private void onEventLine(String text) {
+        dataLineSeen |= text.startsWith("data");
         if (text.startsWith(":")) {
             LoadReport read = LoadReports.inComment(text);
-            report = read == null ? report : read;
+            loadReport = read == null ? loadReport : read;
         } else if (text.startsWith("data:") && text.contains("\"usage\"")) {
             try {
                 JSONObject usage = new JSONObject(text.substring(5)).optJSONObject("usage");
                 JSONObject details = usage == null ? null : usage.optJSONObject("prompt_tokens_details");
-                kept = details == null ? kept : Math.max(0, details.optLong("cached_tokens"));
+                cachedTokens = details == null ? cachedTokens : Math.max(0, details.optLong("cached_tokens"));
             } catch (JSONException e) {
                 front.counters().add("boxes.malformed_usage");
             }
         }
     }
 
-    private void eventEnd() {
-        opened |= data;
+    private void onEventEnd() {
+        firstEventComplete |= dataLineSeen;
     }
 
     void hold(boolean held) {
@@ -211,17 +212,17 @@
     }
 
     void close() {
-        gone = true;
+        closing = true;
         wire.close();
     }
 
     @Override
     public void down() {
-        if (!gone && busy && head != null && head.status() != 200) {
-            // The status has said all, even where the body's end was the connection's.
-            whole(false);
+        if (!closing && attemptOpen && head != null && head.status() != 200) {
+            // The status decides the outcome, also where the body was delimited by the connection's end.
+            responseComplete(false);
         }
-        gone = true;
-        front.lineClosed(line);
+        closing = true;
+        front.serverConnectionClosed(connectionId);
     }
 }
--- a/src/main/java/yewdock/platform/ClientRequest.java
+++ b/src/main/java/yewdock/platform/ClientRequest.java
@@ -6,54 +6,55 @@
 import yewdock.http.BadMessageException;
 import yewdock.http.Head;
 
-/** A client's request as it came, to be passed on without change. */
+/** A client's request as received; it is forwarded to a server unchanged. */
 record ClientRequest(Head head, byte[] body) {
     static final String PATH = "/v1/chat/completions";
-    private static final int BAD = 400;
-    /** What a request costs beside its body. */
-    private static final int OVERHEAD = 4096;
-    /** The way from the client to here: its time has run since before the request came. */
-    private static final long TRANSIT = 3_000;
-    private static final double MICROS = 1e6;
-    private static final double LONGEST = 86_400;
+    private static final int BAD_REQUEST = 400;
+    /** Memory that is counted for a request in addition to its body. */
+    private static final int OVERHEAD_BYTES = 4096;
+    /** Assumed network delay from the client: its timeout started this long before the request arrived. */
+    private static final long TRANSIT_MICROS = 3_000;
+    private static final double MICROS_PER_SECOND = 1e6;
+    private static final double MAX_TIMEOUT_SECONDS = 86_400;
 
     /**
-     * What the desk needs to know; a header that is malformed or names nothing known is a bad request. The
-     * client's time has run while the request waited to be read.
+     * Returns what the reducer needs of the request. A header that is malformed or has an unknown value makes
+     * it a bad request. The client's timeout also runs while the request waits to be read.
      */
-    ModelRequest read(Names names, Arrival arrival, long now) throws BadMessageException {
+    ModelRequest toModelRequest(Names names, Arrival arrival, long now) throws BadMessageException {
         String id = required("X-Correlation-Id");
-        int requestClass = place(names.classes(), "X-Service-Class");
-        int municipality = names.municipalities().isEmpty() ? 0 : place(names.municipalities(), "X-Account");
+        int requestClass = index(names.classes(), "X-Service-Class");
+        int tenant = names.municipalities().isEmpty() ? 0 : index(names.municipalities(), "X-Account");
         double seconds = Numbers.decimal(required("X-Time-Left"));
-        if (!(seconds <= LONGEST)) {
-            throw new BadMessageException(BAD, "X-Time-Left is malformed");
+        if (!(seconds <= MAX_TIMEOUT_SECONDS)) {
+            throw new BadMessageException(BAD_REQUEST, "X-Time-Left is malformed");
         }
         Map<String, String> facts = facts();
-        return new ModelRequest(id, requestClass, municipality, "1".equals(head.field("X-Repeat")),
+        return new ModelRequest(id, requestClass, tenant, "1".equals(head.field("X-Repeat")),
                 Ids.of(head.field("X-Session-Key")), Ids.of(facts.get("prefix")),
                 length(facts, "prompt_len"), length(facts, "prefix_len"), length(facts, "max_out"),
-                arrival.left(Math.round(seconds * MICROS) - TRANSIT, now), body.length + OVERHEAD);
+                arrival.remaining(Math.round(seconds * MICROS_PER_SECOND) - TRANSIT_MICROS, now),
+                body.length + OVERHEAD_BYTES);
     }
 
     private String required(String name) throws BadMessageException {
         String value = head.field(name);
         if (value == null || value.isEmpty()) {
-            throw new BadMessageException(BAD, name + " is missing");
+            throw new BadMessageException(BAD_REQUEST, name + " is missing");
         }
         if (head.count(name) > 1) {
-            // a box may read another of them than this router
-            throw new BadMessageException(BAD, name + " is given twice");
+            // a server may use another of them than the router does
+            throw new BadMessageException(BAD_REQUEST, name + " is given twice");
         }
         return value;
     }
 
-    private int place(Map<String, Integer> places, String name) throws BadMessageException {
-        Integer place = places.get(required(name));
-        if (place == null) {
-            throw new BadMessageException(BAD, name + " names nothing known");
+    private int index(Map<String, Integer> indexes, String name) throws BadMessageException {
+        Integer index = indexes.get(required(name));
+        if (index == null) {
+            throw new BadMessageException(BAD_REQUEST, name + " names nothing known");
         }
-        return place;
+        return index;
     }
 
     private Map<String, String> facts() throws BadMessageException {
@@ -61,7 +62,7 @@
         for (String part : required("X-Facts").split(",")) {
             int eq = part.indexOf('=');
             if (eq <= 0) {
-                throw new BadMessageException(BAD, "X-Facts is malformed");
+                throw new BadMessageException(BAD_REQUEST, "X-Facts is malformed");
             }
             facts.put(part.substring(0, eq).strip(), part.substring(eq + 1).strip());
         }
@@ -71,7 +72,7 @@
     private static double length(Map<String, String> facts, String name) throws BadMessageException {
         double value = Numbers.decimal(facts.get(name));
         if (Double.isNaN(value)) {
-            throw new BadMessageException(BAD, "X-Facts lacks a good " + name);
+            throw new BadMessageException(BAD_REQUEST, "X-Facts lacks a good " + name);
         }
         return value;
     }
--- a/src/main/java/yewdock/platform/ClientSide.java
+++ b/src/main/java/yewdock/platform/ClientSide.java
@@ -12,43 +12,43 @@
 import yewdock.http.Head;
 import yewdock.http.MessageReader;
 
-/** A client's connection: reads one request at a time, writes its answer. */
+/** A client connection: reads one request at a time and writes its response. */
 final class ClientSide implements Side, MessageReader.Sink {
     private static final String LAST_CHUNK = "0\r\n\r\n";
-    private static final double MICROS = 1e6;
-    /** What a client sends on while its request is open is kept up to so many bytes. */
-    private static final int MOST_AHEAD = 64 * 1024;
+    private static final double MICROS_PER_SECOND = 1e6;
+    /** How many bytes are kept of what a client sends while its previous request is open. */
+    private static final int MAX_PIPELINED_BYTES = 64 * 1024;
 
     private final Front front;
-    private final long id;
+    private final long clientId;
     private final Wire wire;
     private final MessageReader reader = new MessageReader(MessageReader.Kind.REQUEST, this);
-    private final Deque<Arrived> ahead = new ArrayDeque<>();
-    private int aheadBytes;
-    /** When the first byte came of the request that is read: its client's time runs since before that. */
+    private final Deque<Input> unreadInput = new ArrayDeque<>();
+    private int unreadBytes;
+    /** When the first byte of the current request arrived, from which its timeout is counted. */
     private Arrival requestArrival;
     private Head head;
     private ByteArrayOutputStream body;
     private ClientRequest request;
-    /** Whether a request is open: taken, and not yet answered to its end. */
-    private boolean busy;
-    private boolean begun;
+    /** Whether a request has been read whose response is not complete. */
+    private boolean requestOpen;
+    private boolean responseStarted;
     private boolean closing;
     /**
-     * Whether more came behind the open request than is kept. It is read on and thrown away, or the client's
-     * end behind it would not be seen, and the connection closes with the answer.
+     * Whether the client has sent more behind the open request than is kept. The excess is read and dropped,
+     * or a close by the client behind it would not be noticed, and the connection closes after the response.
      */
-    private boolean overrun;
-    /** Whether the client may still be sending what was not taken. */
-    private boolean turnedDown;
+    private boolean inputOverflowed;
+    /** Whether a request was rejected of which the client may still be sending the rest. */
+    private boolean rejected;
 
-    /** Bytes from the client, and when they came. */
-    private record Arrived(ByteBuffer bytes, Arrival when) {
+    /** Bytes from the client and the time of their arrival. */
+    private record Input(ByteBuffer bytes, Arrival arrival) {
     }
 
-    ClientSide(Front front, long id, Wire wire) {
+    ClientSide(Front front, long clientId, Wire wire) {
         this.front = front;
-        this.id = id;
+        this.clientId = clientId;
         this.wire = wire;
     }
 
@@ -58,7 +58,7 @@
 
     @Override
     public void up() {
-        // a client's connection is up from the first
+        // client connections are established when they are accepted
     }
 
     @Override
@@ -71,78 +71,78 @@
         if (closing) {
             return;
         }
-        ahead.add(new Arrived(bytes, arrival));
-        aheadBytes += bytes.remaining();
-        readOn();
-        if (aheadBytes > MOST_AHEAD && busy) {
-            overrun = true;
+        unreadInput.add(new Input(bytes, arrival));
+        unreadBytes += bytes.remaining();
+        readRequests();
+        if (unreadBytes > MAX_PIPELINED_BYTES && requestOpen) {
+            inputOverflowed = true;
         }
-        if (overrun) {
-            ahead.clear();
-            aheadBytes = 0;
+        if (inputOverflowed) {
+            unreadInput.clear();
+            unreadBytes = 0;
         }
     }
 
-    private void readOn() {
+    private void readRequests() {
         try {
-            while (!busy && !closing && !ahead.isEmpty()) {
-                ByteBuffer next = ahead.peek().bytes;
-                boolean fresh = reader.untouched();
-                aheadBytes -= next.remaining();
+            while (!requestOpen && !closing && !unreadInput.isEmpty()) {
+                ByteBuffer next = unreadInput.peek().bytes;
+                boolean atMessageStart = reader.untouched();
+                unreadBytes -= next.remaining();
                 try {
                     reader.read(next);
                 } finally {
-                    aheadBytes += next.remaining();
-                    if (fresh && !reader.untouched()) {
-                        requestArrival = ahead.peek().when;
-                        front.happened(new Event.ClientBegan(id));
+                    unreadBytes += next.remaining();
+                    if (atMessageStart && !reader.untouched()) {
+                        requestArrival = unreadInput.peek().arrival;
+                        front.happened(new Event.ClientBegan(clientId));
                     }
                 }
                 if (!next.hasRemaining()) {
-                    ahead.poll();
+                    unreadInput.poll();
                 }
                 if (reader.done()) {
                     reader.next();
-                    whole();
+                    requestComplete();
                 }
             }
         } catch (BadMessageException e) {
             front.counters().add("requests.malformed");
-            turnDown(e.status(), e.getMessage());
+            reject(e.status(), e.getMessage());
         } catch (RuntimeException e) {
-            // A fault of ours in reading one request must leave neither it nor the others unanswered.
+            // A bug that shows in reading one request must leave neither it nor the others unanswered.
             front.counters().add("faults");
             front.log("fault: " + e);
-            forgetBody();
+            releaseBody();
             closing = true;
-            answer(500, "a fault in the router\n", "");
+            respond(500, "a fault in the router\n", "");
         }
     }
 
-    /** What is behind a request that can't be read, or is turned down, must not be taken for another. */
-    private void turnDown(int status, String why) {
-        forgetBody();
-        ahead.clear();
-        aheadBytes = 0;
+    /** Rejects a request and drops what follows it, which must not be parsed as another request. */
+    private void reject(int status, String reason) {
+        releaseBody();
+        unreadInput.clear();
+        unreadBytes = 0;
         closing = true;
-        turnedDown = true;
-        answer(status, why + "\n", "");
+        rejected = true;
+        respond(status, reason + "\n", "");
     }
 
-    /** Two requests of one id at the boxes would be two copies out at once. */
-    void turnDownTwin() {
-        turnDown(409, "a request of this id is open");
+    /** Rejects a request whose id is that of an open one: at the servers, both would run at the same time. */
+    void rejectDuplicate() {
+        reject(409, "a request of this id is open");
     }
 
-    /** The desk wants the connection back: no request is open. */
-    void giveUp() {
+    /** Closes the connection, which has no open request; a request that has come in part gets a 408. */
+    void closeOrTimeOut() {
         if (closing) {
             wire.close();
         } else if (reader.untouched()) {
             closing = wire.closeUnlessUnheard();
         } else {
             front.counters().add("requests.malformed");
-            turnDown(408, "the request did not come in time");
+            reject(408, "the request did not come in time");
         }
     }
 
@@ -160,69 +160,69 @@
         byte[] bytes = new byte[piece.remaining()];
         piece.get(bytes);
         body.writeBytes(bytes);
-        if (!front.coming(bytes.length)) {
+        if (!front.addIncomingBody(bytes.length)) {
             throw new BadMessageException(503, "no room for another request");
         }
     }
 
-    private void forgetBody() {
+    private void releaseBody() {
         if (body != null) {
-            front.coming(-body.size());
+            front.addIncomingBody(-body.size());
             body = null;
         }
     }
 
     @Override
     public void end() {
-        // taken up by readOn, once the reader has let go of the bytes
+        // handled by readRequests(), once the reader has returned
     }
 
-    private void whole() throws BadMessageException {
-        busy = true;
-        begun = false;
+    private void requestComplete() throws BadMessageException {
+        requestOpen = true;
+        responseStarted = false;
         int query = head.target().indexOf('?');
         String path = query < 0 ? head.target() : head.target().substring(0, query);
         switch (path) {
             case ClientRequest.PATH -> {
                 if (!head.method().equals("POST")) {
-                    answer(405, "POST only\n", "Allow: POST\r\n");
+                    respond(405, "POST only\n", "Allow: POST\r\n");
                 } else if (!head.third().equals("HTTP/1.1")) {
                     throw new BadMessageException(505, "streams need HTTP/1.1");
                 } else {
                     request = new ClientRequest(head, body.toByteArray());
-                    forgetBody();
-                    ModelRequest read = request.read(front.names(), requestArrival, front.now());
-                    front.happened(new Event.Asked(id, read));
+                    releaseBody();
+                    ModelRequest read = request.toModelRequest(front.names(), requestArrival, front.now());
+                    front.happened(new Event.Asked(clientId, read));
                 }
             }
             case "/ready" -> {
-                String why = front.unready();
-                answer(why.isEmpty() ? 200 : 503, (why.isEmpty() ? "ready" : why) + "\n", "");
+                String reason = front.notReadyReason();
+                respond(reason.isEmpty() ? 200 : 503, (reason.isEmpty() ? "ready" : reason) + "\n", "");
             }
-            case "/counters" -> answer(200, front.counters().toString(), "");
-            default -> answer(404, "no such path\n", "");
+            case "/counters" -> respond(200, front.counters().toString(), "");
+            default -> respond(404, "no such path\n", "");
         }
     }
 
-    // ---- answers
+    // ---- responses
 
     void refuse(long retryAfter) {
-        answer(503, "refused\n", retryAfter > 0
-                ? String.format(Locale.ROOT, "Retry-After: %.3f\r\n", retryAfter / MICROS) : "");
+        respond(503, "refused\n", retryAfter > 0
+                ? String.format(Locale.ROOT, "Retry-After: %.3f\r\n", retryAfter / MICROS_PER_SECOND) : "");
     }
 
     void fail() {
-        answer(504, "failed\n", "");
+        respond(504, "failed\n", "");
     }
 
-    /** The head goes out with the stream's first piece; each piece is one chunk, as it came. */
-    void passOn(ByteBuffer bytes) {
+    /** Writes each piece of the stream as one chunk; the response head goes out with the first. */
+    void writeChunk(ByteBuffer bytes) {
         StringBuilder before = new StringBuilder();
-        if (!begun) {
-            begun = true;
+        if (!responseStarted) {
+            responseStarted = true;
             request = null;
             before.append("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
-                    + "Cache-Control: no-cache\r\nTransfer-Encoding: chunked\r\n").append(connection())
+                    + "Cache-Control: no-cache\r\nTransfer-Encoding: chunked\r\n").append(connectionHeader())
                     .append("\r\n");
         }
         before.append(Integer.toHexString(bytes.remaining())).append("\r\n");
@@ -232,70 +232,71 @@
         wire.write(all);
     }
 
-    void endAnswer() {
-        if (!begun) {
-            passOnNothing();
+    void endResponse() {
+        if (!responseStarted) {
+            writeResponseHead();
         }
         write(LAST_CHUNK);
-        finished();
+        responseFinished();
     }
 
-    private void passOnNothing() {
-        begun = true;
+    private void writeResponseHead() {
+        responseStarted = true;
         write("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n"
-                + connection() + "\r\n");
+                + connectionHeader() + "\r\n");
     }
 
-    /** The connection's end without a last chunk tells the client that the stream is not whole. */
-    void cutOff() {
+    /** Closes without a last chunk, which tells the client that the stream is incomplete. */
+    void abort() {
         closing = true;
         wire.closeAfterWriting();
     }
 
-    private void answer(int status, String text, String fields) {
+    private void respond(int status, String text, String fields) {
         write("HTTP/1.1 " + status + " " + Statuses.reason(status) + "\r\n" + fields
                 + "Content-Type: text/plain\r\nContent-Length: "
-                + text.getBytes(StandardCharsets.UTF_8).length + "\r\n" + connection() + "\r\n"
+                + text.getBytes(StandardCharsets.UTF_8).length + "\r\n" + connectionHeader() + "\r\n"
                 + ("HEAD".equals(head == null ? "" : head.method()) ? "" : text));
-        finished();
+        responseFinished();
     }
 
-    private String connection() {
-        if (closing || overrun || front.leaving() || head != null && !head.keepsAlive()) {
+    private String connectionHeader() {
+        if (closing || inputOverflowed || front.leaving() || head != null && !head.keepsAlive()) {
             closing = true;
             return "Connection: close\r\n";
         }
         return "";
     }
 
-    private void finished() {
-        busy = false;
+    private void responseFinished() {
+        requestOpen = false;
         request = null;
-        forgetBody();
-        if (closing || overrun) {
+        releaseBody();
+        if (closing || inputOverflowed) {
             closing = true;
-            if (turnedDown || overrun) {
+            if (rejected || inputOverflowed) {
                 wire.linger();
             } else {
                 wire.closeAfterWriting();
             }
             return;
         }
-        if (front.closingIdle() && ahead.isEmpty()) {
+        if (front.closesAfterResponse() && unreadInput.isEmpty()) {
             closeIfIdle();
             return;
         }
-        front.happened(new Event.ClientQuiet(id));
-        readOn();
+        front.happened(new Event.ClientQuiet(clientId));
+        readRequests();
     }
 
-    /** Whether a request is read in part or may be read already, or is open. */
-    boolean midway() {
-        return busy || !closing && (!reader.untouched() || !ahead.isEmpty() || wire.hasUnheard());
+    /** Whether a request is open, has come in part, or may have been read and not handled yet. */
+    boolean hasRequestInProgress() {
+        return requestOpen
+                || !closing && (!reader.untouched() || !unreadInput.isEmpty() || wire.hasUnheard());
     }
 
     void closeIfIdle() {
-        if (!closing && !midway()) {
+        if (!closing && !hasRequestInProgress()) {
             closing = wire.closeUnlessUnheard();
         }
     }
@@ -306,12 +307,12 @@
 
     @Override
     public void written(int bytes) {
-        if (busy && begun) {
-            front.happened(new Event.ClientTook(id, bytes));
+        if (requestOpen && responseStarted) {
+            front.happened(new Event.ClientTook(clientId, bytes));
         }
     }
 
-    /** It has lingered long enough. */
+    /** The lingering close has timed out. */
     @Override
     public void idle() {
         if (closing) {
@@ -322,7 +323,7 @@
     @Override
     public void down() {
         closing = true;
-        forgetBody();
-        front.clientClosed(id);
+        releaseBody();
+        front.clientClosed(clientId);
     }
 }
--- a/src/main/java/yewdock/platform/Config.java
+++ b/src/main/java/yewdock/platform/Config.java
@@ -14,19 +14,29 @@
 import yewdock.desk.EndpointList;
 
 /**
- * What the router is told at its start. keepalive is in microseconds; operator is where operators call, or ""
- * where they don't.
+ * The configuration of one router.
+ *
+ * @param name the router's name among its peers
+ * @param listen the address for clients, as host:port
+ * @param operator the address for operators, as host:port; empty if there is none
+ * @param discovery the address of the discovery service, as host:port
+ * @param seed the seed of the module's random choices
+ * @param keepalive how long idle server connections are kept, in microseconds
+ * @param settings the module's settings
+ * @param names maps the names in requests and endpoint lists to the module's indexes
+ * @param bounds the limits on connections, requests and memory
+ * @param known the endpoint list that was known when the configuration was written
  */
 public record Config(String name, String listen, String operator, String discovery, long seed, long keepalive,
         Routing.Settings settings, Names names, Bounds bounds, EndpointList known) {
-    private static final double MICROS = 1e6;
-    /** What a configuration without limits is taken to allow: the most that a router gets. */
-    private static final int SOCKETS = 1024;
-    private static final int MEMORY_MB = 192;
-    private static final int LEAST_SOCKETS = 128;
-    private static final int LEAST_MEMORY_MB = 32;
-
-    /** Reads the configuration's text; throws IllegalArgumentException with one clear line. */
+    private static final double MICROS_PER_SECOND = 1e6;
+    /** Resources that a router may use if the configuration sets no limits; no router gets more. */
+    private static final int DEFAULT_SOCKETS = 1024;
+    private static final int MAX_MEMORY_MB = 192;
+    private static final int MIN_SOCKETS = 128;
+    private static final int MIN_MEMORY_MB = 32;
+
+    /** Parses a configuration; throws IllegalArgumentException with a one-line message if it is invalid. */
     public static Config read(String text, Consumer<String> log) {
         try {
             return read(new JSONObject(text), log);
@@ -42,19 +52,19 @@
         for (JSONObject org : objects(s.optJSONArray("orgs"))) {
             tenants.add(new Routing.Tenant(org.getString("name"), org.getDouble("quota_rps")));
         }
-        Names names = new Names(Names.places(classes.stream().map(Routing.RequestClass::name).toList()),
-                Names.places(tenants.stream().map(Routing.Tenant::name).toList()),
-                Names.places(strings(s.optJSONArray("zones"))),
-                Names.places(strings(s.optJSONArray("shapes"))));
+        Names names = new Names(Names.indexesOf(classes.stream().map(Routing.RequestClass::name).toList()),
+                Names.indexesOf(tenants.stream().map(Routing.Tenant::name).toList()),
+                Names.indexesOf(strings(s.optJSONArray("zones"))),
+                Names.indexesOf(strings(s.optJSONArray("shapes"))));
         JSONObject l = s.getJSONObject("limits");
         Routing.Limits limits = new Routing.Limits(l.getInt("max_attempts"),
                 l.optBoolean("may_duplicate"), l.optBoolean("cancelling"), l.optBoolean("probes"),
-                time(l, "connect_timeout", 0),
-                l.optBoolean("retry_after") ? time(l, "max_retry_after", 0) : 0);
+                micros(l, "connect_timeout", 0),
+                l.optBoolean("retry_after") ? micros(l, "max_retry_after", 0) : 0);
         JSONObject c = s.getJSONObject("contract");
-        Routing.Contract contract = new Routing.Contract(time(c, "drain_grace"), time(c, "cold"),
-                c.getDouble("cold_from"), c.getDouble("fall_multiple"), time(c, "fall"),
-                time(c, "ask_within", 10), budget(c));
+        Routing.Contract contract = new Routing.Contract(micros(c, "drain_grace"), micros(c, "cold"),
+                c.getDouble("cold_from"), c.getDouble("fall_multiple"), micros(c, "fall"),
+                micros(c, "ask_within", 10), budget(c));
         JSONObject p = s.optJSONObject("costs", new JSONObject());
         Routing.Prices prices = new Routing.Prices(p.optDouble("cross_zone", 0), p.optDouble("handshake", 0),
                 p.optDouble("probe", 0), p.optDouble("waste", 0), p.optDouble("late_fail", 0));
@@ -70,72 +80,72 @@
         }
         JSONObject known = all.optJSONObject("known");
         return new Config(all.getString("name"), all.getString("listen"), operator, discovery,
-                Long.parseUnsignedLong(all.getString("seed"), 16), time(l, "keepalive"), settings, names,
+                Long.parseUnsignedLong(all.getString("seed"), 16), micros(l, "keepalive"), settings, names,
                 bounds(all.optJSONObject("limits", new JSONObject())),
                 known == null ? EndpointList.NOTHING : new EndpointListReader(names, log).read(known));
     }
 
-    /** Names what in the next configuration differs from this one and counts only from a start on. */
-    List<String> startsAnew(Config next) {
-        List<String> waits = new ArrayList<>();
-        differs("name", name, next.name, waits);
-        differs("listen", listen, next.listen, waits);
-        differs("operator", operator, next.operator, waits);
-        differs("limits", bounds, next.bounds, waits);
-        differs("keepalive", keepalive, next.keepalive, waits);
-        differs("settings", settings, next.settings, waits);
-        differs("names in settings", names, next.names, waits);
-        return waits;
+    /** Names the parts of a new configuration that differ from this one and need a restart to take effect. */
+    List<String> changesNeedingRestart(Config next) {
+        List<String> changed = new ArrayList<>();
+        addIfDifferent("name", name, next.name, changed);
+        addIfDifferent("listen", listen, next.listen, changed);
+        addIfDifferent("operator", operator, next.operator, changed);
+        addIfDifferent("limits", bounds, next.bounds, changed);
+        addIfDifferent("keepalive", keepalive, next.keepalive, changed);
+        addIfDifferent("settings", settings, next.settings, changed);
+        addIfDifferent("names in settings", names, next.names, changed);
+        return changed;
     }
 
-    private static void differs(String what, Object one, Object other, List<String> found) {
-        if (!one.equals(other)) {
-            found.add(what);
+    private static void addIfDifferent(String name, Object before, Object after, List<String> changed) {
+        if (!before.equals(after)) {
+            changed.add(name);
         }
     }
 
     private static Bounds bounds(JSONObject limits) {
-        int sockets = limits.optInt("sockets", SOCKETS);
-        int megabytes = limits.optInt("memory_mb", MEMORY_MB);
-        if (sockets < LEAST_SOCKETS || megabytes < LEAST_MEMORY_MB) {
+        int sockets = limits.optInt("sockets", DEFAULT_SOCKETS);
+        int megabytes = limits.optInt("memory_mb", MAX_MEMORY_MB);
+        if (sockets < MIN_SOCKETS || megabytes < MIN_MEMORY_MB) {
             throw new IllegalArgumentException("limits are too small: " + limits);
         }
-        return Bounds.within(sockets, Math.min(megabytes, MEMORY_MB));
+        return Bounds.within(sockets, Math.min(megabytes, MAX_MEMORY_MB));
     }
 
     private static List<Routing.RequestClass> classes(JSONObject s) {
         List<Routing.RequestClass> classes = new ArrayList<>();
         JSONObject domain = s.optJSONObject("domain", new JSONObject());
-        List<String> sites = strings(s.optJSONArray("zones"));
-        List<String> kinds = strings(s.optJSONArray("shapes"));
+        List<String> zones = strings(s.optJSONArray("zones"));
+        List<String> serverKinds = strings(s.optJSONArray("shapes"));
         for (JSONObject c : objects(s.getJSONArray("classes"))) {
             int i = classes.size();
             classes.add(new Routing.RequestClass(c.getString("name"),
-                    named(Routing.Effect.class, c.optString("effect", "retryable")),
-                    named(Routing.DedupGroup.class, c.optString("group", "all")), time(c, "window", 0),
-                    time(c, "aim"), Math.round(item(domain, "aim_us_per_1000_prompt_tokens", i)),
-                    Math.round(item(domain, "token_aim", i) * MICROS), time(c, "give_up"),
+                    enumValue(Routing.Effect.class, c.optString("effect", "retryable")),
+                    enumValue(Routing.DedupGroup.class, c.optString("group", "all")), micros(c, "window", 0),
+                    micros(c, "aim"), Math.round(itemOrZero(domain, "aim_us_per_1000_prompt_tokens", i)),
+                    Math.round(itemOrZero(domain, "token_aim", i) * MICROS_PER_SECOND), micros(c, "give_up"),
                     c.optDouble("worth", 1), c.optDouble("late_worth", 0), c.optBoolean("stream"),
-                    new Routing.Placement(indices(c.optJSONArray("confined_to"), sites),
-                            indices(c.optJSONArray("runs_on"), kinds))));
+                    new Routing.Placement(indices(c.optJSONArray("confined_to"), zones),
+                            indices(c.optJSONArray("runs_on"), serverKinds))));
         }
         return classes;
     }
 
     private static Routing.AttemptBudget budget(JSONObject c) {
         return c.has("look_back") ? new Routing.AttemptBudget(c.getDouble("free_resends"),
-                c.getDouble("further_ratio"), time(c, "look_back")) : Routing.AttemptBudget.NONE;
+                c.getDouble("further_ratio"), micros(c, "look_back")) : Routing.AttemptBudget.NONE;
     }
 
-    private static long time(JSONObject o, String key) {
-        return Math.round(o.getDouble(key) * MICROS);
+    private static long micros(JSONObject o, String key) {
+        return Math.round(o.getDouble(key) * MICROS_PER_SECOND);
     }
 
-    private static long time(JSONObject o, String key, double ifAbsent) {
-        return Math.round(o.optDouble(key, ifAbsent) * MICROS);
+    private static long micros(JSONObject o, String key, double ifAbsent) {
+        return Math.round(o.optDouble(key, ifAbsent) * MICROS_PER_SECOND);
     }
 
-    private static double item(JSONObject o, String key, int index) {
+    private static double itemOrZero(JSONObject o, String key, int index) {
         JSONArray items = o.optJSONArray(key);
         return items == null ? 0 : items.optDouble(index, 0);
     }
@@ -156,20 +166,21 @@
         return all;
     }
 
-    /** Places in a list, given as numbers or as names. */
+    /** Indexes into a list of names, each given as a number or as a name. */
     private static Set<Integer> indices(JSONArray array, List<String> names) {
         Set<Integer> all = new HashSet<>();
         for (int i = 0; array != null && i < array.length(); i++) {
             int index = array.get(i) instanceof String name ? names.indexOf(name) : array.getInt(i);
             if (index < 0 || index >= names.size()) {
-                throw new IllegalArgumentException("a class is placed where nothing is: " + array.get(i));
+                throw new IllegalArgumentException("a class is confined to an unknown zone or server kind: "
+                        + array.get(i));
             }
             all.add(index);
         }
         return all;
     }
 
-    private static <E extends Enum<E>> E named(Class<E> type, String value) {
+    private static <E extends Enum<E>> E enumValue(Class<E> type, String value) {
         return Enum.valueOf(type, value.toUpperCase(Locale.ROOT));
     }
 }
--- a/src/main/java/yewdock/platform/DiscoveryConnection.java
+++ b/src/main/java/yewdock/platform/DiscoveryConnection.java
@@ -10,71 +10,72 @@
 import yewdock.http.Head;
 import yewdock.http.MessageReader;
 
-/** The connection on which the box list is watched. */
+/** A discovery connection: polls for the endpoint list, one request at a time. */
 final class DiscoveryConnection implements Side, MessageReader.Sink {
-    private static final int MOST_LIST = 4 << 20;
+    private static final int MAX_LIST_BYTES = 4 << 20;
     private static final int OK = 200;
 
     private final Front front;
-    private final EndpointListReader lists;
+    private final EndpointListReader listReader;
     private final String host;
     private final Wire wire;
     private final MessageReader reader = new MessageReader(MessageReader.Kind.ANSWER, this);
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private Head head;
-    private String waiting;
-    private boolean up;
-    private boolean out;
-    private boolean gone;
+    private String pendingRequest;
+    private boolean connected;
+    private boolean requestOpen;
+    private boolean closed;
 
-    DiscoveryConnection(Front front, EndpointListReader lists, String host, Wire wire) {
+    DiscoveryConnection(Front front, EndpointListReader listReader, String host, Wire wire) {
         this.front = front;
-        this.lists = lists;
+        this.listReader = listReader;
         this.host = host;
         this.wire = wire;
     }
 
-    /** Whether this is a connection to that address. */
-    boolean leadsTo(String address) {
+    /** Whether the connection is to this address. */
+    boolean isTo(String address) {
         return host.equals(address);
     }
 
-    /** Whether a call is to be answered. */
-    boolean isAsked() {
-        return out;
+    /** Whether a request has not been answered yet. */
+    boolean isRequestOpen() {
+        return requestOpen;
     }
 
-    void ask(long since, long wait) {
-        String query = since < 0 ? "" : "?since=" + since + "&timeout_ms=" + wait / 1000;
-        waiting = "GET /v1/endpoints" + query + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n";
-        out = true;
-        writeIfUp();
+    /** Polls for changes after this version, for at most so long; if it is negative, for the whole list. */
+    void poll(long sinceVersion, long waitMicros) {
+        String query = sinceVersion < 0 ? "" : "?since=" + sinceVersion + "&timeout_ms=" + waitMicros / 1000;
+        pendingRequest = "GET /v1/endpoints" + query + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n";
+        requestOpen = true;
+        writeIfConnected();
     }
 
-    private void writeIfUp() {
-        if (up && waiting != null) {
-            wire.write(ByteBuffer.wrap(waiting.getBytes(StandardCharsets.ISO_8859_1)));
-            waiting = null;
+    private void writeIfConnected() {
+        if (connected && pendingRequest != null) {
+            wire.write(ByteBuffer.wrap(pendingRequest.getBytes(StandardCharsets.ISO_8859_1)));
+            pendingRequest = null;
         }
     }
 
     @Override
     public void up() {
-        up = true;
-        writeIfUp();
+        connected = true;
+        writeIfConnected();
     }
 
     @Override
     public void received(ByteBuffer bytes) {
         try {
-            while (bytes.hasRemaining() && !gone) {
-                if (!out) {
-                    throw new BadMessageException(502, "an answer that nobody asked for");
+            while (bytes.hasRemaining() && !closed) {
+                if (!requestOpen) {
+                    throw new BadMessageException(502, "unexpected response: no request is open");
                 }
                 reader.read(bytes);
                 if (reader.done()) {
                     reader.next();
-                    whole();
+                    responseComplete();
                 }
             }
         } catch (BadMessageException | JSONException e) {
@@ -83,39 +84,39 @@
         }
     }
 
-    private void whole() {
+    private void responseComplete() {
         if (head.status() != OK) {
-            out = false;
-            closeUnlessKept();
-            front.listFailed(this);
+            requestOpen = false;
+            closeUnlessKeptAlive();
+            front.pollFailed(this);
             return;
         }
-        EndpointList list = lists.read(body.toString(StandardCharsets.UTF_8));
-        out = false;
+        EndpointList list = listReader.read(body.toString(StandardCharsets.UTF_8));
+        requestOpen = false;
         if (head.keepsAlive()) {
-            front.listCame(this, list);
+            front.listReceived(this, list);
         } else {
-            gone = true;
+            closed = true;
             wire.close();
-            front.listCameLast(this, list);
+            front.lastListReceived(this, list);
         }
     }
 
-    private void closeUnlessKept() {
+    private void closeUnlessKeptAlive() {
         if (!head.keepsAlive()) {
-            gone = true;
-            front.listClosed(this);
+            closed = true;
+            front.discoveryClosed(this);
             wire.close();
         }
     }
 
-    /** What the end of the connection makes of the call: a body without a length is whole, if it reads so. */
-    private EndpointList endOfConnection() {
+    /** Returns the list in a body that ends with the connection; null if it is none or incomplete. */
+    private EndpointList listAtEndOfConnection() {
         if (!reader.endsWithConnection() || head.status() != OK) {
             return null;
         }
         try {
-            return lists.read(body.toString(StandardCharsets.UTF_8));
+            return listReader.read(body.toString(StandardCharsets.UTF_8));
         } catch (JSONException e) {
             front.log("the box list's answer is malformed: " + e.getMessage());
             return null;
@@ -132,49 +133,49 @@
     public void body(ByteBuffer piece) {
         byte[] bytes = new byte[piece.remaining()];
         piece.get(bytes);
-        if (body.size() + bytes.length <= MOST_LIST) {
+        if (body.size() + bytes.length <= MAX_LIST_BYTES) {
             body.writeBytes(bytes);
         }
     }
 
     @Override
     public void end() {
-        // taken up by received, once the reader has let go of the bytes
+        // handled by received(), once the reader has returned
     }
 
     @Override
     public void idle() {
-        // the desk keeps the times of the router's own connections
+        // the reducer times the connections that the router opens
     }
 
     @Override
     public void written(int bytes) {
-        // nothing waits for it
+        // polls need no confirmation that they were sent
     }
 
-    void hangUp() {
-        gone = true;
+    void close() {
+        closed = true;
         wire.close();
     }
 
-    /** A close between calls only means that the next call needs a new connection. */
+    /** A close with no open request only means that the next poll needs a new connection. */
     @Override
     public void down() {
-        if (gone) {
+        if (closed) {
             return;
         }
-        gone = true;
-        EndpointList last = endOfConnection();
-        if (last == null) {
-            front.listClosed(this);
+        closed = true;
+        EndpointList lastList = listAtEndOfConnection();
+        if (lastList == null) {
+            front.discoveryClosed(this);
             front.happened(new Event.DiscoveryLost());
-            if (out) {
-                front.listFailed(this);
+            if (requestOpen) {
+                front.pollFailed(this);
             }
-        } else if (out) {
-            front.listCameLast(this, last);
+        } else if (requestOpen) {
+            front.lastListReceived(this, lastList);
         } else {
-            front.listClosed(this);
+            front.discoveryClosed(this);
         }
     }
 }
--- a/src/main/java/yewdock/platform/EndpointListReader.java
+++ b/src/main/java/yewdock/platform/EndpointListReader.java
@@ -17,36 +17,37 @@
 import yewdock.desk.ModelServer;
 
 /**
- * Reads lists of servers. An entry that can't be used is logged and skipped; the rest of its list counts,
- * and so does the entry's word that its server drains or is gone: that needs no more than an id and a state.
+ * Parses endpoint lists. An entry that can't be used is logged and skipped, and the rest of its list is used.
+ * An entry that says that its server drains or is removed is always obeyed: it needs only an id and a state.
  */
 public final class EndpointListReader {
-    private static final double MOST_WEIGHT = 1e9;
-    /** The later, the more it ends its server's use. */
+    private static final double MAX_WEIGHT = 1e9;
+    /** From the least to the most restrictive. */
     private static final List<Lifecycle> BY_SEVERITY =
             List.of(Lifecycle.READY, Lifecycle.DRAINING, Lifecycle.GONE);
 
     private final Names names;
     private final Consumer<String> log;
-    /** Which id each name has, for as long as it is listed: two names of one number must not be mixed up. */
+    /** The id of each listed name. Two names that contain the same number must not share an id. */
     private final Map<String, Long> idsByName = new HashMap<>();
 
+    /** Makes a reader that resolves zones and kinds by these names and logs unusable entries. */
     public EndpointListReader(Names names, Consumer<String> log) {
         this.names = names;
         this.log = log;
     }
 
-    /** The names in this list have the ids that they have there. */
+    /** Keeps the ids that servers have in this list, which is from the configuration or a predecessor. */
     public void remember(EndpointList list) {
         list.boxes().forEach(server -> idsByName.put(server.name(), server.id()));
     }
 
-    /** The list in a text; throws JSONException if it is none. */
+    /** Parses a list; throws JSONException if it is malformed. */
     public EndpointList read(String text) {
         return read(new JSONObject(text));
     }
 
-    /** The list in a JSON object; throws JSONException if it is none. */
+    /** Reads the list in a JSON object; throws JSONException if it is malformed. */
     public EndpointList read(JSONObject list) {
         long version = list.getLong("version");
         boolean full = list.getBoolean("full");
@@ -63,14 +64,14 @@
         return new EndpointList(version, full, List.copyOf(servers.values()));
     }
 
-    /** Of several entries for one server the first counts, unless a later one ends the server's use. */
-    private void add(Map<Long, ModelServer> servers, ModelServer server, int place) {
-        ModelServer before = servers.putIfAbsent(server.id(), server);
-        if (before == null) {
+    /** Of several entries for a server, the most restrictive one counts; of equal ones, the first. */
+    private void add(Map<Long, ModelServer> servers, ModelServer server, int index) {
+        ModelServer existing = servers.putIfAbsent(server.id(), server);
+        if (existing == null) {
             return;
         }
-        log.accept("box list entry " + place + ": " + server.name() + " is listed twice");
-        if (severity(server) > severity(before)) {
+        log.accept("box list entry " + index + ": " + server.name() + " is listed twice");
+        if (severity(server) > severity(existing)) {
             servers.put(server.id(), server);
         }
     }
@@ -79,41 +80,41 @@
         return BY_SEVERITY.indexOf(server.replica().lifecycle());
     }
 
-    /** Servers come and go for as long as the router runs: the names of those that are gone must not stay. */
+    /** Drops the names of servers that are no longer listed, which would otherwise accumulate. */
     private void forgetUnlisted(Collection<ModelServer> servers, boolean full) {
         Set<String> listed = new HashSet<>();
-        Set<String> gone = new HashSet<>();
-        servers.forEach(server -> (server.isGone() ? gone : listed).add(server.name()));
-        idsByName.keySet().removeIf(name -> gone.contains(name) || full && !listed.contains(name));
+        Set<String> removed = new HashSet<>();
+        servers.forEach(server -> (server.isGone() ? removed : listed).add(server.name()));
+        idsByName.keySet().removeIf(name -> removed.contains(name) || full && !listed.contains(name));
     }
 
-    private ModelServer server(JSONObject entry, int place) {
+    private ModelServer server(JSONObject entry, int index) {
         String name = entry.getString("id");
         long id = idOf(name);
-        Lifecycle lifecycle = lifecycle(entry.getString("state"), name, place);
+        Lifecycle lifecycle = lifecycle(entry.getString("state"), name, index);
         if (lifecycle == Lifecycle.GONE) {
             return withStateOnly(name, id, lifecycle);
         }
         try {
-            return whole(entry, name, id, lifecycle);
+            return parseUsable(entry, name, id, lifecycle);
         } catch (JSONException | IllegalArgumentException e) {
             if (lifecycle == Lifecycle.READY) {
                 throw e;
             }
-            log.accept("box list entry " + place + " skipped but for its drain: " + e.getMessage());
+            log.accept("box list entry " + index + " skipped but for its drain: " + e.getMessage());
             return withStateOnly(name, id, lifecycle);
         }
     }
 
-    /** A state that is not known is not "up": its server is to get nothing new. */
-    private Lifecycle lifecycle(String state, String name, int place) {
+    /** An unknown state counts as draining: the server gets no new requests. */
+    private Lifecycle lifecycle(String state, String name, int index) {
         return switch (state) {
             case "up" -> Lifecycle.READY;
             case "draining" -> Lifecycle.DRAINING;
             case "removed" -> Lifecycle.GONE;
             default -> {
-                log.accept("box list entry " + place + ": " + name + " counts as draining, for its state is "
-                        + state);
+                log.accept("box list entry " + index + ": " + name
+                        + " is treated as draining, its state is unknown: " + state);
                 yield Lifecycle.DRAINING;
             }
         };
@@ -123,16 +124,16 @@
         return new ModelServer(name, "", new Replica(id, 0, 0, 0, 1, lifecycle, 0));
     }
 
-    private ModelServer whole(JSONObject entry, String name, long id, Lifecycle lifecycle) {
+    private ModelServer parseUsable(JSONObject entry, String name, long id, Lifecycle lifecycle) {
         String address = entry.getString("addr");
         Addresses.of(address);
         double weight = entry.optDouble("weight", 1);
         long startedMillis = entry.optLong("started_ms", 0);
-        if (!(weight >= 0 && weight <= MOST_WEIGHT) || startedMillis < 0) {
-            throw new IllegalArgumentException("impossible weight or start");
+        if (!(weight >= 0 && weight <= MAX_WEIGHT) || startedMillis < 0) {
+            throw new IllegalArgumentException("weight or started_ms is out of range");
         }
-        return new ModelServer(name, address, new Replica(id, place(names.sites(), entry, "zone"),
-                place(names.kinds(), entry, "kind"), entry.optInt("cell", 0), weight, lifecycle,
+        return new ModelServer(name, address, new Replica(id, index(names.sites(), entry, "zone"),
+                index(names.kinds(), entry, "kind"), entry.optInt("cell", 0), weight, lifecycle,
                 startedMillis * 1000));
     }
 
@@ -146,17 +147,17 @@
             id = Ids.hash(name);
         }
         if (id == 0 || idsByName.containsValue(id)) {
-            throw new IllegalArgumentException("no usable id: " + name);
+            throw new IllegalArgumentException("no unique id for the name " + name);
         }
         idsByName.put(name, id);
         return id;
     }
 
-    private static int place(Map<String, Integer> places, JSONObject entry, String key) {
-        Integer place = places.get(entry.getString(key));
-        if (place == null) {
+    private static int index(Map<String, Integer> indexes, JSONObject entry, String key) {
+        Integer index = indexes.get(entry.getString(key));
+        if (index == null) {
             throw new IllegalArgumentException("unknown " + key + " " + entry.getString(key));
         }
-        return place;
+        return index;
     }
 }
--- a/src/main/java/yewdock/platform/Front.java
+++ b/src/main/java/yewdock/platform/Front.java
@@ -15,46 +15,47 @@
 import yewdock.desk.Event;
 
 /**
- * This platform's front: turns what happens on connections into the desk's events, and the desk's effects
- * into bytes. Not thread-safe: one thread runs it, the desk and all sides.
+ * Holds all connections, translates what happens on them into events for the reducer and performs the
+ * reducer's effects on them. Not thread-safe: it, the reducer and all connection handlers run on one thread.
  */
 public final class Front {
-    /** Bodies that are still coming in may hold this much together; the desk bounds those that are whole. */
-    private static final int MOST_COMING = 8 << 20;
+    /** Memory for all incomplete request bodies together; the reducer limits that of complete requests. */
+    private static final int MAX_INCOMING_BODY_BYTES = 8 << 20;
 
     private final Desk desk;
     private Config config;
     private final Counters counters;
     private final Wires wires;
-    private final EndpointListReader lists;
+    private final EndpointListReader listReader;
     private final Names names;
     private final LongSupplier clock;
     private final Consumer<String> log;
-    /** Takes the effects that concern other generations; without them there is nobody to tell. */
-    private Consumer<Effect> others = effect -> { };
-    /** Takes the answers to operators' calls. */
-    private Consumer<Effect> calls = effect -> { };
-    private final Map<Long, ClientSide> clients = new LinkedHashMap<>();
-    private final Map<Long, BoxSide> lines = new HashMap<>();
-    private DiscoveryConnection list;
-    /** Its call was late and has been made anew on the other connection; the one answered first stays. */
-    private DiscoveryConnection listAside;
-    /** Whether a call has been answered since that one was set aside. */
-    private boolean answeredSinceAside;
-    private final Deque<Event> waiting = new ArrayDeque<>();
-    private boolean working;
-    private boolean stopAsked;
-    private long lastClient;
-    private int coming;
-    private boolean closing;
-
+    /** Receives the effects that concern other generations; does nothing unless set. */
+    private Consumer<Effect> generationEffects = effect -> { };
+    /** Receives the answers to operators' calls. */
+    private Consumer<Effect> operatorAnswers = effect -> { };
+    private final Map<Long, ClientSide> clientConnections = new LinkedHashMap<>();
+    private final Map<Long, BoxSide> serverConnections = new HashMap<>();
+    private DiscoveryConnection discovery;
+    /** A connection whose poll was late and was repeated on another one; the one answered first is kept. */
+    private DiscoveryConnection supersededDiscovery;
+    /** Whether a poll has been answered since that connection was superseded. */
+    private boolean answeredSinceSuperseded;
+    private final Deque<Event> pendingEvents = new ArrayDeque<>();
+    private boolean dispatching;
+    private boolean stopRequested;
+    private long lastClientId;
+    private int incomingBodyBytes;
+    private boolean closingIdleClients;
+
+    /** Makes a manager without connections; {@link #start} gives the reducer its first event. */
     public Front(Config config, Desk desk, Counters counters, Wires wires, LongSupplier clock,
             Consumer<String> log) {
         this.desk = desk;
         this.counters = counters;
         this.wires = wires;
         this.names = config.names();
-        this.lists = new EndpointListReader(names, line -> {
+        this.listReader = new EndpointListReader(names, line -> {
             counters.add("list.unusable_entries");
             log.accept(line);
         });
@@ -63,75 +64,77 @@
         this.log = log;
     }
 
-    /** The first event: the configuration tells what is known. */
+    /** Starts the reducer with the endpoint list in the configuration. */
     public void start() {
         start(config.known());
     }
 
-    /** The first event, with a list that is newer than the configuration's. */
+    /** Starts the reducer with an endpoint list that is newer than the configuration's. */
     public void start(EndpointList known) {
-        lists.remember(known);
+        listReader.remember(known);
         happened(new Event.Started(known, config.discovery()));
     }
 
-    /** Where the effects go that concern other generations of this router. */
-    public void tellOthersBy(Consumer<Effect> teller) {
-        others = teller;
+    /** Sets the receiver of effects that concern other generations. */
+    public void tellOthersBy(Consumer<Effect> receiver) {
+        generationEffects = receiver;
     }
 
-    /** Where the answers to operators' calls go. */
-    public void answerCallsBy(Consumer<Effect> answerer) {
-        calls = answerer;
+    /** Sets the receiver of the answers to operators' calls. */
+    public void answerCallsBy(Consumer<Effect> receiver) {
+        operatorAnswers = receiver;
     }
 
-    /** A new configuration: what can be taken while requests are open is, the rest is named in the log. */
+    /** Applies what can be changed at run time of a new configuration and logs what needs a restart. */
     public void reconfigure(Config next) {
-        List<String> waits = config.startsAnew(next);
+        List<String> needRestart = config.changesNeedingRestart(next);
         log.accept("new configuration: the box list is at " + next.discovery()
-                + (waits.isEmpty() ? "" : "; not taken before a restart: " + String.join(", ", waits)));
+                + (needRestart.isEmpty() ? ""
+                : "; not taken before a restart: " + String.join(", ", needRestart)));
         config = next;
         happened(new Event.ListMoved(next.discovery()));
     }
 
-    /** A client has connected. */
+    /** Registers a new client connection and returns its handler. */
     public Side accept(Wire wire) {
         counters.add("clients.accepted");
-        ClientSide side = new ClientSide(this, ++lastClient, wire);
-        clients.put(lastClient, side);
-        happened(new Event.ClientCame(lastClient));
+        ClientSide side = new ClientSide(this, ++lastClientId, wire);
+        clientConnections.put(lastClientId, side);
+        happened(new Event.ClientCame(lastClientId));
         return side;
     }
 
     /**
-     * Takes an event to the desk and does what it asks for. What happens while that is being done waits its
-     * turn: a client's next request must not overtake the rest of what the last one's end brings.
+     * Passes an event to the reducer and performs the effects. Events that occur meanwhile are queued: a
+     * client's next request must not overtake the remaining effects of its last one's end.
      */
     public void happened(Event event) {
-        waiting.add(event);
-        if (working) {
+        pendingEvents.add(event);
+        if (dispatching) {
             return;
         }
-        working = true;
+        dispatching = true;
         try {
-            while (!waiting.isEmpty()) {
-                desk.reduce(waiting.poll(), clock.getAsLong()).forEach(this::performSafely);
+            while (!pendingEvents.isEmpty()) {
+                desk.reduce(pendingEvents.poll(), clock.getAsLong()).forEach(this::performSafely);
             }
         } finally {
-            working = false;
+            dispatching = false;
         }
-        // A request half read when the desk owes nothing would be lost by stopping now.
-        if (stopAsked && clients.values().stream().noneMatch(ClientSide::midway)) {
-            stopAsked = false;
+        // Stopping while a request has been read in part would lose it, though the reducer has none open.
+        if (stopRequested
+                && clientConnections.values().stream().noneMatch(ClientSide::hasRequestInProgress)) {
+            stopRequested = false;
             if (desk.lettingGo()) {
-                // what the list tells from now on would be told to nobody
-                hangUpList();
-                hangUpListAside();
+                // changes that discovery reported from now on would reach no generation
+                closeDiscovery();
+                closeSupersededDiscovery();
             }
             wires.stop();
         }
     }
 
-    /** A fault on one connection must not swallow the effects for the others; the desk's times catch up. */
+    /** A fault on one connection must not lose the effects for others; the reducer's timeouts handle it. */
     private void performSafely(Effect effect) {
         try {
             perform(effect);
@@ -143,186 +146,186 @@
 
     private void perform(Effect effect) {
         if (effect instanceof Effect.PassOn e) {
-            client(e.client(), c -> c.passOn(e.bytes()));
+            withClient(e.client(), c -> c.writeChunk(e.bytes()));
         } else if (effect instanceof Effect.SendTry e) {
-            BoxSide line = lines.get(e.line());
-            ClientSide client = clients.get(e.client());
-            if (line != null && client != null) {
-                line.send(client.request(), e.patience());
+            BoxSide server = serverConnections.get(e.line());
+            ClientSide client = clientConnections.get(e.client());
+            if (server != null && client != null) {
+                server.send(client.request(), e.patience());
             }
         } else if (effect instanceof Effect.EndAnswer e) {
-            client(e.client(), ClientSide::endAnswer);
+            withClient(e.client(), ClientSide::endResponse);
         } else if (effect instanceof Effect.OpenLine e) {
             wires.connect(e.address(), wire -> {
                 BoxSide side = new BoxSide(this, e.line(), wire);
-                lines.put(e.line(), side);
+                serverConnections.put(e.line(), side);
                 return side;
             });
         } else if (effect instanceof Effect.CloseLine e) {
-            BoxSide line = lines.get(e.line());
-            if (line != null) {
-                line.close();
+            BoxSide server = serverConnections.get(e.line());
+            if (server != null) {
+                server.close();
             }
         } else if (effect instanceof Effect.HoldLine e) {
-            BoxSide line = lines.get(e.line());
-            if (line != null) {
-                line.hold(e.held());
+            BoxSide server = serverConnections.get(e.line());
+            if (server != null) {
+                server.hold(e.held());
             }
         } else if (effect instanceof Effect.CutOff e) {
-            client(e.client(), ClientSide::cutOff);
+            withClient(e.client(), ClientSide::abort);
         } else if (effect instanceof Effect.Refuse e) {
-            client(e.client(), c -> c.refuse(e.retryAfter()));
+            withClient(e.client(), c -> c.refuse(e.retryAfter()));
         } else if (effect instanceof Effect.Fail e) {
-            client(e.client(), ClientSide::fail);
+            withClient(e.client(), ClientSide::fail);
         } else if (effect instanceof Effect.AskList e) {
-            askList(e);
+            pollDiscovery(e);
         } else if (effect instanceof Effect.HangUpList) {
-            hangUpList();
+            closeDiscovery();
         } else if (effect instanceof Effect.SetListCallAside) {
-            setListCallAside();
+            supersedePoll();
         } else if (effect instanceof Effect.CloseClient e) {
-            client(e.client(), ClientSide::giveUp);
+            withClient(e.client(), ClientSide::closeOrTimeOut);
         } else if (effect instanceof Effect.TurnDownTwin e) {
-            client(e.client(), ClientSide::turnDownTwin);
+            withClient(e.client(), ClientSide::rejectDuplicate);
         } else if (effect instanceof Effect.CloseIdleClients) {
-            closing = true;
-            List.copyOf(clients.values()).forEach(ClientSide::closeIfIdle);
+            closingIdleClients = true;
+            List.copyOf(clientConnections.values()).forEach(ClientSide::closeIfIdle);
         } else if (effect instanceof Effect.AnswerCall || effect instanceof Effect.AnswerFigures) {
-            calls.accept(effect);
+            operatorAnswers.accept(effect);
         } else if (effect instanceof Effect.TellOthers || effect instanceof Effect.ShareOut
                 || effect instanceof Effect.MarkChanged) {
-            others.accept(effect);
+            generationEffects.accept(effect);
         } else if (effect instanceof Effect.Log e) {
             log.accept(e.line());
         } else if (effect instanceof Effect.Stop) {
-            stopAsked = true;
+            stopRequested = true;
         }
     }
 
-    private void client(long id, Consumer<ClientSide> call) {
-        ClientSide side = clients.get(id);
+    private void withClient(long id, Consumer<ClientSide> action) {
+        ClientSide side = clientConnections.get(id);
         if (side != null) {
-            call.accept(side);
+            action.accept(side);
         }
     }
 
-    private void askList(Effect.AskList e) {
-        if (list != null && !list.leadsTo(e.address())) {
-            // between two calls the connection to where the list was before is still there
-            hangUpList();
+    private void pollDiscovery(Effect.AskList e) {
+        if (discovery != null && !discovery.isTo(e.address())) {
+            // between polls, the connection to the previous discovery address is still open
+            closeDiscovery();
         }
-        if (listAside != null && !listAside.leadsTo(e.address())) {
-            hangUpListAside();
+        if (supersededDiscovery != null && !supersededDiscovery.isTo(e.address())) {
+            closeSupersededDiscovery();
         }
-        if (list == null) {
-            list = wires.connectToDiscovery(e.address(),
-                    wire -> new DiscoveryConnection(this, lists, e.address(), wire));
+        if (discovery == null) {
+            discovery = wires.connectToDiscovery(e.address(),
+                    wire -> new DiscoveryConnection(this, listReader, e.address(), wire));
         }
-        list.ask(e.since(), e.longest());
+        discovery.poll(e.since(), e.longest());
     }
 
-    private void setListCallAside() {
-        hangUpListAside();
-        listAside = list;
-        list = null;
-        answeredSinceAside = false;
+    private void supersedePoll() {
+        closeSupersededDiscovery();
+        supersededDiscovery = discovery;
+        discovery = null;
+        answeredSinceSuperseded = false;
     }
 
-    private void hangUpList() {
-        if (list != null) {
-            list.hangUp();
-            list = null;
+    private void closeDiscovery() {
+        if (discovery != null) {
+            discovery.close();
+            discovery = null;
         }
     }
 
-    private void hangUpListAside() {
-        if (listAside != null) {
-            listAside.hangUp();
-            listAside = null;
+    private void closeSupersededDiscovery() {
+        if (supersededDiscovery != null) {
+            supersededDiscovery.close();
+            supersededDiscovery = null;
         }
     }
 
     /**
-     * Of two calls for the list the connection of the first that is answered goes on. The other one is read
-     * to its answer all the same: what discovery has written counts as told.
+     * Handles a response to a poll. Of two concurrent polls, the connection of the one answered first is
+     * kept. The other one's response is still read: discovery counts what it has written as delivered.
      */
-    void listCame(DiscoveryConnection side, EndpointList answer) {
-        if (side != listAside) {
-            answeredSinceAside = true;
-            happened(new Event.ListCame(answer));
-        } else if (answeredSinceAside) {
-            hangUpListAside();
-            happened(new Event.LateListCame(answer));
+    void listReceived(DiscoveryConnection side, EndpointList response) {
+        if (side != supersededDiscovery) {
+            answeredSinceSuperseded = true;
+            happened(new Event.ListCame(response));
+        } else if (answeredSinceSuperseded) {
+            closeSupersededDiscovery();
+            happened(new Event.LateListCame(response));
         } else {
             counters.add("list.late_answers");
-            if (list != null && !list.isAsked()) {
-                hangUpList();
+            if (discovery != null && !discovery.isRequestOpen()) {
+                closeDiscovery();
             }
-            listAside = list;
-            list = side;
-            answeredSinceAside = true;
-            happened(new Event.ListCame(answer));
+            supersededDiscovery = discovery;
+            discovery = side;
+            answeredSinceSuperseded = true;
+            happened(new Event.ListCame(response));
         }
     }
 
-    /** The same where the connection ends with the answer: the next call needs another one. */
-    void listCameLast(DiscoveryConnection side, EndpointList answer) {
-        boolean late = side == listAside && answeredSinceAside;
-        listClosed(side);
-        if (side == listAside) {
-            listAside = null;
+    /** The same for a response that ends its connection: the next poll needs a new one. */
+    void lastListReceived(DiscoveryConnection side, EndpointList response) {
+        boolean late = side == supersededDiscovery && answeredSinceSuperseded;
+        discoveryClosed(side);
+        if (side == supersededDiscovery) {
+            supersededDiscovery = null;
         }
-        answeredSinceAside = true;
-        happened(late ? new Event.LateListCame(answer) : new Event.ListCame(answer));
+        answeredSinceSuperseded = true;
+        happened(late ? new Event.LateListCame(response) : new Event.ListCame(response));
     }
 
-    /** A call for the list has failed; where it was set aside, another one is out or will be. */
-    void listFailed(DiscoveryConnection side) {
-        if (side == listAside) {
-            hangUpListAside();
+    /** Handles a failed poll; if it was superseded, another one is open or will be. */
+    void pollFailed(DiscoveryConnection side) {
+        if (side == supersededDiscovery) {
+            closeSupersededDiscovery();
         } else {
             happened(new Event.ListFailed());
         }
     }
 
-    void listClosed(DiscoveryConnection side) {
-        if (list == side) {
-            list = null;
+    void discoveryClosed(DiscoveryConnection side) {
+        if (discovery == side) {
+            discovery = null;
         }
     }
 
     void clientClosed(long id) {
-        clients.remove(id);
+        clientConnections.remove(id);
         happened(new Event.ClientLeft(id));
     }
 
-    void lineClosed(long id) {
-        lines.remove(id);
+    void serverConnectionClosed(long id) {
+        serverConnections.remove(id);
         happened(new Event.LineDown(id));
     }
 
-    /** Counts more, or with a negative number less, of bodies coming in; false if that is too much. */
-    boolean coming(int bytes) {
-        coming += bytes;
-        return coming <= MOST_COMING;
+    /** Adds to the size of incomplete bodies, or subtracts if negative; false if the limit is exceeded. */
+    boolean addIncomingBody(int bytes) {
+        incomingBodyBytes += bytes;
+        return incomingBodyBytes <= MAX_INCOMING_BODY_BYTES;
     }
 
-    /** Whether answers should tell clients to close, and idle ones be closed. */
+    /** Whether responses should tell clients to close, and idle client connections should be closed. */
     boolean leaving() {
         return desk.leaving() || desk.lettingGo() || desk.quiesced();
     }
 
-    /** Whether connections end with their answers, also with those that did not say so. */
-    boolean closingIdle() {
-        return closing && leaving();
+    /** Whether client connections close after a response even if it did not announce that. */
+    boolean closesAfterResponse() {
+        return closingIdleClients && leaving();
     }
 
-    /** Why this router is not ready; empty if it is. */
-    String unready() {
+    /** Why the router is not ready; empty if it is. */
+    String notReadyReason() {
         return desk.unready();
     }
 
-    /** The router's time. */
+    /** The router's clock, in microseconds. */
     long now() {
         return clock.getAsLong();
     }
--- a/src/main/java/yewdock/platform/LoadReports.java
+++ b/src/main/java/yewdock/platform/LoadReports.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import umberspread.Routing.LoadReport;
 
-/** Reads load reports: name=value, between commas. */
+/** Parses load reports: comma-separated name=value pairs. */
 final class LoadReports {
     static final String HEADER = "X-Backend-Load";
     private static final String COMMENT = ":" + HEADER.toLowerCase(Locale.ROOT) + ":";
@@ -13,7 +13,7 @@
     private LoadReports() {
     }
 
-    /** The report in a header's value; null if there is none or it can't be read. */
+    /** Parses a header's value; null if it is absent or malformed. Values that are not reported are NaN. */
     static LoadReport of(String text) {
         if (text == null || text.isBlank()) {
             return null;
@@ -35,11 +35,11 @@
                 value(values, "x1"));
     }
 
-    /** The report in a comment line of a stream, or null. */
+    /** Parses the report in a comment line of an event stream; null if the line holds none. */
     static LoadReport inComment(String line) {
-        String packed = line.replace(" ", "");
-        return packed.regionMatches(true, 0, COMMENT, 0, COMMENT.length())
-                ? of(packed.substring(COMMENT.length())) : null;
+        String compact = line.replace(" ", "");
+        return compact.regionMatches(true, 0, COMMENT, 0, COMMENT.length())
+                ? of(compact.substring(COMMENT.length())) : null;
     }
 
     private static double value(Map<String, Double> values, String name) {
--- a/src/main/java/yewdock/platform/Names.java
+++ b/src/main/java/yewdock/platform/Names.java
@@ -4,15 +4,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** The names that the settings give to what the module knows by numbers. */
+/** Maps the names in the settings to the indexes by which the module knows them. */
 public record Names(Map<String, Integer> classes, Map<String, Integer> municipalities,
         Map<String, Integer> sites, Map<String, Integer> kinds) {
-    /** Each name's place in its list. */
-    static Map<String, Integer> places(List<String> names) {
-        Map<String, Integer> places = new HashMap<>();
+    /** Maps each name to its index in the list; of equal names, the first counts. */
+    static Map<String, Integer> indexesOf(List<String> names) {
+        Map<String, Integer> indexes = new HashMap<>();
         for (int i = 0; i < names.size(); i++) {
-            places.putIfAbsent(names.get(i), i);
+            indexes.putIfAbsent(names.get(i), i);
         }
-        return Map.copyOf(places);
+        return Map.copyOf(indexes);
     }
 }
--- a/src/main/java/yewdock/platform/Side.java
+++ b/src/main/java/yewdock/platform/Side.java
@@ -2,30 +2,30 @@
 
 import java.nio.ByteBuffer;
 
-/** Our end of a connection: what the transport tells of it. */
+/** Receives the events of one connection from the transport. */
 public interface Side {
-    /** The connection is made. */
+    /** The connection is established. */
     void up();
 
-    /** Bytes have come; they are the side's to keep. */
+    /** Bytes have been received; the handler may keep the buffer. */
     void received(ByteBuffer bytes);
 
-    /** The same, with when they came: that may be long past where they have waited for the process. */
+    /** The same, with the time of arrival, which is long past if the process was suspended meanwhile. */
     default void received(ByteBuffer bytes, Arrival arrival) {
         received(bytes);
     }
 
-    /** All that was written up to some call of {@link Wire#write}, this many bytes of it, has left. */
+    /** The bytes of one call of {@link Wire#write}, so many, have all been written to the socket. */
     void written(int bytes);
 
-    /** Of what was written last nothing has left, since it came too late; the connection closes. */
+    /** None of the last write was sent, since it was decided on too long ago; the connection closes. */
     default void notBegun() {
-        // only attempts come too late
+        // only attempts expire before they are written
     }
 
-    /** Nothing has gone over the connection for a good while. */
+    /** The idle time that was set for the connection has passed with no traffic. */
     void idle();
 
-    /** The connection is closed, or could not be made. Comes once. */
+    /** The connection is closed, or could not be established. Called once. */
     void down();
 }
--- a/src/main/java/yewdock/platform/Statuses.java
+++ b/src/main/java/yewdock/platform/Statuses.java
@@ -1,6 +1,6 @@
 package yewdock.platform;
 
-/** The words that go with the statuses that the router gives. */
+/** Reason phrases of the HTTP statuses that the router responds with. */
 final class Statuses {
     private Statuses() {
     }
--- a/src/main/java/yewdock/platform/Wire.java
+++ b/src/main/java/yewdock/platform/Wire.java
@@ -2,36 +2,37 @@
 
 import java.nio.ByteBuffer;
 
-/** A connection as the transport gives it. Its calls return at once; what comes of them reaches its side. */
+/** A connection of the transport. Its methods do not block; their results reach its {@link Side}. */
 public interface Wire {
-    /** Writes, in the order of the calls. */
+    /** Queues bytes to be written, in the order of the calls. */
     void write(ByteBuffer bytes);
 
-    /** Closes now, or gives up connecting. */
+    /** Closes the connection at once, or cancels the attempt to connect. */
     void close();
 
     /**
-     * Closes both ways when all has been written. What crosses the close meets a reset, so that it counts
-     * as never taken: the other side asks anew elsewhere. Half closed, the connection would still take it.
+     * Closes both directions once everything has been written. Bytes that the peer sends meanwhile are
+     * answered by a reset, so the peer knows that they were not accepted and can send them elsewhere. A
+     * half-closed connection would still accept them.
      */
     void closeAfterWriting();
 
-    /** Whether bytes have been read of which the side has yet to hear. */
+    /** Whether bytes have been read that the handler has not received yet. */
     boolean hasUnheard();
 
     /**
-     * Closes a connection on which nothing is asked, unless it has unheard bytes: a request that was read
-     * must be answered. Tells whether it closes.
+     * Closes a connection without an open request, unless bytes were read that the handler has not received:
+     * a request that was read must be answered. Returns whether the connection closes.
      */
     boolean closeUnlessUnheard();
 
     /**
-     * Ends a connection whose other side may still be sending what was turned down: closing on unread
-     * bytes could lose the answer. What still comes is dropped until the other side has closed, or for a
-     * second.
+     * Closes a connection whose peer may still be sending a rejected request: closing over unread bytes
+     * resets the connection and could lose the response. Incoming bytes are dropped until the peer has
+     * closed, or for a second.
      */
     void linger();
 
-    /** Stops reading, or goes on. */
-    void hold(boolean held);
+    /** Pauses or resumes reading from the connection, for flow control. */
+    void hold(boolean paused);
 }
--- a/src/main/java/yewdock/platform/Wires.java
+++ b/src/main/java/yewdock/platform/Wires.java
@@ -2,16 +2,16 @@
 
 import java.util.function.Function;
 
-/** The transport. */
+/** Opens connections and stops the program; implemented over sockets, and by fakes in tests. */
 public interface Wires {
-    /** Begins to connect; the side is told when the connection is up or down. */
+    /** Starts to connect to a server; the handler is told when that has succeeded or failed. */
     <S extends Side> S connect(String address, Function<Wire, S> makeSide);
 
-    /** The same for a connection to discovery: what comes over it goes before all else that waits. */
+    /** The same for a discovery connection, whose events are handled before all others that are queued. */
     default <S extends Side> S connectToDiscovery(String address, Function<Wire, S> makeSide) {
         return connect(address, makeSide);
     }
 
-    /** Writes out what is still to be written, and ends the program. */
+    /** Writes what is still queued and ends the program. */
     void stop();
 }
--- a/src/main/java/yewdock/sockets/AcceptedSessions.java
+++ b/src/main/java/yewdock/sockets/AcceptedSessions.java
@@ -8,27 +8,27 @@
 import yewdock.platform.Side;
 import yewdock.platform.Wire;
 
-/** Events of connections that others made: each gets a wire and a side, and takes room until it is closed. */
+/** Handles accepted connections, each of which holds a permit of the limit until it is closed. */
 final class AcceptedSessions extends IoHandlerAdapter {
     private final SessionEvents events;
-    private final ConnectionRoom room;
+    private final ConnectionLimit limit;
     private final Supplier<SessionWire> makeWire;
-    private final Function<Wire, Side> greet;
+    private final Function<Wire, Side> makeHandler;
 
-    AcceptedSessions(SessionEvents events, ConnectionRoom room, Supplier<SessionWire> makeWire,
-            Function<Wire, Side> greet) {
+    AcceptedSessions(SessionEvents events, ConnectionLimit limit, Supplier<SessionWire> makeWire,
+            Function<Wire, Side> makeHandler) {
         this.events = events;
-        this.room = room;
+        this.limit = limit;
         this.makeWire = makeWire;
-        this.greet = greet;
+        this.makeHandler = makeHandler;
     }
 
     @Override
     public void sessionCreated(IoSession session) {
         SessionWire wire = makeWire.get();
         wire.attachTo(session);
-        session.getCloseFuture().addListener(closed -> room.release());
-        wire.postGreeting(greet);
+        session.getCloseFuture().addListener(closed -> limit.release());
+        wire.postAccepted(makeHandler);
     }
 
     @Override
--- a/src/main/java/yewdock/sockets/BoundedAcceptor.java
+++ b/src/main/java/yewdock/sockets/BoundedAcceptor.java
@@ -11,117 +11,117 @@
 import org.apache.mina.transport.socket.nio.NioSession;
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 
-/** Accepts a connection only when there is room for it; until then it waits in the system's queue. */
+/** Accepts connections up to a limit; more of them wait in the kernel's accept queue. */
 final class BoundedAcceptor extends NioSocketAcceptor {
     private static final int BACKLOG = 512;
 
     private final IoProcessor<NioSession> processor;
-    private final ConnectionRoom room;
-    private final Lingering lingering;
-    /** Whether another process may listen at the same address, each with a queue of its own. */
-    private volatile boolean shares;
-    // set by init, which the constructor above this one calls: no initial value may wipe it out
-    private KnownSelectors selectors;
-    private volatile ServerSocketChannel shared;
+    private final ConnectionLimit limit;
+    private final LingeringClose lingering;
+    /** Whether other processes may listen on the same address (SO_REUSEPORT), each with its own queue. */
+    private volatile boolean sharesAddress;
+    // set in init(), which the superclass's constructor calls: an initializer here would overwrite it
+    private CapturingSelectorProvider selectorProvider;
+    private volatile ServerSocketChannel externalListener;
 
-    BoundedAcceptor(Executor threads, IoProcessor<NioSession> processor, ConnectionRoom room,
-            Lingering lingering) {
-        super(threads, processor);
+    BoundedAcceptor(Executor executor, IoProcessor<NioSession> processor, ConnectionLimit limit,
+            LingeringClose lingering) {
+        super(executor, processor);
         this.processor = processor;
-        this.room = room;
+        this.limit = limit;
         this.lingering = lingering;
         setReuseAddress(true);
         setBacklog(BACKLOG);
     }
 
-    /** Another process may listen at the same address from now on. */
+    /** Lets other processes listen on the same address. To be called before binding. */
     void shareAddress() {
-        shares = true;
-        // MINA would end every connection with the listener
+        sharesAddress = true;
+        // otherwise MINA closes all connections together with the listener
         setCloseOnDeactivation(false);
     }
 
     /**
-     * Connections are taken from a listener that others may take them from too. It is ours to stop with,
-     * never to close: what waits in its queue is for whoever accepts next.
+     * Accepts from a listener that other processes accept from, too. The acceptor may stop accepting, but
+     * never closes the listener: connections in its queue are left to the process that accepts next.
      */
-    void use(ServerSocketChannel listener) {
-        shared = listener;
+    void useListener(ServerSocketChannel listener) {
+        externalListener = listener;
         setCloseOnDeactivation(false);
     }
 
     @Override
-    protected void init(SelectorProvider none) throws Exception {
-        selectors = new KnownSelectors();
-        super.init(selectors);
+    protected void init(SelectorProvider unused) throws Exception {
+        selectorProvider = new CapturingSelectorProvider();
+        super.init(selectorProvider);
     }
 
     @Override
     protected ServerSocketChannel open(SocketAddress address) throws Exception {
-        if (shares) {
-            ServerSocketChannel beside = ServerSocketChannel.open();
+        if (sharesAddress) {
+            ServerSocketChannel channel = ServerSocketChannel.open();
             try {
-                beside.configureBlocking(false);
-                beside.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-                beside.setOption(StandardSocketOptions.SO_REUSEPORT, true);
-                beside.bind(address, BACKLOG);
-                beside.register(selectors.made(), SelectionKey.OP_ACCEPT);
+                channel.configureBlocking(false);
+                channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
+                channel.setOption(StandardSocketOptions.SO_REUSEPORT, true);
+                channel.bind(address, BACKLOG);
+                channel.register(selectorProvider.lastOpened(), SelectionKey.OP_ACCEPT);
             } catch (IOException | RuntimeException e) {
-                beside.close();
+                channel.close();
                 throw e;
             }
-            return beside;
+            return channel;
         }
-        if (shared == null) {
+        if (externalListener == null) {
             return super.open(address);
         }
-        // a key cancelled by an earlier stop must be gone before the listener is registered anew
-        selectors.made().selectNow();
-        shared.configureBlocking(false);
-        shared.register(selectors.made(), SelectionKey.OP_ACCEPT);
-        return shared;
+        // a key that an earlier stop cancelled must be deregistered before the listener is registered again
+        selectorProvider.lastOpened().selectNow();
+        externalListener.configureBlocking(false);
+        externalListener.register(selectorProvider.lastOpened(), SelectionKey.OP_ACCEPT);
+        return externalListener;
     }
 
-    /** Closing a shared listener would take the descriptors of standard output along, too. */
+    /** Only deregisters an external listener: closing it would also close standard output's descriptors. */
     @Override
-    protected void close(ServerSocketChannel listening) throws Exception {
-        if (listening != shared) {
-            takeAllThatWait(listening);
-            super.close(listening);
+    protected void close(ServerSocketChannel listener) throws Exception {
+        if (listener != externalListener) {
+            acceptPending(listener);
+            super.close(listener);
             return;
         }
-        SelectionKey key = listening.keyFor(selectors.made());
+        SelectionKey key = listener.keyFor(selectorProvider.lastOpened());
         if (key != null) {
             key.cancel();
         }
-        selectors.made().wakeup();
+        selectorProvider.lastOpened().wakeup();
     }
 
-    /** Connections in the queue are made as far as their clients know: closing would reset them. */
-    private void takeAllThatWait(ServerSocketChannel listening) throws Exception {
-        selectors.made().selectNow();
-        for (NioSession session = accept(processor, listening); session != null;
-                session = accept(processor, listening)) {
+    /** Accepts what is in the queue: for the clients, it is connected already and closing would reset it. */
+    private void acceptPending(ServerSocketChannel listener) throws Exception {
+        selectorProvider.lastOpened().selectNow();
+        for (NioSession session = accept(processor, listener); session != null;
+                session = accept(processor, listener)) {
             initSession(session, null, null);
             session.getProcessor().add(session);
-            selectors.made().selectNow();
+            selectorProvider.lastOpened().selectNow();
         }
     }
 
     @Override
-    protected NioSession accept(IoProcessor<NioSession> reader, ServerSocketChannel listening)
+    protected NioSession accept(IoProcessor<NioSession> sessionProcessor, ServerSocketChannel listener)
             throws Exception {
-        if (!room.tryAcquire()) {
-            lingering.makeRoom();
-            room.acquire();
+        if (!limit.tryAcquire()) {
+            lingering.closeOldest();
+            limit.acquire();
         }
         NioSession session = null;
         try {
-            // null, where another process was quicker to take the connection
-            session = super.accept(reader, listening);
+            // null if another process has accepted the connection first
+            session = super.accept(sessionProcessor, listener);
         } finally {
             if (session == null) {
-                room.release();
+                limit.release();
             }
         }
         return session;
--- a/src/main/java/yewdock/sockets/KnownSelectors.java
+++ b/src/main/java/yewdock/sockets/CapturingSelectorProvider.java
@@ -9,44 +9,44 @@
 import java.nio.channels.spi.AbstractSelector;
 import java.nio.channels.spi.SelectorProvider;
 
-/** Remembers the selector that MINA keeps to itself: a shared listener must be registered with it. */
-final class KnownSelectors extends SelectorProvider {
-    private final SelectorProvider real = SelectorProvider.provider();
-    private AbstractSelector made;
-
-    /** The selector that was opened last. */
-    AbstractSelector made() {
-        return made;
+/** Gives access to MINA's selector, which it does not expose: external listeners are registered with it. */
+final class CapturingSelectorProvider extends SelectorProvider {
+    private final SelectorProvider delegate = SelectorProvider.provider();
+    private AbstractSelector lastOpened;
+
+    /** Returns the selector that was opened last; null before that. */
+    AbstractSelector lastOpened() {
+        return lastOpened;
     }
 
     @Override
     public AbstractSelector openSelector() throws IOException {
-        made = real.openSelector();
-        return made;
+        lastOpened = delegate.openSelector();
+        return lastOpened;
     }
 
     @Override
     public ServerSocketChannel openServerSocketChannel() throws IOException {
-        return real.openServerSocketChannel();
+        return delegate.openServerSocketChannel();
     }
 
     @Override
     public SocketChannel openSocketChannel() throws IOException {
-        return real.openSocketChannel();
+        return delegate.openSocketChannel();
     }
 
     @Override
     public DatagramChannel openDatagramChannel() throws IOException {
-        return real.openDatagramChannel();
+        return delegate.openDatagramChannel();
     }
 
     @Override
     public DatagramChannel openDatagramChannel(ProtocolFamily family) throws IOException {
-        return real.openDatagramChannel(family);
+        return delegate.openDatagramChannel(family);
     }
 
     @Override
     public Pipe openPipe() throws IOException {
-        return real.openPipe();
+        return delegate.openPipe();
     }
 }
--- a/src/main/java/yewdock/sockets/Clock.java
+++ b/src/main/java/yewdock/sockets/Clock.java
@@ -3,8 +3,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * Microseconds that never go back, counted from the Unix epoch as it was known at the start: times that
- * others give in Unix time need no other conversion.
+ * A monotonic clock in microseconds, which starts at the Unix time of its creation. Unix times from other
+ * sources can be compared with it without conversion.
  */
 public final class Clock implements LongSupplier {
     private final long offset = System.currentTimeMillis() * 1000 - System.nanoTime() / 1000;
--- a/src/main/java/yewdock/sockets/ConnectionPurpose.java
+++ b/src/main/java/yewdock/sockets/ConnectionPurpose.java
@@ -1,4 +1,4 @@
 package yewdock.sockets;
 
-/** Whom a connection leads to. */
+/** The kind of peer at the other end of a connection. */
 enum ConnectionPurpose { CLIENT, OPERATOR, SERVER, DISCOVERY }
--- a/src/main/java/yewdock/sockets/DispatcherLoop.java
+++ b/src/main/java/yewdock/sockets/DispatcherLoop.java
@@ -9,122 +9,125 @@
 import yewdock.sockets.TaskQueue.Task;
 
 /**
- * The one thread on which the front and the desk run: it does what waits in the queue, and what has come due.
+ * The loop of the one thread on which the reducer and all connection handlers run: it runs queued tasks and
+ * fires timers that are due.
  *
- * <p>The process may stand still between any two instructions. News of discovery, clients' ends, requests and
- * answers then wait in sockets beside times that have come. After a pause the news and the ends are read
- * first, then what else has come is done, then what is due.
+ * <p>The process may be suspended between any two instructions. Discovery responses, disconnects of clients,
+ * requests and server responses then wait in sockets while timers become due. After a pause, discovery
+ * responses and disconnects are handled first, then everything else that has arrived, then the timers.
  */
 final class DispatcherLoop {
-    /** A pause of the process that falls into a sleep is not seen: it can't be longer than this. */
-    private static final long LONGEST_SLEEP = 100_000;
-    /** After so long without a look at what has come, the sockets are read before anything else is done. */
-    private static final long LONGEST_WITHOUT_NEWS = 100_000;
-    private static final long READ_MILLIS = 10;
-    /** A shorter pause makes no difference to anyone's time. */
-    private static final long SHORTEST_PAUSE = 50_000;
-    /** So long after a pause all that came in it has been accepted and read. */
-    private static final long READ_AFTER_PAUSE = 100_000;
-    /** For so long nothing else is done while discovery is asked for what a pause may have hidden. */
-    private static final long CATCH_UP = 250_000;
+    /** Longest sleep. A pause of the process within a sleep goes unnoticed; it can't be longer than this. */
+    private static final long MAX_SLEEP_MICROS = 100_000;
+    /** After so long without looking at new input, the sockets are read before anything else is done. */
+    private static final long MAX_UNREAD_MICROS = 100_000;
+    private static final long READ_WAIT_MILLIS = 10;
+    /** Shorter pauses are too short to matter to any timeout and are ignored. */
+    private static final long MIN_PAUSE_MICROS = 50_000;
+    /** So long after a pause, everything that arrived during it has been accepted and read. */
+    private static final long READ_AFTER_PAUSE_MICROS = 100_000;
+    /** How long other tasks wait for discovery's answer on changes during a pause. */
+    private static final long CATCH_UP_MICROS = 250_000;
 
     private final TaskQueue queue;
-    private final WholeReads processor;
+    private final CompleteReadProcessor processor;
     private final LongSupplier clock;
-    /** Takes events to the front. */
-    private final Consumer<Event> happened;
-    /** When the task that is being done was begun: all news that was there before has been read. */
-    private long decidingSince;
-    /** The last time in which the process stood still, and what came then was not read. */
+    /** Dispatches events to the reducer. */
+    private final Consumer<Event> dispatch;
+    /** When the current task started: all urgent input that had arrived before has been handled. */
+    private long taskStartedAt;
+    /** The last period in which the process was suspended and read no input. */
     private long pausedFrom;
     private long pausedUntil;
     private boolean stopped;
 
-    DispatcherLoop(TaskQueue queue, WholeReads processor, LongSupplier clock, Consumer<Event> happened) {
+    DispatcherLoop(TaskQueue queue, CompleteReadProcessor processor, LongSupplier clock,
+            Consumer<Event> dispatch) {
         this.queue = queue;
         this.processor = processor;
         this.clock = clock;
-        this.happened = happened;
+        this.dispatch = dispatch;
     }
 
-    /** When the task that is being done was begun. */
-    long decidingSince() {
-        return decidingSince;
+    /** When the current task started, in microseconds. */
+    long taskStartedAt() {
+        return taskStartedAt;
     }
 
-    /** No more is done after the present task. */
+    /** Ends the loop after the current task. */
     void stop() {
         stopped = true;
     }
 
-    /** Works until it is stopped. */
+    /** Runs until it is stopped. */
     void run(Desk desk) {
-        decidingSince = clock.getAsLong();
+        taskStartedAt = clock.getAsLong();
         while (!stopped) {
             try {
                 step(desk);
             } catch (InterruptedException e) {
-                Logger.warn("the dispatcher's thread was interrupted");
+                Logger.warn("dispatcher thread was interrupted");
             }
         }
     }
 
     private void step(Desk desk) throws InterruptedException {
-        long sleep = Math.max(0, Math.min(desk.nextDue() - clock.getAsLong(), LONGEST_SLEEP));
-        Task task = queue.poll(sleep);
-        // counted from before the last task: the process may have stood still in the midst of it
-        long unread = clock.getAsLong() - decidingSince;
-        if (unread > LONGEST_WITHOUT_NEWS) {
+        long sleepMicros = Math.max(0, Math.min(desk.nextDue() - clock.getAsLong(), MAX_SLEEP_MICROS));
+        Task task = queue.poll(sleepMicros);
+        // counted from before the last task, during which the process may have been suspended
+        long unreadMicros = clock.getAsLong() - taskStartedAt;
+        if (unreadMicros > MAX_UNREAD_MICROS) {
             if (task != null) {
                 queue.putBack(task);
             }
-            catchUp(desk, unread - sleep);
+            catchUp(desk, unreadMicros - sleepMicros);
             task = queue.poll(0);
         }
-        decidingSince = clock.getAsLong();
+        taskStartedAt = clock.getAsLong();
         if (task != null) {
             run(task);
         }
         if (desk.nextDue() <= clock.getAsLong()) {
-            run(new Task(null, () -> happened.accept(new Event.Tick())));
+            run(new Task(null, () -> dispatch.accept(new Event.Tick())));
         }
     }
 
-    /** The process may have stood still for so long; negative where it can't have. */
-    private void catchUp(Desk desk, long pause) throws InterruptedException {
-        if (pause >= SHORTEST_PAUSE) {
+    /** Handles a possible pause of this length; it is negative if the process can't have been suspended. */
+    private void catchUp(Desk desk, long pauseMicros) throws InterruptedException {
+        if (pauseMicros >= MIN_PAUSE_MICROS) {
             pausedUntil = clock.getAsLong();
-            pausedFrom = pausedUntil - pause;
+            pausedFrom = pausedUntil - pauseMicros;
         }
-        readNewsFirst(desk, pause);
-        if (pause >= SHORTEST_PAUSE) {
-            runAllThatWait();
+        runUrgentFirst(desk, pauseMicros);
+        if (pauseMicros >= MIN_PAUSE_MICROS) {
+            runAllQueued();
         }
     }
 
     /**
-     * News of discovery and clients' ends are read before anything else is acted upon. After a pause in which
-     * discovery may have had more to tell than one answer holds, it is asked anew first.
+     * Handles discovery responses and disconnects of clients before anything else. After a pause in which
+     * discovery may have had more changes than one response holds, it is polled again first.
      */
-    private void readNewsFirst(Desk desk, long pause) throws InterruptedException {
-        processor.awaitRead(READ_MILLIS);
+    private void runUrgentFirst(Desk desk, long pauseMicros) throws InterruptedException {
+        processor.awaitRead(READ_WAIT_MILLIS);
         for (Task urgent = queue.pollUrgent(); urgent != null; urgent = queue.pollUrgent()) {
             run(urgent);
         }
-        run(new Task(null, () -> happened.accept(new Event.Resumed(pause))));
-        long until = clock.getAsLong() + CATCH_UP;
-        for (long left = CATCH_UP; desk.catchesUp() && left > 0; left = until - clock.getAsLong()) {
-            Task news = queue.pollUrgent(left);
-            if (news != null) {
-                run(news);
+        run(new Task(null, () -> dispatch.accept(new Event.Resumed(pauseMicros))));
+        long until = clock.getAsLong() + CATCH_UP_MICROS;
+        for (long remaining = CATCH_UP_MICROS; desk.catchesUp() && remaining > 0;
+                remaining = until - clock.getAsLong()) {
+            Task urgent = queue.pollUrgent(remaining);
+            if (urgent != null) {
+                run(urgent);
             }
         }
     }
 
-    /** What came in a pause goes before times that came due in it: an answer that was there is not late. */
-    private void runAllThatWait() throws InterruptedException {
-        for (int left = queue.size(); left > 0; left--) {
-            decidingSince = clock.getAsLong();
+    /** Input from a pause goes before timers that became due in it: what had arrived in time is not late. */
+    private void runAllQueued() throws InterruptedException {
+        for (int remaining = queue.size(); remaining > 0; remaining--) {
+            taskStartedAt = clock.getAsLong();
             Task task = queue.poll(0);
             if (task != null) {
                 run(task);
@@ -132,18 +135,18 @@
         }
     }
 
-    /** When bytes came that were read at this time: in a pause of the process nothing is read. */
+    /** Returns when bytes arrived that were read at this time: possibly as early as the start of a pause. */
     Arrival arrival(long readAt) {
-        boolean mayHaveWaited = readAt > pausedFrom && readAt <= pausedUntil + READ_AFTER_PAUSE;
+        boolean mayHaveWaited = readAt > pausedFrom && readAt <= pausedUntil + READ_AFTER_PAUSE_MICROS;
         return new Arrival(mayHaveWaited ? pausedFrom : readAt, readAt);
     }
 
-    /** One event's fault must not stop the others. */
+    /** Runs a task; a fault in it must not stop the others. */
     private static void run(Task task) {
         try {
             task.work().run();
         } catch (RuntimeException | Error e) {
-            Logger.error(e, "fault in an event");
+            Logger.error(e, "fault in a task");
             if (task.wire() != null) {
                 task.wire().close();
             }
--- /dev/null
+++ b/src/main/java/yewdock/sockets/LingeringClose.java
@@ -0,0 +1,86 @@
+package yewdock.sockets;
+
+import java.io.IOException;
+import java.lang.reflect.Field;
+import java.nio.channels.SocketChannel;
+import java.util.Collections;
+import java.util.Iterator;
+import java.util.LinkedHashSet;
+import java.util.Set;
+import org.apache.mina.core.future.WriteFuture;
+import org.apache.mina.core.session.IoSession;
+import org.apache.mina.transport.socket.nio.NioSession;
+
+/**
+ * Closes connections whose peer may still be sending. Closing with unread bytes resets the connection, and
+ * the peer may lose what was written last. Therefore the output is shut down once everything is written,
+ * further input is read and dropped, and the connection is closed when the peer has closed it, after a
+ * timeout, after too many bytes, or when its descriptor is needed.
+ */
+final class LingeringClose {
+    /** How long to wait for the peer to close. */
+    static final int TIMEOUT_SECONDS = 1;
+    private static final int MAX_DROPPED_BYTES = 4 << 20;
+    /** MINA can't shut down only the output of a connection and does not expose its channel. */
+    private static final Field CHANNEL_FIELD = findChannelField();
+
+    private final int timeoutSeconds;
+    /** The lingering connections, oldest first; used by MINA's threads and the dispatcher's. */
+    private final Set<IoSession> sessions = Collections.synchronizedSet(new LinkedHashSet<>());
+
+    LingeringClose(int timeoutSeconds) {
+        this.timeoutSeconds = timeoutSeconds;
+    }
+
+    private static Field findChannelField() {
+        try {
+            Field field = NioSession.class.getDeclaredField("channel");
+            field.setAccessible(true);
+            return field;
+        } catch (NoSuchFieldException e) {
+            throw new IllegalStateException("this release of MINA has no NioSession.channel", e);
+        }
+    }
+
+    /** Shuts down the output after the last write, or at once if that is null. */
+    void begin(IoSession session, WriteFuture lastWrite) {
+        if (lastWrite == null) {
+            shutDownOutput(session);
+        } else {
+            lastWrite.addListener(written -> shutDownOutput(session));
+        }
+    }
+
+    private void shutDownOutput(IoSession session) {
+        try {
+            ((SocketChannel) CHANNEL_FIELD.get(session)).shutdownOutput();
+        } catch (IOException | IllegalAccessException e) {
+            // already broken or closed
+            session.closeNow();
+            return;
+        }
+        session.getConfig().setWriterIdleTime(timeoutSeconds);
+        sessions.add(session);
+        session.getCloseFuture().addListener(closed -> sessions.remove(session));
+    }
+
+    /** Whether a connection of which so many bytes were dropped may stay open. */
+    boolean mayDrop(int bytes) {
+        return bytes <= MAX_DROPPED_BYTES;
+    }
+
+    /** Closes the connection that has lingered longest, if there is one, to free its descriptor. */
+    void closeOldest() {
+        IoSession oldest = null;
+        synchronized (sessions) {
+            Iterator<IoSession> oldestFirst = sessions.iterator();
+            if (oldestFirst.hasNext()) {
+                oldest = oldestFirst.next();
+                oldestFirst.remove();
+            }
+        }
+        if (oldest != null) {
+            oldest.closeNow();
+        }
+    }
+}
--- a/src/main/java/yewdock/sockets/SessionEvents.java
+++ b/src/main/java/yewdock/sockets/SessionEvents.java
@@ -12,49 +12,49 @@
 import yewdock.platform.Arrival;
 import yewdock.platform.Side;
 
-/** Puts what MINA sees on connections into the dispatcher's queue. */
+/** Queues the events of MINA's sessions as tasks for the dispatcher. */
 class SessionEvents extends IoHandlerAdapter {
-    private final WholeReads processor;
-    private final Lingering lingering;
-    /** Room for bytes in the queue: where there is none, MINA's thread waits and reads no more. */
-    private final Semaphore queueRoom;
+    private final CompleteReadProcessor processor;
+    private final LingeringClose lingering;
+    /** The bytes that may still be queued: if there is no space, MINA's thread blocks and reads no more. */
+    private final Semaphore queueSpace;
     private final LongSupplier clock;
-    /** When bytes came that were read at some time; asked on the dispatcher's thread. */
+    /** Gives the arrival of bytes by the time of their reading; called on the dispatcher's thread. */
     private final LongFunction<Arrival> arrival;
 
-    SessionEvents(WholeReads processor, Lingering lingering, Semaphore queueRoom, LongSupplier clock,
-            LongFunction<Arrival> arrival) {
+    SessionEvents(CompleteReadProcessor processor, LingeringClose lingering, Semaphore queueSpace,
+            LongSupplier clock, LongFunction<Arrival> arrival) {
         this.processor = processor;
         this.lingering = lingering;
-        this.queueRoom = queueRoom;
+        this.queueSpace = queueSpace;
         this.clock = clock;
         this.arrival = arrival;
     }
 
     @Override
     public void sessionOpened(IoSession session) {
-        SessionWire.of(session).postToSide(Side::up);
+        SessionWire.of(session).postToHandler(Side::up);
     }
 
     @Override
     public void messageReceived(IoSession session, Object message) {
         SessionWire wire = SessionWire.of(session);
-        if (hasLeft(wire, session)) {
+        if (clientHasDisconnected(wire, session)) {
             return;
         }
-        ByteBuffer bytes = processor.withAllBehind(session, ((IoBuffer) message).buf());
-        if (wire.isDeaf()) {
+        ByteBuffer bytes = processor.withRemainder(session, ((IoBuffer) message).buf());
+        if (wire.isDroppingInput()) {
             drop(wire, session, bytes.remaining());
         } else if (wire.purpose() == ConnectionPurpose.DISCOVERY) {
-            wire.postToSide(side -> side.received(bytes));
+            wire.postToHandler(side -> side.received(bytes));
         } else {
-            handOn(wire, bytes);
+            enqueue(wire, bytes);
         }
     }
 
-    /** Whether this is from a client that has gone since: what it asks for must not be begun. */
-    private static boolean hasLeft(SessionWire wire, IoSession session) {
-        return wire.purpose() == ConnectionPurpose.CLIENT && WholeReads.hasEnded(session);
+    /** Whether the sender is a client that has disconnected since: no attempt must be started for it. */
+    private static boolean clientHasDisconnected(SessionWire wire, IoSession session) {
+        return wire.purpose() == ConnectionPurpose.CLIENT && CompleteReadProcessor.isAtEnd(session);
     }
 
     private void drop(SessionWire wire, IoSession session, int size) {
@@ -63,35 +63,35 @@
         }
     }
 
-    private void handOn(SessionWire wire, ByteBuffer bytes) {
+    private void enqueue(SessionWire wire, ByteBuffer bytes) {
         int size = bytes.remaining();
         long readAt = clock.getAsLong();
-        wire.messageRead();
-        queueRoom.acquireUninterruptibly(size);
-        wire.postMessage(side -> side.received(bytes, arrival.apply(readAt)), () -> queueRoom.release(size));
+        wire.countUndelivered();
+        queueSpace.acquireUninterruptibly(size);
+        wire.postMessage(side -> side.received(bytes, arrival.apply(readAt)), () -> queueSpace.release(size));
     }
 
     @Override
     public void messageSent(IoSession session, Object message) {
         int bytes = ((IoBuffer) message).limit();
-        SessionWire.of(session).postToSide(side -> side.written(bytes));
+        SessionWire.of(session).postToHandler(side -> side.written(bytes));
     }
 
-    /** Only a connection that lingers has an idle time, and one that operators made. */
+    /** Only lingering connections and those of operators have an idle time. */
     @Override
     public void sessionIdle(IoSession session, IdleStatus status) {
-        SessionWire.of(session).postToSide(Side::idle);
+        SessionWire.of(session).postToHandler(Side::idle);
     }
 
     @Override
     public void sessionClosed(IoSession session) {
-        SessionWire.of(session).postDown();
+        SessionWire.of(session).postClosed();
     }
 
-    /** Resets and the like; the session closes, and that is what counts. */
+    /** Closes the session after a reset or another I/O error; its end is reported by sessionClosed(). */
     @Override
     public void exceptionCaught(IoSession session, Throwable cause) {
-        Logger.debug(cause, "a connection broke");
+        Logger.debug(cause, "connection failed");
         session.closeNow();
     }
 }
--- a/src/main/java/yewdock/sockets/SessionWire.java
+++ b/src/main/java/yewdock/sockets/SessionWire.java
@@ -15,78 +15,79 @@
 import yewdock.sockets.TaskQueue.Task;
 
 /**
- * A connection of MINA's. Its calls come from the dispatcher's thread, its session from MINA's. What MINA
- * sees reaches its side as tasks in the dispatcher's queue.
+ * A connection over a MINA session. Its methods are called on the dispatcher's thread; MINA's threads report
+ * events, which reach the handler as tasks in the dispatcher's queue.
  */
 final class SessionWire implements Wire {
     private static final AttributeKey WIRE = new AttributeKey(SessionWire.class, "wire");
 
     private final ConnectionPurpose purpose;
     private final TaskQueue queue;
-    private final Lingering lingering;
-    /** When the task that the dispatcher does now was begun. */
-    private final LongSupplier decidingSince;
-    /** When what is written to it was decided on, by what was known then. */
+    private final LingeringClose lingering;
+    /** Gives the time at which the dispatcher's current task started. */
+    private final LongSupplier taskStartedAt;
+    /** When the task that did the last write started: the write is based on what was known then. */
     private volatile long decidedAt;
     private volatile IoSession session;
-    private ConnectFuture connecting;
+    private ConnectFuture connectFuture;
     private Side side;
-    private boolean isDown;
-    /** What was written last; null if nothing was. */
-    private WriteFuture last;
-    /** Whether what comes is dropped, and how much of it has come. */
-    private volatile boolean deaf;
-    private int dropped;
-    /** How many messages have been read of which the side has yet to hear. */
-    private final AtomicInteger unheard = new AtomicInteger();
-
-    SessionWire(ConnectionPurpose purpose, TaskQueue queue, Lingering lingering, LongSupplier decidingSince) {
+    private boolean isClosed;
+    /** The last write; null if there was none. */
+    private WriteFuture lastWrite;
+    /** Whether input is dropped, and how many bytes of it have been. */
+    private volatile boolean droppingInput;
+    private int droppedBytes;
+    /** How many messages have been read that the handler has not received yet. */
+    private final AtomicInteger undelivered = new AtomicInteger();
+
+    SessionWire(ConnectionPurpose purpose, TaskQueue queue, LingeringClose lingering,
+            LongSupplier taskStartedAt) {
         this.purpose = purpose;
         this.queue = queue;
         this.lingering = lingering;
-        this.decidingSince = decidingSince;
+        this.taskStartedAt = taskStartedAt;
     }
 
-    /** The wire of a session; null if it has none yet. */
+    /** Returns the connection of a session; null if it has none yet. */
     static SessionWire of(IoSession session) {
         return (SessionWire) session.getAttribute(WIRE);
     }
 
-    /** This is the session's wire from now on. */
-    void attachTo(IoSession made) {
-        session = made;
-        made.setAttribute(WIRE, this);
+    /** Sets the session, and this as its connection. */
+    void attachTo(IoSession newSession) {
+        session = newSession;
+        newSession.setAttribute(WIRE, this);
     }
 
-    /** Its side hears of what comes; done on the dispatcher's thread or before anything can come. */
-    void tellTo(Side hears) {
-        side = hears;
+    /** Sets the handler; called on the dispatcher's thread or before any event can occur. */
+    void setHandler(Side newHandler) {
+        side = newHandler;
     }
 
-    void connectingAs(ConnectFuture future) {
-        connecting = future;
+    void setConnectFuture(ConnectFuture future) {
+        connectFuture = future;
     }
 
     ConnectionPurpose purpose() {
         return purpose;
     }
 
-    boolean isDeaf() {
-        return deaf;
+    boolean isDroppingInput() {
+        return droppingInput;
     }
 
-    /** When what was written last was decided on. */
+    /** When the task that did the last write started, in microseconds. */
     long decidedAt() {
         return decidedAt;
     }
 
-    /** Counts bytes that are dropped; returns how many there have been. */
+    /** Counts dropped bytes and returns their total. */
     int drop(int bytes) {
-        dropped += bytes;
-        return dropped;
+        droppedBytes += bytes;
+        return droppedBytes;
     }
 
-    /** Has the dispatcher do this, before other work if it is news of discovery. */
+    /** Queues a task for the dispatcher; those of discovery connections are urgent. */
     void post(Runnable work) {
         Task task = new Task(this, work);
         if (purpose == ConnectionPurpose.DISCOVERY) {
@@ -96,87 +97,87 @@
         }
     }
 
-    /** Has the dispatcher do this for the connection's side, unless it is down by then. */
-    void postToSide(Consumer<Side> work) {
-        post(() -> tell(work));
+    /** Queues a call of the handler, which is skipped if the connection is closed by then. */
+    void postToHandler(Consumer<Side> work) {
+        post(() -> callHandler(work));
     }
 
-    private void tell(Consumer<Side> work) {
-        if (!isDown && side != null) {
+    private void callHandler(Consumer<Side> work) {
+        if (!isClosed && side != null) {
             work.accept(side);
         }
     }
 
-    /** A message has been read, of which the side hears when it is posted and done. */
-    void messageRead() {
-        unheard.incrementAndGet();
+    /** Counts a message that has been read and not been passed to the handler. */
+    void countUndelivered() {
+        undelivered.incrementAndGet();
     }
 
-    /** Has the dispatcher hand on the message, after this. */
-    void postMessage(Consumer<Side> work, Runnable before) {
+    /** Queues a call of the handler with a message; {@code first} runs before it in any case. */
+    void postMessage(Consumer<Side> work, Runnable first) {
         post(() -> {
-            before.run();
-            unheard.decrementAndGet();
-            tell(work);
+            first.run();
+            undelivered.decrementAndGet();
+            callHandler(work);
         });
     }
 
-    /** Its side hears that the connection has come, if it has not gone by then. */
-    void postGreeting(Function<Wire, Side> greet) {
+    /** Queues the creation of the handler of an accepted connection, unless it is closed by then. */
+    void postAccepted(Function<Wire, Side> makeHandler) {
         post(() -> {
-            if (!isDown) {
-                side = greet.apply(this);
+            if (!isClosed) {
+                side = makeHandler.apply(this);
             }
         });
     }
 
     /**
-     * The connection is closed. A client is gone at once, before all that waits to be done: what still came
-     * of its bytes would begin attempts that nobody waits for. Of others, what came before their end still
-     * counts: an answer, an operator's call.
+     * Queues the end of the connection. That of a client is urgent: handling its remaining bytes first would
+     * start attempts for nobody. Bytes that other peers sent before their end, such as a server's response or
+     * an operator's command, still count.
      */
-    void postDown() {
+    void postClosed() {
         if (purpose == ConnectionPurpose.CLIENT) {
-            queue.addUrgent(new Task(this, this::down));
+            queue.addUrgent(new Task(this, this::closed));
         } else {
-            post(this::down);
+            post(this::closed);
         }
     }
 
     @Override
     public void write(ByteBuffer bytes) {
-        decidedAt = decidingSince.getAsLong();
-        last = session.write(IoBuffer.wrap(bytes));
+        decidedAt = taskStartedAt.getAsLong();
+        lastWrite = session.write(IoBuffer.wrap(bytes));
     }
 
     @Override
     public void close() {
         if (session != null) {
             session.closeNow();
-        } else if (connecting != null) {
-            connecting.cancel();
+        } else if (connectFuture != null) {
+            connectFuture.cancel();
         } else {
-            // The connecting itself failed in some unforeseen way: its side must still hear of the end.
-            post(this::down);
+            // Connecting failed in an unexpected way: the handler must still be told of the end.
+            post(this::closed);
         }
     }
 
     @Override
     public void closeAfterWriting() {
-        if (!deaf) {
-            deaf = true;
+        if (!droppingInput) {
+            droppingInput = true;
             session.closeOnFlush();
         }
     }
 
     @Override
     public boolean hasUnheard() {
-        return unheard.get() > 0;
+        return undelivered.get() > 0;
     }
 
     @Override
     public boolean closeUnlessUnheard() {
-        // what is not read from now on meets the close
+        // bytes that are not read from now on are answered by a reset
         session.suspendRead();
         if (hasUnheard()) {
             session.resumeRead();
@@ -188,24 +189,24 @@
 
     @Override
     public void linger() {
-        if (!deaf) {
-            deaf = true;
-            lingering.begin(session, last);
+        if (!droppingInput) {
+            droppingInput = true;
+            lingering.begin(session, lastWrite);
         }
     }
 
     @Override
-    public void hold(boolean held) {
-        if (held) {
+    public void hold(boolean paused) {
+        if (paused) {
             session.suspendRead();
         } else {
             session.resumeRead();
         }
     }
 
-    private void down() {
-        if (!isDown) {
-            isDown = true;
+    private void closed() {
+        if (!isClosed) {
+            isClosed = true;
             if (side != null) {
                 side.down();
             }
--- a/src/main/java/yewdock/sockets/Signals.java
+++ b/src/main/java/yewdock/sockets/Signals.java
@@ -4,25 +4,25 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Takes SIGHUP, which otherwise ends the JVM. Java's only way to take a signal is {@code sun.misc.Signal}.
- * The module jdk.unsupported exports it for good, but every mention of it in source text is a compiler
- * warning that can't be silenced, and warnings are errors here: hence the reflection, here and nowhere else.
+ * Handles SIGHUP, which otherwise ends the JVM. Java's only API for that is {@code sun.misc.Signal}, which
+ * the module jdk.unsupported exports permanently. Each use of it in source code causes a compiler warning
+ * that can't be suppressed, and warnings are errors in this build: hence the reflection, here and only here.
  */
 public final class Signals {
     private Signals() {
     }
 
     /**
-     * Runs the task at each SIGHUP, on a thread of its own. False if this machine has no such signal, or
-     * if it was ignored when the process was started, as nohup has it: the JVM then leaves it ignored, and
-     * says so only by what it returns.
+     * Runs the task at each SIGHUP, on a separate thread. Returns false if the system has no such signal, or
+     * if it was ignored when the process was started, for example by nohup: the JVM then leaves it ignored,
+     * which shows only in the returned previous handler.
      */
     public static boolean onHangUp(Runnable task) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Method handle = signal.getMethod("handle", signal, handler);
-            Object ours = Proxy.newProxyInstance(handler.getClassLoader(), new Class<?>[] {handler},
+            Method handleMethod = signal.getMethod("handle", signal, handler);
+            Object ourHandler = Proxy.newProxyInstance(handler.getClassLoader(), new Class<?>[] {handler},
                     (proxy, method, args) -> switch (method.getName()) {
                         case "handle" -> {
                             task.run();
@@ -32,8 +32,9 @@
                         case "hashCode" -> System.identityHashCode(proxy);
                         default -> "SIGHUP";
                     });
-            Object before = handle.invoke(null, signal.getConstructor(String.class).newInstance("HUP"), ours);
-            return before != handler.getField("SIG_IGN").get(null);
+            Object previous = handleMethod.invoke(null,
+                    signal.getConstructor(String.class).newInstance("HUP"), ourHandler);
+            return previous != handler.getField("SIG_IGN").get(null);
         } catch (ReflectiveOperationException e) {
             return false;
         }
--- a/src/main/java/yewdock/sockets/Sockets.java
+++ b/src/main/java/yewdock/sockets/Sockets.java
@@ -25,109 +25,111 @@
 import yewdock.sockets.TaskQueue.Task;
 
 /**
- * The transport: MINA's sockets, and the one thread on which the front and the desk run. What MINA's
- * threads see goes into a queue in the order in which they see it; nothing else crosses between the threads.
+ * The transport over Apache MINA, and the one thread on which the reducer and all connection handlers run.
+ * MINA's threads queue events for it in the order of their occurrence; the threads share nothing else.
  */
 public final class Sockets implements Wires {
     /**
-     * Clients beyond the desk's bound by more than this are not accepted: they wait until the desk has closed
-     * others. Out of descriptors, accepting fails and nobody is served.
+     * Clients that may be accepted above the reducer's limit, while it closes others; more of them wait.
+     * Without this limit the process could run out of descriptors, and accepting would fail.
      */
-    private static final int CLOSING_CLIENTS = 24;
-    /** So many bytes may wait in the queue before no more is read: MINA reads faster than the desk. */
-    private static final int MOST_QUEUED = 4 << 20;
-    private static final int LARGEST_READ = 16 * 1024;
-    private static final long LAST_WRITES_MILLIS = 300;
-    /** Writing out takes less, also on a machine that is busy. */
-    private static final long LEAST_ATTEMPTS_WAIT = 50_000;
-    /** Later than this its client may long have gone, and has less time left than the attempt says. */
-    private static final long MOST_ATTEMPTS_WAIT = 100_000;
+    private static final int MAX_CLOSING_CLIENTS = 24;
+    /** Bytes that may be queued before reading stops: MINA reads faster than the dispatcher handles them. */
+    private static final int MAX_QUEUED_BYTES = 4 << 20;
+    private static final int MAX_READ_BYTES = 16 * 1024;
+    private static final long FINAL_WRITES_MILLIS = 300;
+    /** Least time for an attempt to be written; writes take less even on a busy machine. */
+    private static final long MIN_WRITE_DELAY_MICROS = 50_000;
+    /** Beyond this, the client may have gone, and has less time left than the attempt's timeout says. */
+    private static final long MAX_WRITE_DELAY_MICROS = 100_000;
 
     private final TaskQueue queue = new TaskQueue();
-    private final ExecutorService threads = Executors.newCachedThreadPool(task -> {
+    private final ExecutorService executor = Executors.newCachedThreadPool(task -> {
         Thread thread = new Thread(task, "mina");
         thread.setDaemon(true);
         return thread;
     });
     private final BoundedAcceptor acceptor;
     private final NioSocketConnector connector;
-    private final WholeReads processor;
-    private final Lingering lingering;
-    private final ConnectionRoom room;
-    private final Semaphore queueRoom = new Semaphore(MOST_QUEUED);
-    private final CountDownLatch ended = new CountDownLatch(1);
+    private final CompleteReadProcessor processor;
+    private final LingeringClose lingering;
+    private final ConnectionLimit clientLimit;
+    private final Semaphore queueSpace = new Semaphore(MAX_QUEUED_BYTES);
+    private final CountDownLatch stopped = new CountDownLatch(1);
     private final Clock clock = new Clock();
-    private final long attemptsWait;
+    private final long maxWriteDelayMicros;
     private final DispatcherLoop loop;
     private final SessionEvents events;
     private volatile Front front;
 
     /**
-     * Sockets for so many clients at once. An attempt of which nothing has been written within half of the
-     * time in which drains must be kept, or 0.1 s, is not begun: the process stood still meanwhile.
+     * Makes a transport for so many clients at once. An attempt of which nothing has been written within half
+     * of the drain grace, at most 0.1 s, is not started: the process was suspended meanwhile.
      */
-    public Sockets(int mostClients, long drainGrace) {
-        this(mostClients, drainGrace, Lingering.SECONDS);
+    public Sockets(int maxClients, long drainGraceMicros) {
+        this(maxClients, drainGraceMicros, LingeringClose.TIMEOUT_SECONDS);
     }
 
-    /** The same, lingering for so long. */
-    Sockets(int mostClients, long drainGrace, int lingerSeconds) {
-        attemptsWait = Math.max(LEAST_ATTEMPTS_WAIT, Math.min(MOST_ATTEMPTS_WAIT, drainGrace / 2));
-        lingering = new Lingering(lingerSeconds);
-        room = new ConnectionRoom(mostClients + CLOSING_CLIENTS);
-        // One processor for all: the router has one core.
-        processor = new WholeReads(threads, this::tooLate, Sockets::isClient);
+    /** The same with another timeout for lingering closes. */
+    Sockets(int maxClients, long drainGraceMicros, int lingerSeconds) {
+        maxWriteDelayMicros = Math.max(MIN_WRITE_DELAY_MICROS,
+                Math.min(MAX_WRITE_DELAY_MICROS, drainGraceMicros / 2));
+        lingering = new LingeringClose(lingerSeconds);
+        clientLimit = new ConnectionLimit(maxClients + MAX_CLOSING_CLIENTS);
+        // a single processor, as the router has one core
+        processor = new CompleteReadProcessor(executor, this::isExpiredAttempt, Sockets::isClient);
         loop = new DispatcherLoop(queue, processor, clock, event -> front.happened(event));
-        events = new SessionEvents(processor, lingering, queueRoom, clock, loop::arrival);
-        acceptor = acceptor(room, ConnectionPurpose.CLIENT, wire -> front.accept(wire));
-        connector = new NioSocketConnector(threads, processor);
+        events = new SessionEvents(processor, lingering, queueSpace, clock, loop::arrival);
+        acceptor = acceptor(clientLimit, ConnectionPurpose.CLIENT, wire -> front.accept(wire));
+        connector = new NioSocketConnector(executor, processor);
         connector.setHandler(events);
-        // Time-outs of connecting are the desk's; MINA's own must never come first.
+        // the reducer times connecting; MINA's own timeout must never come first
         connector.setConnectTimeoutMillis(TimeUnit.HOURS.toMillis(1));
         configure(connector.getSessionConfig());
     }
 
-    /** Accepts connections that lead to such peers, while there is room. */
-    private BoundedAcceptor acceptor(ConnectionRoom space, ConnectionPurpose purpose,
-            Function<Wire, Side> greet) {
-        BoundedAcceptor made = new BoundedAcceptor(threads, processor, space, lingering);
-        made.setHandler(new AcceptedSessions(events, space, () -> wire(purpose), greet));
-        configure(made.getSessionConfig());
-        return made;
+    /** Makes an acceptor of connections of this kind, up to the limit. */
+    private BoundedAcceptor acceptor(ConnectionLimit limit, ConnectionPurpose purpose,
+            Function<Wire, Side> makeHandler) {
+        BoundedAcceptor newAcceptor = new BoundedAcceptor(executor, processor, limit, lingering);
+        newAcceptor.setHandler(new AcceptedSessions(events, limit, () -> wire(purpose), makeHandler));
+        configure(newAcceptor.getSessionConfig());
+        return newAcceptor;
     }
 
     private SessionWire wire(ConnectionPurpose purpose) {
-        return new SessionWire(purpose, queue, lingering, loop::decidingSince);
+        return new SessionWire(purpose, queue, lingering, loop::taskStartedAt);
     }
 
     private static void configure(SocketSessionConfig config) {
         config.setTcpNoDelay(true);
-        config.setMaxReadBufferSize(LARGEST_READ);
+        config.setMaxReadBufferSize(MAX_READ_BYTES);
     }
 
+    /** The clock of the transport and the reducer. */
     public Clock clock() {
         return clock;
     }
 
-    /** Listens, and serves until told to stop. */
+    /** Starts the reducer, listens for clients and serves until stopped. */
     public void serve(String address, Front front, Desk desk) throws IOException {
         this.front = front;
         front.start();
         acceptor.bind(Addresses.of(address));
         Logger.info("listens on {}", acceptor.getLocalAddress());
-        work(desk);
+        runLoop(desk);
     }
 
-    /** Serves until told to stop, but takes no connections before {@link #accept}. */
+    /** Runs {@code start} and serves until stopped; accepts no clients before {@link #accept}. */
     public void serveLater(Runnable start, Front front, Desk desk) {
         this.front = front;
         start.run();
-        work(desk);
+        runLoop(desk);
     }
 
     /**
-     * Listens for clients beside another process that does, where both share the address. Called on the
-     * desk's thread; returns the address, which a port of 0 has been replaced in.
+     * Listens for clients on an address that other processes may listen on, too. Called on the dispatcher's
+     * thread. Returns the address, with the actual port in place of a port of 0.
      */
     public String listenBeside(String address) throws IOException {
         acceptor.shareAddress();
@@ -138,38 +140,39 @@
     }
 
     /**
-     * Listens there too, for so many callers at once, each of which is given up when it says nothing for so
-     * many seconds. Called before the desk's thread serves.
+     * Listens for operators, for so many connections at once; one that sends nothing for so many seconds is
+     * reported as idle. Called before serving starts.
      */
-    public void listenAlso(String address, int most, int patience, Function<Wire, Side> greet)
-            throws IOException {
-        BoundedAcceptor also = acceptor(new ConnectionRoom(most), ConnectionPurpose.OPERATOR, greet);
-        also.getSessionConfig().setReaderIdleTime(patience);
-        also.bind(Addresses.of(address));
-        Logger.info("operators call {}", also.getLocalAddress());
+    public void listenAlso(String address, int maxConnections, int idleSeconds,
+            Function<Wire, Side> makeHandler) throws IOException {
+        BoundedAcceptor operatorAcceptor = acceptor(new ConnectionLimit(maxConnections),
+                ConnectionPurpose.OPERATOR, makeHandler);
+        operatorAcceptor.getSessionConfig().setReaderIdleTime(idleSeconds);
+        operatorAcceptor.bind(Addresses.of(address));
+        Logger.info("operators call {}", operatorAcceptor.getLocalAddress());
     }
 
-    /** How many bytes of clients and servers wait for the desk's thread. */
+    /** How many bytes of clients and servers are queued for the dispatcher. */
     int queuedBytes() {
-        return MOST_QUEUED - queueRoom.availablePermits();
+        return MAX_QUEUED_BYTES - queueSpace.availablePermits();
     }
 
-    /** How many connections of clients there are. */
+    /** How many client connections are open. */
     int connectionsAccepted() {
         return acceptor.getManagedSessionCount();
     }
 
-    /** How many ends of clients, and how much of discovery's, wait for the desk's thread. */
+    /** How many urgent tasks are queued: disconnects of clients and events of discovery connections. */
     int urgentWaiting() {
         return queue.urgentSize();
     }
 
-    /** Has the desk's thread do this, after all that has come before it; any thread may call it. */
+    /** Queues work for the dispatcher's thread, behind all earlier tasks; any thread may call it. */
     public void post(Runnable work) {
         queue.add(new Task(null, work));
     }
 
-    /** The same after so long. */
+    /** The same after a delay. */
     public void postAfter(long millis, Runnable work) {
         Thread timer = new Thread(() -> {
             try {
@@ -184,38 +187,38 @@
     }
 
     /**
-     * Takes connections from a listener that others may take them from too. Ours to stop with, never to
-     * close: what waits in its queue is for whoever accepts next. Called on the desk's thread.
+     * Accepts clients from a listener that other processes may accept from, too. It is never closed here:
+     * connections in its queue are left to the process that accepts next. Called on the dispatcher's thread.
      */
     public void accept(ServerSocketChannel listener) throws IOException {
-        acceptor.use(listener);
+        acceptor.useListener(listener);
         acceptor.bind(listener.getLocalAddress());
     }
 
-    /** Takes no more connections; those that are there go on. Called on the desk's thread. */
+    /** Stops accepting clients; open connections stay. Called on the dispatcher's thread. */
     public void stopAccepting() {
-        // the acceptor's thread may be waiting for room, and unbinding waits for it
-        room.release(Short.MAX_VALUE);
+        // the acceptor's thread may be waiting for a permit, and unbinding waits for that thread
+        clientLimit.release(Short.MAX_VALUE);
         acceptor.unbind();
-        room.shrink(Short.MAX_VALUE);
+        clientLimit.shrink(Short.MAX_VALUE);
     }
 
-    private void work(Desk desk) {
+    private void runLoop(Desk desk) {
         loop.run(desk);
-        writeOut();
-        ended.countDown();
+        flushAndClose();
+        stopped.countDown();
     }
 
-    /** Hands a new configuration to the front; any thread may call it. */
+    /** Applies a new configuration; any thread may call it. */
     public void reconfigure(Config config) {
         queue.add(new Task(null, () -> front.reconfigure(config)));
     }
 
-    /** Tells the desk to leave, and waits until nothing is owed any more. */
+    /** Starts a graceful shutdown and waits until all open requests are finished. */
     public void leave() {
         queue.add(new Task(null, () -> front.happened(new Event.Leave())));
         try {
-            ended.await();
+            stopped.await();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -226,18 +229,18 @@
         loop.stop();
     }
 
-    private void writeOut() {
-        // The acceptor's thread may be waiting for room.
-        room.release(Short.MAX_VALUE);
+    private void flushAndClose() {
+        // the acceptor's thread may be waiting for a permit
+        clientLimit.release(Short.MAX_VALUE);
         acceptor.setCloseOnDeactivation(false);
         acceptor.unbind();
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LAST_WRITES_MILLIS);
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(FINAL_WRITES_MILLIS);
         for (IoSession session : acceptor.getManagedSessions().values()) {
             SessionWire.of(session).closeAfterWriting();
         }
         for (IoSession session : acceptor.getManagedSessions().values()) {
             session.getCloseFuture().awaitUninterruptibly(
-                    Math.max(0, TimeUnit.NANOSECONDS.toMillis(end - System.nanoTime())));
+                    Math.max(0, TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime())));
         }
     }
 
@@ -253,13 +256,13 @@
 
     private <S extends Side> S connect(String address, Function<Wire, S> makeSide, SessionWire wire) {
         S side = makeSide.apply(wire);
-        wire.tellTo(side);
-        InetSocketAddress to = Addresses.of(address);
-        ConnectFuture future = connector.connect(to, (session, connecting) -> wire.attachTo(session));
-        wire.connectingAs(future);
+        wire.setHandler(side);
+        InetSocketAddress target = Addresses.of(address);
+        ConnectFuture future = connector.connect(target, (session, connecting) -> wire.attachTo(session));
+        wire.setConnectFuture(future);
         future.addListener(done -> {
             if (!future.isConnected()) {
-                wire.postDown();
+                wire.postClosed();
             }
         });
         return side;
@@ -269,13 +272,13 @@
         return SessionWire.of(session).purpose() == ConnectionPurpose.CLIENT;
     }
 
-    /** Whether what is to be written is an attempt that was decided too long ago; its side is told. */
-    private boolean tooLate(IoSession session) {
+    /** Whether the next write is an attempt that was decided on too long ago; tells its handler if so. */
+    private boolean isExpiredAttempt(IoSession session) {
         SessionWire wire = SessionWire.of(session);
         boolean late = wire.purpose() == ConnectionPurpose.SERVER
-                && clock.getAsLong() - wire.decidedAt() > attemptsWait;
+                && clock.getAsLong() - wire.decidedAt() > maxWriteDelayMicros;
         if (late) {
-            wire.postToSide(Side::notBegun);
+            wire.postToHandler(Side::notBegun);
         }
         return late;
     }
--- a/src/main/java/yewdock/sockets/TaskQueue.java
+++ b/src/main/java/yewdock/sockets/TaskQueue.java
@@ -7,20 +7,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What waits for the dispatcher's thread, in the order in which it came. News of discovery and the ends of
- * clients are urgent: they go before all that waits, in an order of their own, for neither a server that
- * drains nor a client that has left is to see the start of an attempt for what came earlier. Any thread may
- * add.
+ * The queue of the dispatcher's tasks, in the order of their arrival. Discovery responses and disconnects of
+ * clients are urgent: they go before all others, in their own order, so that no earlier task starts an
+ * attempt to a server that drains or for a client that has left. Any thread may add tasks.
  */
 final class TaskQueue {
-    /** Work to do; the wire is the connection that it concerns, or null. */
+    /** Work to do; the wire is the connection that it concerns and that a fault closes, or null. */
     record Task(SessionWire wire, Runnable work) {
     }
 
-    /** Wakes whoever waits for the other tasks; the urgent ones were taken before it. */
+    /** Wakes the thread that waits in {@link #poll}; urgent tasks are taken from their own queue. */
     private static final Task WAKE_UP = new Task(null, () -> { });
 
-    private static final long URGENT_LOOK_MICROS = 1_000;
+    private static final long URGENT_POLL_MICROS = 1_000;
 
     private final BlockingDeque<Task> tasks = new LinkedBlockingDeque<>();
     private final Queue<Task> urgent = new ConcurrentLinkedQueue<>();
@@ -29,7 +28,7 @@
         tasks.add(task);
     }
 
-    /** A task that was polled and not done is the first again, after the urgent ones. */
+    /** Puts a polled task that was not run back to the front, behind the urgent ones. */
     void putBack(Task task) {
         tasks.addFirst(task);
     }
@@ -39,46 +38,46 @@
         tasks.addFirst(WAKE_UP);
     }
 
-    /** How many wait that are not urgent. */
+    /** The number of queued tasks that are not urgent. */
     int size() {
         return tasks.size();
     }
 
-    /** How many urgent ones wait. */
+    /** The number of queued urgent tasks. */
     int urgentSize() {
         return urgent.size();
     }
 
-    /** The next urgent task; null if none waits. */
+    /** Takes the next urgent task; null if there is none. */
     Task pollUrgent() {
         return urgent.poll();
     }
 
-    /** The next urgent task, waited for; null if none comes so soon. What is not urgent keeps its place. */
-    Task pollUrgent(long micros) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.MICROSECONDS.toNanos(micros);
+    /** Waits for the next urgent task; null on timeout. The other tasks keep their places. */
+    Task pollUrgent(long timeoutMicros) throws InterruptedException {
+        long until = System.nanoTime() + TimeUnit.MICROSECONDS.toNanos(timeoutMicros);
         Task task = urgent.poll();
         while (task == null && System.nanoTime() < until) {
-            TimeUnit.MICROSECONDS.sleep(Math.min(micros, URGENT_LOOK_MICROS));
+            TimeUnit.MICROSECONDS.sleep(Math.min(timeoutMicros, URGENT_POLL_MICROS));
             task = urgent.poll();
         }
         return task;
     }
 
-    /** The next task, waited for; null if none comes so soon. */
-    Task poll(long micros) throws InterruptedException {
+    /** Waits for the next task; null on timeout. */
+    Task poll(long timeoutMicros) throws InterruptedException {
         Task first = urgent.poll();
         if (first != null) {
             return first;
         }
-        Task task = micros > 0 ? tasks.poll(micros, TimeUnit.MICROSECONDS) : tasks.poll();
-        Task came = urgent.poll();
-        if (came == null) {
+        Task task = timeoutMicros > 0 ? tasks.poll(timeoutMicros, TimeUnit.MICROSECONDS) : tasks.poll();
+        Task lateUrgent = urgent.poll();
+        if (lateUrgent == null) {
             return task;
         }
         if (task != null && task != WAKE_UP) {
             tasks.addFirst(task);
         }
-        return came;
+        return lateUrgent;
     }
 }
--- a/src/test/java/yewdock/platform/EndpointListReaderTest.java
+++ b/src/test/java/yewdock/platform/EndpointListReaderTest.java
@@ -13,9 +13,9 @@
 import yewdock.desk.EndpointList;
 import yewdock.desk.ModelServer;
 
-/** Entries that can't be used: skipped and logged, but never their server's drain or removal. */
+/** Unusable entries are skipped and logged, but a drain or removal in them is obeyed. */
 class EndpointListReaderTest {
-    private static final String GOOD =
+    private static final String VALID =
             "\"addr\":\"127.0.0.1:9001\",\"zone\":\"a\",\"kind\":\"big\",\"cell\":1";
     private final List<String> log = new ArrayList<>();
     private final EndpointListReader lists = lists();
@@ -42,10 +42,10 @@
     }
 
     @Test
-    void aDrainIsObeyedWhateverElseTheEntryHolds() {
-        for (String fields : List.of("", "\"addr\":7", GOOD.replace("\"a\"", "\"nowhere\""),
-                GOOD.replace("big", "unknown"), GOOD.replace("9001", "90010"), GOOD + ",\"weight\":-1",
-                GOOD + ",\"weight\":1e300", GOOD + ",\"started_ms\":-5")) {
+    void aDrainIsObeyedInAnUnusableEntry() {
+        for (String fields : List.of("", "\"addr\":7", VALID.replace("\"a\"", "\"nowhere\""),
+                VALID.replace("big", "unknown"), VALID.replace("9001", "90010"), VALID + ",\"weight\":-1",
+                VALID + ",\"weight\":1e300", VALID + ",\"started_ms\":-5")) {
             log.clear();
             assertEquals(Lifecycle.DRAINING, stateOf(entry("s-1", "draining", fields)), fields);
             assertEquals(1, log.size(), fields);
@@ -54,40 +54,40 @@
     }
 
     @Test
-    void anUnusableEntryThatIsUpIsSkippedAndTheRestCounts() {
+    void anUnusableEntryThatIsUpIsSkippedAlone() {
         assertEquals(List.of("s-2"), read(entry("s-1", "up", "\"addr\":\"here\""), "7",
-                entry("s-2", "up", GOOD)).stream().map(ModelServer::name).toList());
+                entry("s-2", "up", VALID)).stream().map(ModelServer::name).toList());
         assertEquals(2, log.size());
     }
 
     @Test
-    void aStateThatIsNotKnownIsNotUp() {
-        assertEquals(Lifecycle.DRAINING, stateOf(entry("s-1", "stopping", GOOD)));
+    void anUnknownStateCountsAsDraining() {
+        assertEquals(Lifecycle.DRAINING, stateOf(entry("s-1", "stopping", VALID)));
     }
 
     @Test
-    void ofTwoEntriesForOneServerTheEndCounts() {
-        assertEquals(Lifecycle.DRAINING, stateOf(entry("s-1", "up", GOOD), entry("s-1", "draining", GOOD)));
-        assertEquals(Lifecycle.DRAINING, stateOf(entry("s-1", "draining", GOOD), entry("s-1", "up", GOOD)));
-        assertEquals(Lifecycle.GONE, stateOf(entry("s-1", "draining", GOOD), entry("s-1", "removed", "")));
+    void theMostRestrictiveOfSeveralEntriesForAServerCounts() {
+        assertEquals(Lifecycle.DRAINING, stateOf(entry("s-1", "up", VALID), entry("s-1", "draining", VALID)));
+        assertEquals(Lifecycle.DRAINING, stateOf(entry("s-1", "draining", VALID), entry("s-1", "up", VALID)));
+        assertEquals(Lifecycle.GONE, stateOf(entry("s-1", "draining", VALID), entry("s-1", "removed", "")));
     }
 
-    /** "s-1" and "b-1" hold one number: a later list must not tell the one's drain of the other. */
+    /** "s-1" and "b-1" contain the same number: a drain of one must not be applied to the other later on. */
     @Test
-    void namesOfOneNumberKeepTheirIdsAlsoFromTheListOfTheStart() {
-        List<ModelServer> first = read(entry("s-1", "up", GOOD), entry("b-1", "up", GOOD));
+    void namesWithTheSameNumberKeepTheirIds() {
+        List<ModelServer> first = read(entry("s-1", "up", VALID), entry("b-1", "up", VALID));
         assertNotEquals(first.get(0).id(), first.get(1).id());
-        assertEquals(first.get(1).id(), read(entry("b-1", "draining", GOOD)).get(0).id());
+        assertEquals(first.get(1).id(), read(entry("b-1", "draining", VALID)).get(0).id());
         read(entry("s-1", "removed", ""));
-        assertEquals(first.get(1).id(), read(entry("b-1", "draining", GOOD)).get(0).id());
+        assertEquals(first.get(1).id(), read(entry("b-1", "draining", VALID)).get(0).id());
         EndpointListReader later = lists();
         later.remember(new EndpointList(9, true, first));
         assertEquals(first.get(1).id(), later.read("{\"version\":10,\"full\":false,\"servers\":["
-                + entry("b-1", "draining", GOOD) + "]}").boxes().get(0).id());
+                + entry("b-1", "draining", VALID) + "]}").boxes().get(0).id());
     }
 
     @Test
-    void whatIsNoListIsRefusedWhole() {
+    void aMalformedListIsRejected() {
         for (String text : List.of("", "[]", "{\"version\":1,\"full\":true}",
                 "{\"full\":true,\"servers\":[]}",
                 "{\"version\":\"x\",\"full\":true,\"servers\":[]}",
--- a/src/test/java/yewdock/platform/IdsTest.java
+++ b/src/test/java/yewdock/platform/IdsTest.java
@@ -7,13 +7,13 @@
 
 class IdsTest {
     @Test
-    void numbersStayWhatTheyAre() {
+    void hexNamesKeepTheirNumbers() {
         assertEquals(0x5be2a07cL, Ids.of("s-5be2a07c"));
         assertEquals(0xf03b7c55d20a6491L, Ids.of("f03b7c55d20a6491"));
     }
 
     @Test
-    void otherNamesAreHashedAndNoneIsNothing() {
+    void otherNamesAreHashedAndNoNameIsZero() {
         assertEquals(0, Ids.of(null));
         assertEquals(0, Ids.of(""));
         assertNotEquals(0, Ids.of("s-0"));
--- a/src/test/java/yewdock/sockets/ForeignSettingsTest.java
+++ b/src/test/java/yewdock/sockets/ForeignSettingsTest.java
@@ -19,12 +19,12 @@
 import yewdock.platform.Front;
 
 /**
- * One build under the settings of two unlike customers: what it knows of one it must not show to the
- * other.
+ * One build runs with the settings of two different customers. Names from one customer's settings must not
+ * show in the responses, counters or logs of the other's router.
  */
 class ForeignSettingsTest {
-    private static final Path ONE = Path.of("src/test/resources/exchanges/config.json");
-    private static final String OTHER = """
+    private static final Path FIRST_CONFIG = Path.of("src/test/resources/exchanges/config.json");
+    private static final String SECOND_CONFIG = """
             {"name":"r1","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"1f",
              "known":{"version":1,"full":true,"servers":[
               {"id":"w-1","addr":"127.0.0.1:9","zone":"mill","kind":"tall","state":"up"}]},
@@ -38,18 +38,19 @@
                "ask_within":4.0}}}
             """;
 
-    /** A customer's router, what it logs, and its connections. */
+    /** A customer's running router and its log. */
     private record Running(Listening listening, List<String> log) {
-        String asks(String request) throws Exception {
-            try (Socket client = new Socket(listening.at().getAddress(), listening.at().getPort())) {
+        String exchange(String request) throws Exception {
+            try (Socket client = new Socket(listening.address().getAddress(),
+                    listening.address().getPort())) {
                 client.setSoTimeout(10_000);
                 client.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
                 return new String(client.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
             }
         }
 
-        String asks(String id, String requestClass, String tenant) throws Exception {
-            return asks("POST /v1/chat/completions HTTP/1.1\r\nX-Correlation-Id: " + id
+        String exchange(String id, String requestClass, String tenant) throws Exception {
+            return exchange("POST /v1/chat/completions HTTP/1.1\r\nX-Correlation-Id: " + id
                     + "\r\nX-Service-Class: " + requestClass + "\r\nX-Account: " + tenant
                     + "\r\nX-Time-Left: 3\r\nConnection: close\r\n"
                     + "X-Facts: prompt_len=1,prefix_len=0,max_out=9\r\nContent-Length: 2\r\n\r\n{}");
@@ -68,56 +69,58 @@
                 new Front(config, desk, counters, sockets, sockets.clock(), log::add), desk), log);
     }
 
-    private static void showsOnlyItsOwn(Running router, String own, String tenant, String foreign,
-            String foreignTenant, List<String> foreignWords) throws Exception {
-        assertTrue(router.asks("1", own, tenant).startsWith("HTTP/1.1 503 "), "its own class is served");
-        String turnedDown = router.asks("2", foreign, tenant);
-        assertTrue(turnedDown.startsWith("HTTP/1.1 400 ")
-                && turnedDown.contains("X-Service-Class names nothing known"), turnedDown);
-        assertTrue(router.asks("3", own, foreignTenant).startsWith("HTTP/1.1 400 "), "a foreign tenant");
-        String counters = router.asks("GET /counters HTTP/1.1\r\nConnection: close\r\n\r\n");
-        assertTrue(counters.contains("requests." + own + ".rejected 1\n"), counters);
+    private static void assertShowsOnlyOwnNames(Running router, String ownClass, String ownTenant,
+            String foreignClass, String foreignTenant, List<String> foreignWords) throws Exception {
+        assertTrue(router.exchange("1", ownClass, ownTenant).startsWith("HTTP/1.1 503 "),
+                "its own class is accepted");
+        String rejected = router.exchange("2", foreignClass, ownTenant);
+        assertTrue(rejected.startsWith("HTTP/1.1 400 ")
+                && rejected.contains("X-Service-Class names nothing known"), rejected);
+        assertTrue(router.exchange("3", ownClass, foreignTenant).startsWith("HTTP/1.1 400 "),
+                "a foreign tenant is rejected");
+        String counters = router.exchange("GET /counters HTTP/1.1\r\nConnection: close\r\n\r\n");
+        assertTrue(counters.contains("requests." + ownClass + ".rejected 1\n"), counters);
         for (String word : foreignWords) {
             assertFalse(counters.contains(word), word + " in " + counters);
             assertEquals(List.of(), router.log().stream().filter(line -> line.contains(word)).toList());
         }
     }
 
-    private static void one(Running router) throws Exception {
-        showsOnlyItsOwn(router, "chat", "lalitpur-metro", "ledger", "courts",
+    private static void checkFirst(Running router) throws Exception {
+        assertShowsOnlyOwnNames(router, "chat", "lalitpur-metro", "ledger", "courts",
                 List.of("ledger", "courts", "upper", "lower", "mill", "tall"));
     }
 
-    private static void other(Running router) throws Exception {
-        showsOnlyItsOwn(router, "ledger", "courts", "chat", "lalitpur-metro",
+    private static void checkSecond(Running router) throws Exception {
+        assertShowsOnlyOwnNames(router, "ledger", "courts", "chat", "lalitpur-metro",
                 List.of("chat", "lalitpur", "kathmandu", "pokhara", "-gpu"));
     }
 
     @Test
-    void sideBySide() throws Exception {
-        Running one = start(Files.readString(ONE));
-        Running other = start(OTHER);
-        one(one);
-        other(other);
-        one.listening().stop();
-        other.listening().stop();
+    void atTheSameTime() throws Exception {
+        Running first = start(Files.readString(FIRST_CONFIG));
+        Running second = start(SECOND_CONFIG);
+        checkFirst(first);
+        checkSecond(second);
+        first.listening().stop();
+        second.listening().stop();
     }
 
     @Test
     void oneAfterTheOther() throws Exception {
         for (int i = 0; i < 2; i++) {
-            Running one = start(Files.readString(ONE));
-            one(one);
-            one.listening().stop();
-            Running other = start(OTHER);
-            other(other);
-            other.listening().stop();
+            Running first = start(Files.readString(FIRST_CONFIG));
+            checkFirst(first);
+            first.listening().stop();
+            Running second = start(SECOND_CONFIG);
+            checkSecond(second);
+            second.listening().stop();
         }
     }
 
-    /** The archive of classes is made by a router of nobody's: no customer's words are in its settings. */
+    /** The class data archive is made by a run with a neutral configuration, without any customer's names. */
     @Test
-    void theWarmUpIsNobodys() throws Exception {
+    void warmUpConfigurationHasNoCustomerNames() throws Exception {
         String warmUp = Files.readString(Path.of("deploy/warm-up.json"));
         Config config = Config.read(warmUp, line -> { });
         assertEquals(List.of("class-1"),
@@ -128,6 +131,6 @@
         assertEquals(List.of("tenant-1"), List.copyOf(config.names().municipalities().keySet()));
         String script = Files.readString(Path.of("deploy/warm-up.sh"));
         assertTrue(script.contains("TMPDIR=target/warm "),
-                "its own folder, which no served process is given");
+                "the warm-up uses a folder of its own, not that of a serving process");
     }
 }
--- a/src/test/java/yewdock/sockets/GoneClientTest.java
+++ b/src/test/java/yewdock/sockets/GoneClientTest.java
@@ -24,19 +24,19 @@
 import yewdock.platform.Config;
 import yewdock.platform.Front;
 
-/** Clients that close their connections have gone: no attempt is begun for them any more. */
+/** No attempt is started for a client that has closed its connection. */
 class GoneClientTest {
     private static final int CLIENTS = 30;
-    private static final int BEHIND = 300 * 1024;
+    private static final int PIPELINED_BYTES = 300 * 1024;
 
     private final Counters counters = new Counters();
     private final Sockets sockets = new Sockets(CLIENTS, 1_000_000);
     private ServerSocket silentServer;
     private Listening listening;
 
-    /** A router whose servers take connections and say nothing. */
+    /** Starts a router whose servers accept connections and never respond. */
     @BeforeEach
-    void serve() throws Exception {
+    void start() throws Exception {
         silentServer = new ServerSocket(0, CLIENTS, InetAddress.getByName("127.0.0.1"));
         String file = Files.readString(Path.of("src/test/resources/exchanges/config.json"))
                 .replaceAll("127.0.0.1:900[12]", "127.0.0.1:" + silentServer.getLocalPort());
@@ -48,16 +48,16 @@
     }
 
     @AfterEach
-    void end() throws Exception {
+    void stop() throws Exception {
         listening.stop();
         silentServer.close();
     }
 
-    private Socket asks(String id) throws Exception {
+    private Socket sendRequest(String id) throws Exception {
         Socket client = new Socket();
         client.setSoTimeout(3_000);
         client.setTcpNoDelay(true);
-        client.connect(listening.at(), 10_000);
+        client.connect(listening.address(), 10_000);
         client.getOutputStream().write(("POST /v1/chat/completions HTTP/1.1\r\nHost: service.internal\r\n"
                 + "X-Correlation-Id: " + id + "\r\nX-Service-Class: chat\r\nX-Account: lalitpur-metro\r\n"
                 + "X-Session-Key: 7f3a\r\nX-Time-Left: 8.000\r\n"
@@ -66,16 +66,16 @@
         return client;
     }
 
-    private long counted(String counter) throws Exception {
+    private long counterValue(String counter) throws Exception {
         CompletableFuture<String> all = new CompletableFuture<>();
         sockets.post(() -> all.complete(counters.toString()));
         return all.get(10, TimeUnit.SECONDS).lines().filter(l -> l.startsWith(counter + ' '))
                 .mapToLong(l -> Long.parseLong(l.substring(counter.length() + 1))).sum();
     }
 
-    /** While the router is busy, many ask and leave: their ends are not behind what they have asked. */
+    /** Many clients send a request and disconnect while the dispatcher is busy: the disconnects go first. */
     @Test
-    void aBurstOfLeavingClientsBeginsNoAttempts() throws Exception {
+    void disconnectedClientsCauseNoAttempts() throws Exception {
         CountDownLatch busy = new CountDownLatch(1);
         sockets.post(() -> {
             try {
@@ -86,49 +86,49 @@
         });
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
-            Socket client = asks("a" + i);
+            Socket client = sendRequest("a" + i);
             client.shutdownOutput();
             clients.add(client);
         }
         for (Socket client : clients) {
-            assertEquals(-1, client.getInputStream().read(), "its end is not seen");
+            assertEquals(-1, client.getInputStream().read(), "the router did not close its side");
         }
-        long patience = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
-        while (sockets.urgentWaiting() < CLIENTS && System.nanoTime() < patience) {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
+        while (sockets.urgentWaiting() < CLIENTS && System.nanoTime() < deadline) {
             Thread.onSpinWait();
         }
-        assertEquals(CLIENTS, sockets.urgentWaiting(), "ends that wait");
+        assertEquals(CLIENTS, sockets.urgentWaiting(), "queued disconnects");
         busy.countDown();
-        assertEquals(0, counted("lines.opened"), "connections were opened for clients that had gone");
-        assertEquals(0, counted("answers.left_before"));
+        assertEquals(0, counterValue("lines.opened"), "server connections were opened for nobody");
+        assertEquals(0, counterValue("answers.left_before"));
         for (Socket client : clients) {
             client.close();
         }
-        Socket stays = asks("stays");
+        Socket staying = sendRequest("stays");
         silentServer.setSoTimeout(10_000);
         silentServer.accept().close();
-        stays.close();
+        staying.close();
     }
 
-    /** What lies unread behind an open request must not hide its client's end. */
+    /** Unread bytes behind an open request must not hide that its client disconnects. */
     @Test
-    void anEndBehindMuchThatWasSentAheadIsSeen() throws Exception {
-        try (Socket client = asks("b1")) {
-            awaitCounted("requests.taken");
-            client.getOutputStream().write(new byte[BEHIND]);
+    void disconnectBehindPipelinedBytesIsNoticed() throws Exception {
+        try (Socket client = sendRequest("b1")) {
+            awaitOne("requests.taken");
+            client.getOutputStream().write(new byte[PIPELINED_BYTES]);
             client.shutdownOutput();
             InputStream in = client.getInputStream();
-            assertEquals(-1, in.read(), "was answered");
+            assertEquals(-1, in.read(), "got a response");
         }
-        // the client sees its connection's end a moment before the desk does
-        awaitCounted("answers.left_before");
+        // the client sees the end of its connection a moment before the reducer does
+        awaitOne("answers.left_before");
     }
 
-    private void awaitCounted(String counter) throws Exception {
-        long patience = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
-        while (counted(counter) == 0 && System.nanoTime() < patience) {
+    private void awaitOne(String counter) throws Exception {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
+        while (counterValue(counter) == 0 && System.nanoTime() < deadline) {
             Thread.onSpinWait();
         }
-        assertEquals(1, counted(counter));
+        assertEquals(1, counterValue(counter));
     }
 }
