--- a/src/test/java/yewdock/sockets/IdleCloseTest.java
+++ b/src/test/java/yewdock/sockets/IdleCloseTest.java
@@ -24,25 +24,25 @@
 import yewdock.platform.Config;
 import yewdock.platform.Front;
 
-/** A connection that counts as idle is closed at the moment in which its client's request has been read. */
+/** A connection that the reducer takes for idle is to be closed when its client's request was just read. */
 class IdleCloseTest {
-    private static final int MOST_CLIENTS = 2;
-    private static final int PATIENCE_MILLIS = 10_000;
-    /** When connections without a request are closed by a router that leaves, and a little more. */
-    private static final long LEAVING_CLOSES_MILLIS = 600;
+    private static final int MAX_CLIENTS = 2;
+    private static final int TIMEOUT_MILLIS = 10_000;
+    /** A little more than the time after which a router that shuts down closes idle connections. */
+    private static final long IDLE_CLOSE_MILLIS = 600;
     private static final byte[] REQUEST = "GET /nothing HTTP/1.1\r\nHost: router\r\n\r\n"
             .getBytes(StandardCharsets.US_ASCII);
 
-    private final Sockets sockets = new Sockets(MOST_CLIENTS, 1_000_000);
+    private final Sockets sockets = new Sockets(MAX_CLIENTS, 1_000_000);
     private Front front;
     private Listening listening;
 
     @BeforeEach
-    void serve() throws Exception {
+    void start() throws Exception {
         Config config = Config.read(Files.readString(Path.of("src/test/resources/exchanges/config.json")),
                 line -> { });
         Counters counters = new Counters();
-        Bounds bounds = new Bounds(MOST_CLIENTS, 20, 20, 1 << 20);
+        Bounds bounds = new Bounds(MAX_CLIENTS, 20, 20, 1 << 20);
         Desk desk = new Desk(Terms.of(config.settings(), config.keepalive()), bounds, counters,
                 actions -> new GenerationRouter(config.settings(), 1, actions));
         front = new Front(config, desk, counters, sockets, sockets.clock(), line -> { });
@@ -50,45 +50,45 @@
     }
 
     @AfterEach
-    void end() throws Exception {
+    void stop() throws Exception {
         listening.stop();
     }
 
     private Socket connect() throws Exception {
-        Socket client = new Socket(listening.at().getAddress(), listening.at().getPort());
+        Socket client = new Socket(listening.address().getAddress(), listening.address().getPort());
         client.setTcpNoDelay(true);
-        client.setSoTimeout(PATIENCE_MILLIS);
+        client.setSoTimeout(TIMEOUT_MILLIS);
         return client;
     }
 
     private static void await(BooleanSupplier condition) {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MILLIS);
-        while (!condition.getAsBoolean() && System.nanoTime() < end) {
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS);
+        while (!condition.getAsBoolean() && System.nanoTime() < deadline) {
             Thread.onSpinWait();
         }
         assertTrue(condition.getAsBoolean());
     }
 
-    /** Waits until the dispatcher knows of the one connection that was made. */
-    private void awaitTaken() throws Exception {
+    /** Waits until the dispatcher knows of the only connection. */
+    private void awaitAccepted() throws Exception {
         await(() -> sockets.connectionsAccepted() == 1);
-        listening.onDesk(() -> { });
+        listening.onDispatcher(() -> { });
     }
 
-    /** Keeps the dispatcher busy until the latch is open. */
-    private CountDownLatch keepBusy() throws Exception {
-        CountDownLatch begun = new CountDownLatch(1);
-        CountDownLatch latch = new CountDownLatch(1);
+    /** Blocks the dispatcher until the returned latch is counted down. */
+    private CountDownLatch blockDispatcher() throws Exception {
+        CountDownLatch started = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         sockets.post(() -> {
-            begun.countDown();
+            started.countDown();
             try {
-                latch.await(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+                release.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        assertTrue(begun.await(PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
-        return latch;
+        assertTrue(started.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
+        return release;
     }
 
     private void sendAndAwaitRead(Socket client) throws Exception {
@@ -102,33 +102,34 @@
         assertEquals("HTTP/1.1 404 Not Found", answer.readLine());
     }
 
-    /** More clients than there is room for have come, and the oldest one's request was read after them. */
+    /** Clients exceed the limit, and the oldest one's request is read after the others have connected. */
     @Test
-    void aRequestThatCrossesAClosingForRoomIsAnswered() throws Exception {
+    void requestThatCrossesACloseForRoomIsAnswered() throws Exception {
         try (Socket oldest = connect()) {
-            awaitTaken();
-            CountDownLatch busy = keepBusy();
+            awaitAccepted();
+            CountDownLatch blocked = blockDispatcher();
             try (Socket second = connect(); Socket third = connect()) {
-                await(() -> sockets.connectionsAccepted() == MOST_CLIENTS + 1);
+                await(() -> sockets.connectionsAccepted() == MAX_CLIENTS + 1);
                 sendAndAwaitRead(oldest);
-                busy.countDown();
+                blocked.countDown();
                 assertAnswered(oldest);
                 assertTrue(second.isConnected() && third.isConnected());
             }
         }
     }
 
-    /** The router leaves, and its time to close idle connections comes while a request waits to be taken. */
+    /** A router that shuts down is due to close idle connections while a request is queued. */
     @Test
-    void aRequestThatCrossesTheClosingOfIdleConnectionsIsAnswered() throws Exception {
+    void requestThatCrossesTheIdleCloseIsAnswered() throws Exception {
         try (Socket client = connect()) {
-            awaitTaken();
-            listening.onDesk(() -> front.happened(new Event.Leave()));
-            long leaves = System.nanoTime();
-            CountDownLatch busy = keepBusy();
+            awaitAccepted();
+            listening.onDispatcher(() -> front.happened(new Event.Leave()));
+            long shutdownStartedAt = System.nanoTime();
+            CountDownLatch blocked = blockDispatcher();
             sendAndAwaitRead(client);
-            await(() -> System.nanoTime() - leaves > TimeUnit.MILLISECONDS.toNanos(LEAVING_CLOSES_MILLIS));
-            busy.countDown();
+            await(() -> System.nanoTime() - shutdownStartedAt
+                    > TimeUnit.MILLISECONDS.toNanos(IDLE_CLOSE_MILLIS));
+            blocked.countDown();
             assertAnswered(client);
         }
     }
--- a/src/test/java/yewdock/sockets/LetGoTest.java
+++ b/src/test/java/yewdock/sockets/LetGoTest.java
@@ -18,14 +18,14 @@
 import yewdock.platform.Config;
 import yewdock.platform.Front;
 
-/** The listener's end. */
+/** Connections that wait in the listener's accept queue when it is closed must not be reset. */
 class LetGoTest {
-    /** More than are accepted while there is no room: the rest waits in the listener's queue. */
+    /** More than are accepted at once; the rest waits in the accept queue. */
     private static final int CLIENTS = 40;
 
-    /** Their clients take them for made; a reset would lose what they have sent. */
+    /** For their clients they are established; a reset would lose what the clients have sent. */
     @Test
-    void whatWaitsInTheQueueIsServedWhenTheListenerIsLetGo() throws Exception {
+    void queuedConnectionsAreServedWhenTheListenerCloses() throws Exception {
         Config config = Config.read(Files.readString(Path.of("src/test/resources/exchanges/config.json")),
                 line -> { });
         Counters counters = new Counters();
@@ -38,7 +38,7 @@
         for (int i = 0; i < CLIENTS; i++) {
             Socket client = new Socket();
             client.setSoTimeout(10_000);
-            client.connect(listening.at(), 10_000);
+            client.connect(listening.address(), 10_000);
             clients.add(client);
         }
         CompletableFuture<Void> stopped = new CompletableFuture<>();
--- a/src/test/java/yewdock/sockets/LingeringTest.java
+++ b/src/test/java/yewdock/sockets/LingeringTest.java
@@ -21,17 +21,17 @@
 import yewdock.platform.Side;
 import yewdock.platform.Wire;
 
-/** A connection is closed while its other side is still sending. */
+/** A connection is closed while its peer is still sending. */
 class LingeringTest {
-    private static final String ANSWER = "the whole answer";
-    private static final int LONG = 3600;
-    /** With room for no client at all, so many are accepted: those that are being closed. */
-    private static final int ACCEPTED = 24;
+    private static final String RESPONSE = "the whole answer";
+    private static final int LONG_SECONDS = 3600;
+    /** With a limit of 0 clients, so many are still accepted, to be closed again. */
+    private static final int ACCEPTED_CONNECTIONS = 24;
 
     private Sockets sockets;
     private Listening listening;
 
-    private void serve(int seconds) throws Exception {
+    private void start(int seconds) throws Exception {
         sockets = new Sockets(0, 1_000_000, seconds);
         listening = Listening.start(sockets,
                 Files.readString(Path.of("src/test/resources/exchanges/config.json"))
@@ -39,12 +39,12 @@
     }
 
     @AfterEach
-    void end() throws Exception {
+    void stop() throws Exception {
         listening.stop();
     }
 
-    /** Answers nothing by itself, and closes when it has lingered long enough. */
-    private static final class Quiet implements Side {
+    /** Writes nothing by itself, and closes when the lingering close times out. */
+    private static final class PassiveHandler implements Side {
         private final CountDownLatch up = new CountDownLatch(1);
         private final CountDownLatch down = new CountDownLatch(1);
         private final CompletableFuture<Wire> wire = new CompletableFuture<>();
@@ -62,7 +62,7 @@
 
         @Override
         public void written(int bytes) {
-            // nothing waits for it
+            // not needed
         }
 
         @Override
@@ -76,11 +76,11 @@
         }
     }
 
-    /** A connection of the router's to a peer of the test's, and the peer's end of it. */
-    private Socket connected(Quiet side) throws Exception {
+    /** Connects the router to a peer in the test and returns the peer's socket. */
+    private Socket connect(PassiveHandler side) throws Exception {
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
-            sockets.post(() -> sockets.connect("127.0.0.1:" + server.getLocalPort(), made -> {
-                side.wire.complete(made);
+            sockets.post(() -> sockets.connect("127.0.0.1:" + server.getLocalPort(), newWire -> {
+                side.wire.complete(newWire);
                 return side;
             }));
             Socket peer = server.accept();
@@ -90,48 +90,48 @@
         }
     }
 
-    /** What the peer sent is not read when the connection is ended, and it sends on after that. */
+    /** Bytes of the peer are unread when the connection is closed, and it sends more after that. */
     @Test
-    void bytesThatCrossTheCloseDoNotResetTheAnswer() throws Exception {
-        serve(LONG);
-        Quiet side = new Quiet();
-        try (Socket peer = connected(side)) {
+    void bytesThatCrossTheCloseDoNotResetTheResponse() throws Exception {
+        start(LONG_SECONDS);
+        PassiveHandler side = new PassiveHandler();
+        try (Socket peer = connect(side)) {
             Wire wire = side.wire.get();
-            listening.onDesk(() -> wire.hold(true));
+            listening.onDispatcher(() -> wire.hold(true));
             peer.getOutputStream().write(new byte[1000]);
-            listening.onDesk(() -> {
-                wire.write(ByteBuffer.wrap(ANSWER.getBytes(StandardCharsets.US_ASCII)));
+            listening.onDispatcher(() -> {
+                wire.write(ByteBuffer.wrap(RESPONSE.getBytes(StandardCharsets.US_ASCII)));
                 wire.linger();
             });
-            byte[] came = new byte[ANSWER.length()];
-            peer.getInputStream().readNBytes(came, 0, came.length);
-            assertEquals(ANSWER, new String(came, StandardCharsets.US_ASCII));
-            assertEquals(-1, peer.getInputStream().read(), "the end, and not a reset");
+            byte[] response = new byte[RESPONSE.length()];
+            peer.getInputStream().readNBytes(response, 0, response.length);
+            assertEquals(RESPONSE, new String(response, StandardCharsets.US_ASCII));
+            assertEquals(-1, peer.getInputStream().read(), "end of stream, not a reset");
             peer.getOutputStream().write(new byte[1000]);
-            listening.onDesk(() -> wire.hold(false));
+            listening.onDispatcher(() -> wire.hold(false));
             peer.getOutputStream().write(new byte[1000]);
-            assertEquals(-1, peer.getInputStream().read(), "still the end");
+            assertEquals(-1, peer.getInputStream().read(), "still end of stream");
         }
         assertTrue(side.down.await(10, TimeUnit.SECONDS), "closed when the peer has closed");
-        assertEquals(0, side.received, "what came behind the end was taken for more");
+        assertEquals(0, side.received, "bytes after the close reached the handler");
     }
 
     /**
-     * A request that crosses an ordinary close meets a reset: accepted by a connection that is only
-     * half closed, it would count as taken and be lost.
+     * A request that crosses an ordinary close is answered by a reset: accepted by a half-closed connection,
+     * it would seem to be taken and be lost.
      */
     @Test
-    void whatCrossesAnOrdinaryCloseIsNotAccepted() throws Exception {
-        serve(LONG);
-        Quiet side = new Quiet();
-        try (Socket peer = connected(side)) {
-            listening.onDesk(() -> side.wire.join().closeAfterWriting());
-            assertEquals(-1, peer.getInputStream().read(), "the end comes at once");
+    void bytesThatCrossAnOrdinaryCloseAreNotAccepted() throws Exception {
+        start(LONG_SECONDS);
+        PassiveHandler side = new PassiveHandler();
+        try (Socket peer = connect(side)) {
+            listening.onDispatcher(() -> side.wire.join().closeAfterWriting());
+            assertEquals(-1, peer.getInputStream().read(), "closes at once");
             assertTrue(side.down.await(10, TimeUnit.SECONDS));
             assertThrows(java.net.SocketException.class, () -> {
-                // the reset may take its time on a busy machine; a half-closed connection never sends one
-                long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
-                while (System.nanoTime() < end) {
+                // the reset may be late on a busy machine; a half-closed connection never sends one
+                long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
+                while (System.nanoTime() < deadline) {
                     peer.getOutputStream().write(1);
                 }
             });
@@ -139,45 +139,46 @@
         assertEquals(0, side.received);
     }
 
-    /** One that never closes is closed after a while, and one that sends without end sooner. */
+    /** A peer that never closes is disconnected after the timeout. */
     @Test
-    void aPeerThatStaysIsClosed() throws Exception {
-        serve(1);
-        Quiet rests = new Quiet();
-        try (Socket peer = connected(rests)) {
-            rests.wire.get();
-            listening.onDesk(() -> rests.wire.join().linger());
+    void peerThatNeverClosesIsDisconnected() throws Exception {
+        start(1);
+        PassiveHandler handler = new PassiveHandler();
+        try (Socket peer = connect(handler)) {
+            handler.wire.get();
+            listening.onDispatcher(() -> handler.wire.join().linger());
             assertEquals(-1, peer.getInputStream().read());
-            assertTrue(rests.down.await(10, TimeUnit.SECONDS));
+            assertTrue(handler.down.await(10, TimeUnit.SECONDS));
         }
     }
 
+    /** A peer that sends without end is disconnected before the timeout. */
     @Test
-    void aPeerThatSendsWithoutEndIsClosed() throws Exception {
-        serve(LONG);
-        Quiet floods = new Quiet();
-        try (Socket peer = connected(floods)) {
-            listening.onDesk(() -> floods.wire.join().linger());
+    void peerThatSendsForeverIsDisconnected() throws Exception {
+        start(LONG_SECONDS);
+        PassiveHandler handler = new PassiveHandler();
+        try (Socket peer = connect(handler)) {
+            listening.onDispatcher(() -> handler.wire.join().linger());
             byte[] piece = new byte[64 * 1024];
-            for (int i = 0; i < 1000 && floods.down.getCount() > 0; i++) {
+            for (int i = 0; i < 1000 && handler.down.getCount() > 0; i++) {
                 peer.getOutputStream().write(piece);
             }
         } catch (java.net.SocketException e) {
-            // closed under it, as it should be
+            // expected: closed while the peer was writing
         }
-        assertTrue(floods.down.await(10, TimeUnit.SECONDS));
+        assertTrue(handler.down.await(10, TimeUnit.SECONDS));
     }
 
-    /** Those that linger hold descriptors: when others come, the oldest of them makes room. */
+    /** Lingering connections hold descriptors: the oldest of them is closed when a new client connects. */
     @Test
     void lingeringConnectionsMakeRoomForNewOnes() throws Exception {
-        serve(LONG);
-        List<Socket> stay = new ArrayList<>();
+        start(LONG_SECONDS);
+        List<Socket> clients = new ArrayList<>();
         try {
-            for (int i = 0; i < 2 * ACCEPTED; i++) {
-                Socket client = new Socket(listening.at().getAddress(), listening.at().getPort());
-                stay.add(client);
-                // the desk gives up those that it waits for after 2.5 s: sooner, only the lingering make room
+            for (int i = 0; i < 2 * ACCEPTED_CONNECTIONS; i++) {
+                Socket client = new Socket(listening.address().getAddress(), listening.address().getPort());
+                clients.add(client);
+                // the reducer closes incomplete requests after 2.5 s; before that, only lingering ones close
                 client.setSoTimeout(2_000);
                 client.getOutputStream().write(("POST /v1/chat/completions HTTP/1.1\r\n"
                         + "X-Correlation-Id: " + i + "\r\nX-Service-Class: none\r\n"
@@ -189,7 +190,7 @@
                 assertTrue(answer.startsWith("HTTP/1.1 400 "), i + ": " + answer);
             }
         } finally {
-            for (Socket client : stay) {
+            for (Socket client : clients) {
                 client.close();
             }
         }
--- a/src/test/java/yewdock/sockets/Listening.java
+++ b/src/test/java/yewdock/sockets/Listening.java
@@ -10,38 +10,39 @@
 import yewdock.platform.Config;
 import yewdock.platform.Front;
 
-/** Sockets that serve on a thread of their own, at a free port of this machine. */
-record Listening(Sockets sockets, InetSocketAddress at, Thread serves) {
+/** A transport that serves on a thread of its own, at a free local port. */
+record Listening(Sockets sockets, InetSocketAddress address, Thread thread) {
+    /** Starts to serve and waits until the port is bound. */
     static Listening start(Sockets sockets, Front front, Desk desk) throws Exception {
-        CompletableFuture<String> address = new CompletableFuture<>();
-        Thread serves = new Thread(() -> sockets.serveLater(() -> {
+        CompletableFuture<String> bound = new CompletableFuture<>();
+        Thread thread = new Thread(() -> sockets.serveLater(() -> {
             front.start();
             try {
-                address.complete(sockets.listenBeside("127.0.0.1:0"));
+                bound.complete(sockets.listenBeside("127.0.0.1:0"));
             } catch (java.io.IOException e) {
-                address.completeExceptionally(e);
+                bound.completeExceptionally(e);
             }
         }, front, desk));
-        serves.setDaemon(true);
-        serves.start();
-        String[] parts = address.get(10, TimeUnit.SECONDS).split(":");
-        return new Listening(sockets, new InetSocketAddress(parts[0], Integer.parseInt(parts[1])), serves);
+        thread.setDaemon(true);
+        thread.start();
+        String[] parts = bound.get(10, TimeUnit.SECONDS).split(":");
+        return new Listening(sockets, new InetSocketAddress(parts[0], Integer.parseInt(parts[1])), thread);
     }
 
-    /** A router with this configuration. */
-    static Listening start(Sockets sockets, String text) throws Exception {
-        Config config = Config.read(text, line -> { });
+    /** Starts a router with this configuration. */
+    static Listening start(Sockets sockets, String configuration) throws Exception {
+        Config config = Config.read(configuration, line -> { });
         Counters counters = new Counters();
         Desk desk = new Desk(Terms.of(config.settings(), config.keepalive()), config.bounds(), counters,
                 actions -> new GenerationRouter(config.settings(), 1, actions));
         return start(sockets, new Front(config, desk, counters, sockets, sockets.clock(), line -> { }), desk);
     }
 
-    /** Does this on the desk's thread, and waits until it is done. */
-    void onDesk(Runnable work) throws Exception {
+    /** Runs the task on the dispatcher's thread and waits until it is done. */
+    void onDispatcher(Runnable task) throws Exception {
         CompletableFuture<Void> done = new CompletableFuture<>();
         sockets.post(() -> {
-            work.run();
+            task.run();
             done.complete(null);
         });
         done.get(10, TimeUnit.SECONDS);
@@ -49,6 +50,6 @@
 
     void stop() throws InterruptedException {
         sockets.post(sockets::stop);
-        serves.join(10_000);
+        thread.join(10_000);
     }
 }
--- a/src/test/java/yewdock/sockets/ResetBehindBytesTest.java
+++ b/src/test/java/yewdock/sockets/ResetBehindBytesTest.java
@@ -18,16 +18,16 @@
 import yewdock.platform.Side;
 import yewdock.platform.Wire;
 
-/** A server writes the last of its answer and resets the connection: what it wrote still counts. */
+/** A server writes the end of its response and then resets the connection: the bytes still count. */
 class ResetBehindBytesTest {
-    private static final String ANSWER = "data: [DONE]\n\n";
+    private static final String RESPONSE = "data: [DONE]\n\n";
 
     private final Sockets sockets = new Sockets(4, 1_000_000);
     private Listening listening;
 
-    /** What comes over the connection, and then its end. */
-    private static final class Reader implements Side {
-        private final StringBuilder came = new StringBuilder();
+    /** Collects the bytes of a connection until it closes. */
+    private static final class Collector implements Side {
+        private final StringBuilder received = new StringBuilder();
         private final CompletableFuture<String> atEnd = new CompletableFuture<>();
         private final CountDownLatch up = new CountDownLatch(1);
 
@@ -38,55 +38,55 @@
 
         @Override
         public void received(ByteBuffer bytes) {
-            came.append(StandardCharsets.US_ASCII.decode(bytes));
+            received.append(StandardCharsets.US_ASCII.decode(bytes));
         }
 
         @Override
         public void written(int bytes) {
-            throw new AssertionError("nothing is written");
+            throw new AssertionError("nothing was written");
         }
 
         @Override
         public void idle() {
-            throw new AssertionError("nothing lingers");
+            throw new AssertionError("no idle time is set");
         }
 
         @Override
         public void down() {
-            atEnd.complete(came.toString());
+            atEnd.complete(received.toString());
         }
     }
 
     @BeforeEach
-    void serve() throws Exception {
+    void start() throws Exception {
         listening = Listening.start(sockets,
                 Files.readString(Path.of("src/test/resources/exchanges/config.json")));
     }
 
     @AfterEach
-    void end() throws Exception {
+    void stop() throws Exception {
         listening.stop();
     }
 
-    /** The bytes and the reset are both there before the router reads: it does not read in between. */
+    /** Reading is paused, so that the bytes and the reset have both arrived when the router reads. */
     @Test
-    void whatCameBeforeAResetIsPassedOn() throws Exception {
-        Reader reader = new Reader();
+    void bytesBeforeAResetArePassedOn() throws Exception {
+        Collector reader = new Collector();
         CompletableFuture<Wire> wire = new CompletableFuture<>();
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
-            sockets.post(() -> sockets.connect("127.0.0.1:" + server.getLocalPort(), made -> {
-                wire.complete(made);
+            sockets.post(() -> sockets.connect("127.0.0.1:" + server.getLocalPort(), newWire -> {
+                wire.complete(newWire);
                 return reader;
             }));
             Socket accepted = server.accept();
             reader.up.await(10, TimeUnit.SECONDS);
-            Wire held = wire.get(10, TimeUnit.SECONDS);
-            listening.onDesk(() -> held.hold(true));
-            accepted.getOutputStream().write(ANSWER.getBytes(StandardCharsets.US_ASCII));
+            Wire connection = wire.get(10, TimeUnit.SECONDS);
+            listening.onDispatcher(() -> connection.hold(true));
+            accepted.getOutputStream().write(RESPONSE.getBytes(StandardCharsets.US_ASCII));
             accepted.setSoLinger(true, 0);
             accepted.close();
-            listening.onDesk(() -> held.hold(false));
-            assertEquals(ANSWER, reader.atEnd.get(10, TimeUnit.SECONDS));
+            listening.onDispatcher(() -> connection.hold(false));
+            assertEquals(RESPONSE, reader.atEnd.get(10, TimeUnit.SECONDS));
         }
     }
 }
--- a/src/test/java/yewdock/sockets/TaskQueueTest.java
+++ b/src/test/java/yewdock/sockets/TaskQueueTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import yewdock.sockets.TaskQueue.Task;
 
-/** Urgent tasks go before what came earlier, each of the two in its own order. */
+/** Urgent tasks go before earlier ones that are not urgent; each kind keeps its order. */
 class TaskQueueTest {
     private final TaskQueue queue = new TaskQueue();
     private final List<String> done = new ArrayList<>();
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void waitingForUrgentTasksLeavesTheOthersInTheirPlaces() throws Exception {
+    void waitingForUrgentTasksKeepsTheOrderOfOthers() throws Exception {
         queue.add(task("request 1"));
         assertNull(queue.pollUrgent(2_000));
         queue.addUrgent(task("news"));
@@ -45,15 +45,15 @@
     }
 
     @Test
-    void anUrgentTaskWakesWhoWaits() throws Exception {
-        Thread adds = new Thread(() -> queue.addUrgent(task("news")));
-        adds.start();
-        Task came = queue.poll(20_000_000);
-        while (came != null && done.isEmpty()) {
-            came.work().run();
-            came = queue.poll(0);
+    void anUrgentTaskWakesAWaitingPoll() throws Exception {
+        Thread adder = new Thread(() -> queue.addUrgent(task("news")));
+        adder.start();
+        Task task = queue.poll(20_000_000);
+        while (task != null && done.isEmpty()) {
+            task.work().run();
+            task = queue.poll(0);
         }
-        adds.join();
+        adder.join();
         assertEquals(List.of("news"), done);
     }
 }
