--- a/src/main/java/yewdock/sockets/DispatcherLoop.java
+++ b/src/main/java/yewdock/sockets/DispatcherLoop.java
@@ -17,12 +17,12 @@
  * responses and disconnects are handled first, then everything else that has arrived, then the timers.
  */
 final class DispatcherLoop {
-    /** Longest sleep. A pause of the process within a sleep goes unnoticed; it can't be longer than this. */
+    /** Longest sleep; a pause of the process that goes unnoticed within a sleep can't be longer either. */
     private static final long MAX_SLEEP_MICROS = 100_000;
     /** After so long without looking at new input, the sockets are read before anything else is done. */
     private static final long MAX_UNREAD_MICROS = 100_000;
     private static final long READ_WAIT_MILLIS = 10;
-    /** Shorter pauses are too short to matter to any timeout and are ignored. */
+    /** A shorter pause does not matter to any timeout. */
     private static final long MIN_PAUSE_MICROS = 50_000;
     /** So long after a pause, everything that arrived during it has been accepted and read. */
     private static final long READ_AFTER_PAUSE_MICROS = 100_000;
