--- a/src/main/java/yewdock/http/EventLines.java
+++ b/src/main/java/yewdock/http/EventStreamLineReader.java
@@ -9,7 +9,7 @@
  * Splits a stream of server-sent events into lines as bytes arrive. A line ends with CR, LF or both; an empty
  * line ends an event. Lines over 16 KiB are dropped.
  */
-public final class EventLines {
+public final class EventStreamLineReader {
     private static final int MAX_LINE_BYTES = 16 * 1024;
 
     private final Consumer<String> onLine;
@@ -19,7 +19,7 @@
     private int length;
 
     /** Makes a reader that passes on each line and runs {@code onEventEnd} for each empty one. */
-    public EventLines(Consumer<String> onLine, Runnable onEventEnd) {
+    public EventStreamLineReader(Consumer<String> onLine, Runnable onEventEnd) {
         this.onLine = onLine;
         this.onEventEnd = onEventEnd;
     }
--- a/src/main/java/yewdock/http/Head.java
+++ b/src/main/java/yewdock/http/MessageHead.java
@@ -5,18 +5,19 @@
 /**
  * The head of an HTTP message.
  *
- * @param first the method of a request, the version of a response
- * @param second the target of a request, the status of a response
- * @param third the version of a request, the reason phrase of a response, which may be empty
+ * @param startLineFirst the method of a request, the version of a response
+ * @param startLineSecond the target of a request, the status of a response
+ * @param startLineThird the version of a request, the reason phrase of a response, which may be empty
  * @param fields the header fields in their order
  */
-public record Head(String first, String second, String third, List<Field> fields) {
+public record MessageHead(String startLineFirst, String startLineSecond, String startLineThird,
+        List<Field> fields) {
     /** One header field. */
     public record Field(String name, String value) {
     }
 
     /** Copies the fields. */
-    public Head {
+    public MessageHead {
         fields = List.copyOf(fields);
     }
 
@@ -36,7 +37,7 @@
     }
 
     /** Whether a field of this name contains the token in its comma-separated value. */
-    public boolean says(String name, String word) {
+    public boolean hasToken(String name, String word) {
         for (Field f : fields) {
             if (f.name().equalsIgnoreCase(name)) {
                 for (String part : f.value().split(",")) {
@@ -51,22 +52,23 @@
 
     /** Returns a request's method. */
     public String method() {
-        return first;
+        return startLineFirst;
     }
 
     /** Returns a request's target: path and query. */
     public String target() {
-        return second;
+        return startLineSecond;
     }
 
     /** Returns a response's status. */
     public int status() {
-        return Integer.parseInt(second);
+        return Integer.parseInt(startLineSecond);
     }
 
     /** Whether the sender keeps the connection open after this message. */
     public boolean keepsAlive() {
-        String version = first.startsWith("HTTP/") ? first : third;
-        return version.equals("HTTP/1.1") ? !says("Connection", "close") : says("Connection", "keep-alive");
+        String version = startLineFirst.startsWith("HTTP/") ? startLineFirst : startLineThird;
+        return version.equals("HTTP/1.1") ? !hasToken("Connection", "close") : hasToken("Connection",
+                "keep-alive");
     }
 }
--- a/src/main/java/yewdock/http/MessageReader.java
+++ b/src/main/java/yewdock/http/MessageReader.java
@@ -7,25 +7,26 @@
 import java.util.List;
 
 /**
- * Incremental parser of HTTP/1.1 messages. After a message's end it reads nothing more until {@link #next};
+ * Incremental parser of HTTP/1.1 messages. After a message's end it reads nothing more until {@link
+ * #startNext};
  * bytes behind the message stay in the caller's buffer.
  */
 public final class MessageReader {
     /** Longest head, or trailers, of a message. */
-    public static final int MOST_HEAD = 32 * 1024;
+    public static final int MAX_HEAD_BYTES = 32 * 1024;
     /** Longest body of a request, and longest chunk of any message. */
-    public static final int MOST_BODY = 256 * 1024;
+    public static final int MAX_BODY_BYTES = 256 * 1024;
     /** Longest line with a chunk's size, including chunk extensions. */
     private static final int MAX_CHUNK_SIZE_LINE_BYTES = 256;
     private static final String VERSION_PREFIX = "HTTP/1.";
 
     /** The kind of messages to parse. */
-    public enum Kind { REQUEST, ANSWER }
+    public enum Kind { REQUEST, RESPONSE }
 
     /** Receives the parts of a message as they are parsed. */
     public interface Sink {
         /** The head is complete. */
-        void head(Head head) throws BadMessageException;
+        void head(MessageHead head) throws BadMessageException;
 
         /** A piece of the body, without chunk framing. */
         void body(ByteBuffer piece) throws BadMessageException;
@@ -53,22 +54,22 @@
     }
 
     /** Whether no byte of the next message has been read. */
-    public boolean untouched() {
+    public boolean atMessageStart() {
         return state == State.HEAD && headLines.isEmpty() && lineLength == 0;
     }
 
     /** Whether the message is complete. */
-    public boolean done() {
+    public boolean isComplete() {
         return state == State.DONE;
     }
 
     /** Whether the message's body ends only when its connection closes. */
-    public boolean endsWithConnection() {
+    public boolean readsUntilClose() {
         return state == State.UNTIL_CLOSE;
     }
 
     /** Prepares for the next message. */
-    public void next() {
+    public void startNext() {
         state = State.HEAD;
         lineLength = 0;
         headBytes = 0;
@@ -109,8 +110,8 @@
     private boolean readLine(ByteBuffer in) throws BadMessageException {
         while (in.hasRemaining()) {
             byte b = in.get();
-            if (++headBytes > MOST_HEAD) {
-                throw new BadMessageException(431, "the head is over " + MOST_HEAD + " bytes");
+            if (++headBytes > MAX_HEAD_BYTES) {
+                throw new BadMessageException(431, "the head is over " + MAX_HEAD_BYTES + " bytes");
             }
             if (b == '\n') {
                 if (lineLength > 0 && lineBuffer[lineLength - 1] == '\r') {
@@ -132,7 +133,7 @@
 
     /** Rejects a line as soon as it can't become valid: its sender may neither send the rest nor close. */
     private void rejectMalformedLine(byte lastByte) throws BadMessageException {
-        if (state == State.HEAD && kind == Kind.ANSWER && headLines.isEmpty()
+        if (state == State.HEAD && kind == Kind.RESPONSE && headLines.isEmpty()
                 && lineLength <= VERSION_PREFIX.length()
                 && lastByte != VERSION_PREFIX.charAt(lineLength - 1)
                 && !(lineLength == 1 && lastByte == '\r')) {
@@ -181,7 +182,7 @@
                 || !isRequest && !start[1].matches("[1-5][0-9][0-9]")) {
             throw new BadMessageException(400, "the first line is malformed");
         }
-        List<Head.Field> fields = new ArrayList<>();
+        List<MessageHead.Field> fields = new ArrayList<>();
         for (String fieldLine : headLines.subList(1, headLines.size())) {
             int colon = fieldLine.indexOf(':');
             if (colon <= 0 || !fieldLine.substring(0, colon).matches("[!#-'*+.^-z|~0-9A-Z-]+")) {
@@ -191,9 +192,10 @@
                 // some parsers treat a lone CR as a line's end
                 throw new BadMessageException(400, "a header line is malformed");
             }
-            fields.add(new Head.Field(fieldLine.substring(0, colon), fieldLine.substring(colon + 1).strip()));
+            fields.add(new MessageHead.Field(fieldLine.substring(0, colon), fieldLine.substring(colon
+                    + 1).strip()));
         }
-        Head head = new Head(start[0], start[1], start.length > 2 ? start[2] : "", fields);
+        MessageHead head = new MessageHead(start[0], start[1], start.length > 2 ? start[2] : "", fields);
         headLines.clear();
         if (!isRequest && head.status() < 200) {
             // an interim response; all heads up to the final one share the limit of one head
@@ -203,9 +205,9 @@
     }
 
     /** Determines how the body is delimited. Two contradicting lengths would allow request smuggling. */
-    private void startBody(Head head) throws BadMessageException {
+    private void startBody(MessageHead head) throws BadMessageException {
         List<String> lengths = head.fields().stream().filter(f -> f.name().equalsIgnoreCase("Content-Length"))
-                .map(Head.Field::value).toList();
+                .map(MessageHead.Field::value).toList();
         String transferEncoding = head.field("Transfer-Encoding");
         if (transferEncoding != null && !lengths.isEmpty() || lengths.size() > 1
                 || head.count("Transfer-Encoding") > 1) {
@@ -223,13 +225,13 @@
             remaining = 0;
         }
         addToBodyLength(remaining);
-        boolean bodyless = kind == Kind.ANSWER && (head.status() == 204 || head.status() == 304);
+        boolean bodyless = kind == Kind.RESPONSE && (head.status() == 204 || head.status() == 304);
         sink.head(head);
         if (transferEncoding != null && !bodyless) {
             state = State.CHUNK_SIZE;
         } else if (remaining > 0 && !bodyless) {
             state = State.FIXED;
-        } else if (kind == Kind.ANSWER && lengths.isEmpty() && !bodyless) {
+        } else if (kind == Kind.RESPONSE && lengths.isEmpty() && !bodyless) {
             state = State.UNTIL_CLOSE;
         } else {
             finish();
@@ -244,8 +246,8 @@
         }
         headBytes = 0;
         remaining = Integer.parseInt(size, 16);
-        if (remaining > MOST_BODY) {
-            throw new BadMessageException(413, "a chunk is over " + MOST_BODY + " bytes");
+        if (remaining > MAX_BODY_BYTES) {
+            throw new BadMessageException(413, "a chunk is over " + MAX_BODY_BYTES + " bytes");
         }
         addToBodyLength(remaining);
         state = remaining == 0 ? State.TRAILERS : State.CHUNK;
@@ -254,8 +256,8 @@
     /** Limits the bodies of requests, which are buffered; responses are streamed and may be of any length. */
     private void addToBodyLength(long bytes) throws BadMessageException {
         bodyBytes += bytes;
-        if (kind == Kind.REQUEST && bodyBytes > MOST_BODY) {
-            throw new BadMessageException(413, "the body is over " + MOST_BODY + " bytes");
+        if (kind == Kind.REQUEST && bodyBytes > MAX_BODY_BYTES) {
+            throw new BadMessageException(413, "the body is over " + MAX_BODY_BYTES + " bytes");
         }
     }
 
--- a/src/main/java/yewdock/platform/ClientSide.java
+++ b/src/main/java/yewdock/platform/ClientConnectionHandler.java
@@ -6,28 +6,28 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.Locale;
-import yewdock.desk.Event;
-import yewdock.desk.ModelRequest;
+import yewdock.core.Event;
+import yewdock.core.ModelRequest;
 import yewdock.http.BadMessageException;
-import yewdock.http.Head;
+import yewdock.http.MessageHead;
 import yewdock.http.MessageReader;
 
 /** A client connection: reads one request at a time and writes its response. */
-final class ClientSide implements Side, MessageReader.Sink {
+final class ClientConnectionHandler implements ConnectionHandler, MessageReader.Sink {
     private static final String LAST_CHUNK = "0\r\n\r\n";
     private static final double MICROS_PER_SECOND = 1e6;
     /** How many bytes are kept of what a client sends while its previous request is open. */
     private static final int MAX_PIPELINED_BYTES = 64 * 1024;
 
-    private final Front front;
+    private final ConnectionManager front;
     private final long clientId;
-    private final Wire wire;
+    private final Connection wire;
     private final MessageReader reader = new MessageReader(MessageReader.Kind.REQUEST, this);
     private final Deque<Input> unreadInput = new ArrayDeque<>();
     private int unreadBytes;
     /** When the first byte of the current request arrived, from which its timeout is counted. */
     private Arrival requestArrival;
-    private Head head;
+    private MessageHead head;
     private ByteArrayOutputStream body;
     private ClientRequest request;
     /** Whether a request has been read whose response is not complete. */
@@ -46,7 +46,7 @@
     private record Input(ByteBuffer bytes, Arrival arrival) {
     }
 
-    ClientSide(Front front, long clientId, Wire wire) {
+    ClientConnectionHandler(ConnectionManager front, long clientId, Connection wire) {
         this.front = front;
         this.clientId = clientId;
         this.wire = wire;
@@ -57,17 +57,17 @@
     }
 
     @Override
-    public void up() {
+    public void onConnected() {
         // client connections are established when they are accepted
     }
 
     @Override
-    public void received(ByteBuffer bytes) {
-        received(bytes, Arrival.at(front.now()));
+    public void onReceived(ByteBuffer bytes) {
+        onReceived(bytes, Arrival.at(front.now()));
     }
 
     @Override
-    public void received(ByteBuffer bytes, Arrival arrival) {
+    public void onReceived(ByteBuffer bytes, Arrival arrival) {
         if (closing) {
             return;
         }
@@ -87,22 +87,22 @@
         try {
             while (!requestOpen && !closing && !unreadInput.isEmpty()) {
                 ByteBuffer next = unreadInput.peek().bytes;
-                boolean atMessageStart = reader.untouched();
+                boolean atMessageStart = reader.atMessageStart();
                 unreadBytes -= next.remaining();
                 try {
                     reader.read(next);
                 } finally {
                     unreadBytes += next.remaining();
-                    if (atMessageStart && !reader.untouched()) {
+                    if (atMessageStart && !reader.atMessageStart()) {
                         requestArrival = unreadInput.peek().arrival;
-                        front.happened(new Event.ClientBegan(clientId));
+                        front.dispatch(new Event.ClientRequestStarted(clientId));
                     }
                 }
                 if (!next.hasRemaining()) {
                     unreadInput.poll();
                 }
-                if (reader.done()) {
-                    reader.next();
+                if (reader.isComplete()) {
+                    reader.startNext();
                     requestComplete();
                 }
             }
@@ -138,8 +138,8 @@
     void closeOrTimeOut() {
         if (closing) {
             wire.close();
-        } else if (reader.untouched()) {
-            closing = wire.closeUnlessUnheard();
+        } else if (reader.atMessageStart()) {
+            closing = wire.closeUnlessUndelivered();
         } else {
             front.counters().add("requests.malformed");
             reject(408, "the request did not come in time");
@@ -147,10 +147,10 @@
     }
 
     @Override
-    public void head(Head read) {
+    public void head(MessageHead read) {
         head = read;
         body = new ByteArrayOutputStream();
-        if (read.says("Expect", "100-continue")) {
+        if (read.hasToken("Expect", "100-continue")) {
             write("HTTP/1.1 100 Continue\r\n\r\n");
         }
     }
@@ -186,13 +186,13 @@
             case ClientRequest.PATH -> {
                 if (!head.method().equals("POST")) {
                     respond(405, "POST only\n", "Allow: POST\r\n");
-                } else if (!head.third().equals("HTTP/1.1")) {
+                } else if (!head.startLineThird().equals("HTTP/1.1")) {
                     throw new BadMessageException(505, "streams need HTTP/1.1");
                 } else {
                     request = new ClientRequest(head, body.toByteArray());
                     releaseBody();
                     ModelRequest read = request.toModelRequest(front.names(), requestArrival, front.now());
-                    front.happened(new Event.Asked(clientId, read));
+                    front.dispatch(new Event.RequestReceived(clientId, read));
                 }
             }
             case "/ready" -> {
@@ -275,7 +275,7 @@
         if (closing || inputOverflowed) {
             closing = true;
             if (rejected || inputOverflowed) {
-                wire.linger();
+                wire.closeLingering();
             } else {
                 wire.closeAfterWriting();
             }
@@ -285,19 +285,19 @@
             closeIfIdle();
             return;
         }
-        front.happened(new Event.ClientQuiet(clientId));
+        front.dispatch(new Event.ClientIdle(clientId));
         readRequests();
     }
 
     /** Whether a request is open, has come in part, or may have been read and not handled yet. */
     boolean hasRequestInProgress() {
         return requestOpen
-                || !closing && (!reader.untouched() || !unreadInput.isEmpty() || wire.hasUnheard());
+                || !closing && (!reader.atMessageStart() || !unreadInput.isEmpty() || wire.hasUndelivered());
     }
 
     void closeIfIdle() {
         if (!closing && !hasRequestInProgress()) {
-            closing = wire.closeUnlessUnheard();
+            closing = wire.closeUnlessUndelivered();
         }
     }
 
@@ -306,22 +306,22 @@
     }
 
     @Override
-    public void written(int bytes) {
+    public void onWritten(int bytes) {
         if (requestOpen && responseStarted) {
-            front.happened(new Event.ClientTook(clientId, bytes));
+            front.dispatch(new Event.ClientBytesWritten(clientId, bytes));
         }
     }
 
     /** The lingering close has timed out. */
     @Override
-    public void idle() {
+    public void onIdle() {
         if (closing) {
             wire.close();
         }
     }
 
     @Override
-    public void down() {
+    public void onClosed() {
         closing = true;
         releaseBody();
         front.clientClosed(clientId);
--- a/src/main/java/yewdock/platform/ClientRequest.java
+++ b/src/main/java/yewdock/platform/ClientRequest.java
@@ -2,12 +2,12 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import yewdock.desk.ModelRequest;
+import yewdock.core.ModelRequest;
 import yewdock.http.BadMessageException;
-import yewdock.http.Head;
+import yewdock.http.MessageHead;
 
 /** A client's request as received; it is forwarded to a server unchanged. */
-record ClientRequest(Head head, byte[] body) {
+record ClientRequest(MessageHead head, byte[] body) {
     static final String PATH = "/v1/chat/completions";
     private static final int BAD_REQUEST = 400;
     /** Memory that is counted for a request in addition to its body. */
@@ -21,10 +21,10 @@
      * Returns what the reducer needs of the request. A header that is malformed or has an unknown value makes
      * it a bad request. The client's timeout also runs while the request waits to be read.
      */
-    ModelRequest toModelRequest(Names names, Arrival arrival, long now) throws BadMessageException {
+    ModelRequest toModelRequest(NameIndexes names, Arrival arrival, long now) throws BadMessageException {
         String id = required("X-Correlation-Id");
         int requestClass = index(names.classes(), "X-Service-Class");
-        int tenant = names.municipalities().isEmpty() ? 0 : index(names.municipalities(), "X-Account");
+        int tenant = names.tenants().isEmpty() ? 0 : index(names.tenants(), "X-Account");
         double seconds = Numbers.decimal(required("X-Time-Left"));
         if (!(seconds <= MAX_TIMEOUT_SECONDS)) {
             throw new BadMessageException(BAD_REQUEST, "X-Time-Left is malformed");
--- a/src/main/java/yewdock/platform/Config.java
+++ b/src/main/java/yewdock/platform/Config.java
@@ -10,25 +10,26 @@
 import org.json.JSONException;
 import org.json.JSONObject;
 import umberspread.Routing;
-import yewdock.desk.Bounds;
-import yewdock.desk.EndpointList;
+import yewdock.core.EndpointList;
+import yewdock.core.ResourceLimits;
 
 /**
  * The configuration of one router.
  *
  * @param name the router's name among its peers
- * @param listen the address for clients, as host:port
- * @param operator the address for operators, as host:port; empty if there is none
- * @param discovery the address of the discovery service, as host:port
+ * @param listenAddress the address for clients, as host:port
+ * @param operatorAddress the address for operators, as host:port; empty if there is none
+ * @param discoveryAddress the address of the discovery service, as host:port
  * @param seed the seed of the module's random choices
- * @param keepalive how long idle server connections are kept, in microseconds
+ * @param keepaliveMicros how long idle server connections are kept, in microseconds
  * @param settings the module's settings
  * @param names maps the names in requests and endpoint lists to the module's indexes
  * @param bounds the limits on connections, requests and memory
- * @param known the endpoint list that was known when the configuration was written
+ * @param cachedEndpoints the endpoint list that was known when the configuration was written
  */
-public record Config(String name, String listen, String operator, String discovery, long seed, long keepalive,
-        Routing.Settings settings, Names names, Bounds bounds, EndpointList known) {
+public record Config(String name, String listenAddress, String operatorAddress, String discoveryAddress,
+        long seed, long keepaliveMicros,
+        Routing.Settings settings, NameIndexes names, ResourceLimits bounds, EndpointList cachedEndpoints) {
     private static final double MICROS_PER_SECOND = 1e6;
     /** Resources that a router may use if the configuration sets no limits; no router gets more. */
     private static final int DEFAULT_SOCKETS = 1024;
@@ -52,10 +53,10 @@
         for (JSONObject org : objects(s.optJSONArray("orgs"))) {
             tenants.add(new Routing.Tenant(org.getString("name"), org.getDouble("quota_rps")));
         }
-        Names names = new Names(Names.indexesOf(classes.stream().map(Routing.RequestClass::name).toList()),
-                Names.indexesOf(tenants.stream().map(Routing.Tenant::name).toList()),
-                Names.indexesOf(strings(s.optJSONArray("zones"))),
-                Names.indexesOf(strings(s.optJSONArray("shapes"))));
+        NameIndexes names = new NameIndexes(NameIndexes.indexesOf(classes.stream().map(Routing.RequestClass::name).toList()),
+                NameIndexes.indexesOf(tenants.stream().map(Routing.Tenant::name).toList()),
+                NameIndexes.indexesOf(strings(s.optJSONArray("zones"))),
+                NameIndexes.indexesOf(strings(s.optJSONArray("shapes"))));
         JSONObject l = s.getJSONObject("limits");
         Routing.Limits limits = new Routing.Limits(l.getInt("max_attempts"),
                 l.optBoolean("may_duplicate"), l.optBoolean("cancelling"), l.optBoolean("probes"),
@@ -72,27 +73,27 @@
                 s.getInt("zone"), classes, tenants, s.optDouble("over_share_worth", 1),
                 s.getString("discovery").equals("ask"), limits, contract, prices);
         String discovery = all.getString("discovery");
-        Addresses.of(discovery);
-        Addresses.of(all.getString("listen"));
+        Addresses.parse(discovery);
+        Addresses.parse(all.getString("listen"));
         String operator = all.optString("operator", "");
         if (!operator.isEmpty()) {
-            Addresses.of(operator);
+            Addresses.parse(operator);
         }
         JSONObject known = all.optJSONObject("known");
         return new Config(all.getString("name"), all.getString("listen"), operator, discovery,
                 Long.parseUnsignedLong(all.getString("seed"), 16), micros(l, "keepalive"), settings, names,
                 bounds(all.optJSONObject("limits", new JSONObject())),
-                known == null ? EndpointList.NOTHING : new EndpointListReader(names, log).read(known));
+                known == null ? EndpointList.UNKNOWN : new EndpointListReader(names, log).read(known));
     }
 
     /** Names the parts of a new configuration that differ from this one and need a restart to take effect. */
     List<String> changesNeedingRestart(Config next) {
         List<String> changed = new ArrayList<>();
         addIfDifferent("name", name, next.name, changed);
-        addIfDifferent("listen", listen, next.listen, changed);
-        addIfDifferent("operator", operator, next.operator, changed);
+        addIfDifferent("listen", listenAddress, next.listenAddress, changed);
+        addIfDifferent("operator", operatorAddress, next.operatorAddress, changed);
         addIfDifferent("limits", bounds, next.bounds, changed);
-        addIfDifferent("keepalive", keepalive, next.keepalive, changed);
+        addIfDifferent("keepalive", keepaliveMicros, next.keepaliveMicros, changed);
         addIfDifferent("settings", settings, next.settings, changed);
         addIfDifferent("names in settings", names, next.names, changed);
         return changed;
@@ -104,13 +105,13 @@
         }
     }
 
-    private static Bounds bounds(JSONObject limits) {
+    private static ResourceLimits bounds(JSONObject limits) {
         int sockets = limits.optInt("sockets", DEFAULT_SOCKETS);
         int megabytes = limits.optInt("memory_mb", MAX_MEMORY_MB);
         if (sockets < MIN_SOCKETS || megabytes < MIN_MEMORY_MB) {
             throw new IllegalArgumentException("limits are too small: " + limits);
         }
-        return Bounds.within(sockets, Math.min(megabytes, MAX_MEMORY_MB));
+        return ResourceLimits.within(sockets, Math.min(megabytes, MAX_MEMORY_MB));
     }
 
     private static List<Routing.RequestClass> classes(JSONObject s) {
@@ -121,7 +122,7 @@
         for (JSONObject c : objects(s.getJSONArray("classes"))) {
             int i = classes.size();
             classes.add(new Routing.RequestClass(c.getString("name"),
-                    enumValue(Routing.Effect.class, c.optString("effect", "retryable")),
+                    enumValue(Routing.RetrySafety.class, c.optString("effect", "retryable")),
                     enumValue(Routing.DedupGroup.class, c.optString("group", "all")), micros(c, "window", 0),
                     micros(c, "aim"), Math.round(itemOrZero(domain, "aim_us_per_1000_prompt_tokens", i)),
                     Math.round(itemOrZero(domain, "token_aim", i) * MICROS_PER_SECOND), micros(c, "give_up"),
--- a/src/main/java/yewdock/platform/Wire.java
+++ b/src/main/java/yewdock/platform/Connection.java
@@ -2,8 +2,10 @@
 
 import java.nio.ByteBuffer;
 
-/** A connection of the transport. Its methods do not block; their results reach its {@link Side}. */
-public interface Wire {
+/**
+ * A connection of the transport. Its methods do not block; their results reach its {@link ConnectionHandler}.
+ */
+public interface Connection {
     /** Queues bytes to be written, in the order of the calls. */
     void write(ByteBuffer bytes);
 
@@ -18,21 +20,21 @@
     void closeAfterWriting();
 
     /** Whether bytes have been read that the handler has not received yet. */
-    boolean hasUnheard();
+    boolean hasUndelivered();
 
     /**
      * Closes a connection without an open request, unless bytes were read that the handler has not received:
      * a request that was read must be answered. Returns whether the connection closes.
      */
-    boolean closeUnlessUnheard();
+    boolean closeUnlessUndelivered();
 
     /**
      * Closes a connection whose peer may still be sending a rejected request: closing over unread bytes
      * resets the connection and could lose the response. Incoming bytes are dropped until the peer has
      * closed, or for a second.
      */
-    void linger();
+    void closeLingering();
 
     /** Pauses or resumes reading from the connection, for flow control. */
-    void hold(boolean paused);
+    void setReadingPaused(boolean paused);
 }
--- a/src/main/java/yewdock/platform/Front.java
+++ b/src/main/java/yewdock/platform/ConnectionManager.java
@@ -8,37 +8,37 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import yewdock.desk.EndpointList;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Effect;
-import yewdock.desk.Event;
+import yewdock.core.Counters;
+import yewdock.core.Effect;
+import yewdock.core.EndpointList;
+import yewdock.core.Event;
+import yewdock.core.Reducer;
 
 /**
  * Holds all connections, translates what happens on them into events for the reducer and performs the
  * reducer's effects on them. Not thread-safe: it, the reducer and all connection handlers run on one thread.
  */
-public final class Front {
+public final class ConnectionManager {
     /** Memory for all incomplete request bodies together; the reducer limits that of complete requests. */
     private static final int MAX_INCOMING_BODY_BYTES = 8 << 20;
 
-    private final Desk desk;
+    private final Reducer desk;
     private Config config;
     private final Counters counters;
-    private final Wires wires;
+    private final Transport wires;
     private final EndpointListReader listReader;
-    private final Names names;
+    private final NameIndexes names;
     private final LongSupplier clock;
     private final Consumer<String> log;
     /** Receives the effects that concern other generations; does nothing unless set. */
     private Consumer<Effect> generationEffects = effect -> { };
     /** Receives the answers to operators' calls. */
     private Consumer<Effect> operatorAnswers = effect -> { };
-    private final Map<Long, ClientSide> clientConnections = new LinkedHashMap<>();
-    private final Map<Long, BoxSide> serverConnections = new HashMap<>();
-    private DiscoveryConnection discovery;
+    private final Map<Long, ClientConnectionHandler> clientConnections = new LinkedHashMap<>();
+    private final Map<Long, ServerConnectionHandler> serverConnections = new HashMap<>();
+    private DiscoveryConnectionHandler discovery;
     /** A connection whose poll was late and was repeated on another one; the one answered first is kept. */
-    private DiscoveryConnection supersededDiscovery;
+    private DiscoveryConnectionHandler supersededDiscovery;
     /** Whether a poll has been answered since that connection was superseded. */
     private boolean answeredSinceSuperseded;
     private final Deque<Event> pendingEvents = new ArrayDeque<>();
@@ -49,7 +49,8 @@
     private boolean closingIdleClients;
 
     /** Makes a manager without connections; {@link #start} gives the reducer its first event. */
-    public Front(Config config, Desk desk, Counters counters, Wires wires, LongSupplier clock,
+    public ConnectionManager(Config config, Reducer desk, Counters counters, Transport wires,
+            LongSupplier clock,
             Consumer<String> log) {
         this.desk = desk;
         this.counters = counters;
@@ -66,41 +67,41 @@
 
     /** Starts the reducer with the endpoint list in the configuration. */
     public void start() {
-        start(config.known());
+        start(config.cachedEndpoints());
     }
 
     /** Starts the reducer with an endpoint list that is newer than the configuration's. */
     public void start(EndpointList known) {
         listReader.remember(known);
-        happened(new Event.Started(known, config.discovery()));
+        dispatch(new Event.Started(known, config.discoveryAddress()));
     }
 
     /** Sets the receiver of effects that concern other generations. */
-    public void tellOthersBy(Consumer<Effect> receiver) {
+    public void forwardGenerationEffectsTo(Consumer<Effect> receiver) {
         generationEffects = receiver;
     }
 
     /** Sets the receiver of the answers to operators' calls. */
-    public void answerCallsBy(Consumer<Effect> receiver) {
+    public void forwardOperatorAnswersTo(Consumer<Effect> receiver) {
         operatorAnswers = receiver;
     }
 
     /** Applies what can be changed at run time of a new configuration and logs what needs a restart. */
     public void reconfigure(Config next) {
         List<String> needRestart = config.changesNeedingRestart(next);
-        log.accept("new configuration: the box list is at " + next.discovery()
+        log.accept("new configuration: the box list is at " + next.discoveryAddress()
                 + (needRestart.isEmpty() ? ""
                 : "; not taken before a restart: " + String.join(", ", needRestart)));
         config = next;
-        happened(new Event.ListMoved(next.discovery()));
+        dispatch(new Event.DiscoveryAddressChanged(next.discoveryAddress()));
     }
 
     /** Registers a new client connection and returns its handler. */
-    public Side accept(Wire wire) {
+    public ConnectionHandler accept(Connection wire) {
         counters.add("clients.accepted");
-        ClientSide side = new ClientSide(this, ++lastClientId, wire);
+        ClientConnectionHandler side = new ClientConnectionHandler(this, ++lastClientId, wire);
         clientConnections.put(lastClientId, side);
-        happened(new Event.ClientCame(lastClientId));
+        dispatch(new Event.ClientConnected(lastClientId));
         return side;
     }
 
@@ -108,7 +109,7 @@
      * Passes an event to the reducer and performs the effects. Events that occur meanwhile are queued: a
      * client's next request must not overtake the remaining effects of its last one's end.
      */
-    public void happened(Event event) {
+    public void dispatch(Event event) {
         pendingEvents.add(event);
         if (dispatching) {
             return;
@@ -123,9 +124,9 @@
         }
         // Stopping while a request has been read in part would lose it, though the reducer has none open.
         if (stopRequested
-                && clientConnections.values().stream().noneMatch(ClientSide::hasRequestInProgress)) {
+                && clientConnections.values().stream().noneMatch(ClientConnectionHandler::hasRequestInProgress)) {
             stopRequested = false;
-            if (desk.lettingGo()) {
+            if (desk.isHandedOver()) {
                 // changes that discovery reported from now on would reach no generation
                 closeDiscovery();
                 closeSupersededDiscovery();
@@ -145,71 +146,71 @@
     }
 
     private void perform(Effect effect) {
-        if (effect instanceof Effect.PassOn e) {
+        if (effect instanceof Effect.ForwardChunk e) {
             withClient(e.client(), c -> c.writeChunk(e.bytes()));
-        } else if (effect instanceof Effect.SendTry e) {
-            BoxSide server = serverConnections.get(e.line());
-            ClientSide client = clientConnections.get(e.client());
+        } else if (effect instanceof Effect.SendAttempt e) {
+            ServerConnectionHandler server = serverConnections.get(e.connection());
+            ClientConnectionHandler client = clientConnections.get(e.client());
             if (server != null && client != null) {
-                server.send(client.request(), e.patience());
+                server.send(client.request(), e.timeoutMicros());
             }
-        } else if (effect instanceof Effect.EndAnswer e) {
-            withClient(e.client(), ClientSide::endResponse);
-        } else if (effect instanceof Effect.OpenLine e) {
+        } else if (effect instanceof Effect.EndResponse e) {
+            withClient(e.client(), ClientConnectionHandler::endResponse);
+        } else if (effect instanceof Effect.OpenServerConnection e) {
             wires.connect(e.address(), wire -> {
-                BoxSide side = new BoxSide(this, e.line(), wire);
-                serverConnections.put(e.line(), side);
+                ServerConnectionHandler side = new ServerConnectionHandler(this, e.connection(), wire);
+                serverConnections.put(e.connection(), side);
                 return side;
             });
-        } else if (effect instanceof Effect.CloseLine e) {
-            BoxSide server = serverConnections.get(e.line());
+        } else if (effect instanceof Effect.CloseServerConnection e) {
+            ServerConnectionHandler server = serverConnections.get(e.connection());
             if (server != null) {
                 server.close();
             }
-        } else if (effect instanceof Effect.HoldLine e) {
-            BoxSide server = serverConnections.get(e.line());
+        } else if (effect instanceof Effect.PauseReading e) {
+            ServerConnectionHandler server = serverConnections.get(e.connection());
             if (server != null) {
-                server.hold(e.held());
+                server.hold(e.paused());
             }
-        } else if (effect instanceof Effect.CutOff e) {
-            withClient(e.client(), ClientSide::abort);
+        } else if (effect instanceof Effect.AbortResponse e) {
+            withClient(e.client(), ClientConnectionHandler::abort);
         } else if (effect instanceof Effect.Refuse e) {
-            withClient(e.client(), c -> c.refuse(e.retryAfter()));
+            withClient(e.client(), c -> c.refuse(e.retryAfterMicros()));
         } else if (effect instanceof Effect.Fail e) {
-            withClient(e.client(), ClientSide::fail);
-        } else if (effect instanceof Effect.AskList e) {
+            withClient(e.client(), ClientConnectionHandler::fail);
+        } else if (effect instanceof Effect.CallDiscovery e) {
             pollDiscovery(e);
-        } else if (effect instanceof Effect.HangUpList) {
+        } else if (effect instanceof Effect.CancelDiscoveryCall) {
             closeDiscovery();
-        } else if (effect instanceof Effect.SetListCallAside) {
+        } else if (effect instanceof Effect.SetDiscoveryCallAside) {
             supersedePoll();
         } else if (effect instanceof Effect.CloseClient e) {
-            withClient(e.client(), ClientSide::closeOrTimeOut);
-        } else if (effect instanceof Effect.TurnDownTwin e) {
-            withClient(e.client(), ClientSide::rejectDuplicate);
+            withClient(e.client(), ClientConnectionHandler::closeOrTimeOut);
+        } else if (effect instanceof Effect.RejectDuplicate e) {
+            withClient(e.client(), ClientConnectionHandler::rejectDuplicate);
         } else if (effect instanceof Effect.CloseIdleClients) {
             closingIdleClients = true;
-            List.copyOf(clientConnections.values()).forEach(ClientSide::closeIfIdle);
-        } else if (effect instanceof Effect.AnswerCall || effect instanceof Effect.AnswerFigures) {
+            List.copyOf(clientConnections.values()).forEach(ClientConnectionHandler::closeIfIdle);
+        } else if (effect instanceof Effect.AnswerCommand || effect instanceof Effect.AnswerStatistics) {
             operatorAnswers.accept(effect);
-        } else if (effect instanceof Effect.TellOthers || effect instanceof Effect.ShareOut
-                || effect instanceof Effect.MarkChanged) {
+        } else if (effect instanceof Effect.SendToGenerations || effect instanceof Effect.SendGenerationState
+                || effect instanceof Effect.PublishOverride) {
             generationEffects.accept(effect);
         } else if (effect instanceof Effect.Log e) {
-            log.accept(e.line());
+            log.accept(e.message());
         } else if (effect instanceof Effect.Stop) {
             stopRequested = true;
         }
     }
 
-    private void withClient(long id, Consumer<ClientSide> action) {
-        ClientSide side = clientConnections.get(id);
+    private void withClient(long id, Consumer<ClientConnectionHandler> action) {
+        ClientConnectionHandler side = clientConnections.get(id);
         if (side != null) {
             action.accept(side);
         }
     }
 
-    private void pollDiscovery(Effect.AskList e) {
+    private void pollDiscovery(Effect.CallDiscovery e) {
         if (discovery != null && !discovery.isTo(e.address())) {
             // between polls, the connection to the previous discovery address is still open
             closeDiscovery();
@@ -219,9 +220,9 @@
         }
         if (discovery == null) {
             discovery = wires.connectToDiscovery(e.address(),
-                    wire -> new DiscoveryConnection(this, listReader, e.address(), wire));
+                    wire -> new DiscoveryConnectionHandler(this, listReader, e.address(), wire));
         }
-        discovery.poll(e.since(), e.longest());
+        discovery.poll(e.sinceVersion(), e.maxWaitMicros());
     }
 
     private void supersedePoll() {
@@ -249,13 +250,13 @@
      * Handles a response to a poll. Of two concurrent polls, the connection of the one answered first is
      * kept. The other one's response is still read: discovery counts what it has written as delivered.
      */
-    void listReceived(DiscoveryConnection side, EndpointList response) {
+    void listReceived(DiscoveryConnectionHandler side, EndpointList response) {
         if (side != supersededDiscovery) {
             answeredSinceSuperseded = true;
-            happened(new Event.ListCame(response));
+            dispatch(new Event.EndpointListReceived(response));
         } else if (answeredSinceSuperseded) {
             closeSupersededDiscovery();
-            happened(new Event.LateListCame(response));
+            dispatch(new Event.LateEndpointListReceived(response));
         } else {
             counters.add("list.late_answers");
             if (discovery != null && !discovery.isRequestOpen()) {
@@ -264,31 +265,32 @@
             supersededDiscovery = discovery;
             discovery = side;
             answeredSinceSuperseded = true;
-            happened(new Event.ListCame(response));
+            dispatch(new Event.EndpointListReceived(response));
         }
     }
 
     /** The same for a response that ends its connection: the next poll needs a new one. */
-    void lastListReceived(DiscoveryConnection side, EndpointList response) {
+    void lastListReceived(DiscoveryConnectionHandler side, EndpointList response) {
         boolean late = side == supersededDiscovery && answeredSinceSuperseded;
         discoveryClosed(side);
         if (side == supersededDiscovery) {
             supersededDiscovery = null;
         }
         answeredSinceSuperseded = true;
-        happened(late ? new Event.LateListCame(response) : new Event.ListCame(response));
+        dispatch(late ? new Event.LateEndpointListReceived(response)
+                : new Event.EndpointListReceived(response));
     }
 
     /** Handles a failed poll; if it was superseded, another one is open or will be. */
-    void pollFailed(DiscoveryConnection side) {
+    void pollFailed(DiscoveryConnectionHandler side) {
         if (side == supersededDiscovery) {
             closeSupersededDiscovery();
         } else {
-            happened(new Event.ListFailed());
+            dispatch(new Event.DiscoveryCallFailed());
         }
     }
 
-    void discoveryClosed(DiscoveryConnection side) {
+    void discoveryClosed(DiscoveryConnectionHandler side) {
         if (discovery == side) {
             discovery = null;
         }
@@ -296,12 +298,12 @@
 
     void clientClosed(long id) {
         clientConnections.remove(id);
-        happened(new Event.ClientLeft(id));
+        dispatch(new Event.ClientDisconnected(id));
     }
 
     void serverConnectionClosed(long id) {
         serverConnections.remove(id);
-        happened(new Event.LineDown(id));
+        dispatch(new Event.ServerDisconnected(id));
     }
 
     /** Adds to the size of incomplete bodies, or subtracts if negative; false if the limit is exceeded. */
@@ -312,7 +314,7 @@
 
     /** Whether responses should tell clients to close, and idle client connections should be closed. */
     boolean leaving() {
-        return desk.leaving() || desk.lettingGo() || desk.quiesced();
+        return desk.isShuttingDown() || desk.isHandedOver() || desk.isQuiesced();
     }
 
     /** Whether client connections close after a response even if it did not announce that. */
@@ -322,7 +324,7 @@
 
     /** Why the router is not ready; empty if it is. */
     String notReadyReason() {
-        return desk.unready();
+        return desk.notReadyReason();
     }
 
     /** The router's clock, in microseconds. */
@@ -334,7 +336,7 @@
         return counters;
     }
 
-    Names names() {
+    NameIndexes names() {
         return names;
     }
 
--- a/src/main/java/yewdock/platform/Deployment.java
+++ b/src/main/java/yewdock/platform/DeploymentSummary.java
@@ -11,7 +11,7 @@
 import umberspread.Routing;
 
 /** Describes, line by line, what a configuration enables and which of its settings the program ignores. */
-public final class Deployment {
+public final class DeploymentSummary {
     private static final double MICROS_PER_SECOND = 1e6;
     /** The settings that {@link Config} reads, as paths without list indexes. */
     private static final Set<String> USED_SETTINGS = Set.of("instances", "ordinal", "zone", "discovery",
@@ -28,7 +28,7 @@
             "resolution", "domain.notes", "domain.report_x0", "domain.report_x1", "goal.whole",
             "goal.worst_class", "goal.worst_tenant", "goal.worst_window", "orgs.share");
 
-    private Deployment() {
+    private DeploymentSummary() {
     }
 
     /** Describes the configuration in this text; throws IllegalArgumentException if it is invalid. */
@@ -39,18 +39,18 @@
         Routing.Limits limits = s.limits();
         Routing.Contract contract = s.contract();
         List<String> lines = new ArrayList<>();
-        lines.add("endpoint list: " + (s.askForList() ? "polled, at least every "
-                + seconds(contract.askWithin())
+        lines.add("endpoint list: " + (s.pullsEndpointList() ? "polled, at least every "
+                + seconds(contract.maxDiscoveryInterval())
                 : "pushed to an agent, watched from the start"));
         lines.add("drain grace: " + seconds(contract.drainGrace()));
-        lines.add("attempts per request: " + limits.maxAttempts() + " at most, " + (limits.mayDuplicate()
+        lines.add("attempts per request: " + limits.maxAttempts() + " at most, " + (limits.allowsHedging()
                 ? "two in flight at once for " + hedgedClasses(s) : "one in flight at a time"));
-        lines.add("attempts beyond the first: " + (contract.attempts().window() == 0
+        lines.add("attempts beyond the first: " + (contract.attemptBudget().window() == 0
                 ? "not limited by the contract, bounded all the same"
-                : "at most " + contract.attempts().free() + " and "
-                + contract.attempts().ratio() + " for each request within "
-                + seconds(contract.attempts().window())));
-        lines.add("cancelling attempts: " + (limits.cancelling() ? "allowed" : "not allowed"));
+                : "at most " + contract.attemptBudget().free() + " and "
+                + contract.attemptBudget().ratio() + " for each request within "
+                + seconds(contract.attemptBudget().window())));
+        lines.add("cancelling attempts: " + (limits.allowsCancelling() ? "allowed" : "not allowed"));
         lines.add("Retry-After for refused clients: " + (limits.retryAfterMax() == 0 ? "none"
                 : "up to " + seconds(limits.retryAfterMax())));
         lines.add("late responses: " + lateResponses(s));
@@ -69,7 +69,8 @@
     }
 
     private static String hedgedClasses(Routing.Settings s) {
-        List<String> classes = s.classes().stream().filter(c -> c.effect() != Routing.Effect.FRAGILE)
+        List<String> classes = s.classes().stream().filter(c ->
+                c.retrySafety() != Routing.RetrySafety.FRAGILE)
                 .map(Routing.RequestClass::name).toList();
         return classes.isEmpty() ? "no class" : String.join(", ", classes);
     }
--- a/src/main/java/yewdock/platform/DiscoveryConnection.java
+++ b/src/main/java/yewdock/platform/DiscoveryConnectionHandler.java
@@ -4,30 +4,31 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import org.json.JSONException;
-import yewdock.desk.EndpointList;
-import yewdock.desk.Event;
+import yewdock.core.EndpointList;
+import yewdock.core.Event;
 import yewdock.http.BadMessageException;
-import yewdock.http.Head;
+import yewdock.http.MessageHead;
 import yewdock.http.MessageReader;
 
 /** A discovery connection: polls for the endpoint list, one request at a time. */
-final class DiscoveryConnection implements Side, MessageReader.Sink {
+final class DiscoveryConnectionHandler implements ConnectionHandler, MessageReader.Sink {
     private static final int MAX_LIST_BYTES = 4 << 20;
     private static final int OK = 200;
 
-    private final Front front;
+    private final ConnectionManager front;
     private final EndpointListReader listReader;
     private final String host;
-    private final Wire wire;
-    private final MessageReader reader = new MessageReader(MessageReader.Kind.ANSWER, this);
+    private final Connection wire;
+    private final MessageReader reader = new MessageReader(MessageReader.Kind.RESPONSE, this);
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-    private Head head;
+    private MessageHead head;
     private String pendingRequest;
     private boolean connected;
     private boolean requestOpen;
     private boolean closed;
 
-    DiscoveryConnection(Front front, EndpointListReader listReader, String host, Wire wire) {
+    DiscoveryConnectionHandler(ConnectionManager front, EndpointListReader listReader, String host,
+            Connection wire) {
         this.front = front;
         this.listReader = listReader;
         this.host = host;
@@ -60,21 +61,21 @@
     }
 
     @Override
-    public void up() {
+    public void onConnected() {
         connected = true;
         writeIfConnected();
     }
 
     @Override
-    public void received(ByteBuffer bytes) {
+    public void onReceived(ByteBuffer bytes) {
         try {
             while (bytes.hasRemaining() && !closed) {
                 if (!requestOpen) {
                     throw new BadMessageException(502, "unexpected response: no request is open");
                 }
                 reader.read(bytes);
-                if (reader.done()) {
-                    reader.next();
+                if (reader.isComplete()) {
+                    reader.startNext();
                     responseComplete();
                 }
             }
@@ -112,7 +113,7 @@
 
     /** Returns the list in a body that ends with the connection; null if it is none or incomplete. */
     private EndpointList listAtEndOfConnection() {
-        if (!reader.endsWithConnection() || head.status() != OK) {
+        if (!reader.readsUntilClose() || head.status() != OK) {
             return null;
         }
         try {
@@ -124,7 +125,7 @@
     }
 
     @Override
-    public void head(Head read) {
+    public void head(MessageHead read) {
         head = read;
         body.reset();
     }
@@ -144,12 +145,12 @@
     }
 
     @Override
-    public void idle() {
+    public void onIdle() {
         // the reducer times the connections that the router opens
     }
 
     @Override
-    public void written(int bytes) {
+    public void onWritten(int bytes) {
         // polls need no confirmation that they were sent
     }
 
@@ -160,7 +161,7 @@
 
     /** A close with no open request only means that the next poll needs a new connection. */
     @Override
-    public void down() {
+    public void onClosed() {
         if (closed) {
             return;
         }
@@ -168,7 +169,7 @@
         EndpointList lastList = listAtEndOfConnection();
         if (lastList == null) {
             front.discoveryClosed(this);
-            front.happened(new Event.DiscoveryLost());
+            front.dispatch(new Event.DiscoveryConnectionLost());
             if (requestOpen) {
                 front.pollFailed(this);
             }
--- a/src/main/java/yewdock/platform/EndpointListReader.java
+++ b/src/main/java/yewdock/platform/EndpointListReader.java
@@ -12,9 +12,9 @@
 import org.json.JSONException;
 import org.json.JSONObject;
 import umberspread.Routing.Lifecycle;
-import umberspread.Routing.Replica;
-import yewdock.desk.EndpointList;
-import yewdock.desk.ModelServer;
+import umberspread.Routing.ServerState;
+import yewdock.core.EndpointList;
+import yewdock.core.ModelServer;
 
 /**
  * Parses endpoint lists. An entry that can't be used is logged and skipped, and the rest of its list is used.
@@ -26,20 +26,20 @@
     private static final List<Lifecycle> BY_SEVERITY =
             List.of(Lifecycle.READY, Lifecycle.DRAINING, Lifecycle.GONE);
 
-    private final Names names;
+    private final NameIndexes names;
     private final Consumer<String> log;
     /** The id of each listed name. Two names that contain the same number must not share an id. */
     private final Map<String, Long> idsByName = new HashMap<>();
 
     /** Makes a reader that resolves zones and kinds by these names and logs unusable entries. */
-    public EndpointListReader(Names names, Consumer<String> log) {
+    public EndpointListReader(NameIndexes names, Consumer<String> log) {
         this.names = names;
         this.log = log;
     }
 
     /** Keeps the ids that servers have in this list, which is from the configuration or a predecessor. */
     public void remember(EndpointList list) {
-        list.boxes().forEach(server -> idsByName.put(server.name(), server.id()));
+        list.servers().forEach(server -> idsByName.put(server.name(), server.id()));
     }
 
     /** Parses a list; throws JSONException if it is malformed. */
@@ -121,19 +121,19 @@
     }
 
     private static ModelServer withStateOnly(String name, long id, Lifecycle lifecycle) {
-        return new ModelServer(name, "", new Replica(id, 0, 0, 0, 1, lifecycle, 0));
+        return new ModelServer(name, "", new ServerState(id, 0, 0, 0, 1, lifecycle, 0));
     }
 
     private ModelServer parseUsable(JSONObject entry, String name, long id, Lifecycle lifecycle) {
         String address = entry.getString("addr");
-        Addresses.of(address);
+        Addresses.parse(address);
         double weight = entry.optDouble("weight", 1);
         long startedMillis = entry.optLong("started_ms", 0);
         if (!(weight >= 0 && weight <= MAX_WEIGHT) || startedMillis < 0) {
             throw new IllegalArgumentException("weight or started_ms is out of range");
         }
-        return new ModelServer(name, address, new Replica(id, index(names.sites(), entry, "zone"),
-                index(names.kinds(), entry, "kind"), entry.optInt("cell", 0), weight, lifecycle,
+        return new ModelServer(name, address, new ServerState(id, index(names.zones(), entry, "zone"),
+                index(names.serverKinds(), entry, "kind"), entry.optInt("cell", 0), weight, lifecycle,
                 startedMillis * 1000));
     }
 
--- a/src/main/java/yewdock/platform/BoxSide.java
+++ b/src/main/java/yewdock/platform/ServerConnectionHandler.java
@@ -9,14 +9,14 @@
 import org.json.JSONObject;
 import umberspread.Routing.LoadReport;
 import umberspread.Routing.Outcome;
-import yewdock.desk.Event;
+import yewdock.core.Event;
 import yewdock.http.BadMessageException;
-import yewdock.http.EventLines;
-import yewdock.http.Head;
+import yewdock.http.EventStreamLineReader;
+import yewdock.http.MessageHead;
 import yewdock.http.MessageReader;
 
 /** A server connection: writes one attempt at a time and reads its response. */
-final class BoxSide implements Side, MessageReader.Sink {
+final class ServerConnectionHandler implements ConnectionHandler, MessageReader.Sink {
     /** Header fields that apply to a single connection, or that the router writes itself. */
     private static final Set<String> NOT_FORWARDED = Set.of("connection", "keep-alive", "transfer-encoding",
             "content-length", "expect", "te", "trailer", "upgrade", "proxy-connection", "x-time-left");
@@ -24,11 +24,12 @@
     /** A first event longer than this is passed to the client before it is complete. */
     private static final int MAX_PENDING_START_BYTES = 16 * 1024;
 
-    private final Front front;
+    private final ConnectionManager front;
     private final long connectionId;
-    private final Wire wire;
-    private final MessageReader reader = new MessageReader(MessageReader.Kind.ANSWER, this);
-    private final EventLines events = new EventLines(this::onEventLine, this::onEventEnd);
+    private final Connection wire;
+    private final MessageReader reader = new MessageReader(MessageReader.Kind.RESPONSE, this);
+    private final EventStreamLineReader events = new EventStreamLineReader(this::onEventLine,
+            this::onEventEnd);
     /**
      * What has been received of a stream whose first event is not complete. If the server connection breaks
      * after a client has got a part of that event, the client can only be disconnected; as long as it has
@@ -43,21 +44,21 @@
     /** Whether an earlier attempt on this connection got a complete response. */
     private boolean respondedBefore;
     private int unwrittenBytes;
-    private Head head;
+    private MessageHead head;
     private LoadReport loadReport;
     private long cachedTokens;
     private boolean closing;
 
-    BoxSide(Front front, long connectionId, Wire wire) {
+    ServerConnectionHandler(ConnectionManager front, long connectionId, Connection wire) {
         this.front = front;
         this.connectionId = connectionId;
         this.wire = wire;
     }
 
     @Override
-    public void up() {
+    public void onConnected() {
         if (!closing) {
-            front.happened(new Event.LineUp(connectionId));
+            front.dispatch(new Event.ServerConnected(connectionId));
         }
     }
 
@@ -65,7 +66,7 @@
         StringBuilder text = new StringBuilder(512);
         text.append(request.head().method()).append(' ').append(request.head().target())
                 .append(" HTTP/1.1\r\n");
-        for (Head.Field f : request.head().fields()) {
+        for (MessageHead.Field f : request.head().fields()) {
             if (!NOT_FORWARDED.contains(f.name().toLowerCase(Locale.ROOT))) {
                 text.append(f.name()).append(": ").append(f.value()).append("\r\n");
             }
@@ -88,25 +89,25 @@
     }
 
     @Override
-    public void idle() {
+    public void onIdle() {
         // the reducer times the connections that the router opens
     }
 
     @Override
-    public void written(int bytes) {
+    public void onWritten(int bytes) {
         unwrittenBytes -= bytes;
         if (unwrittenBytes == 0) {
-            front.happened(new Event.TrySent(connectionId));
+            front.dispatch(new Event.AttemptWritten(connectionId));
         }
     }
 
     @Override
-    public void notBegun() {
-        front.happened(new Event.NotBegun(connectionId));
+    public void onWriteExpired() {
+        front.dispatch(new Event.AttemptNotStarted(connectionId));
     }
 
     @Override
-    public void received(ByteBuffer bytes) {
+    public void onReceived(ByteBuffer bytes) {
         if (closing) {
             return;
         }
@@ -118,23 +119,23 @@
                     throw new BadMessageException(502, "unexpected response: no request is open");
                 }
                 reader.read(bytes);
-                if (reader.done()) {
-                    reader.next();
+                if (reader.isComplete()) {
+                    reader.startNext();
                     responseComplete(!bytes.hasRemaining());
                 }
             }
-            if (attemptOpen && !bodyStarted && !reader.untouched()) {
-                front.happened(new Event.AnswerBegan(connectionId));
+            if (attemptOpen && !bodyStarted && !reader.atMessageStart()) {
+                front.dispatch(new Event.ResponseStarted(connectionId));
             }
         } catch (BadMessageException e) {
             front.counters().add("boxes.malformed_answers");
             closing = true;
-            front.happened(new Event.AnswerSpoilt(connectionId));
+            front.dispatch(new Event.ResponseMalformed(connectionId));
         }
     }
 
     @Override
-    public void head(Head read) {
+    public void head(MessageHead read) {
         head = read;
         loadReport = LoadReports.of(read.field(LoadReports.HEADER));
     }
@@ -148,7 +149,7 @@
         boolean first = !bodyStarted;
         events.read(piece);
         if (!first) {
-            front.happened(new Event.Piece(connectionId, piece));
+            front.dispatch(new Event.ResponseChunk(connectionId, piece));
             return;
         }
         byte[] bytes = new byte[piece.remaining()];
@@ -163,7 +164,7 @@
         bodyStarted = true;
         ByteBuffer all = ByteBuffer.wrap(pendingStart.toByteArray());
         pendingStart.reset();
-        front.happened(new Event.Piece(connectionId, all));
+        front.dispatch(new Event.ResponseChunk(connectionId, all));
     }
 
     @Override
@@ -182,7 +183,7 @@
             case 503, 504 -> "1".equals(head.field("X-Unprocessed")) ? Outcome.FULL : Outcome.ERROR;
             default -> Outcome.ERROR;
         };
-        front.happened(new Event.Answered(connectionId, outcome,
+        front.dispatch(new Event.ResponseCompleted(connectionId, outcome,
                 nothingBehind && unwrittenBytes == 0 && head.keepsAlive(), cachedTokens, loadReport));
     }
 
@@ -208,7 +209,7 @@
     }
 
     void hold(boolean held) {
-        wire.hold(held);
+        wire.setReadingPaused(held);
     }
 
     void close() {
@@ -217,7 +218,7 @@
     }
 
     @Override
-    public void down() {
+    public void onClosed() {
         if (!closing && attemptOpen && head != null && head.status() != 200) {
             // The status decides the outcome, also where the body was delimited by the connection's end.
             responseComplete(false);
--- a/src/main/java/yewdock/platform/Wires.java
+++ b/src/main/java/yewdock/platform/Transport.java
@@ -3,12 +3,13 @@
 import java.util.function.Function;
 
 /** Opens connections and stops the program; implemented over sockets, and by fakes in tests. */
-public interface Wires {
+public interface Transport {
     /** Starts to connect to a server; the handler is told when that has succeeded or failed. */
-    <S extends Side> S connect(String address, Function<Wire, S> makeSide);
+    <S extends ConnectionHandler> S connect(String address, Function<Connection, S> makeSide);
 
     /** The same for a discovery connection, whose events are handled before all others that are queued. */
-    default <S extends Side> S connectToDiscovery(String address, Function<Wire, S> makeSide) {
+    default <S extends ConnectionHandler> S connectToDiscovery(String address, Function<Connection,
+            S> makeSide) {
         return connect(address, makeSide);
     }
 
--- a/src/main/java/yewdock/sockets/AcceptedSessions.java
+++ b/src/main/java/yewdock/sockets/AcceptedSessions.java
@@ -5,18 +5,18 @@
 import org.apache.mina.core.service.IoHandlerAdapter;
 import org.apache.mina.core.session.IdleStatus;
 import org.apache.mina.core.session.IoSession;
-import yewdock.platform.Side;
-import yewdock.platform.Wire;
+import yewdock.platform.Connection;
+import yewdock.platform.ConnectionHandler;
 
 /** Handles accepted connections, each of which holds a permit of the limit until it is closed. */
 final class AcceptedSessions extends IoHandlerAdapter {
     private final SessionEvents events;
     private final ConnectionLimit limit;
     private final Supplier<SessionWire> makeWire;
-    private final Function<Wire, Side> makeHandler;
+    private final Function<Connection, ConnectionHandler> makeHandler;
 
     AcceptedSessions(SessionEvents events, ConnectionLimit limit, Supplier<SessionWire> makeWire,
-            Function<Wire, Side> makeHandler) {
+            Function<Connection, ConnectionHandler> makeHandler) {
         this.events = events;
         this.limit = limit;
         this.makeWire = makeWire;
--- a/src/main/java/yewdock/sockets/DispatcherLoop.java
+++ b/src/main/java/yewdock/sockets/DispatcherLoop.java
@@ -3,8 +3,8 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import org.tinylog.Logger;
-import yewdock.desk.Desk;
-import yewdock.desk.Event;
+import yewdock.core.Event;
+import yewdock.core.Reducer;
 import yewdock.platform.Arrival;
 import yewdock.sockets.TaskQueue.Task;
 
@@ -60,7 +60,7 @@
     }
 
     /** Runs until it is stopped. */
-    void run(Desk desk) {
+    void run(Reducer desk) {
         taskStartedAt = clock.getAsLong();
         while (!stopped) {
             try {
@@ -71,8 +71,8 @@
         }
     }
 
-    private void step(Desk desk) throws InterruptedException {
-        long sleepMicros = Math.max(0, Math.min(desk.nextDue() - clock.getAsLong(), MAX_SLEEP_MICROS));
+    private void step(Reducer desk) throws InterruptedException {
+        long sleepMicros = Math.max(0, Math.min(desk.nextTimerDue() - clock.getAsLong(), MAX_SLEEP_MICROS));
         Task task = queue.poll(sleepMicros);
         // counted from before the last task, during which the process may have been suspended
         long unreadMicros = clock.getAsLong() - taskStartedAt;
@@ -87,13 +87,13 @@
         if (task != null) {
             run(task);
         }
-        if (desk.nextDue() <= clock.getAsLong()) {
+        if (desk.nextTimerDue() <= clock.getAsLong()) {
             run(new Task(null, () -> dispatch.accept(new Event.Tick())));
         }
     }
 
     /** Handles a possible pause of this length; it is negative if the process can't have been suspended. */
-    private void catchUp(Desk desk, long pauseMicros) throws InterruptedException {
+    private void catchUp(Reducer desk, long pauseMicros) throws InterruptedException {
         if (pauseMicros >= MIN_PAUSE_MICROS) {
             pausedUntil = clock.getAsLong();
             pausedFrom = pausedUntil - pauseMicros;
@@ -108,14 +108,14 @@
      * Handles discovery responses and disconnects of clients before anything else. After a pause in which
      * discovery may have had more changes than one response holds, it is polled again first.
      */
-    private void runUrgentFirst(Desk desk, long pauseMicros) throws InterruptedException {
+    private void runUrgentFirst(Reducer desk, long pauseMicros) throws InterruptedException {
         processor.awaitRead(READ_WAIT_MILLIS);
         for (Task urgent = queue.pollUrgent(); urgent != null; urgent = queue.pollUrgent()) {
             run(urgent);
         }
-        run(new Task(null, () -> dispatch.accept(new Event.Resumed(pauseMicros))));
+        run(new Task(null, () -> dispatch.accept(new Event.ProcessResumed(pauseMicros))));
         long until = clock.getAsLong() + CATCH_UP_MICROS;
-        for (long remaining = CATCH_UP_MICROS; desk.catchesUp() && remaining > 0;
+        for (long remaining = CATCH_UP_MICROS; desk.isCatchingUp() && remaining > 0;
                 remaining = until - clock.getAsLong()) {
             Task urgent = queue.pollUrgent(remaining);
             if (urgent != null) {
--- a/src/main/java/yewdock/sockets/Sockets.java
+++ b/src/main/java/yewdock/sockets/MinaTransport.java
@@ -14,21 +14,21 @@
 import org.apache.mina.transport.socket.SocketSessionConfig;
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 import org.tinylog.Logger;
-import yewdock.desk.Desk;
-import yewdock.desk.Event;
+import yewdock.core.Event;
+import yewdock.core.Reducer;
 import yewdock.platform.Addresses;
 import yewdock.platform.Config;
-import yewdock.platform.Front;
-import yewdock.platform.Side;
-import yewdock.platform.Wire;
-import yewdock.platform.Wires;
+import yewdock.platform.Connection;
+import yewdock.platform.ConnectionHandler;
+import yewdock.platform.ConnectionManager;
+import yewdock.platform.Transport;
 import yewdock.sockets.TaskQueue.Task;
 
 /**
  * The transport over Apache MINA, and the one thread on which the reducer and all connection handlers run.
  * MINA's threads queue events for it in the order of their occurrence; the threads share nothing else.
  */
-public final class Sockets implements Wires {
+public final class MinaTransport implements Transport {
     /**
      * Clients that may be accepted above the reducer's limit, while it closes others; more of them wait.
      * Without this limit the process could run out of descriptors, and accepting would fail.
@@ -56,29 +56,29 @@
     private final ConnectionLimit clientLimit;
     private final Semaphore queueSpace = new Semaphore(MAX_QUEUED_BYTES);
     private final CountDownLatch stopped = new CountDownLatch(1);
-    private final Clock clock = new Clock();
+    private final MonotonicClock clock = new MonotonicClock();
     private final long maxWriteDelayMicros;
     private final DispatcherLoop loop;
     private final SessionEvents events;
-    private volatile Front front;
+    private volatile ConnectionManager front;
 
     /**
      * Makes a transport for so many clients at once. An attempt of which nothing has been written within half
      * of the drain grace, at most 0.1 s, is not started: the process was suspended meanwhile.
      */
-    public Sockets(int maxClients, long drainGraceMicros) {
+    public MinaTransport(int maxClients, long drainGraceMicros) {
         this(maxClients, drainGraceMicros, LingeringClose.TIMEOUT_SECONDS);
     }
 
     /** The same with another timeout for lingering closes. */
-    Sockets(int maxClients, long drainGraceMicros, int lingerSeconds) {
+    MinaTransport(int maxClients, long drainGraceMicros, int lingerSeconds) {
         maxWriteDelayMicros = Math.max(MIN_WRITE_DELAY_MICROS,
                 Math.min(MAX_WRITE_DELAY_MICROS, drainGraceMicros / 2));
         lingering = new LingeringClose(lingerSeconds);
         clientLimit = new ConnectionLimit(maxClients + MAX_CLOSING_CLIENTS);
         // a single processor, as the router has one core
-        processor = new CompleteReadProcessor(executor, this::isExpiredAttempt, Sockets::isClient);
-        loop = new DispatcherLoop(queue, processor, clock, event -> front.happened(event));
+        processor = new CompleteReadProcessor(executor, this::isExpiredAttempt, MinaTransport::isClient);
+        loop = new DispatcherLoop(queue, processor, clock, event -> front.dispatch(event));
         events = new SessionEvents(processor, lingering, queueSpace, clock, loop::arrival);
         acceptor = acceptor(clientLimit, ConnectionPurpose.CLIENT, wire -> front.accept(wire));
         connector = new NioSocketConnector(executor, processor);
@@ -90,7 +90,7 @@
 
     /** Makes an acceptor of connections of this kind, up to the limit. */
     private BoundedAcceptor acceptor(ConnectionLimit limit, ConnectionPurpose purpose,
-            Function<Wire, Side> makeHandler) {
+            Function<Connection, ConnectionHandler> makeHandler) {
         BoundedAcceptor newAcceptor = new BoundedAcceptor(executor, processor, limit, lingering);
         newAcceptor.setHandler(new AcceptedSessions(events, limit, () -> wire(purpose), makeHandler));
         configure(newAcceptor.getSessionConfig());
@@ -107,21 +107,21 @@
     }
 
     /** The clock of the transport and the reducer. */
-    public Clock clock() {
+    public MonotonicClock clock() {
         return clock;
     }
 
     /** Starts the reducer, listens for clients and serves until stopped. */
-    public void serve(String address, Front front, Desk desk) throws IOException {
+    public void serve(String address, ConnectionManager front, Reducer desk) throws IOException {
         this.front = front;
         front.start();
-        acceptor.bind(Addresses.of(address));
+        acceptor.bind(Addresses.parse(address));
         Logger.info("listens on {}", acceptor.getLocalAddress());
         runLoop(desk);
     }
 
-    /** Runs {@code start} and serves until stopped; accepts no clients before {@link #accept}. */
-    public void serveLater(Runnable start, Front front, Desk desk) {
+    /** Runs {@code start} and serves until stopped; accepts no clients before {@link #acceptFrom}. */
+    public void serveWithoutListening(Runnable start, ConnectionManager front, Reducer desk) {
         this.front = front;
         start.run();
         runLoop(desk);
@@ -131,9 +131,9 @@
      * Listens for clients on an address that other processes may listen on, too. Called on the dispatcher's
      * thread. Returns the address, with the actual port in place of a port of 0.
      */
-    public String listenBeside(String address) throws IOException {
+    public String listenShared(String address) throws IOException {
         acceptor.shareAddress();
-        acceptor.bind(Addresses.of(address));
+        acceptor.bind(Addresses.parse(address));
         Logger.info("listens on {}", acceptor.getLocalAddress());
         return acceptor.getLocalAddress().getAddress().getHostAddress() + ':'
                 + acceptor.getLocalAddress().getPort();
@@ -143,12 +143,12 @@
      * Listens for operators, for so many connections at once; one that sends nothing for so many seconds is
      * reported as idle. Called before serving starts.
      */
-    public void listenAlso(String address, int maxConnections, int idleSeconds,
-            Function<Wire, Side> makeHandler) throws IOException {
+    public void listenForOperators(String address, int maxConnections, int idleSeconds,
+            Function<Connection, ConnectionHandler> makeHandler) throws IOException {
         BoundedAcceptor operatorAcceptor = acceptor(new ConnectionLimit(maxConnections),
                 ConnectionPurpose.OPERATOR, makeHandler);
         operatorAcceptor.getSessionConfig().setReaderIdleTime(idleSeconds);
-        operatorAcceptor.bind(Addresses.of(address));
+        operatorAcceptor.bind(Addresses.parse(address));
         Logger.info("operators call {}", operatorAcceptor.getLocalAddress());
     }
 
@@ -173,7 +173,7 @@
     }
 
     /** The same after a delay. */
-    public void postAfter(long millis, Runnable work) {
+    public void postDelayed(long millis, Runnable work) {
         Thread timer = new Thread(() -> {
             try {
                 Thread.sleep(millis);
@@ -190,7 +190,7 @@
      * Accepts clients from a listener that other processes may accept from, too. It is never closed here:
      * connections in its queue are left to the process that accepts next. Called on the dispatcher's thread.
      */
-    public void accept(ServerSocketChannel listener) throws IOException {
+    public void acceptFrom(ServerSocketChannel listener) throws IOException {
         acceptor.useListener(listener);
         acceptor.bind(listener.getLocalAddress());
     }
@@ -203,7 +203,7 @@
         clientLimit.shrink(Short.MAX_VALUE);
     }
 
-    private void runLoop(Desk desk) {
+    private void runLoop(Reducer desk) {
         loop.run(desk);
         flushAndClose();
         stopped.countDown();
@@ -215,8 +215,8 @@
     }
 
     /** Starts a graceful shutdown and waits until all open requests are finished. */
-    public void leave() {
-        queue.add(new Task(null, () -> front.happened(new Event.Leave())));
+    public void shutDownGracefully() {
+        queue.add(new Task(null, () -> front.dispatch(new Event.ShutdownRequested())));
         try {
             stopped.await();
         } catch (InterruptedException e) {
@@ -245,19 +245,21 @@
     }
 
     @Override
-    public <S extends Side> S connect(String address, Function<Wire, S> makeSide) {
+    public <S extends ConnectionHandler> S connect(String address, Function<Connection, S> makeSide) {
         return connect(address, makeSide, wire(ConnectionPurpose.SERVER));
     }
 
     @Override
-    public <S extends Side> S connectToDiscovery(String address, Function<Wire, S> makeSide) {
+    public <S extends ConnectionHandler> S connectToDiscovery(String address, Function<Connection,
+            S> makeSide) {
         return connect(address, makeSide, wire(ConnectionPurpose.DISCOVERY));
     }
 
-    private <S extends Side> S connect(String address, Function<Wire, S> makeSide, SessionWire wire) {
+    private <S extends ConnectionHandler> S connect(String address, Function<Connection, S> makeSide,
+            SessionWire wire) {
         S side = makeSide.apply(wire);
         wire.setHandler(side);
-        InetSocketAddress target = Addresses.of(address);
+        InetSocketAddress target = Addresses.parse(address);
         ConnectFuture future = connector.connect(target, (session, connecting) -> wire.attachTo(session));
         wire.setConnectFuture(future);
         future.addListener(done -> {
@@ -278,7 +280,7 @@
         boolean late = wire.purpose() == ConnectionPurpose.SERVER
                 && clock.getAsLong() - wire.decidedAt() > maxWriteDelayMicros;
         if (late) {
-            wire.postToHandler(Side::notBegun);
+            wire.postToHandler(ConnectionHandler::onWriteExpired);
         }
         return late;
     }
--- a/src/main/java/yewdock/sockets/Clock.java
+++ b/src/main/java/yewdock/sockets/MonotonicClock.java
@@ -6,7 +6,7 @@
  * A monotonic clock in microseconds, which starts at the Unix time of its creation. Unix times from other
  * sources can be compared with it without conversion.
  */
-public final class Clock implements LongSupplier {
+public final class MonotonicClock implements LongSupplier {
     private final long offset = System.currentTimeMillis() * 1000 - System.nanoTime() / 1000;
 
     @Override
--- a/src/main/java/yewdock/sockets/SessionEvents.java
+++ b/src/main/java/yewdock/sockets/SessionEvents.java
@@ -10,7 +10,7 @@
 import org.apache.mina.core.session.IoSession;
 import org.tinylog.Logger;
 import yewdock.platform.Arrival;
-import yewdock.platform.Side;
+import yewdock.platform.ConnectionHandler;
 
 /** Queues the events of MINA's sessions as tasks for the dispatcher. */
 class SessionEvents extends IoHandlerAdapter {
@@ -33,7 +33,7 @@
 
     @Override
     public void sessionOpened(IoSession session) {
-        SessionWire.of(session).postToHandler(Side::up);
+        SessionWire.of(session).postToHandler(ConnectionHandler::onConnected);
     }
 
     @Override
@@ -46,7 +46,7 @@
         if (wire.isDroppingInput()) {
             drop(wire, session, bytes.remaining());
         } else if (wire.purpose() == ConnectionPurpose.DISCOVERY) {
-            wire.postToHandler(side -> side.received(bytes));
+            wire.postToHandler(side -> side.onReceived(bytes));
         } else {
             enqueue(wire, bytes);
         }
@@ -68,19 +68,20 @@
         long readAt = clock.getAsLong();
         wire.countUndelivered();
         queueSpace.acquireUninterruptibly(size);
-        wire.postMessage(side -> side.received(bytes, arrival.apply(readAt)), () -> queueSpace.release(size));
+        wire.postMessage(side -> side.onReceived(bytes, arrival.apply(readAt)), () ->
+                queueSpace.release(size));
     }
 
     @Override
     public void messageSent(IoSession session, Object message) {
         int bytes = ((IoBuffer) message).limit();
-        SessionWire.of(session).postToHandler(side -> side.written(bytes));
+        SessionWire.of(session).postToHandler(side -> side.onWritten(bytes));
     }
 
     /** Only lingering connections and those of operators have an idle time. */
     @Override
     public void sessionIdle(IoSession session, IdleStatus status) {
-        SessionWire.of(session).postToHandler(Side::idle);
+        SessionWire.of(session).postToHandler(ConnectionHandler::onIdle);
     }
 
     @Override
--- a/src/main/java/yewdock/sockets/SessionWire.java
+++ b/src/main/java/yewdock/sockets/SessionWire.java
@@ -10,15 +10,15 @@
 import org.apache.mina.core.future.WriteFuture;
 import org.apache.mina.core.session.AttributeKey;
 import org.apache.mina.core.session.IoSession;
-import yewdock.platform.Side;
-import yewdock.platform.Wire;
+import yewdock.platform.Connection;
+import yewdock.platform.ConnectionHandler;
 import yewdock.sockets.TaskQueue.Task;
 
 /**
  * A connection over a MINA session. Its methods are called on the dispatcher's thread; MINA's threads report
  * events, which reach the handler as tasks in the dispatcher's queue.
  */
-final class SessionWire implements Wire {
+final class SessionWire implements Connection {
     private static final AttributeKey WIRE = new AttributeKey(SessionWire.class, "wire");
 
     private final ConnectionPurpose purpose;
@@ -30,7 +30,7 @@
     private volatile long decidedAt;
     private volatile IoSession session;
     private ConnectFuture connectFuture;
-    private Side side;
+    private ConnectionHandler side;
     private boolean isClosed;
     /** The last write; null if there was none. */
     private WriteFuture lastWrite;
@@ -60,7 +60,7 @@
     }
 
     /** Sets the handler; called on the dispatcher's thread or before any event can occur. */
-    void setHandler(Side newHandler) {
+    void setHandler(ConnectionHandler newHandler) {
         side = newHandler;
     }
 
@@ -98,11 +98,11 @@
     }
 
     /** Queues a call of the handler, which is skipped if the connection is closed by then. */
-    void postToHandler(Consumer<Side> work) {
+    void postToHandler(Consumer<ConnectionHandler> work) {
         post(() -> callHandler(work));
     }
 
-    private void callHandler(Consumer<Side> work) {
+    private void callHandler(Consumer<ConnectionHandler> work) {
         if (!isClosed && side != null) {
             work.accept(side);
         }
@@ -114,7 +114,7 @@
     }
 
     /** Queues a call of the handler with a message; {@code first} runs before it in any case. */
-    void postMessage(Consumer<Side> work, Runnable first) {
+    void postMessage(Consumer<ConnectionHandler> work, Runnable first) {
         post(() -> {
             first.run();
             undelivered.decrementAndGet();
@@ -123,7 +123,7 @@
     }
 
     /** Queues the creation of the handler of an accepted connection, unless it is closed by then. */
-    void postAccepted(Function<Wire, Side> makeHandler) {
+    void postAccepted(Function<Connection, ConnectionHandler> makeHandler) {
         post(() -> {
             if (!isClosed) {
                 side = makeHandler.apply(this);
@@ -171,15 +171,15 @@
     }
 
     @Override
-    public boolean hasUnheard() {
+    public boolean hasUndelivered() {
         return undelivered.get() > 0;
     }
 
     @Override
-    public boolean closeUnlessUnheard() {
+    public boolean closeUnlessUndelivered() {
         // bytes that are not read from now on are answered by a reset
         session.suspendRead();
-        if (hasUnheard()) {
+        if (hasUndelivered()) {
             session.resumeRead();
             return false;
         }
@@ -188,7 +188,7 @@
     }
 
     @Override
-    public void linger() {
+    public void closeLingering() {
         if (!droppingInput) {
             droppingInput = true;
             lingering.begin(session, lastWrite);
@@ -196,7 +196,7 @@
     }
 
     @Override
-    public void hold(boolean paused) {
+    public void setReadingPaused(boolean paused) {
         if (paused) {
             session.suspendRead();
         } else {
@@ -208,7 +208,7 @@
         if (!isClosed) {
             isClosed = true;
             if (side != null) {
-                side.down();
+                side.onClosed();
             }
         }
     }
--- a/src/test/java/yewdock/sockets/LingeringTest.java
+++ b/src/test/java/yewdock/sockets/LingeringTest.java
@@ -18,8 +18,8 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import yewdock.platform.Side;
-import yewdock.platform.Wire;
+import yewdock.platform.Connection;
+import yewdock.platform.ConnectionHandler;
 
 /** A connection is closed while its peer is still sending. */
 class LingeringTest {
@@ -28,11 +28,11 @@
     /** With a limit of 0 clients, so many are still accepted, to be closed again. */
     private static final int ACCEPTED_CONNECTIONS = 24;
 
-    private Sockets sockets;
+    private MinaTransport sockets;
     private Listening listening;
 
     private void start(int seconds) throws Exception {
-        sockets = new Sockets(0, 1_000_000, seconds);
+        sockets = new MinaTransport(0, 1_000_000, seconds);
         listening = Listening.start(sockets,
                 Files.readString(Path.of("src/test/resources/exchanges/config.json"))
                 .replaceFirst("\\{", "{\"limits\":{\"sockets\":1024,\"memory_mb\":160},"));
@@ -44,34 +44,34 @@
     }
 
     /** Writes nothing by itself, and closes when the lingering close times out. */
-    private static final class PassiveHandler implements Side {
+    private static final class PassiveHandler implements ConnectionHandler {
         private final CountDownLatch up = new CountDownLatch(1);
         private final CountDownLatch down = new CountDownLatch(1);
-        private final CompletableFuture<Wire> wire = new CompletableFuture<>();
+        private final CompletableFuture<Connection> wire = new CompletableFuture<>();
         private int received;
 
         @Override
-        public void up() {
+        public void onConnected() {
             up.countDown();
         }
 
         @Override
-        public void received(ByteBuffer bytes) {
+        public void onReceived(ByteBuffer bytes) {
             received += bytes.remaining();
         }
 
         @Override
-        public void written(int bytes) {
+        public void onWritten(int bytes) {
             // not needed
         }
 
         @Override
-        public void idle() {
+        public void onIdle() {
             wire.join().close();
         }
 
         @Override
-        public void down() {
+        public void onClosed() {
             down.countDown();
         }
     }
@@ -96,19 +96,19 @@
         start(LONG_SECONDS);
         PassiveHandler side = new PassiveHandler();
         try (Socket peer = connect(side)) {
-            Wire wire = side.wire.get();
-            listening.onDispatcher(() -> wire.hold(true));
+            Connection wire = side.wire.get();
+            listening.onDispatcher(() -> wire.setReadingPaused(true));
             peer.getOutputStream().write(new byte[1000]);
             listening.onDispatcher(() -> {
                 wire.write(ByteBuffer.wrap(RESPONSE.getBytes(StandardCharsets.US_ASCII)));
-                wire.linger();
+                wire.closeLingering();
             });
             byte[] response = new byte[RESPONSE.length()];
             peer.getInputStream().readNBytes(response, 0, response.length);
             assertEquals(RESPONSE, new String(response, StandardCharsets.US_ASCII));
             assertEquals(-1, peer.getInputStream().read(), "end of stream, not a reset");
             peer.getOutputStream().write(new byte[1000]);
-            listening.onDispatcher(() -> wire.hold(false));
+            listening.onDispatcher(() -> wire.setReadingPaused(false));
             peer.getOutputStream().write(new byte[1000]);
             assertEquals(-1, peer.getInputStream().read(), "still end of stream");
         }
@@ -146,7 +146,7 @@
         PassiveHandler handler = new PassiveHandler();
         try (Socket peer = connect(handler)) {
             handler.wire.get();
-            listening.onDispatcher(() -> handler.wire.join().linger());
+            listening.onDispatcher(() -> handler.wire.join().closeLingering());
             assertEquals(-1, peer.getInputStream().read());
             assertTrue(handler.down.await(10, TimeUnit.SECONDS));
         }
@@ -158,7 +158,7 @@
         start(LONG_SECONDS);
         PassiveHandler handler = new PassiveHandler();
         try (Socket peer = connect(handler)) {
-            listening.onDispatcher(() -> handler.wire.join().linger());
+            listening.onDispatcher(() -> handler.wire.join().closeLingering());
             byte[] piece = new byte[64 * 1024];
             for (int i = 0; i < 1000 && handler.down.getCount() > 0; i++) {
                 peer.getOutputStream().write(piece);
--- a/src/test/java/yewdock/sockets/Listening.java
+++ b/src/test/java/yewdock/sockets/Listening.java
@@ -4,21 +4,21 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import umberspread.GenerationRouter;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Terms;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Reducer;
 import yewdock.platform.Config;
-import yewdock.platform.Front;
+import yewdock.platform.ConnectionManager;
 
 /** A transport that serves on a thread of its own, at a free local port. */
-record Listening(Sockets sockets, InetSocketAddress address, Thread thread) {
+record Listening(MinaTransport sockets, InetSocketAddress address, Thread thread) {
     /** Starts to serve and waits until the port is bound. */
-    static Listening start(Sockets sockets, Front front, Desk desk) throws Exception {
+    static Listening start(MinaTransport sockets, ConnectionManager front, Reducer desk) throws Exception {
         CompletableFuture<String> bound = new CompletableFuture<>();
-        Thread thread = new Thread(() -> sockets.serveLater(() -> {
+        Thread thread = new Thread(() -> sockets.serveWithoutListening(() -> {
             front.start();
             try {
-                bound.complete(sockets.listenBeside("127.0.0.1:0"));
+                bound.complete(sockets.listenShared("127.0.0.1:0"));
             } catch (java.io.IOException e) {
                 bound.completeExceptionally(e);
             }
@@ -30,12 +30,14 @@
     }
 
     /** Starts a router with this configuration. */
-    static Listening start(Sockets sockets, String configuration) throws Exception {
+    static Listening start(MinaTransport sockets, String configuration) throws Exception {
         Config config = Config.read(configuration, line -> { });
         Counters counters = new Counters();
-        Desk desk = new Desk(Terms.of(config.settings(), config.keepalive()), config.bounds(), counters,
+        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
+                config.bounds(), counters,
                 actions -> new GenerationRouter(config.settings(), 1, actions));
-        return start(sockets, new Front(config, desk, counters, sockets, sockets.clock(), line -> { }), desk);
+        return start(sockets, new ConnectionManager(config, desk, counters, sockets, sockets.clock(), line ->
+                { }), desk);
     }
 
     /** Runs the task on the dispatcher's thread and waits until it is done. */
--- a/src/test/java/yewdock/sockets/ResetBehindBytesTest.java
+++ b/src/test/java/yewdock/sockets/ResetBehindBytesTest.java
@@ -15,44 +15,44 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import yewdock.platform.Side;
-import yewdock.platform.Wire;
+import yewdock.platform.Connection;
+import yewdock.platform.ConnectionHandler;
 
 /** A server writes the end of its response and then resets the connection: the bytes still count. */
 class ResetBehindBytesTest {
     private static final String RESPONSE = "data: [DONE]\n\n";
 
-    private final Sockets sockets = new Sockets(4, 1_000_000);
+    private final MinaTransport sockets = new MinaTransport(4, 1_000_000);
     private Listening listening;
 
     /** Collects the bytes of a connection until it closes. */
-    private static final class Collector implements Side {
+    private static final class Collector implements ConnectionHandler {
         private final StringBuilder received = new StringBuilder();
         private final CompletableFuture<String> atEnd = new CompletableFuture<>();
         private final CountDownLatch up = new CountDownLatch(1);
 
         @Override
-        public void up() {
+        public void onConnected() {
             up.countDown();
         }
 
         @Override
-        public void received(ByteBuffer bytes) {
+        public void onReceived(ByteBuffer bytes) {
             received.append(StandardCharsets.US_ASCII.decode(bytes));
         }
 
         @Override
-        public void written(int bytes) {
+        public void onWritten(int bytes) {
             throw new AssertionError("nothing was written");
         }
 
         @Override
-        public void idle() {
+        public void onIdle() {
             throw new AssertionError("no idle time is set");
         }
 
         @Override
-        public void down() {
+        public void onClosed() {
             atEnd.complete(received.toString());
         }
     }
@@ -72,7 +72,7 @@
     @Test
     void bytesBeforeAResetArePassedOn() throws Exception {
         Collector reader = new Collector();
-        CompletableFuture<Wire> wire = new CompletableFuture<>();
+        CompletableFuture<Connection> wire = new CompletableFuture<>();
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
             sockets.post(() -> sockets.connect("127.0.0.1:" + server.getLocalPort(), newWire -> {
                 wire.complete(newWire);
@@ -80,12 +80,12 @@
             }));
             Socket accepted = server.accept();
             reader.up.await(10, TimeUnit.SECONDS);
-            Wire connection = wire.get(10, TimeUnit.SECONDS);
-            listening.onDispatcher(() -> connection.hold(true));
+            Connection connection = wire.get(10, TimeUnit.SECONDS);
+            listening.onDispatcher(() -> connection.setReadingPaused(true));
             accepted.getOutputStream().write(RESPONSE.getBytes(StandardCharsets.US_ASCII));
             accepted.setSoLinger(true, 0);
             accepted.close();
-            listening.onDispatcher(() -> connection.hold(false));
+            listening.onDispatcher(() -> connection.setReadingPaused(false));
             assertEquals(RESPONSE, reader.atEnd.get(10, TimeUnit.SECONDS));
         }
     }
