--- a/src/main/java/yewdock/daemon/Generation.java
+++ b/src/main/java/yewdock/daemon/Generation.java
@@ -128,8 +128,9 @@
             }
         });
         stageReached(Stage.START);
-        supervisorConnection.send(Frame.newBuilder().setHello(Hello.newBuilder().setGeneration(number).setSecret(secret)
-                .setProgram(String.valueOf(getClass().getPackage().getImplementationVersion()))).build());
+        supervisorConnection.send(Frame.newBuilder().setHello(
+                Hello.newBuilder().setGeneration(number).setSecret(secret).setProgram(
+                        String.valueOf(getClass().getPackage().getImplementationVersion()))).build());
         stageReached(Stage.CHECK);
         try {
             config = read();
@@ -199,8 +200,8 @@
         front.forwardGenerationEffectsTo(this::tellOthers);
         Runtime.getRuntime().addShutdownHook(new Thread(() -> sockets.shutDownGracefully(), "leave"));
         if (keeping) {
-            every(KEEP_MILLIS, () -> supervisorConnection.send(Frame.newBuilder().setKeep(StateCodec.keep(router.learnedState(false),
-                    sockets.clock().getAsLong())).build()));
+            every(KEEP_MILLIS, () -> supervisorConnection.send(Frame.newBuilder().setKeep(
+                    StateCodec.keep(router.learnedState(false), sockets.clock().getAsLong())).build()));
         }
     }
 
@@ -316,16 +317,17 @@
         } catch (IOException | RuntimeException e) {
             EventLog.warn("generation.fault", "generation", number, "frame", frame.getWhatCase(), "why", e);
             if (!accepting) {
-                supervisorConnection.send(Frame.newBuilder().setFailed(Failed.newBuilder().setWhy(e.toString())).build());
+                supervisorConnection.send(Frame.newBuilder().setFailed(
+                        Failed.newBuilder().setWhy(e.toString())).build());
             }
         }
     }
 
     private void handle(Frame frame) throws IOException {
         switch (frame.getWhatCase()) {
-            case GIVE_STATE -> supervisorConnection.send(Frame.newBuilder().setState(StateCodec.write(desk.generationState(),
-                    router.learnedState(), counters.all(), sockets.clock().getAsLong(),
-                            System.nanoTime())).build());
+            case GIVE_STATE -> supervisorConnection.send(Frame.newBuilder().setState(
+                    StateCodec.write(desk.generationState(), router.learnedState(), counters.all(),
+                            sockets.clock().getAsLong(), System.nanoTime())).build());
             case SHARE -> front.dispatch(new Event.HandoverStarted());
             case SHARING -> {
                 stageReached(Stage.SHARE);
--- a/src/main/java/yewdock/daemon/StateCodec.java
+++ b/src/main/java/yewdock/daemon/StateCodec.java
@@ -205,20 +205,22 @@
 
     private static Memory memory(umberspread.LearnedState m) {
         Memory.Builder all = Memory.newBuilder().setUnitWeight(m.referenceWeight())
-                .setAverageWorth(m.averageWorth()).setSendTally(m.recentFirstTokens()).setReadRate(m.prefillRate())
-                .setUnnamed(m.unkeyedRequests()).setPlannedAt(m.plannedAt()).addAllClassTime(m.classLatency())
-                .putAllKindTime(m.kindLatencyRatio()).addAllMunicipalityTally(m.tenantRequests())
-                .addAllTaken(m.recentArrivals()).addAllFurther(m.recentExtraAttempts()).addAllPoolArrivals(m.poolArrivals());
+                .setAverageWorth(m.averageWorth()).setSendTally(m.recentFirstTokens())
+                .setReadRate(m.prefillRate()).setUnnamed(m.unkeyedRequests()).setPlannedAt(m.plannedAt())
+                .addAllClassTime(m.classLatency()).putAllKindTime(m.kindLatencyRatio())
+                .addAllMunicipalityTally(m.tenantRequests()).addAllTaken(m.recentArrivals())
+                .addAllFurther(m.recentExtraAttempts()).addAllPoolArrivals(m.poolArrivals());
         for (umberspread.LearnedState.LearnedServer r : m.servers()) {
             all.addNodes(NodeMemory.newBuilder().setId(r.id()).setPoints(r.points())
                     .addAllRestUntil(r.classBackoffUntil()).addAllStrikes(r.classFailures())
-                    .setEjectedUntil(r.ejectedUntil()).setEjections(r.ejections()).setBreaks(r.consecutiveResets())
-                    .setSlowUntil(r.slowUntil()).setLastDelay(r.lastFirstTokenDelay())
-                    .setColdBudgetAt(r.nextColdSendAt()).setBudgetedStart(r.coldBudgetStart()));
+                    .setEjectedUntil(r.ejectedUntil()).setEjections(r.ejections())
+                    .setBreaks(r.consecutiveResets()).setSlowUntil(r.slowUntil())
+                    .setLastDelay(r.lastFirstTokenDelay()).setColdBudgetAt(r.nextColdSendAt())
+                    .setBudgetedStart(r.coldBudgetStart()));
         }
         for (umberspread.LearnedState.LearnedKey k : m.keys()) {
-            all.addKeys(KeyMemory.newBuilder().setKey(k.key()).setTally(k.recentRequests()).setSpread(k.spread())
-                    .setPool(k.poolIndex()));
+            all.addKeys(KeyMemory.newBuilder().setKey(k.key()).setTally(k.recentRequests())
+                    .setSpread(k.spread()).setPool(k.poolIndex()));
         }
         return all.build();
     }
--- a/src/main/java/yewdock/settings/OperatorSettings.java
+++ b/src/main/java/yewdock/settings/OperatorSettings.java
@@ -35,7 +35,8 @@
 
     /** How long the stages of an upgrade may take, and the old generation after it. */
     public record UpgradeSettings(long startMicros, long checkMicros, long stateMicros, long readyMicros,
-            long takeMicros, long shareMicros, long goMicros,
+            long takeMicros, long shareMicros,
+            long goMicros,
             long letGoMicros,
             long finishMicros, int maxFinishing) {
     }
--- a/src/main/java/yewdock/state/StateRecorder.java
+++ b/src/main/java/yewdock/state/StateRecorder.java
@@ -173,7 +173,8 @@
     public Map<String, Mark> overrides() {
         Map<String, Mark> marks = new LinkedHashMap<>();
         records.withPrefix(RecordKeys.overridesPrefix()).forEach(k ->
-                marks.put(RecordKeys.overriddenServer(k.getKey()), k.getMark()));
+                marks.put(RecordKeys.overriddenServer(k.getKey()),
+                k.getMark()));
         return marks;
     }
 
--- a/src/main/java/yewdock/store/RecordFile.java
+++ b/src/main/java/yewdock/store/RecordFile.java
@@ -255,8 +255,8 @@
     }
 
     private long headSeal() {
-        return Hashing.xxh3_64().hashStream().putLong(VERSION).putLong(lastCommitNumber).putLong(count).putLong(sum)
-                .getAsLong();
+        return Hashing.xxh3_64().hashStream().putLong(VERSION).putLong(lastCommitNumber)
+                .putLong(count).putLong(sum).getAsLong();
     }
 
     private static long seal(String key, byte[] sealed) {
--- a/src/main/java/yewdock/verification/CopiesSim.java
+++ b/src/main/java/yewdock/verification/CopiesSim.java
@@ -177,7 +177,8 @@
             Node node = nodes.get(Integer.parseInt(end));
             for (String other : pair.split("-")) {
                 if (!other.equals(end)) {
-                    reduce(node, new ReplicationEvent.PeerDisconnected(nodes.get(Integer.parseInt(other)).name, "cut"));
+                    reduce(node, new ReplicationEvent.PeerDisconnected(
+                            nodes.get(Integer.parseInt(other)).name, "cut"));
                 }
             }
         }
--- a/src/test/java/yewdock/admin/DoorTest.java
+++ b/src/test/java/yewdock/admin/DoorTest.java
@@ -33,7 +33,8 @@
         config = Config.read(Files.readString(Path.of("src/test/resources/exchanges/config.json")),
                 line -> { });
         Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
-                config.bounds(), counters,
+                config.bounds(),
+                counters,
                 actions -> new GenerationRouter(config.settings(), 1, actions));
         front = new ConnectionManager(config, desk, counters, new NoNetwork(), () -> micros, line -> { });
         door = new AdminInterface(front);
--- a/src/test/java/yewdock/state/KeepingTest.java
+++ b/src/test/java/yewdock/state/KeepingTest.java
@@ -72,8 +72,8 @@
     void aWholeListDropsWhatItDoesNotNameAndTheBoxesTroubles() {
         keeping.recordEndpointList(list(3, true, box(1, Lifecycle.READY, 5), box(2, Lifecycle.READY, 5)), 0,
                 NOW);
-        keeping.recordModuleMemory(Memory.newBuilder().addNodes(NodeMemory.newBuilder().setId(2).setEjections(3)
-                .setEjectedUntil(NOW + SECOND)).build(), 0, NOW);
+        keeping.recordModuleMemory(Memory.newBuilder().addNodes(NodeMemory.newBuilder().setId(2)
+                .setEjections(3).setEjectedUntil(NOW + SECOND)).build(), 0, NOW);
         assertEquals(1, state(NOW).getModule().getNodesCount());
         keeping.recordEndpointList(list(4, true, box(1, Lifecycle.READY, 5)), 0, NOW);
         assertEquals(1, state(NOW).getBoxes().getBoxesCount());
@@ -83,8 +83,8 @@
     @Test
     void whatWasHeldAgainstABoxIsNothingToTheOneThatTookItsPlace() {
         keeping.recordEndpointList(list(3, true, box(1, Lifecycle.READY, 5)), 0, NOW);
-        keeping.recordModuleMemory(Memory.newBuilder().addNodes(NodeMemory.newBuilder().setId(1).setEjections(3)
-                .setEjectedUntil(NOW + SECOND).setBudgetedStart(5)).build(), 0, NOW);
+        keeping.recordModuleMemory(Memory.newBuilder().addNodes(NodeMemory.newBuilder().setId(1)
+                .setEjections(3).setEjectedUntil(NOW + SECOND).setBudgetedStart(5)).build(), 0, NOW);
         keeping.recordEndpointList(list(4, false, box(1, Lifecycle.READY, 9)), 0, NOW);
         assertNull(records.get(RecordKeys.serverMemory("here", 1)));
     }
@@ -131,7 +131,8 @@
         ReplicatedRecords north = new ReplicatedRecords("north", 100);
         ReplicatedRecords south = new ReplicatedRecords("south", 100);
         new StateRecorder(north, DOUBT).recordEndpointList(list(3, true, box(1, Lifecycle.READY, 5), box(2,
-                Lifecycle.READY, 9)),
+                Lifecycle.READY,
+                9)),
                 0, NOW);
         new StateRecorder(south, DOUBT).recordEndpointList(list(4, true, box(1, Lifecycle.DRAINING, 5), box(2,
                 Lifecycle.DRAINING, 5)), 0, NOW);
