--- a/src/main/java/yewdock/http/MessageHead.java
+++ b/src/main/java/yewdock/http/MessageHead.java
@@ -37,11 +37,11 @@
     }
 
     /** Whether a field of this name contains the token in its comma-separated value. */
-    public boolean hasToken(String name, String word) {
+    public boolean hasToken(String name, String token) {
         for (Field f : fields) {
             if (f.name().equalsIgnoreCase(name)) {
                 for (String part : f.value().split(",")) {
-                    if (part.strip().equalsIgnoreCase(word)) {
+                    if (part.strip().equalsIgnoreCase(token)) {
                         return true;
                     }
                 }
--- a/src/main/java/yewdock/http/MessageReader.java
+++ b/src/main/java/yewdock/http/MessageReader.java
@@ -9,7 +9,7 @@
 /**
  * Incremental parser of HTTP/1.1 messages. After a message's end it reads nothing more until {@link
  * #startNext};
- * bytes behind the message stay in the caller's buffer.
+ * bytes after the message stay in the caller's buffer.
  */
 public final class MessageReader {
     /** Longest head, or trailers, of a message. */
--- a/src/main/java/yewdock/platform/ClientConnectionHandler.java
+++ b/src/main/java/yewdock/platform/ClientConnectionHandler.java
@@ -19,9 +19,9 @@
     /** How many bytes are kept of what a client sends while its previous request is open. */
     private static final int MAX_PIPELINED_BYTES = 64 * 1024;
 
-    private final ConnectionManager front;
+    private final ConnectionManager manager;
     private final long clientId;
-    private final Connection wire;
+    private final Connection connection;
     private final MessageReader reader = new MessageReader(MessageReader.Kind.REQUEST, this);
     private final Deque<Input> unreadInput = new ArrayDeque<>();
     private int unreadBytes;
@@ -35,8 +35,8 @@
     private boolean responseStarted;
     private boolean closing;
     /**
-     * Whether the client has sent more behind the open request than is kept. The excess is read and dropped,
-     * or a close by the client behind it would not be noticed, and the connection closes after the response.
+     * Whether the client has sent more after the open request than is kept. The excess is read and dropped,
+     * since otherwise a disconnect after it would go unnoticed; the connection closes after the response.
      */
     private boolean inputOverflowed;
     /** Whether a request was rejected of which the client may still be sending the rest. */
@@ -46,10 +46,10 @@
     private record Input(ByteBuffer bytes, Arrival arrival) {
     }
 
-    ClientConnectionHandler(ConnectionManager front, long clientId, Connection wire) {
-        this.front = front;
+    ClientConnectionHandler(ConnectionManager manager, long clientId, Connection connection) {
+        this.manager = manager;
         this.clientId = clientId;
-        this.wire = wire;
+        this.connection = connection;
     }
 
     ClientRequest request() {
@@ -63,7 +63,7 @@
 
     @Override
     public void onReceived(ByteBuffer bytes) {
-        onReceived(bytes, Arrival.at(front.now()));
+        onReceived(bytes, Arrival.at(manager.now()));
     }
 
     @Override
@@ -95,7 +95,7 @@
                     unreadBytes += next.remaining();
                     if (atMessageStart && !reader.atMessageStart()) {
                         requestArrival = unreadInput.peek().arrival;
-                        front.dispatch(new Event.ClientRequestStarted(clientId));
+                        manager.dispatch(new Event.ClientRequestStarted(clientId));
                     }
                 }
                 if (!next.hasRemaining()) {
@@ -107,12 +107,12 @@
                 }
             }
         } catch (BadMessageException e) {
-            front.counters().add("requests.malformed");
+            manager.counters().add("requests.malformed");
             reject(e.status(), e.getMessage());
         } catch (RuntimeException e) {
             // A bug that shows in reading one request must leave neither it nor the others unanswered.
-            front.counters().add("faults");
-            front.log("fault: " + e);
+            manager.counters().add("faults");
+            manager.log("fault: " + e);
             releaseBody();
             closing = true;
             respond(500, "a fault in the router\n", "");
@@ -134,14 +134,14 @@
         reject(409, "a request of this id is open");
     }
 
-    /** Closes the connection, which has no open request; a request that has come in part gets a 408. */
+    /** Closes the connection, which has no open request; a partly received request gets a 408 response. */
     void closeOrTimeOut() {
         if (closing) {
-            wire.close();
+            connection.close();
         } else if (reader.atMessageStart()) {
-            closing = wire.closeUnlessUndelivered();
+            closing = connection.closeUnlessUndelivered();
         } else {
-            front.counters().add("requests.malformed");
+            manager.counters().add("requests.malformed");
             reject(408, "the request did not come in time");
         }
     }
@@ -160,14 +160,14 @@
         byte[] bytes = new byte[piece.remaining()];
         piece.get(bytes);
         body.writeBytes(bytes);
-        if (!front.addIncomingBody(bytes.length)) {
+        if (!manager.addIncomingBody(bytes.length)) {
             throw new BadMessageException(503, "no room for another request");
         }
     }
 
     private void releaseBody() {
         if (body != null) {
-            front.addIncomingBody(-body.size());
+            manager.addIncomingBody(-body.size());
             body = null;
         }
     }
@@ -191,15 +191,16 @@
                 } else {
                     request = new ClientRequest(head, body.toByteArray());
                     releaseBody();
-                    ModelRequest read = request.toModelRequest(front.names(), requestArrival, front.now());
-                    front.dispatch(new Event.RequestReceived(clientId, read));
+                    ModelRequest read =
+                            request.toModelRequest(manager.names(), requestArrival, manager.now());
+                    manager.dispatch(new Event.RequestReceived(clientId, read));
                 }
             }
             case "/ready" -> {
-                String reason = front.notReadyReason();
+                String reason = manager.notReadyReason();
                 respond(reason.isEmpty() ? 200 : 503, (reason.isEmpty() ? "ready" : reason) + "\n", "");
             }
-            case "/counters" -> respond(200, front.counters().toString(), "");
+            case "/counters" -> respond(200, manager.counters().toString(), "");
             default -> respond(404, "no such path\n", "");
         }
     }
@@ -229,7 +230,7 @@
         byte[] start = before.toString().getBytes(StandardCharsets.ISO_8859_1);
         ByteBuffer all = ByteBuffer.allocate(start.length + bytes.remaining() + 2);
         all.put(start).put(bytes).put((byte) '\r').put((byte) '\n').flip();
-        wire.write(all);
+        connection.write(all);
     }
 
     void endResponse() {
@@ -249,7 +250,7 @@
     /** Closes without a last chunk, which tells the client that the stream is incomplete. */
     void abort() {
         closing = true;
-        wire.closeAfterWriting();
+        connection.closeAfterWriting();
     }
 
     private void respond(int status, String text, String fields) {
@@ -261,7 +262,7 @@
     }
 
     private String connectionHeader() {
-        if (closing || inputOverflowed || front.leaving() || head != null && !head.keepsAlive()) {
+        if (closing || inputOverflowed || manager.leaving() || head != null && !head.keepsAlive()) {
             closing = true;
             return "Connection: close\r\n";
         }
@@ -275,40 +276,40 @@
         if (closing || inputOverflowed) {
             closing = true;
             if (rejected || inputOverflowed) {
-                wire.closeLingering();
+                connection.closeLingering();
             } else {
-                wire.closeAfterWriting();
+                connection.closeAfterWriting();
             }
             return;
         }
-        if (front.closesAfterResponse() && unreadInput.isEmpty()) {
+        if (manager.closesAfterResponse() && unreadInput.isEmpty()) {
             closeIfIdle();
             return;
         }
-        front.dispatch(new Event.ClientIdle(clientId));
+        manager.dispatch(new Event.ClientIdle(clientId));
         readRequests();
     }
 
-    /** Whether a request is open, has come in part, or may have been read and not handled yet. */
+    /** Whether a request is open, is partly received, or may have been read and not handled yet. */
     boolean hasRequestInProgress() {
-        return requestOpen
-                || !closing && (!reader.atMessageStart() || !unreadInput.isEmpty() || wire.hasUndelivered());
+        return requestOpen || !closing
+                && (!reader.atMessageStart() || !unreadInput.isEmpty() || connection.hasUndelivered());
     }
 
     void closeIfIdle() {
         if (!closing && !hasRequestInProgress()) {
-            closing = wire.closeUnlessUndelivered();
+            closing = connection.closeUnlessUndelivered();
         }
     }
 
     private void write(String text) {
-        wire.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
+        connection.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
     }
 
     @Override
     public void onWritten(int bytes) {
         if (requestOpen && responseStarted) {
-            front.dispatch(new Event.ClientBytesWritten(clientId, bytes));
+            manager.dispatch(new Event.ClientBytesWritten(clientId, bytes));
         }
     }
 
@@ -316,7 +317,7 @@
     @Override
     public void onIdle() {
         if (closing) {
-            wire.close();
+            connection.close();
         }
     }
 
@@ -324,6 +325,6 @@
     public void onClosed() {
         closing = true;
         releaseBody();
-        front.clientClosed(clientId);
+        manager.clientClosed(clientId);
     }
 }
--- a/src/main/java/yewdock/platform/ClientRequest.java
+++ b/src/main/java/yewdock/platform/ClientRequest.java
@@ -57,6 +57,7 @@
         return index;
     }
 
+    /** Parses the X-Facts header: comma-separated name=value pairs. */
     private Map<String, String> facts() throws BadMessageException {
         Map<String, String> facts = new HashMap<>();
         for (String part : required("X-Facts").split(",")) {
--- a/src/main/java/yewdock/platform/Config.java
+++ b/src/main/java/yewdock/platform/Config.java
@@ -28,8 +28,8 @@
  * @param cachedEndpoints the endpoint list that was known when the configuration was written
  */
 public record Config(String name, String listenAddress, String operatorAddress, String discoveryAddress,
-        long seed, long keepaliveMicros,
-        Routing.Settings settings, NameIndexes names, ResourceLimits bounds, EndpointList cachedEndpoints) {
+        long seed, long keepaliveMicros, Routing.Settings settings, NameIndexes names, ResourceLimits bounds,
+        EndpointList cachedEndpoints) {
     private static final double MICROS_PER_SECOND = 1e6;
     /** Resources that a router may use if the configuration sets no limits; no router gets more. */
     private static final int DEFAULT_SOCKETS = 1024;
@@ -53,7 +53,8 @@
         for (JSONObject org : objects(s.optJSONArray("orgs"))) {
             tenants.add(new Routing.Tenant(org.getString("name"), org.getDouble("quota_rps")));
         }
-        NameIndexes names = new NameIndexes(NameIndexes.indexesOf(classes.stream().map(Routing.RequestClass::name).toList()),
+        NameIndexes names = new NameIndexes(
+                NameIndexes.indexesOf(classes.stream().map(Routing.RequestClass::name).toList()),
                 NameIndexes.indexesOf(tenants.stream().map(Routing.Tenant::name).toList()),
                 NameIndexes.indexesOf(strings(s.optJSONArray("zones"))),
                 NameIndexes.indexesOf(strings(s.optJSONArray("shapes"))));
@@ -138,6 +139,7 @@
                 c.getDouble("further_ratio"), micros(c, "look_back")) : Routing.AttemptBudget.NONE;
     }
 
+    /** Returns a time that is given in seconds, in microseconds. */
     private static long micros(JSONObject o, String key) {
         return Math.round(o.getDouble(key) * MICROS_PER_SECOND);
     }
--- a/src/main/java/yewdock/platform/ConnectionHandler.java
+++ b/src/main/java/yewdock/platform/ConnectionHandler.java
@@ -15,7 +15,7 @@
         onReceived(bytes);
     }
 
-    /** The bytes of one call of {@link Connection#write}, so many, have all been written to the socket. */
+    /** All bytes of one call of {@link Connection#write} have been written to the socket. */
     void onWritten(int bytes);
 
     /** None of the last write was sent, since it was decided on too long ago; the connection closes. */
--- a/src/main/java/yewdock/platform/ConnectionManager.java
+++ b/src/main/java/yewdock/platform/ConnectionManager.java
@@ -22,10 +22,10 @@
     /** Memory for all incomplete request bodies together; the reducer limits that of complete requests. */
     private static final int MAX_INCOMING_BODY_BYTES = 8 << 20;
 
-    private final Reducer desk;
+    private final Reducer reducer;
     private Config config;
     private final Counters counters;
-    private final Transport wires;
+    private final Transport transport;
     private final EndpointListReader listReader;
     private final NameIndexes names;
     private final LongSupplier clock;
@@ -49,12 +49,12 @@
     private boolean closingIdleClients;
 
     /** Makes a manager without connections; {@link #start} gives the reducer its first event. */
-    public ConnectionManager(Config config, Reducer desk, Counters counters, Transport wires,
+    public ConnectionManager(Config config, Reducer reducer, Counters counters, Transport transport,
             LongSupplier clock,
             Consumer<String> log) {
-        this.desk = desk;
+        this.reducer = reducer;
         this.counters = counters;
-        this.wires = wires;
+        this.transport = transport;
         this.names = config.names();
         this.listReader = new EndpointListReader(names, line -> {
             counters.add("list.unusable_entries");
@@ -97,12 +97,12 @@
     }
 
     /** Registers a new client connection and returns its handler. */
-    public ConnectionHandler accept(Connection wire) {
+    public ConnectionHandler accept(Connection connection) {
         counters.add("clients.accepted");
-        ClientConnectionHandler side = new ClientConnectionHandler(this, ++lastClientId, wire);
-        clientConnections.put(lastClientId, side);
+        ClientConnectionHandler handler = new ClientConnectionHandler(this, ++lastClientId, connection);
+        clientConnections.put(lastClientId, handler);
         dispatch(new Event.ClientConnected(lastClientId));
-        return side;
+        return handler;
     }
 
     /**
@@ -117,21 +117,21 @@
         dispatching = true;
         try {
             while (!pendingEvents.isEmpty()) {
-                desk.reduce(pendingEvents.poll(), clock.getAsLong()).forEach(this::performSafely);
+                reducer.reduce(pendingEvents.poll(), clock.getAsLong()).forEach(this::performSafely);
             }
         } finally {
             dispatching = false;
         }
         // Stopping while a request has been read in part would lose it, though the reducer has none open.
-        if (stopRequested
-                && clientConnections.values().stream().noneMatch(ClientConnectionHandler::hasRequestInProgress)) {
+        if (stopRequested && clientConnections.values().stream()
+                .noneMatch(ClientConnectionHandler::hasRequestInProgress)) {
             stopRequested = false;
-            if (desk.isHandedOver()) {
+            if (reducer.isHandedOver()) {
                 // changes that discovery reported from now on would reach no generation
                 closeDiscovery();
                 closeSupersededDiscovery();
             }
-            wires.stop();
+            transport.stop();
         }
     }
 
@@ -157,10 +157,11 @@
         } else if (effect instanceof Effect.EndResponse e) {
             withClient(e.client(), ClientConnectionHandler::endResponse);
         } else if (effect instanceof Effect.OpenServerConnection e) {
-            wires.connect(e.address(), wire -> {
-                ServerConnectionHandler side = new ServerConnectionHandler(this, e.connection(), wire);
-                serverConnections.put(e.connection(), side);
-                return side;
+            transport.connect(e.address(), connection -> {
+                ServerConnectionHandler handler =
+                        new ServerConnectionHandler(this, e.connection(), connection);
+                serverConnections.put(e.connection(), handler);
+                return handler;
             });
         } else if (effect instanceof Effect.CloseServerConnection e) {
             ServerConnectionHandler server = serverConnections.get(e.connection());
@@ -170,7 +171,7 @@
         } else if (effect instanceof Effect.PauseReading e) {
             ServerConnectionHandler server = serverConnections.get(e.connection());
             if (server != null) {
-                server.hold(e.paused());
+                server.setReadingPaused(e.paused());
             }
         } else if (effect instanceof Effect.AbortResponse e) {
             withClient(e.client(), ClientConnectionHandler::abort);
@@ -204,9 +205,9 @@
     }
 
     private void withClient(long id, Consumer<ClientConnectionHandler> action) {
-        ClientConnectionHandler side = clientConnections.get(id);
-        if (side != null) {
-            action.accept(side);
+        ClientConnectionHandler handler = clientConnections.get(id);
+        if (handler != null) {
+            action.accept(handler);
         }
     }
 
@@ -219,8 +220,8 @@
             closeSupersededDiscovery();
         }
         if (discovery == null) {
-            discovery = wires.connectToDiscovery(e.address(),
-                    wire -> new DiscoveryConnectionHandler(this, listReader, e.address(), wire));
+            discovery = transport.connectToDiscovery(e.address(),
+                    connection -> new DiscoveryConnectionHandler(this, listReader, e.address(), connection));
         }
         discovery.poll(e.sinceVersion(), e.maxWaitMicros());
     }
@@ -250,8 +251,8 @@
      * Handles a response to a poll. Of two concurrent polls, the connection of the one answered first is
      * kept. The other one's response is still read: discovery counts what it has written as delivered.
      */
-    void listReceived(DiscoveryConnectionHandler side, EndpointList response) {
-        if (side != supersededDiscovery) {
+    void listReceived(DiscoveryConnectionHandler handler, EndpointList response) {
+        if (handler != supersededDiscovery) {
             answeredSinceSuperseded = true;
             dispatch(new Event.EndpointListReceived(response));
         } else if (answeredSinceSuperseded) {
@@ -263,17 +264,17 @@
                 closeDiscovery();
             }
             supersededDiscovery = discovery;
-            discovery = side;
+            discovery = handler;
             answeredSinceSuperseded = true;
             dispatch(new Event.EndpointListReceived(response));
         }
     }
 
     /** The same for a response that ends its connection: the next poll needs a new one. */
-    void lastListReceived(DiscoveryConnectionHandler side, EndpointList response) {
-        boolean late = side == supersededDiscovery && answeredSinceSuperseded;
-        discoveryClosed(side);
-        if (side == supersededDiscovery) {
+    void lastListReceived(DiscoveryConnectionHandler handler, EndpointList response) {
+        boolean late = handler == supersededDiscovery && answeredSinceSuperseded;
+        discoveryClosed(handler);
+        if (handler == supersededDiscovery) {
             supersededDiscovery = null;
         }
         answeredSinceSuperseded = true;
@@ -282,16 +283,16 @@
     }
 
     /** Handles a failed poll; if it was superseded, another one is open or will be. */
-    void pollFailed(DiscoveryConnectionHandler side) {
-        if (side == supersededDiscovery) {
+    void pollFailed(DiscoveryConnectionHandler handler) {
+        if (handler == supersededDiscovery) {
             closeSupersededDiscovery();
         } else {
             dispatch(new Event.DiscoveryCallFailed());
         }
     }
 
-    void discoveryClosed(DiscoveryConnectionHandler side) {
-        if (discovery == side) {
+    void discoveryClosed(DiscoveryConnectionHandler handler) {
+        if (discovery == handler) {
             discovery = null;
         }
     }
@@ -314,7 +315,7 @@
 
     /** Whether responses should tell clients to close, and idle client connections should be closed. */
     boolean leaving() {
-        return desk.isShuttingDown() || desk.isHandedOver() || desk.isQuiesced();
+        return reducer.isShuttingDown() || reducer.isHandedOver() || reducer.isQuiesced();
     }
 
     /** Whether client connections close after a response even if it did not announce that. */
@@ -324,7 +325,7 @@
 
     /** Why the router is not ready; empty if it is. */
     String notReadyReason() {
-        return desk.notReadyReason();
+        return reducer.notReadyReason();
     }
 
     /** The router's clock, in microseconds. */
--- a/src/main/java/yewdock/platform/DeploymentSummary.java
+++ b/src/main/java/yewdock/platform/DeploymentSummary.java
@@ -69,8 +69,8 @@
     }
 
     private static String hedgedClasses(Routing.Settings s) {
-        List<String> classes = s.classes().stream().filter(c ->
-                c.retrySafety() != Routing.RetrySafety.FRAGILE)
+        List<String> classes = s.classes().stream().filter(
+                c -> c.retrySafety() != Routing.RetrySafety.FRAGILE)
                 .map(Routing.RequestClass::name).toList();
         return classes.isEmpty() ? "no class" : String.join(", ", classes);
     }
--- a/src/main/java/yewdock/platform/DiscoveryConnectionHandler.java
+++ b/src/main/java/yewdock/platform/DiscoveryConnectionHandler.java
@@ -15,10 +15,10 @@
     private static final int MAX_LIST_BYTES = 4 << 20;
     private static final int OK = 200;
 
-    private final ConnectionManager front;
+    private final ConnectionManager manager;
     private final EndpointListReader listReader;
     private final String host;
-    private final Connection wire;
+    private final Connection connection;
     private final MessageReader reader = new MessageReader(MessageReader.Kind.RESPONSE, this);
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private MessageHead head;
@@ -27,12 +27,12 @@
     private boolean requestOpen;
     private boolean closed;
 
-    DiscoveryConnectionHandler(ConnectionManager front, EndpointListReader listReader, String host,
-            Connection wire) {
-        this.front = front;
+    DiscoveryConnectionHandler(ConnectionManager manager, EndpointListReader listReader, String host,
+            Connection connection) {
+        this.manager = manager;
         this.listReader = listReader;
         this.host = host;
-        this.wire = wire;
+        this.connection = connection;
     }
 
     /** Whether the connection is to this address. */
@@ -45,7 +45,7 @@
         return requestOpen;
     }
 
-    /** Polls for changes after this version, for at most so long; if it is negative, for the whole list. */
+    /** Polls for changes after this version, or for the whole list if it is negative. */
     void poll(long sinceVersion, long waitMicros) {
         String query = sinceVersion < 0 ? "" : "?since=" + sinceVersion + "&timeout_ms=" + waitMicros / 1000;
         pendingRequest = "GET /v1/endpoints" + query + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n";
@@ -55,7 +55,7 @@
 
     private void writeIfConnected() {
         if (connected && pendingRequest != null) {
-            wire.write(ByteBuffer.wrap(pendingRequest.getBytes(StandardCharsets.ISO_8859_1)));
+            connection.write(ByteBuffer.wrap(pendingRequest.getBytes(StandardCharsets.ISO_8859_1)));
             pendingRequest = null;
         }
     }
@@ -80,8 +80,8 @@
                 }
             }
         } catch (BadMessageException | JSONException e) {
-            front.log("the box list's answer is malformed: " + e.getMessage());
-            wire.close();
+            manager.log("the box list's answer is malformed: " + e.getMessage());
+            connection.close();
         }
     }
 
@@ -89,25 +89,25 @@
         if (head.status() != OK) {
             requestOpen = false;
             closeUnlessKeptAlive();
-            front.pollFailed(this);
+            manager.pollFailed(this);
             return;
         }
         EndpointList list = listReader.read(body.toString(StandardCharsets.UTF_8));
         requestOpen = false;
         if (head.keepsAlive()) {
-            front.listReceived(this, list);
+            manager.listReceived(this, list);
         } else {
             closed = true;
-            wire.close();
-            front.lastListReceived(this, list);
+            connection.close();
+            manager.lastListReceived(this, list);
         }
     }
 
     private void closeUnlessKeptAlive() {
         if (!head.keepsAlive()) {
             closed = true;
-            front.discoveryClosed(this);
-            wire.close();
+            manager.discoveryClosed(this);
+            connection.close();
         }
     }
 
@@ -119,7 +119,7 @@
         try {
             return listReader.read(body.toString(StandardCharsets.UTF_8));
         } catch (JSONException e) {
-            front.log("the box list's answer is malformed: " + e.getMessage());
+            manager.log("the box list's answer is malformed: " + e.getMessage());
             return null;
         }
     }
@@ -156,7 +156,7 @@
 
     void close() {
         closed = true;
-        wire.close();
+        connection.close();
     }
 
     /** A close with no open request only means that the next poll needs a new connection. */
@@ -168,15 +168,15 @@
         closed = true;
         EndpointList lastList = listAtEndOfConnection();
         if (lastList == null) {
-            front.discoveryClosed(this);
-            front.dispatch(new Event.DiscoveryConnectionLost());
+            manager.discoveryClosed(this);
+            manager.dispatch(new Event.DiscoveryConnectionLost());
             if (requestOpen) {
-                front.pollFailed(this);
+                manager.pollFailed(this);
             }
         } else if (requestOpen) {
-            front.lastListReceived(this, lastList);
+            manager.lastListReceived(this, lastList);
         } else {
-            front.discoveryClosed(this);
+            manager.discoveryClosed(this);
         }
     }
 }
--- a/src/main/java/yewdock/platform/ServerConnectionHandler.java
+++ b/src/main/java/yewdock/platform/ServerConnectionHandler.java
@@ -24,9 +24,9 @@
     /** A first event longer than this is passed to the client before it is complete. */
     private static final int MAX_PENDING_START_BYTES = 16 * 1024;
 
-    private final ConnectionManager front;
+    private final ConnectionManager manager;
     private final long connectionId;
-    private final Connection wire;
+    private final Connection connection;
     private final MessageReader reader = new MessageReader(MessageReader.Kind.RESPONSE, this);
     private final EventStreamLineReader events = new EventStreamLineReader(this::onEventLine,
             this::onEventEnd);
@@ -49,16 +49,16 @@
     private long cachedTokens;
     private boolean closing;
 
-    ServerConnectionHandler(ConnectionManager front, long connectionId, Connection wire) {
-        this.front = front;
+    ServerConnectionHandler(ConnectionManager manager, long connectionId, Connection connection) {
+        this.manager = manager;
         this.connectionId = connectionId;
-        this.wire = wire;
+        this.connection = connection;
     }
 
     @Override
     public void onConnected() {
         if (!closing) {
-            front.dispatch(new Event.ServerConnected(connectionId));
+            manager.dispatch(new Event.ServerConnected(connectionId));
         }
     }
 
@@ -85,7 +85,7 @@
         loadReport = null;
         cachedTokens = 0;
         unwrittenBytes = all.remaining();
-        wire.write(all);
+        connection.write(all);
     }
 
     @Override
@@ -97,13 +97,13 @@
     public void onWritten(int bytes) {
         unwrittenBytes -= bytes;
         if (unwrittenBytes == 0) {
-            front.dispatch(new Event.AttemptWritten(connectionId));
+            manager.dispatch(new Event.AttemptWritten(connectionId));
         }
     }
 
     @Override
     public void onWriteExpired() {
-        front.dispatch(new Event.AttemptNotStarted(connectionId));
+        manager.dispatch(new Event.AttemptNotStarted(connectionId));
     }
 
     @Override
@@ -125,12 +125,12 @@
                 }
             }
             if (attemptOpen && !bodyStarted && !reader.atMessageStart()) {
-                front.dispatch(new Event.ResponseStarted(connectionId));
+                manager.dispatch(new Event.ResponseStarted(connectionId));
             }
         } catch (BadMessageException e) {
-            front.counters().add("boxes.malformed_answers");
+            manager.counters().add("boxes.malformed_answers");
             closing = true;
-            front.dispatch(new Event.ResponseMalformed(connectionId));
+            manager.dispatch(new Event.ResponseMalformed(connectionId));
         }
     }
 
@@ -149,7 +149,7 @@
         boolean first = !bodyStarted;
         events.read(piece);
         if (!first) {
-            front.dispatch(new Event.ResponseChunk(connectionId, piece));
+            manager.dispatch(new Event.ResponseChunk(connectionId, piece));
             return;
         }
         byte[] bytes = new byte[piece.remaining()];
@@ -164,7 +164,7 @@
         bodyStarted = true;
         ByteBuffer all = ByteBuffer.wrap(pendingStart.toByteArray());
         pendingStart.reset();
-        front.dispatch(new Event.ResponseChunk(connectionId, all));
+        manager.dispatch(new Event.ResponseChunk(connectionId, all));
     }
 
     @Override
@@ -183,7 +183,7 @@
             case 503, 504 -> "1".equals(head.field("X-Unprocessed")) ? Outcome.FULL : Outcome.ERROR;
             default -> Outcome.ERROR;
         };
-        front.dispatch(new Event.ResponseCompleted(connectionId, outcome,
+        manager.dispatch(new Event.ResponseCompleted(connectionId, outcome,
                 nothingBehind && unwrittenBytes == 0 && head.keepsAlive(), cachedTokens, loadReport));
     }
 
@@ -199,7 +199,7 @@
                 JSONObject details = usage == null ? null : usage.optJSONObject("prompt_tokens_details");
                 cachedTokens = details == null ? cachedTokens : Math.max(0, details.optLong("cached_tokens"));
             } catch (JSONException e) {
-                front.counters().add("boxes.malformed_usage");
+                manager.counters().add("boxes.malformed_usage");
             }
         }
     }
@@ -208,13 +208,13 @@
         firstEventComplete |= dataLineSeen;
     }
 
-    void hold(boolean held) {
-        wire.setReadingPaused(held);
+    void setReadingPaused(boolean paused) {
+        connection.setReadingPaused(paused);
     }
 
     void close() {
         closing = true;
-        wire.close();
+        connection.close();
     }
 
     @Override
@@ -224,6 +224,6 @@
             responseComplete(false);
         }
         closing = true;
-        front.serverConnectionClosed(connectionId);
+        manager.serverConnectionClosed(connectionId);
     }
 }
--- a/src/main/java/yewdock/sockets/AcceptedSessions.java
+++ b/src/main/java/yewdock/sockets/AcceptedSessions.java
@@ -12,23 +12,23 @@
 final class AcceptedSessions extends IoHandlerAdapter {
     private final SessionEvents events;
     private final ConnectionLimit limit;
-    private final Supplier<SessionWire> makeWire;
+    private final Supplier<MinaConnection> makeConnection;
     private final Function<Connection, ConnectionHandler> makeHandler;
 
-    AcceptedSessions(SessionEvents events, ConnectionLimit limit, Supplier<SessionWire> makeWire,
+    AcceptedSessions(SessionEvents events, ConnectionLimit limit, Supplier<MinaConnection> makeConnection,
             Function<Connection, ConnectionHandler> makeHandler) {
         this.events = events;
         this.limit = limit;
-        this.makeWire = makeWire;
+        this.makeConnection = makeConnection;
         this.makeHandler = makeHandler;
     }
 
     @Override
     public void sessionCreated(IoSession session) {
-        SessionWire wire = makeWire.get();
-        wire.attachTo(session);
+        MinaConnection connection = makeConnection.get();
+        connection.attachTo(session);
         session.getCloseFuture().addListener(closed -> limit.release());
-        wire.postAccepted(makeHandler);
+        connection.postAccepted(makeHandler);
     }
 
     @Override
--- a/src/main/java/yewdock/sockets/CompleteReadProcessor.java
+++ b/src/main/java/yewdock/sockets/CompleteReadProcessor.java
@@ -13,24 +13,24 @@
 import org.apache.mina.transport.socket.nio.NioSession;
 
 /**
- * An I/O processor that loses no bytes in front of a reset. MINA reads a connection until nothing is left and
+ * An I/O processor that loses no bytes before a reset. MINA reads a connection until nothing is left and
  * discards everything if the last of these reads fails, for example the end of a stream, or an endpoint list,
  * after which the sender has reset the connection. Here the bytes are passed on before the connection closes.
  *
  * <p>Client connections are read until nothing is left even if the buffer is full, so that a disconnect is
- * known before the bytes in front of it are passed on.
+ * known before the bytes that precede it are passed on.
  */
 final class CompleteReadProcessor extends NioProcessor {
     /** Set when the end of the connection has been read. */
     private static final AttributeKey ENDED = new AttributeKey(CompleteReadProcessor.class, "ended");
     /** The bytes that were read after the buffer was full, as a byte[]. */
-    private static final AttributeKey REMAINDER = new AttributeKey(CompleteReadProcessor.class, "behind");
+    private static final AttributeKey REMAINDER = new AttributeKey(CompleteReadProcessor.class, "remainder");
     /** Limit of these bytes: more than a client may send before it gets a response. */
     private static final int MAX_REMAINDER_BYTES = 1 << 20;
     private static final int BUFFER_BYTES = 64 * 1024;
     /**
-     * So many bytes may have filled the connection's receive window, with the rest still at the client. It is
-     * sent once the window opens, within WINDOW_UPDATE_NANOS.
+     * From this size on, unread bytes may have filled the connection's receive window, with the rest still at
+     * the client, which sends it once the window opens, within WINDOW_UPDATE_NANOS.
      */
     private static final int RECEIVE_WINDOW_BYTES = 32 * 1024;
     private static final long WINDOW_UPDATE_NANOS = 500_000;
@@ -68,7 +68,7 @@
     }
 
     /**
-     * Waits until everything that is ready now has been read and passed on, at most so long. The current
+     * Waits until everything that is ready now has been read and passed on, or until the timeout. The current
      * round may have begun before it was ready; the one after it reads it.
      */
     void awaitRead(long millis) throws InterruptedException {
@@ -126,7 +126,7 @@
         session.setAttribute(REMAINDER, remainder.toByteArray());
     }
 
-    /** Whether the peer has closed the connection behind the bytes that were read last. */
+    /** Whether the peer has closed the connection after the bytes that were read last. */
     static boolean isAtEnd(IoSession session) {
         return session.containsAttribute(ENDED);
     }
--- a/src/main/java/yewdock/sockets/DispatcherLoop.java
+++ b/src/main/java/yewdock/sockets/DispatcherLoop.java
@@ -19,12 +19,12 @@
 final class DispatcherLoop {
     /** Longest sleep; a pause of the process that goes unnoticed within a sleep can't be longer either. */
     private static final long MAX_SLEEP_MICROS = 100_000;
-    /** After so long without looking at new input, the sockets are read before anything else is done. */
+    /** After this time without looking at new input, the sockets are read before anything else is done. */
     private static final long MAX_UNREAD_MICROS = 100_000;
     private static final long READ_WAIT_MILLIS = 10;
     /** A shorter pause does not matter to any timeout. */
     private static final long MIN_PAUSE_MICROS = 50_000;
-    /** So long after a pause, everything that arrived during it has been accepted and read. */
+    /** This time after a pause, everything that arrived during it has been accepted and read. */
     private static final long READ_AFTER_PAUSE_MICROS = 100_000;
     /** How long other tasks wait for discovery's answer on changes during a pause. */
     private static final long CATCH_UP_MICROS = 250_000;
@@ -60,19 +60,20 @@
     }
 
     /** Runs until it is stopped. */
-    void run(Reducer desk) {
+    void run(Reducer reducer) {
         taskStartedAt = clock.getAsLong();
         while (!stopped) {
             try {
-                step(desk);
+                step(reducer);
             } catch (InterruptedException e) {
                 Logger.warn("dispatcher thread was interrupted");
             }
         }
     }
 
-    private void step(Reducer desk) throws InterruptedException {
-        long sleepMicros = Math.max(0, Math.min(desk.nextTimerDue() - clock.getAsLong(), MAX_SLEEP_MICROS));
+    private void step(Reducer reducer) throws InterruptedException {
+        long sleepMicros = Math.max(0,
+                Math.min(reducer.nextTimerDue() - clock.getAsLong(), MAX_SLEEP_MICROS));
         Task task = queue.poll(sleepMicros);
         // counted from before the last task, during which the process may have been suspended
         long unreadMicros = clock.getAsLong() - taskStartedAt;
@@ -80,25 +81,25 @@
             if (task != null) {
                 queue.putBack(task);
             }
-            catchUp(desk, unreadMicros - sleepMicros);
+            catchUp(reducer, unreadMicros - sleepMicros);
             task = queue.poll(0);
         }
         taskStartedAt = clock.getAsLong();
         if (task != null) {
             run(task);
         }
-        if (desk.nextTimerDue() <= clock.getAsLong()) {
+        if (reducer.nextTimerDue() <= clock.getAsLong()) {
             run(new Task(null, () -> dispatch.accept(new Event.Tick())));
         }
     }
 
     /** Handles a possible pause of this length; it is negative if the process can't have been suspended. */
-    private void catchUp(Reducer desk, long pauseMicros) throws InterruptedException {
+    private void catchUp(Reducer reducer, long pauseMicros) throws InterruptedException {
         if (pauseMicros >= MIN_PAUSE_MICROS) {
             pausedUntil = clock.getAsLong();
             pausedFrom = pausedUntil - pauseMicros;
         }
-        runUrgentFirst(desk, pauseMicros);
+        runUrgentFirst(reducer, pauseMicros);
         if (pauseMicros >= MIN_PAUSE_MICROS) {
             runAllQueued();
         }
@@ -108,14 +109,14 @@
      * Handles discovery responses and disconnects of clients before anything else. After a pause in which
      * discovery may have had more changes than one response holds, it is polled again first.
      */
-    private void runUrgentFirst(Reducer desk, long pauseMicros) throws InterruptedException {
+    private void runUrgentFirst(Reducer reducer, long pauseMicros) throws InterruptedException {
         processor.awaitRead(READ_WAIT_MILLIS);
         for (Task urgent = queue.pollUrgent(); urgent != null; urgent = queue.pollUrgent()) {
             run(urgent);
         }
         run(new Task(null, () -> dispatch.accept(new Event.ProcessResumed(pauseMicros))));
         long until = clock.getAsLong() + CATCH_UP_MICROS;
-        for (long remaining = CATCH_UP_MICROS; desk.isCatchingUp() && remaining > 0;
+        for (long remaining = CATCH_UP_MICROS; reducer.isCatchingUp() && remaining > 0;
                 remaining = until - clock.getAsLong()) {
             Task urgent = queue.pollUrgent(remaining);
             if (urgent != null) {
@@ -147,8 +148,8 @@
             task.work().run();
         } catch (RuntimeException | Error e) {
             Logger.error(e, "fault in a task");
-            if (task.wire() != null) {
-                task.wire().close();
+            if (task.connection() != null) {
+                task.connection().close();
             }
         }
     }
--- a/src/main/java/yewdock/sockets/LingeringClose.java
+++ b/src/main/java/yewdock/sockets/LingeringClose.java
@@ -64,7 +64,7 @@
         session.getCloseFuture().addListener(closed -> sessions.remove(session));
     }
 
-    /** Whether a connection of which so many bytes were dropped may stay open. */
+    /** Whether a connection may stay open after this number of bytes was dropped. */
     boolean mayDrop(int bytes) {
         return bytes <= MAX_DROPPED_BYTES;
     }
--- a/src/main/java/yewdock/sockets/SessionWire.java
+++ b/src/main/java/yewdock/sockets/MinaConnection.java
@@ -18,8 +18,8 @@
  * A connection over a MINA session. Its methods are called on the dispatcher's thread; MINA's threads report
  * events, which reach the handler as tasks in the dispatcher's queue.
  */
-final class SessionWire implements Connection {
-    private static final AttributeKey WIRE = new AttributeKey(SessionWire.class, "wire");
+final class MinaConnection implements Connection {
+    private static final AttributeKey CONNECTION = new AttributeKey(MinaConnection.class, "connection");
 
     private final ConnectionPurpose purpose;
     private final TaskQueue queue;
@@ -30,7 +30,7 @@
     private volatile long decidedAt;
     private volatile IoSession session;
     private ConnectFuture connectFuture;
-    private ConnectionHandler side;
+    private ConnectionHandler handler;
     private boolean isClosed;
     /** The last write; null if there was none. */
     private WriteFuture lastWrite;
@@ -40,7 +40,7 @@
     /** How many messages have been read that the handler has not received yet. */
     private final AtomicInteger undelivered = new AtomicInteger();
 
-    SessionWire(ConnectionPurpose purpose, TaskQueue queue, LingeringClose lingering,
+    MinaConnection(ConnectionPurpose purpose, TaskQueue queue, LingeringClose lingering,
             LongSupplier taskStartedAt) {
         this.purpose = purpose;
         this.queue = queue;
@@ -49,19 +49,19 @@
     }
 
     /** Returns the connection of a session; null if it has none yet. */
-    static SessionWire of(IoSession session) {
-        return (SessionWire) session.getAttribute(WIRE);
+    static MinaConnection of(IoSession session) {
+        return (MinaConnection) session.getAttribute(CONNECTION);
     }
 
     /** Sets the session, and this as its connection. */
     void attachTo(IoSession newSession) {
         session = newSession;
-        newSession.setAttribute(WIRE, this);
+        newSession.setAttribute(CONNECTION, this);
     }
 
     /** Sets the handler; called on the dispatcher's thread or before any event can occur. */
     void setHandler(ConnectionHandler newHandler) {
-        side = newHandler;
+        handler = newHandler;
     }
 
     void setConnectFuture(ConnectFuture future) {
@@ -103,8 +103,8 @@
     }
 
     private void callHandler(Consumer<ConnectionHandler> work) {
-        if (!isClosed && side != null) {
-            work.accept(side);
+        if (!isClosed && handler != null) {
+            work.accept(handler);
         }
     }
 
@@ -126,7 +126,7 @@
     void postAccepted(Function<Connection, ConnectionHandler> makeHandler) {
         post(() -> {
             if (!isClosed) {
-                side = makeHandler.apply(this);
+                handler = makeHandler.apply(this);
             }
         });
     }
@@ -207,8 +207,8 @@
     private void closed() {
         if (!isClosed) {
             isClosed = true;
-            if (side != null) {
-                side.onClosed();
+            if (handler != null) {
+                handler.onClosed();
             }
         }
     }
--- a/src/main/java/yewdock/sockets/MinaTransport.java
+++ b/src/main/java/yewdock/sockets/MinaTransport.java
@@ -60,11 +60,12 @@
     private final long maxWriteDelayMicros;
     private final DispatcherLoop loop;
     private final SessionEvents events;
-    private volatile ConnectionManager front;
+    private volatile ConnectionManager manager;
 
     /**
-     * Makes a transport for so many clients at once. An attempt of which nothing has been written within half
-     * of the drain grace, at most 0.1 s, is not started: the process was suspended meanwhile.
+     * Makes a transport for up to {@code maxClients} clients at once. An attempt of which nothing has been
+     * written within half of the drain grace, at least 0.05 s and at most 0.1 s, is not started: the process
+     * was suspended meanwhile.
      */
     public MinaTransport(int maxClients, long drainGraceMicros) {
         this(maxClients, drainGraceMicros, LingeringClose.TIMEOUT_SECONDS);
@@ -78,9 +79,9 @@
         clientLimit = new ConnectionLimit(maxClients + MAX_CLOSING_CLIENTS);
         // a single processor, as the router has one core
         processor = new CompleteReadProcessor(executor, this::isExpiredAttempt, MinaTransport::isClient);
-        loop = new DispatcherLoop(queue, processor, clock, event -> front.dispatch(event));
+        loop = new DispatcherLoop(queue, processor, clock, event -> manager.dispatch(event));
         events = new SessionEvents(processor, lingering, queueSpace, clock, loop::arrival);
-        acceptor = acceptor(clientLimit, ConnectionPurpose.CLIENT, wire -> front.accept(wire));
+        acceptor = acceptor(clientLimit, ConnectionPurpose.CLIENT, connection -> manager.accept(connection));
         connector = new NioSocketConnector(executor, processor);
         connector.setHandler(events);
         // the reducer times connecting; MINA's own timeout must never come first
@@ -92,13 +93,14 @@
     private BoundedAcceptor acceptor(ConnectionLimit limit, ConnectionPurpose purpose,
             Function<Connection, ConnectionHandler> makeHandler) {
         BoundedAcceptor newAcceptor = new BoundedAcceptor(executor, processor, limit, lingering);
-        newAcceptor.setHandler(new AcceptedSessions(events, limit, () -> wire(purpose), makeHandler));
+        newAcceptor.setHandler(
+                new AcceptedSessions(events, limit, () -> newConnection(purpose), makeHandler));
         configure(newAcceptor.getSessionConfig());
         return newAcceptor;
     }
 
-    private SessionWire wire(ConnectionPurpose purpose) {
-        return new SessionWire(purpose, queue, lingering, loop::taskStartedAt);
+    private MinaConnection newConnection(ConnectionPurpose purpose) {
+        return new MinaConnection(purpose, queue, lingering, loop::taskStartedAt);
     }
 
     private static void configure(SocketSessionConfig config) {
@@ -112,19 +114,19 @@
     }
 
     /** Starts the reducer, listens for clients and serves until stopped. */
-    public void serve(String address, ConnectionManager front, Reducer desk) throws IOException {
-        this.front = front;
-        front.start();
+    public void serve(String address, ConnectionManager manager, Reducer reducer) throws IOException {
+        this.manager = manager;
+        manager.start();
         acceptor.bind(Addresses.parse(address));
         Logger.info("listens on {}", acceptor.getLocalAddress());
-        runLoop(desk);
+        runLoop(reducer);
     }
 
     /** Runs {@code start} and serves until stopped; accepts no clients before {@link #acceptFrom}. */
-    public void serveWithoutListening(Runnable start, ConnectionManager front, Reducer desk) {
-        this.front = front;
+    public void serveWithoutListening(Runnable start, ConnectionManager manager, Reducer reducer) {
+        this.manager = manager;
         start.run();
-        runLoop(desk);
+        runLoop(reducer);
     }
 
     /**
@@ -140,8 +142,8 @@
     }
 
     /**
-     * Listens for operators, for so many connections at once; one that sends nothing for so many seconds is
-     * reported as idle. Called before serving starts.
+     * Listens for operators, up to {@code maxConnections} at once; one that sends nothing for
+     * {@code idleSeconds} is reported as idle. Called before serving starts.
      */
     public void listenForOperators(String address, int maxConnections, int idleSeconds,
             Function<Connection, ConnectionHandler> makeHandler) throws IOException {
@@ -203,20 +205,20 @@
         clientLimit.shrink(Short.MAX_VALUE);
     }
 
-    private void runLoop(Reducer desk) {
-        loop.run(desk);
+    private void runLoop(Reducer reducer) {
+        loop.run(reducer);
         flushAndClose();
         stopped.countDown();
     }
 
     /** Applies a new configuration; any thread may call it. */
     public void reconfigure(Config config) {
-        queue.add(new Task(null, () -> front.reconfigure(config)));
+        queue.add(new Task(null, () -> manager.reconfigure(config)));
     }
 
     /** Starts a graceful shutdown and waits until all open requests are finished. */
     public void shutDownGracefully() {
-        queue.add(new Task(null, () -> front.dispatch(new Event.ShutdownRequested())));
+        queue.add(new Task(null, () -> manager.dispatch(new Event.ShutdownRequested())));
         try {
             stopped.await();
         } catch (InterruptedException e) {
@@ -236,7 +238,7 @@
         acceptor.unbind();
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(FINAL_WRITES_MILLIS);
         for (IoSession session : acceptor.getManagedSessions().values()) {
-            SessionWire.of(session).closeAfterWriting();
+            MinaConnection.of(session).closeAfterWriting();
         }
         for (IoSession session : acceptor.getManagedSessions().values()) {
             session.getCloseFuture().awaitUninterruptibly(
@@ -245,42 +247,43 @@
     }
 
     @Override
-    public <S extends ConnectionHandler> S connect(String address, Function<Connection, S> makeSide) {
-        return connect(address, makeSide, wire(ConnectionPurpose.SERVER));
+    public <S extends ConnectionHandler> S connect(String address, Function<Connection, S> makeHandler) {
+        return connect(address, makeHandler, newConnection(ConnectionPurpose.SERVER));
     }
 
     @Override
-    public <S extends ConnectionHandler> S connectToDiscovery(String address, Function<Connection,
-            S> makeSide) {
-        return connect(address, makeSide, wire(ConnectionPurpose.DISCOVERY));
+    public <S extends ConnectionHandler> S connectToDiscovery(String address,
+            Function<Connection, S> makeHandler) {
+        return connect(address, makeHandler, newConnection(ConnectionPurpose.DISCOVERY));
     }
 
-    private <S extends ConnectionHandler> S connect(String address, Function<Connection, S> makeSide,
-            SessionWire wire) {
-        S side = makeSide.apply(wire);
-        wire.setHandler(side);
+    private <S extends ConnectionHandler> S connect(String address, Function<Connection, S> makeHandler,
+            MinaConnection connection) {
+        S handler = makeHandler.apply(connection);
+        connection.setHandler(handler);
         InetSocketAddress target = Addresses.parse(address);
-        ConnectFuture future = connector.connect(target, (session, connecting) -> wire.attachTo(session));
-        wire.setConnectFuture(future);
+        ConnectFuture future =
+                connector.connect(target, (session, connecting) -> connection.attachTo(session));
+        connection.setConnectFuture(future);
         future.addListener(done -> {
             if (!future.isConnected()) {
-                wire.postClosed();
+                connection.postClosed();
             }
         });
-        return side;
+        return handler;
     }
 
     private static boolean isClient(IoSession session) {
-        return SessionWire.of(session).purpose() == ConnectionPurpose.CLIENT;
+        return MinaConnection.of(session).purpose() == ConnectionPurpose.CLIENT;
     }
 
     /** Whether the next write is an attempt that was decided on too long ago; tells its handler if so. */
     private boolean isExpiredAttempt(IoSession session) {
-        SessionWire wire = SessionWire.of(session);
-        boolean late = wire.purpose() == ConnectionPurpose.SERVER
-                && clock.getAsLong() - wire.decidedAt() > maxWriteDelayMicros;
+        MinaConnection connection = MinaConnection.of(session);
+        boolean late = connection.purpose() == ConnectionPurpose.SERVER
+                && clock.getAsLong() - connection.decidedAt() > maxWriteDelayMicros;
         if (late) {
-            wire.postToHandler(ConnectionHandler::onWriteExpired);
+            connection.postToHandler(ConnectionHandler::onWriteExpired);
         }
         return late;
     }
--- a/src/main/java/yewdock/sockets/SessionEvents.java
+++ b/src/main/java/yewdock/sockets/SessionEvents.java
@@ -33,60 +33,60 @@
 
     @Override
     public void sessionOpened(IoSession session) {
-        SessionWire.of(session).postToHandler(ConnectionHandler::onConnected);
+        MinaConnection.of(session).postToHandler(ConnectionHandler::onConnected);
     }
 
     @Override
     public void messageReceived(IoSession session, Object message) {
-        SessionWire wire = SessionWire.of(session);
-        if (clientHasDisconnected(wire, session)) {
+        MinaConnection connection = MinaConnection.of(session);
+        if (clientHasDisconnected(connection, session)) {
             return;
         }
         ByteBuffer bytes = processor.withRemainder(session, ((IoBuffer) message).buf());
-        if (wire.isDroppingInput()) {
-            drop(wire, session, bytes.remaining());
-        } else if (wire.purpose() == ConnectionPurpose.DISCOVERY) {
-            wire.postToHandler(side -> side.onReceived(bytes));
+        if (connection.isDroppingInput()) {
+            drop(connection, session, bytes.remaining());
+        } else if (connection.purpose() == ConnectionPurpose.DISCOVERY) {
+            connection.postToHandler(handler -> handler.onReceived(bytes));
         } else {
-            enqueue(wire, bytes);
+            enqueue(connection, bytes);
         }
     }
 
     /** Whether the sender is a client that has disconnected since: no attempt must be started for it. */
-    private static boolean clientHasDisconnected(SessionWire wire, IoSession session) {
-        return wire.purpose() == ConnectionPurpose.CLIENT && CompleteReadProcessor.isAtEnd(session);
+    private static boolean clientHasDisconnected(MinaConnection connection, IoSession session) {
+        return connection.purpose() == ConnectionPurpose.CLIENT && CompleteReadProcessor.isAtEnd(session);
     }
 
-    private void drop(SessionWire wire, IoSession session, int size) {
-        if (!lingering.mayDrop(wire.drop(size))) {
+    private void drop(MinaConnection connection, IoSession session, int size) {
+        if (!lingering.mayDrop(connection.drop(size))) {
             session.closeNow();
         }
     }
 
-    private void enqueue(SessionWire wire, ByteBuffer bytes) {
+    private void enqueue(MinaConnection connection, ByteBuffer bytes) {
         int size = bytes.remaining();
         long readAt = clock.getAsLong();
-        wire.countUndelivered();
+        connection.countUndelivered();
         queueSpace.acquireUninterruptibly(size);
-        wire.postMessage(side -> side.onReceived(bytes, arrival.apply(readAt)), () ->
-                queueSpace.release(size));
+        connection.postMessage(handler -> handler.onReceived(bytes, arrival.apply(readAt)),
+                () -> queueSpace.release(size));
     }
 
     @Override
     public void messageSent(IoSession session, Object message) {
         int bytes = ((IoBuffer) message).limit();
-        SessionWire.of(session).postToHandler(side -> side.onWritten(bytes));
+        MinaConnection.of(session).postToHandler(handler -> handler.onWritten(bytes));
     }
 
     /** Only lingering connections and those of operators have an idle time. */
     @Override
     public void sessionIdle(IoSession session, IdleStatus status) {
-        SessionWire.of(session).postToHandler(ConnectionHandler::onIdle);
+        MinaConnection.of(session).postToHandler(ConnectionHandler::onIdle);
     }
 
     @Override
     public void sessionClosed(IoSession session) {
-        SessionWire.of(session).postClosed();
+        MinaConnection.of(session).postClosed();
     }
 
     /** Closes the session after a reset or another I/O error; its end is reported by sessionClosed(). */
--- a/src/main/java/yewdock/sockets/TaskQueue.java
+++ b/src/main/java/yewdock/sockets/TaskQueue.java
@@ -12,8 +12,8 @@
  * attempt to a server that drains or for a client that has left. Any thread may add tasks.
  */
 final class TaskQueue {
-    /** Work to do; the wire is the connection that it concerns and that a fault closes, or null. */
-    record Task(SessionWire wire, Runnable work) {
+    /** Work to do; the connection is the one that it concerns and that a fault closes, or null. */
+    record Task(MinaConnection connection, Runnable work) {
     }
 
     /** Wakes the thread that waits in {@link #poll}; urgent tasks are taken from their own queue. */
@@ -38,7 +38,7 @@
         tasks.addFirst(WAKE_UP);
     }
 
-    /** The number of queued tasks that are not urgent. */
+    /** The number of queued tasks that are not urgent, including wake-ups. */
     int size() {
         return tasks.size();
     }
--- a/src/test/java/yewdock/platform/DeploymentTest.java
+++ b/src/test/java/yewdock/platform/DeploymentSummaryTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The description of a configuration must reflect its settings rather than the defaults. */
-class DeploymentTest {
+class DeploymentSummaryTest {
     private static List<String> lines(String... changes) throws IOException {
         String text = Files.readString(Path.of("src/test/resources/exchanges/config.json"));
         for (int i = 0; i < changes.length; i += 2) {
--- a/src/test/java/yewdock/sockets/GoneClientTest.java
+++ b/src/test/java/yewdock/sockets/DisconnectedClientTest.java
@@ -25,14 +25,14 @@
 import yewdock.platform.ConnectionManager;
 
 /** No attempt is started for a client that has closed its connection. */
-class GoneClientTest {
+class DisconnectedClientTest {
     private static final int CLIENTS = 30;
     private static final int PIPELINED_BYTES = 300 * 1024;
 
     private final Counters counters = new Counters();
-    private final MinaTransport sockets = new MinaTransport(CLIENTS, 1_000_000);
+    private final MinaTransport transport = new MinaTransport(CLIENTS, 1_000_000);
     private ServerSocket silentServer;
-    private Listening listening;
+    private ServingTransport serving;
 
     /** Starts a router whose servers accept connections and never respond. */
     @BeforeEach
@@ -41,17 +41,17 @@
         String file = Files.readString(Path.of("src/test/resources/exchanges/config.json"))
                 .replaceAll("127.0.0.1:900[12]", "127.0.0.1:" + silentServer.getLocalPort());
         Config config = Config.read(file, line -> { });
-        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
+        Reducer reducer = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
                 config.bounds(), counters,
                 actions -> new GenerationRouter(config.settings(), 1, actions));
-        ConnectionManager front = new ConnectionManager(config, desk, counters, sockets, sockets.clock(),
-                line -> { });
-        listening = Listening.start(sockets, front, desk);
+        ConnectionManager manager = new ConnectionManager(config, reducer, counters, transport,
+                transport.clock(), line -> { });
+        serving = ServingTransport.start(transport, manager, reducer);
     }
 
     @AfterEach
     void stop() throws Exception {
-        listening.stop();
+        serving.stop();
         silentServer.close();
     }
 
@@ -59,7 +59,7 @@
         Socket client = new Socket();
         client.setSoTimeout(3_000);
         client.setTcpNoDelay(true);
-        client.connect(listening.address(), 10_000);
+        client.connect(serving.address(), 10_000);
         client.getOutputStream().write(("POST /v1/chat/completions HTTP/1.1\r\nHost: service.internal\r\n"
                 + "X-Correlation-Id: " + id + "\r\nX-Service-Class: chat\r\nX-Account: lalitpur-metro\r\n"
                 + "X-Session-Key: 7f3a\r\nX-Time-Left: 8.000\r\n"
@@ -70,7 +70,7 @@
 
     private long counterValue(String counter) throws Exception {
         CompletableFuture<String> all = new CompletableFuture<>();
-        sockets.post(() -> all.complete(counters.toString()));
+        transport.post(() -> all.complete(counters.toString()));
         return all.get(10, TimeUnit.SECONDS).lines().filter(l -> l.startsWith(counter + ' '))
                 .mapToLong(l -> Long.parseLong(l.substring(counter.length() + 1))).sum();
     }
@@ -79,7 +79,7 @@
     @Test
     void disconnectedClientsCauseNoAttempts() throws Exception {
         CountDownLatch busy = new CountDownLatch(1);
-        sockets.post(() -> {
+        transport.post(() -> {
             try {
                 busy.await(30, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
@@ -96,10 +96,10 @@
             assertEquals(-1, client.getInputStream().read(), "the router did not close its side");
         }
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
-        while (sockets.urgentWaiting() < CLIENTS && System.nanoTime() < deadline) {
+        while (transport.urgentWaiting() < CLIENTS && System.nanoTime() < deadline) {
             Thread.onSpinWait();
         }
-        assertEquals(CLIENTS, sockets.urgentWaiting(), "queued disconnects");
+        assertEquals(CLIENTS, transport.urgentWaiting(), "queued disconnects");
         busy.countDown();
         assertEquals(0, counterValue("lines.opened"), "server connections were opened for nobody");
         assertEquals(0, counterValue("answers.left_before"));
--- a/src/test/java/yewdock/sockets/IdleCloseTest.java
+++ b/src/test/java/yewdock/sockets/IdleCloseTest.java
@@ -33,9 +33,9 @@
     private static final byte[] REQUEST = "GET /nothing HTTP/1.1\r\nHost: router\r\n\r\n"
             .getBytes(StandardCharsets.US_ASCII);
 
-    private final MinaTransport sockets = new MinaTransport(MAX_CLIENTS, 1_000_000);
-    private ConnectionManager front;
-    private Listening listening;
+    private final MinaTransport transport = new MinaTransport(MAX_CLIENTS, 1_000_000);
+    private ConnectionManager manager;
+    private ServingTransport serving;
 
     @BeforeEach
     void start() throws Exception {
@@ -43,20 +43,20 @@
                 line -> { });
         Counters counters = new Counters();
         ResourceLimits bounds = new ResourceLimits(MAX_CLIENTS, 20, 20, 1 << 20);
-        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()), bounds,
+        Reducer reducer = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()), bounds,
                 counters,
                 actions -> new GenerationRouter(config.settings(), 1, actions));
-        front = new ConnectionManager(config, desk, counters, sockets, sockets.clock(), line -> { });
-        listening = Listening.start(sockets, front, desk);
+        manager = new ConnectionManager(config, reducer, counters, transport, transport.clock(), line -> { });
+        serving = ServingTransport.start(transport, manager, reducer);
     }
 
     @AfterEach
     void stop() throws Exception {
-        listening.stop();
+        serving.stop();
     }
 
     private Socket connect() throws Exception {
-        Socket client = new Socket(listening.address().getAddress(), listening.address().getPort());
+        Socket client = new Socket(serving.address().getAddress(), serving.address().getPort());
         client.setTcpNoDelay(true);
         client.setSoTimeout(TIMEOUT_MILLIS);
         return client;
@@ -72,15 +72,15 @@
 
     /** Waits until the dispatcher knows of the only connection. */
     private void awaitAccepted() throws Exception {
-        await(() -> sockets.connectionsAccepted() == 1);
-        listening.onDispatcher(() -> { });
+        await(() -> transport.connectionsAccepted() == 1);
+        serving.onDispatcher(() -> { });
     }
 
     /** Blocks the dispatcher until the returned latch is counted down. */
     private CountDownLatch blockDispatcher() throws Exception {
         CountDownLatch started = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
-        sockets.post(() -> {
+        transport.post(() -> {
             started.countDown();
             try {
                 release.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
@@ -94,7 +94,7 @@
 
     private void sendAndAwaitRead(Socket client) throws Exception {
         client.getOutputStream().write(REQUEST);
-        await(() -> sockets.queuedBytes() == REQUEST.length);
+        await(() -> transport.queuedBytes() == REQUEST.length);
     }
 
     private static void assertAnswered(Socket client) throws Exception {
@@ -110,7 +110,7 @@
             awaitAccepted();
             CountDownLatch blocked = blockDispatcher();
             try (Socket second = connect(); Socket third = connect()) {
-                await(() -> sockets.connectionsAccepted() == MAX_CLIENTS + 1);
+                await(() -> transport.connectionsAccepted() == MAX_CLIENTS + 1);
                 sendAndAwaitRead(oldest);
                 blocked.countDown();
                 assertAnswered(oldest);
@@ -124,7 +124,7 @@
     void requestThatCrossesTheIdleCloseIsAnswered() throws Exception {
         try (Socket client = connect()) {
             awaitAccepted();
-            listening.onDispatcher(() -> front.dispatch(new Event.ShutdownRequested()));
+            serving.onDispatcher(() -> manager.dispatch(new Event.ShutdownRequested()));
             long shutdownStartedAt = System.nanoTime();
             CountDownLatch blocked = blockDispatcher();
             sendAndAwaitRead(client);
--- a/src/test/java/yewdock/sockets/LingeringTest.java
+++ b/src/test/java/yewdock/sockets/LingeringCloseTest.java
@@ -22,37 +22,37 @@
 import yewdock.platform.ConnectionHandler;
 
 /** A connection is closed while its peer is still sending. */
-class LingeringTest {
+class LingeringCloseTest {
     private static final String RESPONSE = "the whole answer";
     private static final int LONG_SECONDS = 3600;
-    /** With a limit of 0 clients, so many are still accepted, to be closed again. */
+    /** How many connections are accepted with a limit of 0 clients, to be closed again. */
     private static final int ACCEPTED_CONNECTIONS = 24;
 
-    private MinaTransport sockets;
-    private Listening listening;
+    private MinaTransport transport;
+    private ServingTransport serving;
 
     private void start(int seconds) throws Exception {
-        sockets = new MinaTransport(0, 1_000_000, seconds);
-        listening = Listening.start(sockets,
+        transport = new MinaTransport(0, 1_000_000, seconds);
+        serving = ServingTransport.start(transport,
                 Files.readString(Path.of("src/test/resources/exchanges/config.json"))
                 .replaceFirst("\\{", "{\"limits\":{\"sockets\":1024,\"memory_mb\":160},"));
     }
 
     @AfterEach
     void stop() throws Exception {
-        listening.stop();
+        serving.stop();
     }
 
     /** Writes nothing by itself, and closes when the lingering close times out. */
     private static final class PassiveHandler implements ConnectionHandler {
-        private final CountDownLatch up = new CountDownLatch(1);
-        private final CountDownLatch down = new CountDownLatch(1);
-        private final CompletableFuture<Connection> wire = new CompletableFuture<>();
+        private final CountDownLatch connected = new CountDownLatch(1);
+        private final CountDownLatch closed = new CountDownLatch(1);
+        private final CompletableFuture<Connection> connection = new CompletableFuture<>();
         private int received;
 
         @Override
         public void onConnected() {
-            up.countDown();
+            connected.countDown();
         }
 
         @Override
@@ -67,24 +67,24 @@
 
         @Override
         public void onIdle() {
-            wire.join().close();
+            connection.join().close();
         }
 
         @Override
         public void onClosed() {
-            down.countDown();
+            closed.countDown();
         }
     }
 
     /** Connects the router to a peer in the test and returns the peer's socket. */
-    private Socket connect(PassiveHandler side) throws Exception {
+    private Socket connect(PassiveHandler handler) throws Exception {
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
-            sockets.post(() -> sockets.connect("127.0.0.1:" + server.getLocalPort(), newWire -> {
-                side.wire.complete(newWire);
-                return side;
+            transport.post(() -> transport.connect("127.0.0.1:" + server.getLocalPort(), newConnection -> {
+                handler.connection.complete(newConnection);
+                return handler;
             }));
             Socket peer = server.accept();
-            assertTrue(side.up.await(10, TimeUnit.SECONDS));
+            assertTrue(handler.connected.await(10, TimeUnit.SECONDS));
             peer.setSoTimeout(10_000);
             return peer;
         }
@@ -94,26 +94,26 @@
     @Test
     void bytesThatCrossTheCloseDoNotResetTheResponse() throws Exception {
         start(LONG_SECONDS);
-        PassiveHandler side = new PassiveHandler();
-        try (Socket peer = connect(side)) {
-            Connection wire = side.wire.get();
-            listening.onDispatcher(() -> wire.setReadingPaused(true));
+        PassiveHandler handler = new PassiveHandler();
+        try (Socket peer = connect(handler)) {
+            Connection connection = handler.connection.get();
+            serving.onDispatcher(() -> connection.setReadingPaused(true));
             peer.getOutputStream().write(new byte[1000]);
-            listening.onDispatcher(() -> {
-                wire.write(ByteBuffer.wrap(RESPONSE.getBytes(StandardCharsets.US_ASCII)));
-                wire.closeLingering();
+            serving.onDispatcher(() -> {
+                connection.write(ByteBuffer.wrap(RESPONSE.getBytes(StandardCharsets.US_ASCII)));
+                connection.closeLingering();
             });
             byte[] response = new byte[RESPONSE.length()];
             peer.getInputStream().readNBytes(response, 0, response.length);
             assertEquals(RESPONSE, new String(response, StandardCharsets.US_ASCII));
             assertEquals(-1, peer.getInputStream().read(), "end of stream, not a reset");
             peer.getOutputStream().write(new byte[1000]);
-            listening.onDispatcher(() -> wire.setReadingPaused(false));
+            serving.onDispatcher(() -> connection.setReadingPaused(false));
             peer.getOutputStream().write(new byte[1000]);
             assertEquals(-1, peer.getInputStream().read(), "still end of stream");
         }
-        assertTrue(side.down.await(10, TimeUnit.SECONDS), "closed when the peer has closed");
-        assertEquals(0, side.received, "bytes after the close reached the handler");
+        assertTrue(handler.closed.await(10, TimeUnit.SECONDS), "closed when the peer has closed");
+        assertEquals(0, handler.received, "bytes after the close reached the handler");
     }
 
     /**
@@ -123,11 +123,11 @@
     @Test
     void bytesThatCrossAnOrdinaryCloseAreNotAccepted() throws Exception {
         start(LONG_SECONDS);
-        PassiveHandler side = new PassiveHandler();
-        try (Socket peer = connect(side)) {
-            listening.onDispatcher(() -> side.wire.join().closeAfterWriting());
+        PassiveHandler handler = new PassiveHandler();
+        try (Socket peer = connect(handler)) {
+            serving.onDispatcher(() -> handler.connection.join().closeAfterWriting());
             assertEquals(-1, peer.getInputStream().read(), "closes at once");
-            assertTrue(side.down.await(10, TimeUnit.SECONDS));
+            assertTrue(handler.closed.await(10, TimeUnit.SECONDS));
             assertThrows(java.net.SocketException.class, () -> {
                 // the reset may be late on a busy machine; a half-closed connection never sends one
                 long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
@@ -136,7 +136,7 @@
                 }
             });
         }
-        assertEquals(0, side.received);
+        assertEquals(0, handler.received);
     }
 
     /** A peer that never closes is disconnected after the timeout. */
@@ -145,10 +145,10 @@
         start(1);
         PassiveHandler handler = new PassiveHandler();
         try (Socket peer = connect(handler)) {
-            handler.wire.get();
-            listening.onDispatcher(() -> handler.wire.join().closeLingering());
+            handler.connection.get();
+            serving.onDispatcher(() -> handler.connection.join().closeLingering());
             assertEquals(-1, peer.getInputStream().read());
-            assertTrue(handler.down.await(10, TimeUnit.SECONDS));
+            assertTrue(handler.closed.await(10, TimeUnit.SECONDS));
         }
     }
 
@@ -158,15 +158,15 @@
         start(LONG_SECONDS);
         PassiveHandler handler = new PassiveHandler();
         try (Socket peer = connect(handler)) {
-            listening.onDispatcher(() -> handler.wire.join().closeLingering());
+            serving.onDispatcher(() -> handler.connection.join().closeLingering());
             byte[] piece = new byte[64 * 1024];
-            for (int i = 0; i < 1000 && handler.down.getCount() > 0; i++) {
+            for (int i = 0; i < 1000 && handler.closed.getCount() > 0; i++) {
                 peer.getOutputStream().write(piece);
             }
         } catch (java.net.SocketException e) {
             // expected: closed while the peer was writing
         }
-        assertTrue(handler.down.await(10, TimeUnit.SECONDS));
+        assertTrue(handler.closed.await(10, TimeUnit.SECONDS));
     }
 
     /** Lingering connections hold descriptors: the oldest of them is closed when a new client connects. */
@@ -176,7 +176,7 @@
         List<Socket> clients = new ArrayList<>();
         try {
             for (int i = 0; i < 2 * ACCEPTED_CONNECTIONS; i++) {
-                Socket client = new Socket(listening.address().getAddress(), listening.address().getPort());
+                Socket client = new Socket(serving.address().getAddress(), serving.address().getPort());
                 clients.add(client);
                 // the reducer closes incomplete requests after 2.5 s; before that, only lingering ones close
                 client.setSoTimeout(2_000);
--- a/src/test/java/yewdock/sockets/LetGoTest.java
+++ b/src/test/java/yewdock/sockets/ListenerCloseTest.java
@@ -19,7 +19,7 @@
 import yewdock.platform.ConnectionManager;
 
 /** Connections that wait in the listener's accept queue when it is closed must not be reset. */
-class LetGoTest {
+class ListenerCloseTest {
     /** More than are accepted at once; the rest waits in the accept queue. */
     private static final int CLIENTS = 40;
 
@@ -29,23 +29,23 @@
         Config config = Config.read(Files.readString(Path.of("src/test/resources/exchanges/config.json")),
                 line -> { });
         Counters counters = new Counters();
-        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
+        Reducer reducer = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
                 config.bounds(), counters,
                 actions -> new GenerationRouter(config.settings(), 1, actions));
-        MinaTransport sockets = new MinaTransport(0, 1_000_000);
-        ConnectionManager front = new ConnectionManager(config, desk, counters, sockets, sockets.clock(),
-                line -> { });
-        Listening listening = Listening.start(sockets, front, desk);
+        MinaTransport transport = new MinaTransport(0, 1_000_000);
+        ConnectionManager manager = new ConnectionManager(config, reducer, counters, transport,
+                transport.clock(), line -> { });
+        ServingTransport serving = ServingTransport.start(transport, manager, reducer);
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
             Socket client = new Socket();
             client.setSoTimeout(10_000);
-            client.connect(listening.address(), 10_000);
+            client.connect(serving.address(), 10_000);
             clients.add(client);
         }
         CompletableFuture<Void> stopped = new CompletableFuture<>();
-        sockets.post(() -> {
-            sockets.stopAccepting();
+        transport.post(() -> {
+            transport.stopAccepting();
             stopped.complete(null);
         });
         stopped.get(10, TimeUnit.SECONDS);
@@ -58,6 +58,6 @@
                 assertTrue(answer.startsWith("HTTP/1.1 200 "), answer);
             }
         }
-        listening.stop();
+        serving.stop();
     }
 }
--- a/src/test/java/yewdock/sockets/ResetBehindBytesTest.java
+++ b/src/test/java/yewdock/sockets/ResetBehindBytesTest.java
@@ -22,18 +22,18 @@
 class ResetBehindBytesTest {
     private static final String RESPONSE = "data: [DONE]\n\n";
 
-    private final MinaTransport sockets = new MinaTransport(4, 1_000_000);
-    private Listening listening;
+    private final MinaTransport transport = new MinaTransport(4, 1_000_000);
+    private ServingTransport serving;
 
     /** Collects the bytes of a connection until it closes. */
     private static final class Collector implements ConnectionHandler {
         private final StringBuilder received = new StringBuilder();
         private final CompletableFuture<String> atEnd = new CompletableFuture<>();
-        private final CountDownLatch up = new CountDownLatch(1);
+        private final CountDownLatch connected = new CountDownLatch(1);
 
         @Override
         public void onConnected() {
-            up.countDown();
+            connected.countDown();
         }
 
         @Override
@@ -59,34 +59,34 @@
 
     @BeforeEach
     void start() throws Exception {
-        listening = Listening.start(sockets,
+        serving = ServingTransport.start(transport,
                 Files.readString(Path.of("src/test/resources/exchanges/config.json")));
     }
 
     @AfterEach
     void stop() throws Exception {
-        listening.stop();
+        serving.stop();
     }
 
     /** Reading is paused, so that the bytes and the reset have both arrived when the router reads. */
     @Test
     void bytesBeforeAResetArePassedOn() throws Exception {
-        Collector reader = new Collector();
-        CompletableFuture<Connection> wire = new CompletableFuture<>();
+        Collector collector = new Collector();
+        CompletableFuture<Connection> opened = new CompletableFuture<>();
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
-            sockets.post(() -> sockets.connect("127.0.0.1:" + server.getLocalPort(), newWire -> {
-                wire.complete(newWire);
-                return reader;
+            transport.post(() -> transport.connect("127.0.0.1:" + server.getLocalPort(), newConnection -> {
+                opened.complete(newConnection);
+                return collector;
             }));
             Socket accepted = server.accept();
-            reader.up.await(10, TimeUnit.SECONDS);
-            Connection connection = wire.get(10, TimeUnit.SECONDS);
-            listening.onDispatcher(() -> connection.setReadingPaused(true));
+            collector.connected.await(10, TimeUnit.SECONDS);
+            Connection connection = opened.get(10, TimeUnit.SECONDS);
+            serving.onDispatcher(() -> connection.setReadingPaused(true));
             accepted.getOutputStream().write(RESPONSE.getBytes(StandardCharsets.US_ASCII));
             accepted.setSoLinger(true, 0);
             accepted.close();
-            listening.onDispatcher(() -> connection.setReadingPaused(false));
-            assertEquals(RESPONSE, reader.atEnd.get(10, TimeUnit.SECONDS));
+            serving.onDispatcher(() -> connection.setReadingPaused(false));
+            assertEquals(RESPONSE, collector.atEnd.get(10, TimeUnit.SECONDS));
         }
     }
 }
--- a/src/test/java/yewdock/sockets/Listening.java
+++ b/src/test/java/yewdock/sockets/ServingTransport.java
@@ -11,39 +11,41 @@
 import yewdock.platform.ConnectionManager;
 
 /** A transport that serves on a thread of its own, at a free local port. */
-record Listening(MinaTransport sockets, InetSocketAddress address, Thread thread) {
+record ServingTransport(MinaTransport transport, InetSocketAddress address, Thread thread) {
     /** Starts to serve and waits until the port is bound. */
-    static Listening start(MinaTransport sockets, ConnectionManager front, Reducer desk) throws Exception {
+    static ServingTransport start(MinaTransport transport, ConnectionManager manager, Reducer reducer)
+            throws Exception {
         CompletableFuture<String> bound = new CompletableFuture<>();
-        Thread thread = new Thread(() -> sockets.serveWithoutListening(() -> {
-            front.start();
+        Thread thread = new Thread(() -> transport.serveWithoutListening(() -> {
+            manager.start();
             try {
-                bound.complete(sockets.listenShared("127.0.0.1:0"));
+                bound.complete(transport.listenShared("127.0.0.1:0"));
             } catch (java.io.IOException e) {
                 bound.completeExceptionally(e);
             }
-        }, front, desk));
+        }, manager, reducer));
         thread.setDaemon(true);
         thread.start();
         String[] parts = bound.get(10, TimeUnit.SECONDS).split(":");
-        return new Listening(sockets, new InetSocketAddress(parts[0], Integer.parseInt(parts[1])), thread);
+        return new ServingTransport(transport, new InetSocketAddress(parts[0], Integer.parseInt(parts[1])),
+                thread);
     }
 
     /** Starts a router with this configuration. */
-    static Listening start(MinaTransport sockets, String configuration) throws Exception {
+    static ServingTransport start(MinaTransport transport, String configuration) throws Exception {
         Config config = Config.read(configuration, line -> { });
         Counters counters = new Counters();
-        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
+        Reducer reducer = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
                 config.bounds(), counters,
                 actions -> new GenerationRouter(config.settings(), 1, actions));
-        return start(sockets, new ConnectionManager(config, desk, counters, sockets, sockets.clock(), line ->
-                { }), desk);
+        return start(transport, new ConnectionManager(config, reducer, counters, transport,
+                transport.clock(), line -> { }), reducer);
     }
 
     /** Runs the task on the dispatcher's thread and waits until it is done. */
     void onDispatcher(Runnable task) throws Exception {
         CompletableFuture<Void> done = new CompletableFuture<>();
-        sockets.post(() -> {
+        transport.post(() -> {
             task.run();
             done.complete(null);
         });
@@ -51,7 +53,7 @@
     }
 
     void stop() throws InterruptedException {
-        sockets.post(sockets::stop);
+        transport.post(transport::stop);
         thread.join(10_000);
     }
 }
--- a/src/test/java/yewdock/sockets/ForeignSettingsTest.java
+++ b/src/test/java/yewdock/sockets/SettingsIsolationTest.java
@@ -22,7 +22,7 @@
  * One build runs with the settings of two different customers. Names from one customer's settings must not
  * show in the responses, counters or logs of the other's router.
  */
-class ForeignSettingsTest {
+class SettingsIsolationTest {
     private static final Path FIRST_CONFIG = Path.of("src/test/resources/exchanges/config.json");
     private static final String SECOND_CONFIG = """
             {"name":"r1","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"1f",
@@ -39,10 +39,10 @@
             """;
 
     /** A customer's running router and its log. */
-    private record Running(Listening listening, List<String> log) {
+    private record Running(ServingTransport serving, List<String> log) {
         String exchange(String request) throws Exception {
-            try (Socket client = new Socket(listening.address().getAddress(),
-                    listening.address().getPort())) {
+            try (Socket client = new Socket(serving.address().getAddress(),
+                    serving.address().getPort())) {
                 client.setSoTimeout(10_000);
                 client.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
                 return new String(client.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
@@ -61,14 +61,14 @@
         List<String> log = new ArrayList<>();
         Config config = Config.read(text, log::add);
         Counters counters = new Counters();
-        MinaTransport sockets = new MinaTransport(config.bounds().maxClientConnections(),
+        MinaTransport transport = new MinaTransport(config.bounds().maxClientConnections(),
                 config.settings().contract().drainGrace());
-        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
+        Reducer reducer = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
                 config.bounds(), counters,
                 actions -> new BoundedLoadRouter(config.settings(), config.seed(), actions));
-        return new Running(Listening.start(sockets,
-                new ConnectionManager(config, desk, counters, sockets, sockets.clock(), log::add), desk),
-                        log);
+        return new Running(ServingTransport.start(transport,
+                new ConnectionManager(config, reducer, counters, transport, transport.clock(), log::add),
+                reducer), log);
     }
 
     private static void assertShowsOnlyOwnNames(Running router, String ownClass, String ownTenant,
@@ -104,8 +104,8 @@
         Running second = start(SECOND_CONFIG);
         checkFirst(first);
         checkSecond(second);
-        first.listening().stop();
-        second.listening().stop();
+        first.serving().stop();
+        second.serving().stop();
     }
 
     @Test
@@ -113,10 +113,10 @@
         for (int i = 0; i < 2; i++) {
             Running first = start(Files.readString(FIRST_CONFIG));
             checkFirst(first);
-            first.listening().stop();
+            first.serving().stop();
             Running second = start(SECOND_CONFIG);
             checkSecond(second);
-            second.listening().stop();
+            second.serving().stop();
         }
     }
 
