--- a/src/main/java/yewdock/platform/ClientConnectionHandler.java
+++ b/src/main/java/yewdock/platform/ClientConnectionHandler.java
@@ -218,19 +218,19 @@
 
     /** Writes each piece of the stream as one chunk; the response head goes out with the first. */
     void writeChunk(ByteBuffer bytes) {
-        StringBuilder before = new StringBuilder();
+        StringBuilder prefix = new StringBuilder();
         if (!responseStarted) {
             responseStarted = true;
             request = null;
-            before.append("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
+            prefix.append("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
                     + "Cache-Control: no-cache\r\nTransfer-Encoding: chunked\r\n").append(connectionHeader())
                     .append("\r\n");
         }
-        before.append(Integer.toHexString(bytes.remaining())).append("\r\n");
-        byte[] start = before.toString().getBytes(StandardCharsets.ISO_8859_1);
-        ByteBuffer all = ByteBuffer.allocate(start.length + bytes.remaining() + 2);
-        all.put(start).put(bytes).put((byte) '\r').put((byte) '\n').flip();
-        connection.write(all);
+        prefix.append(Integer.toHexString(bytes.remaining())).append("\r\n");
+        byte[] prefixBytes = prefix.toString().getBytes(StandardCharsets.ISO_8859_1);
+        ByteBuffer chunk = ByteBuffer.allocate(prefixBytes.length + bytes.remaining() + 2);
+        chunk.put(prefixBytes).put(bytes).put((byte) '\r').put((byte) '\n').flip();
+        connection.write(chunk);
     }
 
     void endResponse() {
--- a/src/main/java/yewdock/platform/Config.java
+++ b/src/main/java/yewdock/platform/Config.java
@@ -47,32 +47,35 @@
     }
 
     private static Config read(JSONObject all, Consumer<String> log) {
-        JSONObject s = all.getJSONObject("settings");
-        List<Routing.RequestClass> classes = classes(s);
+        JSONObject settingsJson = all.getJSONObject("settings");
+        List<Routing.RequestClass> classes = classes(settingsJson);
         List<Routing.Tenant> tenants = new ArrayList<>();
-        for (JSONObject org : objects(s.optJSONArray("orgs"))) {
+        for (JSONObject org : objects(settingsJson.optJSONArray("orgs"))) {
             tenants.add(new Routing.Tenant(org.getString("name"), org.getDouble("quota_rps")));
         }
         NameIndexes names = new NameIndexes(
                 NameIndexes.indexesOf(classes.stream().map(Routing.RequestClass::name).toList()),
                 NameIndexes.indexesOf(tenants.stream().map(Routing.Tenant::name).toList()),
-                NameIndexes.indexesOf(strings(s.optJSONArray("zones"))),
-                NameIndexes.indexesOf(strings(s.optJSONArray("shapes"))));
-        JSONObject l = s.getJSONObject("limits");
-        Routing.Limits limits = new Routing.Limits(l.getInt("max_attempts"),
-                l.optBoolean("may_duplicate"), l.optBoolean("cancelling"), l.optBoolean("probes"),
-                micros(l, "connect_timeout", 0),
-                l.optBoolean("retry_after") ? micros(l, "max_retry_after", 0) : 0);
-        JSONObject c = s.getJSONObject("contract");
-        Routing.Contract contract = new Routing.Contract(micros(c, "drain_grace"), micros(c, "cold"),
-                c.getDouble("cold_from"), c.getDouble("fall_multiple"), micros(c, "fall"),
-                micros(c, "ask_within", 10), budget(c));
-        JSONObject p = s.optJSONObject("costs", new JSONObject());
-        Routing.Prices prices = new Routing.Prices(p.optDouble("cross_zone", 0), p.optDouble("handshake", 0),
-                p.optDouble("probe", 0), p.optDouble("waste", 0), p.optDouble("late_fail", 0));
-        Routing.Settings settings = new Routing.Settings(s.getInt("instances"), s.getInt("ordinal"),
-                s.getInt("zone"), classes, tenants, s.optDouble("over_share_worth", 1),
-                s.getString("discovery").equals("ask"), limits, contract, prices);
+                NameIndexes.indexesOf(strings(settingsJson.optJSONArray("zones"))),
+                NameIndexes.indexesOf(strings(settingsJson.optJSONArray("shapes"))));
+        JSONObject limitsJson = settingsJson.getJSONObject("limits");
+        Routing.Limits limits = new Routing.Limits(limitsJson.getInt("max_attempts"),
+                limitsJson.optBoolean("may_duplicate"), limitsJson.optBoolean("cancelling"),
+                limitsJson.optBoolean("probes"), micros(limitsJson, "connect_timeout", 0),
+                limitsJson.optBoolean("retry_after") ? micros(limitsJson, "max_retry_after", 0) : 0);
+        JSONObject contractJson = settingsJson.getJSONObject("contract");
+        Routing.Contract contract = new Routing.Contract(micros(contractJson, "drain_grace"),
+                micros(contractJson, "cold"), contractJson.getDouble("cold_from"),
+                contractJson.getDouble("fall_multiple"), micros(contractJson, "fall"),
+                micros(contractJson, "ask_within", 10), budget(contractJson));
+        JSONObject costsJson = settingsJson.optJSONObject("costs", new JSONObject());
+        Routing.Prices prices = new Routing.Prices(costsJson.optDouble("cross_zone", 0),
+                costsJson.optDouble("handshake", 0), costsJson.optDouble("probe", 0),
+                costsJson.optDouble("waste", 0), costsJson.optDouble("late_fail", 0));
+        Routing.Settings settings = new Routing.Settings(settingsJson.getInt("instances"),
+                settingsJson.getInt("ordinal"), settingsJson.getInt("zone"), classes, tenants,
+                settingsJson.optDouble("over_share_worth", 1),
+                settingsJson.getString("discovery").equals("ask"), limits, contract, prices);
         String discovery = all.getString("discovery");
         Addresses.parse(discovery);
         Addresses.parse(all.getString("listen"));
@@ -82,8 +85,8 @@
         }
         JSONObject known = all.optJSONObject("known");
         return new Config(all.getString("name"), all.getString("listen"), operator, discovery,
-                Long.parseUnsignedLong(all.getString("seed"), 16), micros(l, "keepalive"), settings, names,
-                bounds(all.optJSONObject("limits", new JSONObject())),
+                Long.parseUnsignedLong(all.getString("seed"), 16), micros(limitsJson, "keepalive"), settings,
+                names, bounds(all.optJSONObject("limits", new JSONObject())),
                 known == null ? EndpointList.UNKNOWN : new EndpointListReader(names, log).read(known));
     }
 
@@ -115,28 +118,32 @@
         return ResourceLimits.within(sockets, Math.min(megabytes, MAX_MEMORY_MB));
     }
 
-    private static List<Routing.RequestClass> classes(JSONObject s) {
+    private static List<Routing.RequestClass> classes(JSONObject settingsJson) {
         List<Routing.RequestClass> classes = new ArrayList<>();
-        JSONObject domain = s.optJSONObject("domain", new JSONObject());
-        List<String> zones = strings(s.optJSONArray("zones"));
-        List<String> serverKinds = strings(s.optJSONArray("shapes"));
-        for (JSONObject c : objects(s.getJSONArray("classes"))) {
+        JSONObject domain = settingsJson.optJSONObject("domain", new JSONObject());
+        List<String> zones = strings(settingsJson.optJSONArray("zones"));
+        List<String> serverKinds = strings(settingsJson.optJSONArray("shapes"));
+        for (JSONObject classJson : objects(settingsJson.getJSONArray("classes"))) {
             int i = classes.size();
-            classes.add(new Routing.RequestClass(c.getString("name"),
-                    enumValue(Routing.RetrySafety.class, c.optString("effect", "retryable")),
-                    enumValue(Routing.DedupGroup.class, c.optString("group", "all")), micros(c, "window", 0),
-                    micros(c, "aim"), Math.round(itemOrZero(domain, "aim_us_per_1000_prompt_tokens", i)),
-                    Math.round(itemOrZero(domain, "token_aim", i) * MICROS_PER_SECOND), micros(c, "give_up"),
-                    c.optDouble("worth", 1), c.optDouble("late_worth", 0), c.optBoolean("stream"),
-                    new Routing.Placement(indices(c.optJSONArray("confined_to"), zones),
-                            indices(c.optJSONArray("runs_on"), serverKinds))));
+            classes.add(new Routing.RequestClass(classJson.getString("name"),
+                    enumValue(Routing.RetrySafety.class, classJson.optString("effect", "retryable")),
+                    enumValue(Routing.DedupGroup.class, classJson.optString("group", "all")),
+                    micros(classJson, "window", 0), micros(classJson, "aim"),
+                    Math.round(itemOrZero(domain, "aim_us_per_1000_prompt_tokens", i)),
+                    Math.round(itemOrZero(domain, "token_aim", i) * MICROS_PER_SECOND),
+                    micros(classJson, "give_up"), classJson.optDouble("worth", 1),
+                    classJson.optDouble("late_worth", 0), classJson.optBoolean("stream"),
+                    new Routing.Placement(indices(classJson.optJSONArray("confined_to"), zones),
+                            indices(classJson.optJSONArray("runs_on"), serverKinds))));
         }
         return classes;
     }
 
-    private static Routing.AttemptBudget budget(JSONObject c) {
-        return c.has("look_back") ? new Routing.AttemptBudget(c.getDouble("free_resends"),
-                c.getDouble("further_ratio"), micros(c, "look_back")) : Routing.AttemptBudget.NONE;
+    private static Routing.AttemptBudget budget(JSONObject contractJson) {
+        return contractJson.has("look_back")
+                ? new Routing.AttemptBudget(contractJson.getDouble("free_resends"),
+                        contractJson.getDouble("further_ratio"), micros(contractJson, "look_back"))
+                : Routing.AttemptBudget.NONE;
     }
 
     /** Returns a time that is given in seconds, in microseconds. */
--- a/src/main/java/yewdock/platform/DeploymentSummary.java
+++ b/src/main/java/yewdock/platform/DeploymentSummary.java
@@ -34,17 +34,17 @@
     /** Describes the configuration in this text; throws IllegalArgumentException if it is invalid. */
     public static List<String> describe(String text, Consumer<String> log) {
         Config config = Config.read(text, log);
-        JSONObject settings = new JSONObject(text).getJSONObject("settings");
-        Routing.Settings s = config.settings();
-        Routing.Limits limits = s.limits();
-        Routing.Contract contract = s.contract();
+        JSONObject settingsJson = new JSONObject(text).getJSONObject("settings");
+        Routing.Settings settings = config.settings();
+        Routing.Limits limits = settings.limits();
+        Routing.Contract contract = settings.contract();
         List<String> lines = new ArrayList<>();
-        lines.add("endpoint list: " + (s.pullsEndpointList() ? "polled, at least every "
+        lines.add("endpoint list: " + (settings.pullsEndpointList() ? "polled, at least every "
                 + seconds(contract.maxDiscoveryInterval())
                 : "pushed to an agent, watched from the start"));
         lines.add("drain grace: " + seconds(contract.drainGrace()));
         lines.add("attempts per request: " + limits.maxAttempts() + " at most, " + (limits.allowsHedging()
-                ? "two in flight at once for " + hedgedClasses(s) : "one in flight at a time"));
+                ? "two in flight at once for " + hedgedClasses(settings) : "one in flight at a time"));
         lines.add("attempts beyond the first: " + (contract.attemptBudget().window() == 0
                 ? "not limited by the contract, bounded all the same"
                 : "at most " + contract.attemptBudget().free() + " and "
@@ -53,13 +53,13 @@
         lines.add("cancelling attempts: " + (limits.allowsCancelling() ? "allowed" : "not allowed"));
         lines.add("Retry-After for refused clients: " + (limits.retryAfterMax() == 0 ? "none"
                 : "up to " + seconds(limits.retryAfterMax())));
-        lines.add("late responses: " + lateResponses(s));
-        JSONObject report = settings.optJSONObject("report", new JSONObject());
+        lines.add("late responses: " + lateResponses(settings));
+        JSONObject report = settingsJson.optJSONObject("report", new JSONObject());
         lines.add("load reports: " + report.optString("source", "none") + " "
                 + names(report.optJSONArray("names")) + ", read and not used for decisions");
         lines.add("probes: " + (limits.probes() ? "allowed, not used" : "not allowed"));
         Set<String> unused = new TreeSet<>();
-        collectPaths("", settings, unused);
+        collectPaths("", settingsJson, unused);
         unused.removeAll(USED_SETTINGS);
         unused.removeAll(INFORMATIONAL_SETTINGS);
         unused.removeIf(path -> path.startsWith("report.") || path.equals("limits.probes"));
@@ -68,15 +68,15 @@
         return lines;
     }
 
-    private static String hedgedClasses(Routing.Settings s) {
-        List<String> classes = s.classes().stream().filter(
+    private static String hedgedClasses(Routing.Settings settings) {
+        List<String> classes = settings.classes().stream().filter(
                 c -> c.retrySafety() != Routing.RetrySafety.FRAGILE)
                 .map(Routing.RequestClass::name).toList();
         return classes.isEmpty() ? "no class" : String.join(", ", classes);
     }
 
-    private static String lateResponses(Routing.Settings s) {
-        return String.join(", ", s.classes().stream()
+    private static String lateResponses(Routing.Settings settings) {
+        return String.join(", ", settings.classes().stream()
                 .map(c -> c.name() + " earns " + Math.round(c.lateWorth() * 100) + "%").toList());
     }
 
--- a/src/main/java/yewdock/platform/ServerConnectionHandler.java
+++ b/src/main/java/yewdock/platform/ServerConnectionHandler.java
@@ -63,19 +63,19 @@
     }
 
     void send(ClientRequest request, long timeoutMicros) {
-        StringBuilder text = new StringBuilder(512);
-        text.append(request.head().method()).append(' ').append(request.head().target())
+        StringBuilder requestHead = new StringBuilder(512);
+        requestHead.append(request.head().method()).append(' ').append(request.head().target())
                 .append(" HTTP/1.1\r\n");
         for (MessageHead.Field f : request.head().fields()) {
             if (!NOT_FORWARDED.contains(f.name().toLowerCase(Locale.ROOT))) {
-                text.append(f.name()).append(": ").append(f.value()).append("\r\n");
+                requestHead.append(f.name()).append(": ").append(f.value()).append("\r\n");
             }
         }
-        text.append(String.format(Locale.ROOT, "X-Time-Left: %.3f\r\nContent-Length: %d\r\n\r\n",
+        requestHead.append(String.format(Locale.ROOT, "X-Time-Left: %.3f\r\nContent-Length: %d\r\n\r\n",
                 Math.max(0, timeoutMicros) / MICROS_PER_SECOND, request.body().length));
-        byte[] start = text.toString().getBytes(StandardCharsets.ISO_8859_1);
-        ByteBuffer all = ByteBuffer.allocate(start.length + request.body().length);
-        all.put(start).put(request.body()).flip();
+        byte[] headBytes = requestHead.toString().getBytes(StandardCharsets.ISO_8859_1);
+        ByteBuffer message = ByteBuffer.allocate(headBytes.length + request.body().length);
+        message.put(headBytes).put(request.body()).flip();
         attemptOpen = true;
         bodyStarted = false;
         firstEventComplete = false;
@@ -84,8 +84,8 @@
         head = null;
         loadReport = null;
         cachedTokens = 0;
-        unwrittenBytes = all.remaining();
-        connection.write(all);
+        unwrittenBytes = message.remaining();
+        connection.write(message);
     }
 
     @Override
@@ -162,9 +162,9 @@
 
     private void flushPendingStart() {
         bodyStarted = true;
-        ByteBuffer all = ByteBuffer.wrap(pendingStart.toByteArray());
+        ByteBuffer start = ByteBuffer.wrap(pendingStart.toByteArray());
         pendingStart.reset();
-        manager.dispatch(new Event.ResponseChunk(connectionId, all));
+        manager.dispatch(new Event.ResponseChunk(connectionId, start));
     }
 
     @Override
