--- a/src/main/java/yewdock/http/MessageHead.java
+++ b/src/main/java/yewdock/http/MessageHead.java
@@ -2,18 +2,26 @@
 
 import java.util.List;
 
-/** The head of a message: its first line, split at blanks into three parts, and its fields in order. */
+/**
+ * The head of an HTTP message.
+ *
+ * @param startLineFirst the method of a request, the version of a response
+ * @param startLineSecond the target of a request, the status of a response
+ * @param startLineThird the version of a request, the reason phrase of a response, which may be empty
+ * @param fields the header fields in their order
+ */
 public record MessageHead(String startLineFirst, String startLineSecond, String startLineThird,
         List<Field> fields) {
     /** One header field. */
     public record Field(String name, String value) {
     }
 
+    /** Copies the fields. */
     public MessageHead {
         fields = List.copyOf(fields);
     }
 
-    /** The value of the first field of this name, or null. */
+    /** Returns the value of the first field of this name, case-insensitively; null if there is none. */
     public String field(String name) {
         for (Field f : fields) {
             if (f.name().equalsIgnoreCase(name)) {
@@ -23,17 +31,17 @@
         return null;
     }
 
-    /** How many fields have this name. */
+    /** Returns how many fields have this name, case-insensitively. */
     public int count(String name) {
         return (int) fields.stream().filter(f -> f.name().equalsIgnoreCase(name)).count();
     }
 
-    /** Whether a comma-separated field holds this word. */
-    public boolean hasToken(String name, String word) {
+    /** Whether a field of this name contains the token in its comma-separated value. */
+    public boolean hasToken(String name, String token) {
         for (Field f : fields) {
             if (f.name().equalsIgnoreCase(name)) {
                 for (String part : f.value().split(",")) {
-                    if (part.strip().equalsIgnoreCase(word)) {
+                    if (part.strip().equalsIgnoreCase(token)) {
                         return true;
                     }
                 }
@@ -42,22 +50,22 @@
         return false;
     }
 
-    /** A request's method. */
+    /** Returns a request's method. */
     public String method() {
         return startLineFirst;
     }
 
-    /** A request's path with its query. */
+    /** Returns a request's target: path and query. */
     public String target() {
         return startLineSecond;
     }
 
-    /** An answer's status. */
+    /** Returns a response's status. */
     public int status() {
         return Integer.parseInt(startLineSecond);
     }
 
-    /** Whether the sender keeps the connection after this message. */
+    /** Whether the sender keeps the connection open after this message. */
     public boolean keepsAlive() {
         String version = startLineFirst.startsWith("HTTP/") ? startLineFirst : startLineThird;
         return version.equals("HTTP/1.1") ? !hasToken("Connection", "close") : hasToken("Connection",
--- a/src/main/java/yewdock/platform/ClientConnectionHandler.java
+++ b/src/main/java/yewdock/platform/ClientConnectionHandler.java
@@ -12,44 +12,44 @@
 import yewdock.http.MessageHead;
 import yewdock.http.MessageReader;
 
-/** A client's connection: reads one request at a time, writes its answer. */
+/** A client connection: reads one request at a time and writes its response. */
 final class ClientConnectionHandler implements ConnectionHandler, MessageReader.Sink {
     private static final String LAST_CHUNK = "0\r\n\r\n";
-    private static final double MICROS = 1e6;
-    /** What a client sends on while its request is open is kept up to so many bytes. */
-    private static final int MOST_AHEAD = 64 * 1024;
+    private static final double MICROS_PER_SECOND = 1e6;
+    /** How many bytes are kept of what a client sends while its previous request is open. */
+    private static final int MAX_PIPELINED_BYTES = 64 * 1024;
 
-    private final ConnectionManager front;
-    private final long id;
-    private final Connection wire;
+    private final ConnectionManager manager;
+    private final long clientId;
+    private final Connection connection;
     private final MessageReader reader = new MessageReader(MessageReader.Kind.REQUEST, this);
-    private final Deque<Arrived> ahead = new ArrayDeque<>();
-    private int aheadBytes;
-    /** When the first byte came of the request that is read: its client's time runs since before that. */
+    private final Deque<Input> unreadInput = new ArrayDeque<>();
+    private int unreadBytes;
+    /** When the first byte of the current request arrived, from which its timeout is counted. */
     private Arrival requestArrival;
     private MessageHead head;
     private ByteArrayOutputStream body;
     private ClientRequest request;
-    /** Whether a request is open: taken, and not yet answered to its end. */
-    private boolean busy;
-    private boolean begun;
+    /** Whether a request has been read whose response is not complete. */
+    private boolean requestOpen;
+    private boolean responseStarted;
     private boolean closing;
     /**
-     * Whether more came behind the open request than is kept. It is read on and thrown away, or the client's
-     * end behind it would not be seen, and the connection closes with the answer.
+     * Whether the client has sent more after the open request than is kept. The excess is read and dropped,
+     * since otherwise a disconnect after it would go unnoticed; the connection closes after the response.
      */
-    private boolean overrun;
-    /** Whether the client may still be sending what was not taken. */
-    private boolean turnedDown;
+    private boolean inputOverflowed;
+    /** Whether a request was rejected of which the client may still be sending the rest. */
+    private boolean rejected;
 
-    /** Bytes from the client, and when they came. */
-    private record Arrived(ByteBuffer bytes, Arrival when) {
+    /** Bytes from the client and the time of their arrival. */
+    private record Input(ByteBuffer bytes, Arrival arrival) {
     }
 
-    ClientConnectionHandler(ConnectionManager front, long id, Connection wire) {
-        this.front = front;
-        this.id = id;
-        this.wire = wire;
+    ClientConnectionHandler(ConnectionManager manager, long clientId, Connection connection) {
+        this.manager = manager;
+        this.clientId = clientId;
+        this.connection = connection;
     }
 
     ClientRequest request() {
@@ -58,12 +58,12 @@
 
     @Override
     public void onConnected() {
-        // a client's connection is up from the first
+        // client connections are established when they are accepted
     }
 
     @Override
     public void onReceived(ByteBuffer bytes) {
-        onReceived(bytes, Arrival.at(front.now()));
+        onReceived(bytes, Arrival.at(manager.now()));
     }
 
     @Override
@@ -71,78 +71,78 @@
         if (closing) {
             return;
         }
-        ahead.add(new Arrived(bytes, arrival));
-        aheadBytes += bytes.remaining();
-        readOn();
-        if (aheadBytes > MOST_AHEAD && busy) {
-            overrun = true;
+        unreadInput.add(new Input(bytes, arrival));
+        unreadBytes += bytes.remaining();
+        readRequests();
+        if (unreadBytes > MAX_PIPELINED_BYTES && requestOpen) {
+            inputOverflowed = true;
         }
-        if (overrun) {
-            ahead.clear();
-            aheadBytes = 0;
+        if (inputOverflowed) {
+            unreadInput.clear();
+            unreadBytes = 0;
         }
     }
 
-    private void readOn() {
+    private void readRequests() {
         try {
-            while (!busy && !closing && !ahead.isEmpty()) {
-                ByteBuffer next = ahead.peek().bytes;
-                boolean fresh = reader.atMessageStart();
-                aheadBytes -= next.remaining();
+            while (!requestOpen && !closing && !unreadInput.isEmpty()) {
+                ByteBuffer next = unreadInput.peek().bytes;
+                boolean atMessageStart = reader.atMessageStart();
+                unreadBytes -= next.remaining();
                 try {
                     reader.read(next);
                 } finally {
-                    aheadBytes += next.remaining();
-                    if (fresh && !reader.atMessageStart()) {
-                        requestArrival = ahead.peek().when;
-                        front.dispatch(new Event.ClientRequestStarted(id));
+                    unreadBytes += next.remaining();
+                    if (atMessageStart && !reader.atMessageStart()) {
+                        requestArrival = unreadInput.peek().arrival;
+                        manager.dispatch(new Event.ClientRequestStarted(clientId));
                     }
                 }
                 if (!next.hasRemaining()) {
-                    ahead.poll();
+                    unreadInput.poll();
                 }
                 if (reader.isComplete()) {
                     reader.startNext();
-                    whole();
+                    requestComplete();
                 }
             }
         } catch (BadMessageException e) {
-            front.counters().add("requests.malformed");
-            turnDown(e.status(), e.getMessage());
+            manager.counters().add("requests.malformed");
+            reject(e.status(), e.getMessage());
         } catch (RuntimeException e) {
-            // A fault of ours in reading one request must leave neither it nor the others unanswered.
-            front.counters().add("faults");
-            front.log("fault: " + e);
-            forgetBody();
+            // A bug that shows in reading one request must leave neither it nor the others unanswered.
+            manager.counters().add("faults");
+            manager.log("fault: " + e);
+            releaseBody();
             closing = true;
-            answer(500, "a fault in the router\n", "");
+            respond(500, "a fault in the router\n", "");
         }
     }
 
-    /** What is behind a request that can't be read, or is turned down, must not be taken for another. */
-    private void turnDown(int status, String why) {
-        forgetBody();
-        ahead.clear();
-        aheadBytes = 0;
+    /** Rejects a request and drops what follows it, which must not be parsed as another request. */
+    private void reject(int status, String reason) {
+        releaseBody();
+        unreadInput.clear();
+        unreadBytes = 0;
         closing = true;
-        turnedDown = true;
-        answer(status, why + "\n", "");
+        rejected = true;
+        respond(status, reason + "\n", "");
     }
 
-    /** Two requests of one id at the boxes would be two copies out at once. */
-    void turnDownTwin() {
-        turnDown(409, "a request of this id is open");
+    /** Rejects a request whose id is that of an open one: at the servers, both would run at the same time. */
+    void rejectDuplicate() {
+        reject(409, "a request of this id is open");
     }
 
-    /** The desk wants the connection back: no request is open. */
-    void giveUp() {
+    /** Closes the connection, which has no open request; a partly received request gets a 408 response. */
+    void closeOrTimeOut() {
         if (closing) {
-            wire.close();
+            connection.close();
         } else if (reader.atMessageStart()) {
-            closing = wire.closeUnlessUndelivered();
+            closing = connection.closeUnlessUndelivered();
         } else {
-            front.counters().add("requests.malformed");
-            turnDown(408, "the request did not come in time");
+            manager.counters().add("requests.malformed");
+            reject(408, "the request did not come in time");
         }
     }
 
@@ -160,169 +160,171 @@
         byte[] bytes = new byte[piece.remaining()];
         piece.get(bytes);
         body.writeBytes(bytes);
-        if (!front.coming(bytes.length)) {
+        if (!manager.addIncomingBody(bytes.length)) {
             throw new BadMessageException(503, "no room for another request");
         }
     }
 
-    private void forgetBody() {
+    private void releaseBody() {
         if (body != null) {
-            front.coming(-body.size());
+            manager.addIncomingBody(-body.size());
             body = null;
         }
     }
 
     @Override
     public void end() {
-        // taken up by readOn, once the reader has let go of the bytes
+        // handled by readRequests(), once the reader has returned
     }
 
-    private void whole() throws BadMessageException {
-        busy = true;
-        begun = false;
+    private void requestComplete() throws BadMessageException {
+        requestOpen = true;
+        responseStarted = false;
         int query = head.target().indexOf('?');
         String path = query < 0 ? head.target() : head.target().substring(0, query);
         switch (path) {
             case ClientRequest.PATH -> {
                 if (!head.method().equals("POST")) {
-                    answer(405, "POST only\n", "Allow: POST\r\n");
+                    respond(405, "POST only\n", "Allow: POST\r\n");
                 } else if (!head.startLineThird().equals("HTTP/1.1")) {
                     throw new BadMessageException(505, "streams need HTTP/1.1");
                 } else {
                     request = new ClientRequest(head, body.toByteArray());
-                    forgetBody();
-                    ModelRequest read = request.read(front.names(), requestArrival, front.now());
-                    front.dispatch(new Event.RequestReceived(id, read));
+                    releaseBody();
+                    ModelRequest read =
+                            request.toModelRequest(manager.names(), requestArrival, manager.now());
+                    manager.dispatch(new Event.RequestReceived(clientId, read));
                 }
             }
             case "/ready" -> {
-                String why = front.unready();
-                answer(why.isEmpty() ? 200 : 503, (why.isEmpty() ? "ready" : why) + "\n", "");
+                String reason = manager.notReadyReason();
+                respond(reason.isEmpty() ? 200 : 503, (reason.isEmpty() ? "ready" : reason) + "\n", "");
             }
-            case "/counters" -> answer(200, front.counters().toString(), "");
-            default -> answer(404, "no such path\n", "");
+            case "/counters" -> respond(200, manager.counters().toString(), "");
+            default -> respond(404, "no such path\n", "");
         }
     }
 
-    // ---- answers
+    // ---- responses
 
     void refuse(long retryAfter) {
-        answer(503, "refused\n", retryAfter > 0
-                ? String.format(Locale.ROOT, "Retry-After: %.3f\r\n", retryAfter / MICROS) : "");
+        respond(503, "refused\n", retryAfter > 0
+                ? String.format(Locale.ROOT, "Retry-After: %.3f\r\n", retryAfter / MICROS_PER_SECOND) : "");
     }
 
     void fail() {
-        answer(504, "failed\n", "");
+        respond(504, "failed\n", "");
     }
 
-    /** The head goes out with the stream's first piece; each piece is one chunk, as it came. */
-    void passOn(ByteBuffer bytes) {
-        StringBuilder before = new StringBuilder();
-        if (!begun) {
-            begun = true;
+    /** Writes each piece of the stream as one chunk; the response head goes out with the first. */
+    void writeChunk(ByteBuffer bytes) {
+        StringBuilder prefix = new StringBuilder();
+        if (!responseStarted) {
+            responseStarted = true;
             request = null;
-            before.append("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
-                    + "Cache-Control: no-cache\r\nTransfer-Encoding: chunked\r\n").append(connection())
+            prefix.append("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
+                    + "Cache-Control: no-cache\r\nTransfer-Encoding: chunked\r\n").append(connectionHeader())
                     .append("\r\n");
         }
-        before.append(Integer.toHexString(bytes.remaining())).append("\r\n");
-        byte[] start = before.toString().getBytes(StandardCharsets.ISO_8859_1);
-        ByteBuffer all = ByteBuffer.allocate(start.length + bytes.remaining() + 2);
-        all.put(start).put(bytes).put((byte) '\r').put((byte) '\n').flip();
-        wire.write(all);
+        prefix.append(Integer.toHexString(bytes.remaining())).append("\r\n");
+        byte[] prefixBytes = prefix.toString().getBytes(StandardCharsets.ISO_8859_1);
+        ByteBuffer chunk = ByteBuffer.allocate(prefixBytes.length + bytes.remaining() + 2);
+        chunk.put(prefixBytes).put(bytes).put((byte) '\r').put((byte) '\n').flip();
+        connection.write(chunk);
     }
 
-    void endAnswer() {
-        if (!begun) {
-            passOnNothing();
+    void endResponse() {
+        if (!responseStarted) {
+            writeResponseHead();
         }
         write(LAST_CHUNK);
-        finished();
+        responseFinished();
     }
 
-    private void passOnNothing() {
-        begun = true;
+    private void writeResponseHead() {
+        responseStarted = true;
         write("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n"
-                + connection() + "\r\n");
+                + connectionHeader() + "\r\n");
     }
 
-    /** The connection's end without a last chunk tells the client that the stream is not whole. */
-    void cutOff() {
+    /** Closes without a last chunk, which tells the client that the stream is incomplete. */
+    void abort() {
         closing = true;
-        wire.closeAfterWriting();
+        connection.closeAfterWriting();
     }
 
-    private void answer(int status, String text, String fields) {
+    private void respond(int status, String text, String fields) {
         write("HTTP/1.1 " + status + " " + Statuses.reason(status) + "\r\n" + fields
                 + "Content-Type: text/plain\r\nContent-Length: "
-                + text.getBytes(StandardCharsets.UTF_8).length + "\r\n" + connection() + "\r\n"
+                + text.getBytes(StandardCharsets.UTF_8).length + "\r\n" + connectionHeader() + "\r\n"
                 + ("HEAD".equals(head == null ? "" : head.method()) ? "" : text));
-        finished();
+        responseFinished();
     }
 
-    private String connection() {
-        if (closing || overrun || front.leaving() || head != null && !head.keepsAlive()) {
+    private String connectionHeader() {
+        if (closing || inputOverflowed || manager.leaving() || head != null && !head.keepsAlive()) {
             closing = true;
             return "Connection: close\r\n";
         }
         return "";
     }
 
-    private void finished() {
-        busy = false;
+    private void responseFinished() {
+        requestOpen = false;
         request = null;
-        forgetBody();
-        if (closing || overrun) {
+        releaseBody();
+        if (closing || inputOverflowed) {
             closing = true;
-            if (turnedDown || overrun) {
-                wire.closeLingering();
+            if (rejected || inputOverflowed) {
+                connection.closeLingering();
             } else {
-                wire.closeAfterWriting();
+                connection.closeAfterWriting();
             }
             return;
         }
-        if (front.closingIdle() && ahead.isEmpty()) {
+        if (manager.closesAfterResponse() && unreadInput.isEmpty()) {
             closeIfIdle();
             return;
         }
-        front.dispatch(new Event.ClientIdle(id));
-        readOn();
+        manager.dispatch(new Event.ClientIdle(clientId));
+        readRequests();
     }
 
-    /** Whether a request is read in part or may be read already, or is open. */
-    boolean midway() {
-        return busy || !closing && (!reader.atMessageStart() || !ahead.isEmpty() || wire.hasUndelivered());
+    /** Whether a request is open, is partly received, or may have been read and not handled yet. */
+    boolean hasRequestInProgress() {
+        return requestOpen || !closing
+                && (!reader.atMessageStart() || !unreadInput.isEmpty() || connection.hasUndelivered());
     }
 
     void closeIfIdle() {
-        if (!closing && !midway()) {
-            closing = wire.closeUnlessUndelivered();
+        if (!closing && !hasRequestInProgress()) {
+            closing = connection.closeUnlessUndelivered();
         }
     }
 
     private void write(String text) {
-        wire.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
+        connection.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
     }
 
     @Override
     public void onWritten(int bytes) {
-        if (busy && begun) {
-            front.dispatch(new Event.ClientBytesWritten(id, bytes));
+        if (requestOpen && responseStarted) {
+            manager.dispatch(new Event.ClientBytesWritten(clientId, bytes));
         }
     }
 
-    /** It has lingered long enough. */
+    /** The lingering close has timed out. */
     @Override
     public void onIdle() {
         if (closing) {
-            wire.close();
+            connection.close();
         }
     }
 
     @Override
     public void onClosed() {
         closing = true;
-        forgetBody();
-        front.clientClosed(id);
+        releaseBody();
+        manager.clientClosed(clientId);
     }
 }
--- a/src/main/java/yewdock/platform/ConnectionManager.java
+++ b/src/main/java/yewdock/platform/ConnectionManager.java
@@ -15,47 +15,48 @@
 import yewdock.core.Reducer;
 
 /**
- * This platform's front: turns what happens on connections into the desk's events, and the desk's effects
- * into bytes. Not thread-safe: one thread runs it, the desk and all sides.
+ * Holds all connections, translates what happens on them into events for the reducer and performs the
+ * reducer's effects on them. Not thread-safe: it, the reducer and all connection handlers run on one thread.
  */
 public final class ConnectionManager {
-    /** Bodies that are still coming in may hold this much together; the desk bounds those that are whole. */
-    private static final int MOST_COMING = 8 << 20;
+    /** Memory for all incomplete request bodies together; the reducer limits that of complete requests. */
+    private static final int MAX_INCOMING_BODY_BYTES = 8 << 20;
 
-    private final Reducer desk;
+    private final Reducer reducer;
     private Config config;
     private final Counters counters;
-    private final Transport wires;
-    private final EndpointListReader lists;
+    private final Transport transport;
+    private final EndpointListReader listReader;
     private final NameIndexes names;
     private final LongSupplier clock;
     private final Consumer<String> log;
-    /** Takes the effects that concern other generations; without them there is nobody to tell. */
-    private Consumer<Effect> others = effect -> { };
-    /** Takes the answers to operators' calls. */
-    private Consumer<Effect> calls = effect -> { };
-    private final Map<Long, ClientConnectionHandler> clients = new LinkedHashMap<>();
-    private final Map<Long, ServerConnectionHandler> lines = new HashMap<>();
-    private DiscoveryConnectionHandler list;
-    /** Its call was late and has been made anew on the other connection; the one answered first stays. */
-    private DiscoveryConnectionHandler listAside;
-    /** Whether a call has been answered since that one was set aside. */
-    private boolean answeredSinceAside;
-    private final Deque<Event> waiting = new ArrayDeque<>();
-    private boolean working;
-    private boolean stopAsked;
-    private long lastClient;
-    private int coming;
-    private boolean closing;
-
-    public ConnectionManager(Config config, Reducer desk, Counters counters, Transport wires,
+    /** Receives the effects that concern other generations; does nothing unless set. */
+    private Consumer<Effect> generationEffects = effect -> { };
+    /** Receives the answers to operators' calls. */
+    private Consumer<Effect> operatorAnswers = effect -> { };
+    private final Map<Long, ClientConnectionHandler> clientConnections = new LinkedHashMap<>();
+    private final Map<Long, ServerConnectionHandler> serverConnections = new HashMap<>();
+    private DiscoveryConnectionHandler discovery;
+    /** A connection whose poll was late and was repeated on another one; the one answered first is kept. */
+    private DiscoveryConnectionHandler supersededDiscovery;
+    /** Whether a poll has been answered since that connection was superseded. */
+    private boolean answeredSinceSuperseded;
+    private final Deque<Event> pendingEvents = new ArrayDeque<>();
+    private boolean dispatching;
+    private boolean stopRequested;
+    private long lastClientId;
+    private int incomingBodyBytes;
+    private boolean closingIdleClients;
+
+    /** Makes a manager without connections; {@link #start} gives the reducer its first event. */
+    public ConnectionManager(Config config, Reducer reducer, Counters counters, Transport transport,
             LongSupplier clock,
             Consumer<String> log) {
-        this.desk = desk;
+        this.reducer = reducer;
         this.counters = counters;
-        this.wires = wires;
+        this.transport = transport;
         this.names = config.names();
-        this.lists = new EndpointListReader(names, line -> {
+        this.listReader = new EndpointListReader(names, line -> {
             counters.add("list.unusable_entries");
             log.accept(line);
         });
@@ -64,75 +65,77 @@
         this.log = log;
     }
 
-    /** The first event: the configuration tells what is known. */
+    /** Starts the reducer with the endpoint list in the configuration. */
     public void start() {
         start(config.cachedEndpoints());
     }
 
-    /** The first event, with a list that is newer than the configuration's. */
+    /** Starts the reducer with an endpoint list that is newer than the configuration's. */
     public void start(EndpointList known) {
-        lists.remember(known);
+        listReader.remember(known);
         dispatch(new Event.Started(known, config.discoveryAddress()));
     }
 
-    /** Where the effects go that concern other generations of this router. */
-    public void forwardGenerationEffectsTo(Consumer<Effect> teller) {
-        others = teller;
+    /** Sets the receiver of effects that concern other generations. */
+    public void forwardGenerationEffectsTo(Consumer<Effect> receiver) {
+        generationEffects = receiver;
     }
 
-    /** Where the answers to operators' calls go. */
-    public void forwardOperatorAnswersTo(Consumer<Effect> answerer) {
-        calls = answerer;
+    /** Sets the receiver of the answers to operators' calls. */
+    public void forwardOperatorAnswersTo(Consumer<Effect> receiver) {
+        operatorAnswers = receiver;
     }
 
-    /** A new configuration: what can be taken while requests are open is, the rest is named in the log. */
+    /** Applies what can be changed at run time of a new configuration and logs what needs a restart. */
     public void reconfigure(Config next) {
-        List<String> waits = config.startsAnew(next);
+        List<String> needRestart = config.changesNeedingRestart(next);
         log.accept("new configuration: the box list is at " + next.discoveryAddress()
-                + (waits.isEmpty() ? "" : "; not taken before a restart: " + String.join(", ", waits)));
+                + (needRestart.isEmpty() ? ""
+                : "; not taken before a restart: " + String.join(", ", needRestart)));
         config = next;
         dispatch(new Event.DiscoveryAddressChanged(next.discoveryAddress()));
     }
 
-    /** A client has connected. */
-    public ConnectionHandler accept(Connection wire) {
+    /** Registers a new client connection and returns its handler. */
+    public ConnectionHandler accept(Connection connection) {
         counters.add("clients.accepted");
-        ClientConnectionHandler side = new ClientConnectionHandler(this, ++lastClient, wire);
-        clients.put(lastClient, side);
-        dispatch(new Event.ClientConnected(lastClient));
-        return side;
+        ClientConnectionHandler handler = new ClientConnectionHandler(this, ++lastClientId, connection);
+        clientConnections.put(lastClientId, handler);
+        dispatch(new Event.ClientConnected(lastClientId));
+        return handler;
     }
 
     /**
-     * Takes an event to the desk and does what it asks for. What happens while that is being done waits its
-     * turn: a client's next request must not overtake the rest of what the last one's end brings.
+     * Passes an event to the reducer and performs the effects. Events that occur meanwhile are queued: a
+     * client's next request must not overtake the remaining effects of its last one's end.
      */
     public void dispatch(Event event) {
-        waiting.add(event);
-        if (working) {
+        pendingEvents.add(event);
+        if (dispatching) {
             return;
         }
-        working = true;
+        dispatching = true;
         try {
-            while (!waiting.isEmpty()) {
-                desk.reduce(waiting.poll(), clock.getAsLong()).forEach(this::performSafely);
+            while (!pendingEvents.isEmpty()) {
+                reducer.reduce(pendingEvents.poll(), clock.getAsLong()).forEach(this::performSafely);
             }
         } finally {
-            working = false;
+            dispatching = false;
         }
-        // A request half read when the desk owes nothing would be lost by stopping now.
-        if (stopAsked && clients.values().stream().noneMatch(ClientConnectionHandler::midway)) {
-            stopAsked = false;
-            if (desk.isHandedOver()) {
-                // what the list tells from now on would be told to nobody
-                hangUpList();
-                hangUpListAside();
+        // Stopping while a request has been read in part would lose it, though the reducer has none open.
+        if (stopRequested && clientConnections.values().stream()
+                .noneMatch(ClientConnectionHandler::hasRequestInProgress)) {
+            stopRequested = false;
+            if (reducer.isHandedOver()) {
+                // changes that discovery reported from now on would reach no generation
+                closeDiscovery();
+                closeSupersededDiscovery();
             }
-            wires.stop();
+            transport.stop();
         }
     }
 
-    /** A fault on one connection must not swallow the effects for the others; the desk's times catch up. */
+    /** A fault on one connection must not lose the effects for others; the reducer's timeouts handle it. */
     private void performSafely(Effect effect) {
         try {
             perform(effect);
@@ -144,186 +147,188 @@
 
     private void perform(Effect effect) {
         if (effect instanceof Effect.ForwardChunk e) {
-            client(e.client(), c -> c.passOn(e.bytes()));
+            withClient(e.client(), c -> c.writeChunk(e.bytes()));
         } else if (effect instanceof Effect.SendAttempt e) {
-            ServerConnectionHandler line = lines.get(e.connection());
-            ClientConnectionHandler client = clients.get(e.client());
-            if (line != null && client != null) {
-                line.send(client.request(), e.timeoutMicros());
+            ServerConnectionHandler server = serverConnections.get(e.connection());
+            ClientConnectionHandler client = clientConnections.get(e.client());
+            if (server != null && client != null) {
+                server.send(client.request(), e.timeoutMicros());
             }
         } else if (effect instanceof Effect.EndResponse e) {
-            client(e.client(), ClientConnectionHandler::endAnswer);
+            withClient(e.client(), ClientConnectionHandler::endResponse);
         } else if (effect instanceof Effect.OpenServerConnection e) {
-            wires.connect(e.address(), wire -> {
-                ServerConnectionHandler side = new ServerConnectionHandler(this, e.connection(), wire);
-                lines.put(e.connection(), side);
-                return side;
+            transport.connect(e.address(), connection -> {
+                ServerConnectionHandler handler =
+                        new ServerConnectionHandler(this, e.connection(), connection);
+                serverConnections.put(e.connection(), handler);
+                return handler;
             });
         } else if (effect instanceof Effect.CloseServerConnection e) {
-            ServerConnectionHandler line = lines.get(e.connection());
-            if (line != null) {
-                line.close();
+            ServerConnectionHandler server = serverConnections.get(e.connection());
+            if (server != null) {
+                server.close();
             }
         } else if (effect instanceof Effect.PauseReading e) {
-            ServerConnectionHandler line = lines.get(e.connection());
-            if (line != null) {
-                line.hold(e.paused());
+            ServerConnectionHandler server = serverConnections.get(e.connection());
+            if (server != null) {
+                server.setReadingPaused(e.paused());
             }
         } else if (effect instanceof Effect.AbortResponse e) {
-            client(e.client(), ClientConnectionHandler::cutOff);
+            withClient(e.client(), ClientConnectionHandler::abort);
         } else if (effect instanceof Effect.Refuse e) {
-            client(e.client(), c -> c.refuse(e.retryAfterMicros()));
+            withClient(e.client(), c -> c.refuse(e.retryAfterMicros()));
         } else if (effect instanceof Effect.Fail e) {
-            client(e.client(), ClientConnectionHandler::fail);
+            withClient(e.client(), ClientConnectionHandler::fail);
         } else if (effect instanceof Effect.CallDiscovery e) {
-            askList(e);
+            pollDiscovery(e);
         } else if (effect instanceof Effect.CancelDiscoveryCall) {
-            hangUpList();
+            closeDiscovery();
         } else if (effect instanceof Effect.SetDiscoveryCallAside) {
-            setListCallAside();
+            supersedePoll();
         } else if (effect instanceof Effect.CloseClient e) {
-            client(e.client(), ClientConnectionHandler::giveUp);
+            withClient(e.client(), ClientConnectionHandler::closeOrTimeOut);
         } else if (effect instanceof Effect.RejectDuplicate e) {
-            client(e.client(), ClientConnectionHandler::turnDownTwin);
+            withClient(e.client(), ClientConnectionHandler::rejectDuplicate);
         } else if (effect instanceof Effect.CloseIdleClients) {
-            closing = true;
-            List.copyOf(clients.values()).forEach(ClientConnectionHandler::closeIfIdle);
+            closingIdleClients = true;
+            List.copyOf(clientConnections.values()).forEach(ClientConnectionHandler::closeIfIdle);
         } else if (effect instanceof Effect.AnswerCommand || effect instanceof Effect.AnswerStatistics) {
-            calls.accept(effect);
+            operatorAnswers.accept(effect);
         } else if (effect instanceof Effect.SendToGenerations || effect instanceof Effect.SendGenerationState
                 || effect instanceof Effect.PublishOverride) {
-            others.accept(effect);
+            generationEffects.accept(effect);
         } else if (effect instanceof Effect.Log e) {
             log.accept(e.message());
         } else if (effect instanceof Effect.Stop) {
-            stopAsked = true;
+            stopRequested = true;
         }
     }
 
-    private void client(long id, Consumer<ClientConnectionHandler> call) {
-        ClientConnectionHandler side = clients.get(id);
-        if (side != null) {
-            call.accept(side);
+    private void withClient(long id, Consumer<ClientConnectionHandler> action) {
+        ClientConnectionHandler handler = clientConnections.get(id);
+        if (handler != null) {
+            action.accept(handler);
         }
     }
 
-    private void askList(Effect.CallDiscovery e) {
-        if (list != null && !list.leadsTo(e.address())) {
-            // between two calls the connection to where the list was before is still there
-            hangUpList();
+    private void pollDiscovery(Effect.CallDiscovery e) {
+        if (discovery != null && !discovery.isTo(e.address())) {
+            // between polls, the connection to the previous discovery address is still open
+            closeDiscovery();
         }
-        if (listAside != null && !listAside.leadsTo(e.address())) {
-            hangUpListAside();
+        if (supersededDiscovery != null && !supersededDiscovery.isTo(e.address())) {
+            closeSupersededDiscovery();
         }
-        if (list == null) {
-            list = wires.connectToDiscovery(e.address(),
-                    wire -> new DiscoveryConnectionHandler(this, lists, e.address(), wire));
+        if (discovery == null) {
+            discovery = transport.connectToDiscovery(e.address(),
+                    connection -> new DiscoveryConnectionHandler(this, listReader, e.address(), connection));
         }
-        list.ask(e.sinceVersion(), e.maxWaitMicros());
+        discovery.poll(e.sinceVersion(), e.maxWaitMicros());
     }
 
-    private void setListCallAside() {
-        hangUpListAside();
-        listAside = list;
-        list = null;
-        answeredSinceAside = false;
+    private void supersedePoll() {
+        closeSupersededDiscovery();
+        supersededDiscovery = discovery;
+        discovery = null;
+        answeredSinceSuperseded = false;
     }
 
-    private void hangUpList() {
-        if (list != null) {
-            list.hangUp();
-            list = null;
+    private void closeDiscovery() {
+        if (discovery != null) {
+            discovery.close();
+            discovery = null;
         }
     }
 
-    private void hangUpListAside() {
-        if (listAside != null) {
-            listAside.hangUp();
-            listAside = null;
+    private void closeSupersededDiscovery() {
+        if (supersededDiscovery != null) {
+            supersededDiscovery.close();
+            supersededDiscovery = null;
         }
     }
 
     /**
-     * Of two calls for the list the connection of the first that is answered goes on. The other one is read
-     * to its answer all the same: what discovery has written counts as told.
+     * Handles a response to a poll. Of two concurrent polls, the connection of the one answered first is
+     * kept. The other one's response is still read: discovery counts what it has written as delivered.
      */
-    void listCame(DiscoveryConnectionHandler side, EndpointList answer) {
-        if (side != listAside) {
-            answeredSinceAside = true;
-            dispatch(new Event.EndpointListReceived(answer));
-        } else if (answeredSinceAside) {
-            hangUpListAside();
-            dispatch(new Event.LateEndpointListReceived(answer));
+    void listReceived(DiscoveryConnectionHandler handler, EndpointList response) {
+        if (handler != supersededDiscovery) {
+            answeredSinceSuperseded = true;
+            dispatch(new Event.EndpointListReceived(response));
+        } else if (answeredSinceSuperseded) {
+            closeSupersededDiscovery();
+            dispatch(new Event.LateEndpointListReceived(response));
         } else {
             counters.add("list.late_answers");
-            if (list != null && !list.isAsked()) {
-                hangUpList();
+            if (discovery != null && !discovery.isRequestOpen()) {
+                closeDiscovery();
             }
-            listAside = list;
-            list = side;
-            answeredSinceAside = true;
-            dispatch(new Event.EndpointListReceived(answer));
+            supersededDiscovery = discovery;
+            discovery = handler;
+            answeredSinceSuperseded = true;
+            dispatch(new Event.EndpointListReceived(response));
         }
     }
 
-    /** The same where the connection ends with the answer: the next call needs another one. */
-    void listCameLast(DiscoveryConnectionHandler side, EndpointList answer) {
-        boolean late = side == listAside && answeredSinceAside;
-        listClosed(side);
-        if (side == listAside) {
-            listAside = null;
+    /** The same for a response that ends its connection: the next poll needs a new one. */
+    void lastListReceived(DiscoveryConnectionHandler handler, EndpointList response) {
+        boolean late = handler == supersededDiscovery && answeredSinceSuperseded;
+        discoveryClosed(handler);
+        if (handler == supersededDiscovery) {
+            supersededDiscovery = null;
         }
-        answeredSinceAside = true;
-        dispatch(late ? new Event.LateEndpointListReceived(answer) : new Event.EndpointListReceived(answer));
+        answeredSinceSuperseded = true;
+        dispatch(late ? new Event.LateEndpointListReceived(response)
+                : new Event.EndpointListReceived(response));
     }
 
-    /** A call for the list has failed; where it was set aside, another one is out or will be. */
-    void listFailed(DiscoveryConnectionHandler side) {
-        if (side == listAside) {
-            hangUpListAside();
+    /** Handles a failed poll; if it was superseded, another one is open or will be. */
+    void pollFailed(DiscoveryConnectionHandler handler) {
+        if (handler == supersededDiscovery) {
+            closeSupersededDiscovery();
         } else {
             dispatch(new Event.DiscoveryCallFailed());
         }
     }
 
-    void listClosed(DiscoveryConnectionHandler side) {
-        if (list == side) {
-            list = null;
+    void discoveryClosed(DiscoveryConnectionHandler handler) {
+        if (discovery == handler) {
+            discovery = null;
         }
     }
 
     void clientClosed(long id) {
-        clients.remove(id);
+        clientConnections.remove(id);
         dispatch(new Event.ClientDisconnected(id));
     }
 
-    void lineClosed(long id) {
-        lines.remove(id);
+    void serverConnectionClosed(long id) {
+        serverConnections.remove(id);
         dispatch(new Event.ServerDisconnected(id));
     }
 
-    /** Counts more, or with a negative number less, of bodies coming in; false if that is too much. */
-    boolean coming(int bytes) {
-        coming += bytes;
-        return coming <= MOST_COMING;
+    /** Adds to the size of incomplete bodies, or subtracts if negative; false if the limit is exceeded. */
+    boolean addIncomingBody(int bytes) {
+        incomingBodyBytes += bytes;
+        return incomingBodyBytes <= MAX_INCOMING_BODY_BYTES;
     }
 
-    /** Whether answers should tell clients to close, and idle ones be closed. */
+    /** Whether responses should tell clients to close, and idle client connections should be closed. */
     boolean leaving() {
-        return desk.isShuttingDown() || desk.isHandedOver() || desk.isQuiesced();
+        return reducer.isShuttingDown() || reducer.isHandedOver() || reducer.isQuiesced();
     }
 
-    /** Whether connections end with their answers, also with those that did not say so. */
-    boolean closingIdle() {
-        return closing && leaving();
+    /** Whether client connections close after a response even if it did not announce that. */
+    boolean closesAfterResponse() {
+        return closingIdleClients && leaving();
     }
 
-    /** Why this router is not ready; empty if it is. */
-    String unready() {
-        return desk.notReadyReason();
+    /** Why the router is not ready; empty if it is. */
+    String notReadyReason() {
+        return reducer.notReadyReason();
     }
 
-    /** The router's time. */
+    /** The router's clock, in microseconds. */
     long now() {
         return clock.getAsLong();
     }
--- a/src/main/java/yewdock/platform/DiscoveryConnectionHandler.java
+++ b/src/main/java/yewdock/platform/DiscoveryConnectionHandler.java
@@ -10,115 +10,116 @@
 import yewdock.http.MessageHead;
 import yewdock.http.MessageReader;
 
-/** The connection on which the box list is watched. */
+/** A discovery connection: polls for the endpoint list, one request at a time. */
 final class DiscoveryConnectionHandler implements ConnectionHandler, MessageReader.Sink {
-    private static final int MOST_LIST = 4 << 20;
+    private static final int MAX_LIST_BYTES = 4 << 20;
     private static final int OK = 200;
 
-    private final ConnectionManager front;
-    private final EndpointListReader lists;
+    private final ConnectionManager manager;
+    private final EndpointListReader listReader;
     private final String host;
-    private final Connection wire;
+    private final Connection connection;
     private final MessageReader reader = new MessageReader(MessageReader.Kind.RESPONSE, this);
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private MessageHead head;
-    private String waiting;
-    private boolean up;
-    private boolean out;
-    private boolean gone;
-
-    DiscoveryConnectionHandler(ConnectionManager front, EndpointListReader lists, String host,
-            Connection wire) {
-        this.front = front;
-        this.lists = lists;
+    private String pendingRequest;
+    private boolean connected;
+    private boolean requestOpen;
+    private boolean closed;
+
+    DiscoveryConnectionHandler(ConnectionManager manager, EndpointListReader listReader, String host,
+            Connection connection) {
+        this.manager = manager;
+        this.listReader = listReader;
         this.host = host;
-        this.wire = wire;
+        this.connection = connection;
     }
 
-    /** Whether this is a connection to that address. */
-    boolean leadsTo(String address) {
+    /** Whether the connection is to this address. */
+    boolean isTo(String address) {
         return host.equals(address);
     }
 
-    /** Whether a call is to be answered. */
-    boolean isAsked() {
-        return out;
+    /** Whether a request has not been answered yet. */
+    boolean isRequestOpen() {
+        return requestOpen;
     }
 
-    void ask(long since, long wait) {
-        String query = since < 0 ? "" : "?since=" + since + "&timeout_ms=" + wait / 1000;
-        waiting = "GET /v1/endpoints" + query + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n";
-        out = true;
-        writeIfUp();
+    /** Polls for changes after this version, or for the whole list if it is negative. */
+    void poll(long sinceVersion, long waitMicros) {
+        String query = sinceVersion < 0 ? "" : "?since=" + sinceVersion + "&timeout_ms=" + waitMicros / 1000;
+        pendingRequest = "GET /v1/endpoints" + query + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n";
+        requestOpen = true;
+        writeIfConnected();
     }
 
-    private void writeIfUp() {
-        if (up && waiting != null) {
-            wire.write(ByteBuffer.wrap(waiting.getBytes(StandardCharsets.ISO_8859_1)));
-            waiting = null;
+    private void writeIfConnected() {
+        if (connected && pendingRequest != null) {
+            connection.write(ByteBuffer.wrap(pendingRequest.getBytes(StandardCharsets.ISO_8859_1)));
+            pendingRequest = null;
         }
     }
 
     @Override
     public void onConnected() {
-        up = true;
-        writeIfUp();
+        connected = true;
+        writeIfConnected();
     }
 
     @Override
     public void onReceived(ByteBuffer bytes) {
         try {
-            while (bytes.hasRemaining() && !gone) {
-                if (!out) {
-                    throw new BadMessageException(502, "an answer that nobody asked for");
+            while (bytes.hasRemaining() && !closed) {
+                if (!requestOpen) {
+                    throw new BadMessageException(502, "unexpected response: no request is open");
                 }
                 reader.read(bytes);
                 if (reader.isComplete()) {
                     reader.startNext();
-                    whole();
+                    responseComplete();
                 }
             }
         } catch (BadMessageException | JSONException e) {
-            front.log("the box list's answer is malformed: " + e.getMessage());
-            wire.close();
+            manager.log("the box list's answer is malformed: " + e.getMessage());
+            connection.close();
         }
     }
 
-    private void whole() {
+    private void responseComplete() {
         if (head.status() != OK) {
-            out = false;
-            closeUnlessKept();
-            front.listFailed(this);
+            requestOpen = false;
+            closeUnlessKeptAlive();
+            manager.pollFailed(this);
             return;
         }
-        EndpointList list = lists.read(body.toString(StandardCharsets.UTF_8));
-        out = false;
+        EndpointList list = listReader.read(body.toString(StandardCharsets.UTF_8));
+        requestOpen = false;
         if (head.keepsAlive()) {
-            front.listCame(this, list);
+            manager.listReceived(this, list);
         } else {
-            gone = true;
-            wire.close();
-            front.listCameLast(this, list);
+            closed = true;
+            connection.close();
+            manager.lastListReceived(this, list);
         }
     }
 
-    private void closeUnlessKept() {
+    private void closeUnlessKeptAlive() {
         if (!head.keepsAlive()) {
-            gone = true;
-            front.listClosed(this);
-            wire.close();
+            closed = true;
+            manager.discoveryClosed(this);
+            connection.close();
         }
     }
 
-    /** What the end of the connection makes of the call: a body without a length is whole, if it reads so. */
-    private EndpointList endOfConnection() {
+    /** Returns the list in a body that ends with the connection; null if it is none or incomplete. */
+    private EndpointList listAtEndOfConnection() {
         if (!reader.readsUntilClose() || head.status() != OK) {
             return null;
         }
         try {
-            return lists.read(body.toString(StandardCharsets.UTF_8));
+            return listReader.read(body.toString(StandardCharsets.UTF_8));
         } catch (JSONException e) {
-            front.log("the box list's answer is malformed: " + e.getMessage());
+            manager.log("the box list's answer is malformed: " + e.getMessage());
             return null;
         }
     }
@@ -133,49 +134,49 @@
     public void body(ByteBuffer piece) {
         byte[] bytes = new byte[piece.remaining()];
         piece.get(bytes);
-        if (body.size() + bytes.length <= MOST_LIST) {
+        if (body.size() + bytes.length <= MAX_LIST_BYTES) {
             body.writeBytes(bytes);
         }
     }
 
     @Override
     public void end() {
-        // taken up by received, once the reader has let go of the bytes
+        // handled by received(), once the reader has returned
     }
 
     @Override
     public void onIdle() {
-        // the desk keeps the times of the router's own connections
+        // the reducer times the connections that the router opens
     }
 
     @Override
     public void onWritten(int bytes) {
-        // nothing waits for it
+        // polls need no confirmation that they were sent
     }
 
-    void hangUp() {
-        gone = true;
-        wire.close();
+    void close() {
+        closed = true;
+        connection.close();
     }
 
-    /** A close between calls only means that the next call needs a new connection. */
+    /** A close with no open request only means that the next poll needs a new connection. */
     @Override
     public void onClosed() {
-        if (gone) {
+        if (closed) {
             return;
         }
-        gone = true;
-        EndpointList last = endOfConnection();
-        if (last == null) {
-            front.listClosed(this);
-            front.dispatch(new Event.DiscoveryConnectionLost());
-            if (out) {
-                front.listFailed(this);
+        closed = true;
+        EndpointList lastList = listAtEndOfConnection();
+        if (lastList == null) {
+            manager.discoveryClosed(this);
+            manager.dispatch(new Event.DiscoveryConnectionLost());
+            if (requestOpen) {
+                manager.pollFailed(this);
             }
-        } else if (out) {
-            front.listCameLast(this, last);
+        } else if (requestOpen) {
+            manager.lastListReceived(this, lastList);
         } else {
-            front.listClosed(this);
+            manager.discoveryClosed(this);
         }
     }
 }
--- a/src/main/java/yewdock/platform/Transport.java
+++ b/src/main/java/yewdock/platform/Transport.java
@@ -2,17 +2,17 @@
 
 import java.util.function.Function;
 
-/** The transport. */
+/** Opens connections and stops the program; implemented over sockets, and by fakes in tests. */
 public interface Transport {
-    /** Begins to connect; the side is told when the connection is up or down. */
-    <S extends ConnectionHandler> S connect(String address, Function<Connection, S> makeSide);
+    /** Starts to connect to a server and returns the new handler, which is told of success or failure. */
+    <S extends ConnectionHandler> S connect(String address, Function<Connection, S> makeHandler);
 
-    /** The same for a connection to discovery: what comes over it goes before all else that waits. */
-    default <S extends ConnectionHandler> S connectToDiscovery(String address, Function<Connection,
-            S> makeSide) {
-        return connect(address, makeSide);
+    /** The same for a discovery connection, whose events are handled before all others that are queued. */
+    default <S extends ConnectionHandler> S connectToDiscovery(String address,
+            Function<Connection, S> makeHandler) {
+        return connect(address, makeHandler);
     }
 
-    /** Writes out what is still to be written, and ends the program. */
+    /** Writes what is still queued and ends the program. */
     void stop();
 }
--- a/src/main/java/yewdock/sockets/AcceptedSessions.java
+++ b/src/main/java/yewdock/sockets/AcceptedSessions.java
@@ -8,27 +8,27 @@
 import yewdock.platform.Connection;
 import yewdock.platform.ConnectionHandler;
 
-/** Events of connections that others made: each gets a wire and a side, and takes room until it is closed. */
+/** Handles accepted connections, each of which holds a permit of the limit until it is closed. */
 final class AcceptedSessions extends IoHandlerAdapter {
     private final SessionEvents events;
-    private final ConnectionRoom room;
-    private final Supplier<SessionWire> makeWire;
-    private final Function<Connection, ConnectionHandler> greet;
+    private final ConnectionLimit limit;
+    private final Supplier<MinaConnection> makeConnection;
+    private final Function<Connection, ConnectionHandler> makeHandler;
 
-    AcceptedSessions(SessionEvents events, ConnectionRoom room, Supplier<SessionWire> makeWire,
-            Function<Connection, ConnectionHandler> greet) {
+    AcceptedSessions(SessionEvents events, ConnectionLimit limit, Supplier<MinaConnection> makeConnection,
+            Function<Connection, ConnectionHandler> makeHandler) {
         this.events = events;
-        this.room = room;
-        this.makeWire = makeWire;
-        this.greet = greet;
+        this.limit = limit;
+        this.makeConnection = makeConnection;
+        this.makeHandler = makeHandler;
     }
 
     @Override
     public void sessionCreated(IoSession session) {
-        SessionWire wire = makeWire.get();
-        wire.attachTo(session);
-        session.getCloseFuture().addListener(closed -> room.release());
-        wire.postGreeting(greet);
+        MinaConnection connection = makeConnection.get();
+        connection.attachTo(session);
+        session.getCloseFuture().addListener(closed -> limit.release());
+        connection.postAccepted(makeHandler);
     }
 
     @Override
--- a/src/test/java/yewdock/sockets/ResetBehindBytesTest.java
+++ b/src/test/java/yewdock/sockets/ResetBehindBytesTest.java
@@ -18,75 +18,75 @@
 import yewdock.platform.Connection;
 import yewdock.platform.ConnectionHandler;
 
-/** A server writes the last of its answer and resets the connection: what it wrote still counts. */
+/** A server writes the end of its response and then resets the connection: the bytes still count. */
 class ResetBehindBytesTest {
-    private static final String ANSWER = "data: [DONE]\n\n";
+    private static final String RESPONSE = "data: [DONE]\n\n";
 
-    private final MinaTransport sockets = new MinaTransport(4, 1_000_000);
-    private Listening listening;
+    private final MinaTransport transport = new MinaTransport(4, 1_000_000);
+    private ServingTransport serving;
 
-    /** What comes over the connection, and then its end. */
-    private static final class Reader implements ConnectionHandler {
-        private final StringBuilder came = new StringBuilder();
+    /** Collects the bytes of a connection until it closes. */
+    private static final class Collector implements ConnectionHandler {
+        private final StringBuilder received = new StringBuilder();
         private final CompletableFuture<String> atEnd = new CompletableFuture<>();
-        private final CountDownLatch up = new CountDownLatch(1);
+        private final CountDownLatch connected = new CountDownLatch(1);
 
         @Override
         public void onConnected() {
-            up.countDown();
+            connected.countDown();
         }
 
         @Override
         public void onReceived(ByteBuffer bytes) {
-            came.append(StandardCharsets.US_ASCII.decode(bytes));
+            received.append(StandardCharsets.US_ASCII.decode(bytes));
         }
 
         @Override
         public void onWritten(int bytes) {
-            throw new AssertionError("nothing is written");
+            throw new AssertionError("nothing was written");
         }
 
         @Override
         public void onIdle() {
-            throw new AssertionError("nothing lingers");
+            throw new AssertionError("no idle time is set");
         }
 
         @Override
         public void onClosed() {
-            atEnd.complete(came.toString());
+            atEnd.complete(received.toString());
         }
     }
 
     @BeforeEach
-    void serve() throws Exception {
-        listening = Listening.start(sockets,
+    void start() throws Exception {
+        serving = ServingTransport.start(transport,
                 Files.readString(Path.of("src/test/resources/exchanges/config.json")));
     }
 
     @AfterEach
-    void end() throws Exception {
-        listening.stop();
+    void stop() throws Exception {
+        serving.stop();
     }
 
-    /** The bytes and the reset are both there before the router reads: it does not read in between. */
+    /** Reading is paused, so that the bytes and the reset have both arrived when the router reads. */
     @Test
-    void whatCameBeforeAResetIsPassedOn() throws Exception {
-        Reader reader = new Reader();
-        CompletableFuture<Connection> wire = new CompletableFuture<>();
+    void bytesBeforeAResetArePassedOn() throws Exception {
+        Collector collector = new Collector();
+        CompletableFuture<Connection> opened = new CompletableFuture<>();
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
-            sockets.post(() -> sockets.connect("127.0.0.1:" + server.getLocalPort(), made -> {
-                wire.complete(made);
-                return reader;
+            transport.post(() -> transport.connect("127.0.0.1:" + server.getLocalPort(), newConnection -> {
+                opened.complete(newConnection);
+                return collector;
             }));
             Socket accepted = server.accept();
-            reader.up.await(10, TimeUnit.SECONDS);
-            Connection held = wire.get(10, TimeUnit.SECONDS);
-            listening.onDesk(() -> held.setReadingPaused(true));
-            accepted.getOutputStream().write(ANSWER.getBytes(StandardCharsets.US_ASCII));
+            collector.connected.await(10, TimeUnit.SECONDS);
+            Connection connection = opened.get(10, TimeUnit.SECONDS);
+            serving.onDispatcher(() -> connection.setReadingPaused(true));
+            accepted.getOutputStream().write(RESPONSE.getBytes(StandardCharsets.US_ASCII));
             accepted.setSoLinger(true, 0);
             accepted.close();
-            listening.onDesk(() -> held.setReadingPaused(false));
-            assertEquals(ANSWER, reader.atEnd.get(10, TimeUnit.SECONDS));
+            serving.onDispatcher(() -> connection.setReadingPaused(false));
+            assertEquals(RESPONSE, collector.atEnd.get(10, TimeUnit.SECONDS));
         }
     }
 }
