--- a/src/main/java/yewdock/council/Council.java
+++ b/src/main/java/yewdock/council/Council.java
@@ -29,25 +29,27 @@
 import yewdock.wire.RuleOutcome;
 
 /**
- * One instance's part in an agreement: it holds the rules and a lease to act by them, and if it is a member
- * of the council it votes on changes, and grants leases while it leads. Everything happens on one loop; no
- * decision about a request waits for any of it.
+ * Takes part in consensus on the rules for one router instance. It keeps a copy of the committed rules and
+ * the lease that allows this router to act on them; a voting member also votes on changes and, while it is
+ * the leader, grants leases. Everything runs on the scheduler's thread, and routing a request never waits
+ * for any of it.
  */
 public final class Council {
-    private static final long SECOND = 1_000_000;
-    private static final long ROUND_TIMEOUT = SECOND;
-    private static final long PROPOSAL_TIMEOUT = 2 * SECOND;
-    private static final long FORCE_AGAIN = SECOND;
-    /** So many calls in a row without an answer, and another member is asked who leads. */
-    private static final int MOST_UNANSWERED = 2;
-    private static final long HELLO_HOLDS = 2 * SECOND;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long ROUND_TIMEOUT_MICROS = SECOND_MICROS;
+    private static final long PROPOSAL_TIMEOUT_MICROS = 2 * SECOND_MICROS;
+    private static final long FORCE_RETRY_MICROS = SECOND_MICROS;
+    /** After this many unanswered lease requests in a row, another member is asked who the leader is. */
+    private static final int MAX_UNANSWERED_RENEWALS = 2;
+    private static final long ANNOUNCEMENT_TTL_MICROS = 2 * SECOND_MICROS;
 
     /**
-     * Who takes part.
+     * The instances that take part.
      *
-     * @param cluster the installation's name
-     * @param self this instance's
-     * @param members the instances that vote
+     * @param cluster the name of the installation
+     * @param self the name of this instance
+     * @param members the names of the voting instances; sorted by the constructor
+     * @param lease how long leases last
      */
     public record Terms(String cluster, String self, List<String> members, LeaseTerms lease) {
         public Terms {
@@ -55,303 +57,319 @@
         }
     }
 
-    /** What an instance does for its part. */
+    /** What the consensus code needs from the router instance that it runs in. */
     public interface Instance {
-        /** Sends a frame to another instance, if it can be reached; never waits. */
+        /** Sends a frame to another instance without blocking; dropped if it can't be reached. */
         void send(String instance, CouncilFrame frame);
 
-        /** Whether a connection to it stands. */
+        /** Whether there is a connection to the instance. */
         boolean reaches(String instance);
 
-        /** Act by this from now on; {@link Council#takenUp} once everything here does. */
+        /**
+         * Applies this view of the rules from now on. The implementation calls {@link Council#takenUp} once
+         * every part of this instance does.
+         */
         void actBy(View view);
 
-        /** The lease holds until then, by the loop's clock. */
+        /** The lease is valid until this time, in microseconds of the scheduler's clock. */
         void leaseUntil(long until);
 
-        /** Another router acts on a newer version of the box list than this one has told. */
+        /** Another router uses a newer version of the endpoint list than this one has reported. */
         void listBehind(long newest);
 
-        /** Something that operators should know: the event, and then names and values. */
+        /** Logs an event for operators; the fields are alternating names and values. */
         void note(String event, Object... fields);
     }
 
-    private final Terms terms;
-    private final Loop loop;
-    private final Instance instance;
-    private RaftDisk disk;
-    private final Endpoint self;
-    /** Drawn anew with each start, and so what this process is told apart by. */
+    private final Terms config;
+    private final Loop scheduler;
+    private final Instance host;
+    private RaftDisk raftStore;
+    private final RaftMemberId selfId;
+    /** Drawn at random at each start; tells this process apart from earlier ones of the same instance. */
     private final long incarnation;
-    private final Rules held = new Rules();
+    private final Rules localRules = new Rules();
     private final Lease lease;
-    private final Grants grants;
-    private final Feeds feeds = new Feeds();
-    private final Lists lists = new Lists();
-    private final Map<String, Long> fed = new HashMap<>();
-    private final Map<String, Long> forced = new HashMap<>();
-    private final Map<Long, Wait> proposals = new HashMap<>();
-    private final Map<String, Hello> fresh = new TreeMap<>();
-    private final TreeSet<String> strangers = new TreeSet<>();
-    private Member member;
+    private final Grants leaseGrantor;
+    private final CommandBacklog backlog = new CommandBacklog();
+    private final EndpointListTracker listTracker = new EndpointListTracker();
+    /** The step that each router has reported, or has been sent since. */
+    private final Map<String, Long> routerSteps = new HashMap<>();
+    /** When forcing a change was last attempted, by the change's id (microseconds). */
+    private final Map<String, Long> forceSentAt = new HashMap<>();
+    private final Map<Long, PendingProposal> pendingProposals = new HashMap<>();
+    private final Map<String, MemberAnnouncement> announcements = new TreeMap<>();
+    /** Instances that have sent messages of another Raft group; each is logged once. */
+    private final TreeSet<String> foreignInstances = new TreeSet<>();
+    private RaftMember member;
     private String leader;
-    private int nextAsked;
-    private int unanswered;
-    private long takenStep;
-    private long takenChain;
-    private long rounds;
-    private boolean roundOut;
-    private long roundUntil;
-    private long numbers;
-    private boolean changing;
+    private int nextMemberIndex;
+    private int unansweredRenewals;
+    private long appliedStep;
+    private long appliedChain;
+    private long roundNumber;
+    private boolean roundInProgress;
+    private long roundDeadline;
+    private long lastProposalNumber;
+    private boolean membershipChangePending;
+    /** The endpoint list in use: where it comes from, and its version; -1 for none. */
     private String listAddress = "";
     private long listVersion = -1;
-    private long listAskedFor = -1;
+    /** The last version passed to {@link Instance#listBehind}. */
+    private long reportedListVersion = -1;
     private boolean closed;
 
-    /** A member said that its disk remembers no vote. */
-    private record Hello(String endpoint, long at) {
+    /** A member's announcement that its disk holds no Raft state, and when it was heard (microseconds). */
+    private record MemberAnnouncement(String endpoint, long at) {
     }
 
-    private record Wait(RuleChange change, Consumer<Proposed> answer, long until) {
+    /** A proposal that has not been answered yet; the deadline is in microseconds. */
+    private record PendingProposal(RuleChange change, Consumer<Proposed> callback, long deadline) {
     }
 
     /**
-     * Begins.
+     * Starts taking part.
      *
-     * @param disk where a member's log lies; null for one that doesn't vote
-     * @param seed for what is drawn; another one with each start
+     * @param raftStore where a voting member keeps its log; null for an instance that doesn't vote
+     * @param seed seed for random values; has to differ at each start
+     * @throws IOException if the disk can't be read or written
      */
-    public Council(Terms terms, Loop loop, Instance instance, RaftDisk disk, long seed) throws IOException {
-        this.terms = terms;
-        this.loop = loop;
-        this.instance = instance;
-        this.disk = disk;
+    public Council(Terms config, Loop scheduler, Instance host, RaftDisk raftStore, long seed)
+            throws IOException {
+        this.config = config;
+        this.scheduler = scheduler;
+        this.host = host;
+        this.raftStore = raftStore;
         this.incarnation = seed;
-        this.lease = new Lease(terms.lease());
-        this.grants = new Grants(terms.lease());
-        this.self = disk == null ? null : Endpoint.of(terms.self(), disk.number(Long.toHexString(seed)));
-        if (disk != null && disk.restored() != null) {
-            start(List.of());
+        this.lease = new Lease(config.lease());
+        this.leaseGrantor = new Grants(config.lease());
+        this.selfId = raftStore == null ? null : RaftMemberId.of(config.self(),
+                raftStore.number(Long.toHexString(seed)));
+        if (raftStore != null && raftStore.restored() != null) {
+            startMember(List.of());
         }
         tick();
     }
 
-    /** Ends; a member says nothing more. */
+    /** Stops; sends and receives nothing from now on. */
     public void close() {
         closed = true;
         if (member != null) {
             member.close();
         }
-        if (disk != null) {
-            disk.close();
+        if (raftStore != null) {
+            raftStore.close();
         }
     }
 
-    // ---- time
+    // ---- periodic work
 
     private void tick() {
         if (closed) {
             return;
         }
-        renew();
-        fresh.values().removeIf(h -> loop.now() - h.at >= HELLO_HOLDS);
-        if (disk != null && disk.broken()) {
-            again("agreement.disk_failed");
-        } else if (member != null && member.stuck()) {
-            again("agreement.nobody_leads");
-        } else if (disk != null && !votes()) {
-            greet();
+        renewLease();
+        announcements.values().removeIf(announcement ->
+                scheduler.now() - announcement.at >= ANNOUNCEMENT_TTL_MICROS);
+        if (raftStore != null && raftStore.failed()) {
+            restartMember("agreement.disk_failed");
+        } else if (member != null && member.isStuck()) {
+            restartMember("agreement.nobody_leads");
+        } else if (raftStore != null && !votes()) {
+            announce();
         }
         if (member != null) {
-            take();
-            reconcile();
-        }
-        long now = loop.now();
-        List<Long> late = new ArrayList<>();
-        proposals.forEach((number, w) -> {
-            if (now >= w.until) {
-                late.add(number);
+            forceReadyChanges();
+            reconcileMembership();
+        }
+        long now = scheduler.now();
+        List<Long> expired = new ArrayList<>();
+        pendingProposals.forEach((number, proposal) -> {
+            if (now >= proposal.deadline) {
+                expired.add(number);
             }
         });
-        late.forEach(number -> proposed(Proposed.newBuilder().setNumber(number)
-                .setNobody("no leader has answered").build()));
-        loop.after(terms.lease().renewEvery(), this::tick);
+        expired.forEach(number -> completeProposal(Proposed.newBuilder().setNumber(number)
+                .setNobody("no leader answered in time").build()));
+        scheduler.after(config.lease().renewEvery(), this::tick);
     }
 
-    /** The member ends, and begins anew from what its disk has; a disk that takes no write is tried again. */
-    private void again(String event) {
+    /** Restarts the Raft member from what is on its disk; retried with each tick while the disk fails. */
+    private void restartMember(String event) {
         if (member != null) {
-            instance.note(event, "now", "this member begins anew from its disk");
-            grants.follows();
+            host.note(event, "now", "restarting this member from its disk");
+            leaseGrantor.follows();
             member = null;
-            changing = false;
+            membershipChangePending = false;
         }
         try {
-            disk = disk.anew();
-            if (disk.restored() != null) {
-                start(List.of());
+            raftStore = raftStore.reopen();
+            if (raftStore.restored() != null) {
+                startMember(List.of());
             }
         } catch (IOException e) {
-            // tried again with the next tick
+            // retried with the next tick
         }
     }
 
-    // ---- the router's side: what it holds, and until when
+    // ---- every router: the local rules and the lease
 
-    /** What this instance holds of the rules. */
+    /** The rules as known here; may be behind the committed ones. */
     public Rules held() {
-        return held;
+        return localRules;
     }
 
-    /** What the council has agreed, as far as this member knows; null at one that doesn't vote. */
+    /** The rules up to the last command that this member knows to be committed; null if it doesn't vote. */
     public Rules agreed() {
         return member == null ? null : member.rules();
     }
 
-    /** Whether it may act now. */
+    /** Whether the lease is valid, so that this router may act on its rules now. */
     public boolean holds() {
-        return lease.holds(loop.now());
+        return lease.holds(scheduler.now());
     }
 
-    /** Who leads, as far as is known here; null for nobody. */
+    /** The name of the leader as far as known here; null if none is known. */
     public String leader() {
         return leader;
     }
 
-    /** Whether this instance leads. */
+    /** Whether this instance is the leader. */
     public boolean leads() {
-        return member != null && member.leading();
+        return member != null && member.isLeader();
     }
 
-    /** Whether this instance votes, as far as it knows. */
+    /** Whether this instance is a voting member, as far as it knows. */
     public boolean votes() {
-        return member != null && Boolean.TRUE.equals(member.members().get(self.id()));
+        return member != null && Boolean.TRUE.equals(member.membersById().get(selfId.id()));
     }
 
-    /** Everything here acts by the view of this step, or a later one. */
+    /** Reports that all of this instance applies the rules as of this step, or a later one. */
     public void takenUp(long step, long chain) {
-        if (step > takenStep) {
-            boolean known = takenStep >= held.prepared();
-            takenStep = step;
-            takenChain = chain;
-            if (!known && takenStep >= held.prepared()) {
-                // a change that waits for us should not wait for the next regular call
-                renew();
+        if (step > appliedStep) {
+            boolean wasCurrent = appliedStep >= localRules.prepared();
+            appliedStep = step;
+            appliedChain = chain;
+            if (!wasCurrent && appliedStep >= localRules.prepared()) {
+                // a change that waits for this router should not wait for the next regular renewal
+                renewLease();
             }
         }
     }
 
-    /** The box list that this instance acts on from now on. */
+    /** Reports which endpoint list this instance uses from now on. */
     public void actsOn(String address, long version) {
         listAddress = address;
         listVersion = version;
     }
 
-    private void renew() {
-        Renew.Builder call = Renew.newBuilder().setNumber(lease.asks(loop.now())).setStep(takenStep)
-                .setChain(takenChain).setIncarnation(incarnation).setListAddress(listAddress)
+    private void renewLease() {
+        Renew.Builder request = Renew.newBuilder().setNumber(lease.asks(scheduler.now())).setStep(appliedStep)
+                .setChain(appliedChain).setIncarnation(incarnation).setListAddress(listAddress)
                 .setListVersion(listVersion);
-        if (++unanswered > MOST_UNANSWERED) {
-            // one that led may stand still, and nobody else would be asked
+        if (++unansweredRenewals > MAX_UNANSWERED_RENEWALS) {
+            // the last known leader may hang; without this no other member would be asked
             leader = null;
         }
-        String to = whoLeads();
+        String to = leaderOrNextMember();
         if (to != null) {
-            send(to, CouncilFrame.newBuilder().setRenew(call).build());
+            send(to, CouncilFrame.newBuilder().setRenew(request).build());
         }
     }
 
-    /** The leader that is known, or members one after the other. */
-    private String whoLeads() {
+    /** The leader if known and reachable, else the reachable members in turn; null if there is none. */
+    private String leaderOrNextMember() {
         if (member != null) {
             leader = member.leader();
         }
-        if (leader != null && (leader.equals(terms.self()) || instance.reaches(leader))) {
+        if (leader != null && (leader.equals(config.self()) || host.reaches(leader))) {
             return leader;
         }
         leader = null;
-        for (int i = 0; i < terms.members().size(); i++) {
-            String one = terms.members().get(nextAsked++ % terms.members().size());
-            if (!one.equals(terms.self()) && instance.reaches(one)) {
-                return one;
+        for (int i = 0; i < config.members().size(); i++) {
+            String candidate = config.members().get(nextMemberIndex++ % config.members().size());
+            if (!candidate.equals(config.self()) && host.reaches(candidate)) {
+                return candidate;
             }
         }
         return null;
     }
 
     private void send(String to, CouncilFrame frame) {
-        if (to.equals(terms.self())) {
-            loop.after(0, () -> heard(to, frame));
+        if (to.equals(config.self())) {
+            scheduler.after(0, () -> heard(to, frame));
         } else {
-            instance.send(to, frame);
+            host.send(to, frame);
         }
     }
 
-    private void fed(String from, Feed feed) {
+    private void receiveFeed(String from, Feed feed) {
         if (!feed.getLeader().isEmpty() && member == null) {
             leader = feed.getLeader();
-            unanswered = 0;
+            unansweredRenewals = 0;
         }
-        long before = held.step();
+        long previousStep = localRules.step();
         if (feed.hasSnapshot()) {
-            if (feed.getSnapshot().getStep() > held.step()
-                    || feed.getSnapshot().getStep() == held.step()
-                    && feed.getSnapshot().getChain() != held.chain()) {
-                held.install(feed.getSnapshot());
-                before = -1;
+            if (feed.getSnapshot().getStep() > localRules.step()
+                    || feed.getSnapshot().getStep() == localRules.step()
+                    && feed.getSnapshot().getChain() != localRules.chain()) {
+                localRules.install(feed.getSnapshot());
+                previousStep = -1;
             }
-        } else if (feed.getAfter() <= held.step()) {
-            int known = (int) Math.min(feed.getCommandsCount(), held.step() - feed.getAfter());
+        } else if (feed.getAfter() <= localRules.step()) {
+            int known = (int) Math.min(feed.getCommandsCount(), localRules.step() - feed.getAfter());
             for (ByteString bytes : feed.getCommandsList().subList(known, feed.getCommandsCount())) {
                 try {
-                    held.take(Rules.read(bytes.toByteArray()));
+                    localRules.take(Rules.read(bytes.toByteArray()));
                 } catch (InvalidProtocolBufferException e) {
-                    instance.note("agreement.unreadable", "from", from, "why", e.getMessage());
+                    host.note("agreement.unreadable", "from", from, "why", e.getMessage());
                     return;
                 }
             }
         }
-        if (held.step() != before) {
-            instance.actBy(held.view());
+        if (localRules.step() != previousStep) {
+            host.actBy(localRules.view());
         }
     }
 
-    // ---- changes
+    // ---- proposing changes
 
     /**
-     * Asks for a change; the answer comes once, on the loop: what became of its preparing, or that nobody
-     * took it, in which case the same change may be asked for again.
+     * Proposes a change. The callback runs once, on the scheduler's thread, with the outcome of preparing
+     * the change, or with the reason why no leader took it; the same change may then be proposed again.
      */
-    public void propose(RuleChange change, Consumer<Proposed> answer) {
-        Refusal flaw = Rules.flaw(change);
-        if (flaw != null) {
-            answer.accept(Proposed.newBuilder().setOutcome(RuleOutcome.newBuilder().setId(change.getId())
-                    .setRefusal(flaw.number())).build());
+    public void propose(RuleChange change, Consumer<Proposed> callback) {
+        Refusal rejection = Rules.flaw(change);
+        if (rejection != null) {
+            callback.accept(Proposed.newBuilder().setOutcome(RuleOutcome.newBuilder().setId(change.getId())
+                    .setRefusal(rejection.number())).build());
             return;
         }
-        long number = ++numbers;
-        proposals.put(number, new Wait(change, answer, loop.now() + PROPOSAL_TIMEOUT));
-        String to = whoLeads();
+        long number = ++lastProposalNumber;
+        pendingProposals.put(number, new PendingProposal(change, callback, scheduler.now()
+                + PROPOSAL_TIMEOUT_MICROS));
+        String to = leaderOrNextMember();
         if (to == null) {
-            proposed(Proposed.newBuilder().setNumber(number).setNobody("no member can be reached").build());
+            completeProposal(Proposed.newBuilder().setNumber(number)
+                    .setNobody("no voting member is reachable").build());
         } else {
             send(to, CouncilFrame.newBuilder().setProposal(Proposal.newBuilder().setNumber(number)
                     .setChange(change)).build());
         }
     }
 
-    private void proposed(Proposed answer) {
-        Wait wait = proposals.remove(answer.getNumber());
-        if (wait != null) {
-            wait.answer.accept(answer);
+    private void completeProposal(Proposed answer) {
+        PendingProposal proposal = pendingProposals.remove(answer.getNumber());
+        if (proposal != null) {
+            proposal.callback.accept(answer);
         }
     }
 
-    private void asked(String from, Proposal proposal) {
+    private void receiveProposal(String from, Proposal proposal) {
         Proposed.Builder answer = Proposed.newBuilder().setNumber(proposal.getNumber());
         if (!leads()) {
-            send(from, CouncilFrame.newBuilder().setProposed(answer.setNobody("it does not lead")).build());
+            send(from, CouncilFrame.newBuilder().setProposed(
+                    answer.setNobody("the instance asked is not the leader")).build());
             return;
         }
         member.replicate(RuleCommand.newBuilder().setPrepare(proposal.getChange()).build())
@@ -365,48 +383,49 @@
                 });
     }
 
-    // ---- frames
+    // ---- incoming frames
 
-    /** A frame has come from this instance. */
+    /** Handles a frame from another instance. */
     public void heard(String from, CouncilFrame frame) {
         if (closed) {
             return;
         }
         switch (frame.getWhatCase()) {
             case RAFT -> {
-                if (member != null && !member.heard(frame.getRaft()) && strangers.add(from)) {
-                    instance.note("agreement.other_council", "instance", from, "its",
+                if (member != null && !member.receive(frame.getRaft()) && foreignInstances.add(from)) {
+                    host.note("agreement.other_council", "instance", from, "its",
                             frame.getRaft().getGroup(), "ours", member.group());
                 }
             }
-            case RENEW -> renewed(from, frame.getRenew());
-            case GRANTED -> granted(frame.getGranted());
-            case FEED -> fed(from, frame.getFeed());
-            case PROPOSAL -> asked(from, frame.getProposal());
-            case PROPOSED -> proposed(frame.getProposed());
-            case FOUNDING -> founding(from, frame.getFounding());
+            case RENEW -> receiveRenewal(from, frame.getRenew());
+            case GRANTED -> receiveGrant(frame.getGranted());
+            case FEED -> receiveFeed(from, frame.getFeed());
+            case PROPOSAL -> receiveProposal(from, frame.getProposal());
+            case PROPOSED -> completeProposal(frame.getProposed());
+            case FOUNDING -> receiveFounding(from, frame.getFounding());
             default -> {
-                // of a later program
+                // sent by a newer version
             }
         }
     }
 
-    private void granted(Granted g) {
-        if (g.getIncarnation() == incarnation) {
-            unanswered = 0;
-            lease.granted(g.getNumber());
-            instance.leaseUntil(lease.until());
-            // once for each version: a service that has started anew may never come so far again
-            if (g.getListVersion() > listVersion && g.getListVersion() != listAskedFor && listVersion >= 0) {
-                listAskedFor = g.getListVersion();
-                instance.listBehind(g.getListVersion());
+    private void receiveGrant(Granted grant) {
+        if (grant.getIncarnation() == incarnation) {
+            unansweredRenewals = 0;
+            lease.granted(grant.getNumber());
+            host.leaseUntil(lease.until());
+            // once per version: a discovery service that restarted may never reach this version again
+            if (grant.getListVersion() > listVersion && grant.getListVersion() != reportedListVersion
+                    && listVersion >= 0) {
+                reportedListVersion = grant.getListVersion();
+                host.listBehind(grant.getListVersion());
             }
         }
     }
 
-    // ---- the leader's side
+    // ---- the leader: leases and distribution of the rules
 
-    private void renewed(String from, Renew call) {
+    private void receiveRenewal(String from, Renew request) {
         if (!leads()) {
             String known = member == null ? null : member.leader();
             if (known != null) {
@@ -414,178 +433,182 @@
             }
             return;
         }
-        fed.put(from, call.getStep());
-        lists.heard(from, call.getListAddress(), call.getListVersion());
-        if (!feeds.same(call.getStep(), call.getChain())) {
-            instance.note("agreement.diverged", "instance", from, "step", call.getStep());
-            send(from, CouncilFrame.newBuilder().setFeed(Feeds.whole(member.rules()).toBuilder()
-                    .setLeader(terms.self())).build());
+        routerSteps.put(from, request.getStep());
+        listTracker.report(from, request.getListAddress(), request.getListVersion());
+        if (!backlog.matches(request.getStep(), request.getChain())) {
+            host.note("agreement.diverged", "instance", from, "step", request.getStep());
+            send(from, CouncilFrame.newBuilder().setFeed(CommandBacklog.snapshotFeed(member.rules())
+                    .toBuilder().setLeader(config.self())).build());
             return;
         }
-        feed(from, call.getStep());
-        grants.asked(new Grants.Ask(from, call.getIncarnation(), call.getNumber(), call.getStep()));
-        round();
+        sendFeed(from, request.getStep());
+        leaseGrantor.asked(new Grants.Ask(from, request.getIncarnation(), request.getNumber(),
+                request.getStep()));
+        confirmLeadership();
     }
 
-    private void feed(String to, long step) {
-        Feed feed = feeds.after(step, member.rules());
+    private void sendFeed(String to, long step) {
+        Feed feed = backlog.feedAfter(step, member.rules());
         if (feed != null) {
-            send(to, CouncilFrame.newBuilder().setFeed(feed.toBuilder().setLeader(terms.self())).build());
-            fed.put(to, member.rules().step());
+            send(to, CouncilFrame.newBuilder().setFeed(feed.toBuilder().setLeader(config.self())).build());
+            routerSteps.put(to, member.rules().step());
         }
     }
 
-    /** One round of confirming at a time, for all calls that wait. */
-    private void round() {
-        if (roundOut) {
-            if (loop.now() < roundUntil) {
+    /** Runs one round of leadership confirmation at a time, for all lease requests that wait. */
+    private void confirmLeadership() {
+        if (roundInProgress) {
+            if (scheduler.now() < roundDeadline) {
                 return;
             }
-            grants.roundFailed();
+            leaseGrantor.roundFailed();
         }
-        roundOut = grants.beginRound();
-        if (!roundOut) {
+        roundInProgress = leaseGrantor.beginRound();
+        if (!roundInProgress) {
             return;
         }
-        long mine = ++rounds;
-        roundUntil = loop.now() + ROUND_TIMEOUT;
-        member.confirm().whenComplete((done, failed) -> {
-            if (mine != rounds) {
+        long round = ++roundNumber;
+        roundDeadline = scheduler.now() + ROUND_TIMEOUT_MICROS;
+        member.confirmLeadership().whenComplete((done, failed) -> {
+            if (round != roundNumber) {
                 return;
             }
-            roundOut = false;
+            roundInProgress = false;
             if (failed != null) {
-                grants.roundFailed();
+                leaseGrantor.roundFailed();
                 return;
             }
-            for (Grants.Ask ask : grants.confirmed(member.rules().prepared(), loop.now())) {
-                send(ask.router(), CouncilFrame.newBuilder().setGranted(Granted.newBuilder()
-                        .setNumber(ask.number()).setIncarnation(ask.incarnation())
-                        .setListVersion(lists.newestFor(ask.router()))).build());
+            for (Grants.Ask request : leaseGrantor.confirmed(member.rules().prepared(), scheduler.now())) {
+                send(request.router(), CouncilFrame.newBuilder().setGranted(Granted.newBuilder()
+                        .setNumber(request.number()).setIncarnation(request.incarnation())
+                        .setListVersion(listTracker.newestFor(request.router()))).build());
             }
-            take();
-            round();
+            forceReadyChanges();
+            confirmLeadership();
         });
     }
 
-    /** Every member sees to what may take force, so that one that begins to lead knows since when. */
-    private void take() {
-        long now = loop.now();
-        forced.values().removeIf(at -> now - at >= FORCE_AGAIN);
-        for (String id : grants.due(member.rules().underWay(), now)) {
-            if (forced.putIfAbsent(id, now) == null) {
+    /**
+     * Forces the prepared changes that may take effect. Members that don't lead call it too, so that a new
+     * leader knows since when each change has been pending.
+     */
+    private void forceReadyChanges() {
+        long now = scheduler.now();
+        forceSentAt.values().removeIf(at -> now - at >= FORCE_RETRY_MICROS);
+        for (String id : leaseGrantor.due(member.rules().underWay(), now)) {
+            if (forceSentAt.putIfAbsent(id, now) == null) {
                 RuleCommand force = RuleCommand.newBuilder().setForce(id).build();
                 member.replicate(force).whenComplete((done, failed) -> {
                     if (failed != null) {
-                        forced.remove(id);
+                        forceSentAt.remove(id);
                     }
                 });
             }
         }
     }
 
-    /** What all routers that ask here have not been told yet. */
-    private void feedAll() {
+    /** Sends each router that renews its lease here the commands that it hasn't been sent yet. */
+    private void sendFeedToAll() {
         if (leads()) {
-            new HashMap<>(fed).forEach(this::feed);
+            new HashMap<>(routerSteps).forEach(this::sendFeed);
         }
     }
 
-    // ---- members
+    // ---- membership
 
-    private void start(List<String> founders) {
-        Member.Hearer hearer = new Member.Hearer() {
+    private void startMember(List<String> founders) {
+        RaftMember.MemberListener listener = new RaftMember.MemberListener() {
             @Override
-            public void leads(boolean yes) {
-                fed.clear();
-                forced.clear();
-                if (yes) {
-                    grants.leads(loop.now());
+            public void leadershipChanged(boolean leading) {
+                routerSteps.clear();
+                forceSentAt.clear();
+                if (leading) {
+                    leaseGrantor.leads(scheduler.now());
                 } else {
-                    grants.follows();
+                    leaseGrantor.follows();
                 }
-                instance.note(yes ? "agreement.leads" : "agreement.follows");
+                host.note(leading ? "agreement.leads" : "agreement.follows");
             }
 
             @Override
-            public void agreed(RuleCommand command) {
-                feeds.add(command, member.rules());
+            public void committed(RuleCommand command) {
+                backlog.add(command, member.rules());
             }
 
             @Override
-            public void stepped() {
-                take();
-                feedAll();
+            public void rulesChanged() {
+                forceReadyChanges();
+                sendFeedToAll();
             }
         };
-        member = new Member(loop, terms.cluster(), self, founders, disk, incarnation, hearer, (to, frame) ->
-                send(to, CouncilFrame.newBuilder().setRaft(frame).build()), instance::reaches);
-        instance.note("agreement.member", "council", member.group());
+        member = new RaftMember(scheduler, config.cluster(), selfId, founders, raftStore, incarnation,
+                listener,
+                (to, frame) -> send(to, CouncilFrame.newBuilder().setRaft(frame).build()), host::reaches);
+        host.note("agreement.member", "council", member.group());
     }
 
     /**
-     * A member with nothing on its disk doesn't know whether there is a council. It says so until it votes:
-     * once it has heard of a council it learns from that, and the first of the members founds one when all
-     * of them are new.
+     * Announces a member that doesn't vote yet. With an empty disk it doesn't know whether a Raft group
+     * exists: it joins the one it hears of, and if all members are new, the first of them founds the group.
      */
-    private void greet() {
-        fresh.put(terms.self(), new Hello(self.id(), loop.now()));
-        for (String other : terms.members()) {
-            if (!other.equals(terms.self())) {
+    private void announce() {
+        announcements.put(config.self(), new MemberAnnouncement(selfId.id(), scheduler.now()));
+        for (String other : config.members()) {
+            if (!other.equals(config.self())) {
                 send(other, CouncilFrame.newBuilder().setFounding(Founding.newBuilder()
-                        .setEndpoint(self.id())).build());
+                        .setEndpoint(selfId.id())).build());
             }
         }
-        if (member == null && fresh.keySet().containsAll(terms.members())
-                && terms.members().get(0).equals(terms.self())) {
-            start(fresh.values().stream().map(Hello::endpoint).toList());
+        if (member == null && announcements.keySet().containsAll(config.members())
+                && config.members().get(0).equals(config.self())) {
+            startMember(announcements.values().stream().map(MemberAnnouncement::endpoint).toList());
         }
     }
 
-    private void founding(String from, Founding news) {
-        if (disk == null || !terms.members().contains(from)) {
+    private void receiveFounding(String from, Founding message) {
+        if (raftStore == null || !config.members().contains(from)) {
             return;
         }
-        if (news.getMembersCount() == 0) {
-            fresh.put(from, new Hello(news.getEndpoint(), loop.now()));
+        if (message.getMembersCount() == 0) {
+            announcements.put(from, new MemberAnnouncement(message.getEndpoint(), scheduler.now()));
             if (member != null) {
-                send(from, CouncilFrame.newBuilder().setFounding(Founding.newBuilder().setEndpoint(self.id())
-                        .addAllMembers(member.founders())).build());
+                send(from, CouncilFrame.newBuilder().setFounding(Founding.newBuilder()
+                        .setEndpoint(selfId.id()).addAllMembers(member.founders())).build());
             }
         } else if (member == null) {
-            start(news.getMembersList());
+            startMember(message.getMembersList());
         }
     }
 
-    /** A member that has come back with an empty disk takes the place of the one that remembered. */
-    private void reconcile() {
-        if (!leads() || changing) {
+    /** Replaces a member that came back with an empty disk: it forgot its votes, so it joins as a new one. */
+    private void reconcileMembership() {
+        if (!leads() || membershipChangePending) {
             return;
         }
-        Map<String, Boolean> now = member.members();
-        for (Map.Entry<String, Hello> one : fresh.entrySet()) {
-            String endpoint = one.getValue().endpoint;
-            String there = Member.of(now.keySet(), one.getKey());
-            if (there == null) {
-                change(endpoint, MembershipChangeMode.ADD_LEARNER);
+        Map<String, Boolean> members = member.membersById();
+        for (Map.Entry<String, MemberAnnouncement> announced : announcements.entrySet()) {
+            String endpoint = announced.getValue().endpoint;
+            String current = RaftMember.idOf(members.keySet(), announced.getKey());
+            if (current == null) {
+                changeMembership(endpoint, MembershipChangeMode.ADD_LEARNER);
                 return;
-            } else if (!there.equals(endpoint)) {
-                change(there, MembershipChangeMode.REMOVE_MEMBER);
+            } else if (!current.equals(endpoint)) {
+                changeMembership(current, MembershipChangeMode.REMOVE_MEMBER);
                 return;
-            } else if (!now.get(there)) {
-                change(there, MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER);
+            } else if (!members.get(current)) {
+                changeMembership(current, MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER);
                 return;
             }
         }
     }
 
-    private void change(String endpoint, MembershipChangeMode mode) {
-        changing = true;
-        instance.note("agreement.membership", "member", endpoint, "change", mode);
-        member.change(endpoint, mode).whenComplete((done, failed) -> {
-            changing = false;
+    private void changeMembership(String endpoint, MembershipChangeMode mode) {
+        membershipChangePending = true;
+        host.note("agreement.membership", "member", endpoint, "change", mode);
+        member.changeMembership(endpoint, mode).whenComplete((done, failed) -> {
+            membershipChangePending = false;
             if (failed != null) {
-                instance.note("agreement.membership_failed", "member", endpoint, "why", failed.getMessage());
+                host.note("agreement.membership_failed", "member", endpoint, "why", failed.getMessage());
             }
         });
     }
--- a/src/main/java/yewdock/council/Loop.java
+++ b/src/main/java/yewdock/council/Loop.java
@@ -1,13 +1,10 @@
 package yewdock.council;
 
-/**
- * One loop on one thread, as the council sees it: a monotonic clock and tasks to be done later.
- * Microseconds.
- */
+/** A monotonic clock and delayed tasks on a single thread. All times are in microseconds. */
 public interface Loop {
-    /** The clock, which never goes back and stands for no time of day. */
+    /** The time of a monotonic clock, unrelated to the time of day. */
     long now();
 
-    /** Does this on the loop's thread, after so long at the earliest; in the order of their times. */
-    void after(long micros, Runnable task);
+    /** Runs a task on the scheduler's thread after this delay at the earliest; tasks run in order of time. */
+    void after(long delayMicros, Runnable task);
 }
--- a/src/main/java/yewdock/council/RaftCodec.java
+++ b/src/main/java/yewdock/council/RaftCodec.java
@@ -38,14 +38,14 @@
 import yewdock.wire.Vote;
 import yewdock.wire.Voted;
 
-/** Raft's messages and log entries, to and from the form in which they are sent and stored. */
+/** Converts Raft messages and log entries between the library's types and the protobuf wire and disk form. */
 final class RaftCodec {
     static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
 
     private RaftCodec() {
     }
 
-    // ---- names
+    // ---- members
 
     private static List<String> ids(Collection<RaftEndpoint> endpoints) {
         return endpoints.stream().map(e -> String.valueOf(e.getId())).toList();
@@ -53,7 +53,7 @@
 
     static List<RaftEndpoint> endpoints(Collection<String> ids) {
         List<RaftEndpoint> found = new ArrayList<>();
-        ids.forEach(id -> found.add(new Endpoint(id)));
+        ids.forEach(id -> found.add(new RaftMemberId(id)));
         return found;
     }
 
@@ -62,43 +62,44 @@
                 .addAllVoting(ids(view.getVotingMembers())).build();
     }
 
-    static RaftGroupMembersView members(RaftMembers kept) {
-        return MODEL.createRaftGroupMembersViewBuilder().setLogIndex(kept.getIndex())
-                .setMembers(endpoints(kept.getMembersList()))
-                .setVotingMembers(endpoints(kept.getVotingList())).build();
+    static RaftGroupMembersView members(RaftMembers stored) {
+        return MODEL.createRaftGroupMembersViewBuilder().setLogIndex(stored.getIndex())
+                .setMembers(endpoints(stored.getMembersList()))
+                .setVotingMembers(endpoints(stored.getVotingList())).build();
     }
 
-    // ---- the log
+    // ---- log entries
 
     static RaftEntry entry(LogEntry entry) {
-        RaftEntry.Builder made = RaftEntry.newBuilder().setIndex(entry.getIndex()).setTerm(entry.getTerm());
-        Object what = entry.getOperation();
-        if (what instanceof RuleCommand c) {
-            made.setCommand(c);
-        } else if (what instanceof UpdateRaftGroupMembersOp c) {
-            made.setMembers(MembersChange.newBuilder().addAllMembers(ids(c.getMembers()))
-                    .addAllVoting(ids(c.getVotingMembers())).setEndpoint(String.valueOf(
-                            c.getEndpoint().getId())).setMode(c.getMode().name()));
-        } else if (what instanceof NewTerm) {
-            made.setNewTerm(NewTerm.getDefaultInstance());
+        RaftEntry.Builder builder = RaftEntry.newBuilder().setIndex(entry.getIndex())
+                .setTerm(entry.getTerm());
+        Object operation = entry.getOperation();
+        if (operation instanceof RuleCommand command) {
+            builder.setCommand(command);
+        } else if (operation instanceof UpdateRaftGroupMembersOp change) {
+            builder.setMembers(MembersChange.newBuilder().addAllMembers(ids(change.getMembers()))
+                    .addAllVoting(ids(change.getVotingMembers())).setEndpoint(String.valueOf(
+                            change.getEndpoint().getId())).setMode(change.getMode().name()));
+        } else if (operation instanceof NewTerm) {
+            builder.setNewTerm(NewTerm.getDefaultInstance());
         } else {
-            throw new IllegalArgumentException("an entry that this program doesn't write: " + what);
+            throw new IllegalArgumentException("unsupported log entry: " + operation);
         }
-        return made.build();
+        return builder.build();
     }
 
-    static LogEntry entry(RaftEntry kept) {
-        Object what = switch (kept.getWhatCase()) {
-            case COMMAND -> kept.getCommand();
+    static LogEntry entry(RaftEntry stored) {
+        Object operation = switch (stored.getWhatCase()) {
+            case COMMAND -> stored.getCommand();
             case MEMBERS -> MODEL.createUpdateRaftGroupMembersOpBuilder()
-                    .setMembers(endpoints(kept.getMembers().getMembersList()))
-                    .setVotingMembers(endpoints(kept.getMembers().getVotingList()))
-                    .setEndpoint(new Endpoint(kept.getMembers().getEndpoint()))
-                    .setMode(MembershipChangeMode.valueOf(kept.getMembers().getMode())).build();
+                    .setMembers(endpoints(stored.getMembers().getMembersList()))
+                    .setVotingMembers(endpoints(stored.getMembers().getVotingList()))
+                    .setEndpoint(new RaftMemberId(stored.getMembers().getEndpoint()))
+                    .setMode(MembershipChangeMode.valueOf(stored.getMembers().getMode())).build();
             default -> NewTerm.getDefaultInstance();
         };
-        return MODEL.createLogEntryBuilder().setIndex(kept.getIndex()).setTerm(kept.getTerm())
-                .setOperation(what).build();
+        return MODEL.createLogEntryBuilder().setIndex(stored.getIndex()).setTerm(stored.getTerm())
+                .setOperation(operation).build();
     }
 
     static RaftChunk chunk(SnapshotChunk chunk) {
@@ -108,49 +109,49 @@
                 .build();
     }
 
-    static SnapshotChunk chunk(RaftChunk kept) {
-        return MODEL.createSnapshotChunkBuilder().setIndex(kept.getIndex()).setTerm(kept.getTerm())
-                .setOperation(kept.getRules()).setSnapshotChunkIndex(kept.getChunk())
-                .setSnapshotChunkCount(kept.getChunks()).setGroupMembersView(members(kept.getMembers()))
+    static SnapshotChunk chunk(RaftChunk stored) {
+        return MODEL.createSnapshotChunkBuilder().setIndex(stored.getIndex()).setTerm(stored.getTerm())
+                .setOperation(stored.getRules()).setSnapshotChunkIndex(stored.getChunk())
+                .setSnapshotChunkCount(stored.getChunks()).setGroupMembersView(members(stored.getMembers()))
                 .build();
     }
 
     // ---- messages
 
     static RaftFrame frame(RaftMessage message) {
-        RaftFrame.Builder made = RaftFrame.newBuilder().setGroup(String.valueOf(message.getGroupId()))
+        RaftFrame.Builder builder = RaftFrame.newBuilder().setGroup(String.valueOf(message.getGroupId()))
                 .setSender(String.valueOf(message.getSender().getId())).setTerm(message.getTerm());
         if (message instanceof AppendEntriesRequest m) {
-            made.setAppend(Append.newBuilder().setPreviousTerm(m.getPreviousLogTerm())
+            builder.setAppend(Append.newBuilder().setPreviousTerm(m.getPreviousLogTerm())
                     .setPreviousIndex(m.getPreviousLogIndex()).setCommitIndex(m.getCommitIndex())
                     .addAllEntries(m.getLogEntries().stream().map(RaftCodec::entry).toList())
                     .setQuery(m.getQuerySequenceNumber()).setFlow(m.getFlowControlSequenceNumber()));
         } else if (message instanceof AppendEntriesSuccessResponse m) {
-            made.setAppended(Appended.newBuilder().setLastIndex(m.getLastLogIndex())
+            builder.setAppended(Appended.newBuilder().setLastIndex(m.getLastLogIndex())
                     .setQuery(m.getQuerySequenceNumber()).setFlow(m.getFlowControlSequenceNumber()));
         } else if (message instanceof AppendEntriesFailureResponse m) {
-            made.setAppendFailed(AppendFailed.newBuilder().setExpectedIndex(m.getExpectedNextIndex())
+            builder.setAppendFailed(AppendFailed.newBuilder().setExpectedIndex(m.getExpectedNextIndex())
                     .setQuery(m.getQuerySequenceNumber()).setFlow(m.getFlowControlSequenceNumber()));
         } else if (message instanceof PreVoteRequest m) {
-            made.setPreVote(vote(m.getLastLogTerm(), m.getLastLogIndex(), false));
+            builder.setPreVote(vote(m.getLastLogTerm(), m.getLastLogIndex(), false));
         } else if (message instanceof PreVoteResponse m) {
-            made.setPreVoted(Voted.newBuilder().setGranted(m.isGranted()));
+            builder.setPreVoted(Voted.newBuilder().setGranted(m.isGranted()));
         } else if (message instanceof VoteRequest m) {
-            made.setVote(vote(m.getLastLogTerm(), m.getLastLogIndex(), m.isSticky()));
+            builder.setVote(vote(m.getLastLogTerm(), m.getLastLogIndex(), m.isSticky()));
         } else if (message instanceof VoteResponse m) {
-            made.setVoted(Voted.newBuilder().setGranted(m.isGranted()));
+            builder.setVoted(Voted.newBuilder().setGranted(m.isGranted()));
         } else if (message instanceof TriggerLeaderElectionRequest m) {
-            made.setTrigger(vote(m.getLastLogTerm(), m.getLastLogIndex(), false));
+            builder.setTrigger(vote(m.getLastLogTerm(), m.getLastLogIndex(), false));
         } else if (message instanceof InstallSnapshotRequest m) {
-            made.setInstall(install(m));
+            builder.setInstall(install(m));
         } else if (message instanceof InstallSnapshotResponse m) {
-            made.setInstalled(Installed.newBuilder().setSnapshotIndex(m.getSnapshotIndex())
+            builder.setInstalled(Installed.newBuilder().setSnapshotIndex(m.getSnapshotIndex())
                     .setChunk(m.getRequestedSnapshotChunkIndex()).setQuery(m.getQuerySequenceNumber())
                     .setFlow(m.getFlowControlSequenceNumber()));
         } else {
-            throw new IllegalArgumentException("a message that this program doesn't send: " + message);
+            throw new IllegalArgumentException("unsupported Raft message: " + message);
         }
-        return made.build();
+        return builder.build();
     }
 
     private static Vote vote(int lastTerm, long lastIndex, boolean sticky) {
@@ -158,68 +159,70 @@
     }
 
     private static Install install(InstallSnapshotRequest m) {
-        Install.Builder made = Install.newBuilder().setLeader(m.isSenderLeader())
+        Install.Builder builder = Install.newBuilder().setLeader(m.isSenderLeader())
                 .setSnapshotTerm(m.getSnapshotTerm()).setSnapshotIndex(m.getSnapshotIndex())
                 .setChunks(m.getTotalSnapshotChunkCount()).addAllSnapshotted(ids(m.getSnapshottedMembers()))
                 .setMembers(members(m.getGroupMembersView())).setQuery(m.getQuerySequenceNumber())
                 .setFlow(m.getFlowControlSequenceNumber());
         if (m.getSnapshotChunk() != null) {
-            made.setChunk(chunk(m.getSnapshotChunk()));
+            builder.setChunk(chunk(m.getSnapshotChunk()));
         }
-        return made.build();
+        return builder.build();
     }
 
-    /** The message of a frame; throws IllegalArgumentException for one that this program doesn't know. */
-    static RaftMessage message(RaftFrame f) {
-        Endpoint sender = new Endpoint(f.getSender());
-        String group = f.getGroup();
-        int term = f.getTerm();
-        return switch (f.getWhatCase()) {
+    /** Decodes a message; throws IllegalArgumentException for one that this version doesn't know. */
+    static RaftMessage message(RaftFrame frame) {
+        RaftMemberId sender = new RaftMemberId(frame.getSender());
+        String group = frame.getGroup();
+        int term = frame.getTerm();
+        return switch (frame.getWhatCase()) {
             case APPEND -> MODEL.createAppendEntriesRequestBuilder().setGroupId(group).setSender(sender)
-                    .setTerm(term).setPreviousLogTerm(f.getAppend().getPreviousTerm())
-                    .setPreviousLogIndex(f.getAppend().getPreviousIndex())
-                    .setCommitIndex(f.getAppend().getCommitIndex())
-                    .setLogEntries(f.getAppend().getEntriesList().stream().map(RaftCodec::entry).toList())
-                    .setQuerySequenceNumber(f.getAppend().getQuery())
-                    .setFlowControlSequenceNumber(f.getAppend().getFlow()).build();
+                    .setTerm(term).setPreviousLogTerm(frame.getAppend().getPreviousTerm())
+                    .setPreviousLogIndex(frame.getAppend().getPreviousIndex())
+                    .setCommitIndex(frame.getAppend().getCommitIndex())
+                    .setLogEntries(frame.getAppend().getEntriesList().stream().map(RaftCodec::entry).toList())
+                    .setQuerySequenceNumber(frame.getAppend().getQuery())
+                    .setFlowControlSequenceNumber(frame.getAppend().getFlow()).build();
             case APPENDED -> MODEL.createAppendEntriesSuccessResponseBuilder().setGroupId(group)
-                    .setSender(sender).setTerm(term).setLastLogIndex(f.getAppended().getLastIndex())
-                    .setQuerySequenceNumber(f.getAppended().getQuery())
-                    .setFlowControlSequenceNumber(f.getAppended().getFlow()).build();
+                    .setSender(sender).setTerm(term).setLastLogIndex(frame.getAppended().getLastIndex())
+                    .setQuerySequenceNumber(frame.getAppended().getQuery())
+                    .setFlowControlSequenceNumber(frame.getAppended().getFlow()).build();
             case APPEND_FAILED -> MODEL.createAppendEntriesFailureResponseBuilder().setGroupId(group)
                     .setSender(sender).setTerm(term)
-                    .setExpectedNextIndex(f.getAppendFailed().getExpectedIndex())
-                    .setQuerySequenceNumber(f.getAppendFailed().getQuery())
-                    .setFlowControlSequenceNumber(f.getAppendFailed().getFlow()).build();
+                    .setExpectedNextIndex(frame.getAppendFailed().getExpectedIndex())
+                    .setQuerySequenceNumber(frame.getAppendFailed().getQuery())
+                    .setFlowControlSequenceNumber(frame.getAppendFailed().getFlow()).build();
             case PRE_VOTE -> MODEL.createPreVoteRequestBuilder().setGroupId(group).setSender(sender)
-                    .setTerm(term).setLastLogTerm(f.getPreVote().getLastTerm())
-                    .setLastLogIndex(f.getPreVote().getLastIndex()).build();
+                    .setTerm(term).setLastLogTerm(frame.getPreVote().getLastTerm())
+                    .setLastLogIndex(frame.getPreVote().getLastIndex()).build();
             case PRE_VOTED -> MODEL.createPreVoteResponseBuilder().setGroupId(group).setSender(sender)
-                    .setTerm(term).setGranted(f.getPreVoted().getGranted()).build();
+                    .setTerm(term).setGranted(frame.getPreVoted().getGranted()).build();
             case VOTE -> MODEL.createVoteRequestBuilder().setGroupId(group).setSender(sender).setTerm(term)
-                    .setLastLogTerm(f.getVote().getLastTerm()).setLastLogIndex(f.getVote().getLastIndex())
-                    .setSticky(f.getVote().getSticky()).build();
+                    .setLastLogTerm(frame.getVote().getLastTerm())
+                    .setLastLogIndex(frame.getVote().getLastIndex())
+                    .setSticky(frame.getVote().getSticky()).build();
             case VOTED -> MODEL.createVoteResponseBuilder().setGroupId(group).setSender(sender)
-                    .setTerm(term).setGranted(f.getVoted().getGranted()).build();
+                    .setTerm(term).setGranted(frame.getVoted().getGranted()).build();
             case TRIGGER -> MODEL.createTriggerLeaderElectionRequestBuilder().setGroupId(group)
-                    .setSender(sender).setTerm(term).setLastLogTerm(f.getTrigger().getLastTerm())
-                    .setLastLogIndex(f.getTrigger().getLastIndex()).build();
+                    .setSender(sender).setTerm(term).setLastLogTerm(frame.getTrigger().getLastTerm())
+                    .setLastLogIndex(frame.getTrigger().getLastIndex()).build();
             case INSTALL -> MODEL.createInstallSnapshotRequestBuilder().setGroupId(group).setSender(sender)
-                    .setTerm(term).setSenderLeader(f.getInstall().getLeader())
-                    .setSnapshotTerm(f.getInstall().getSnapshotTerm())
-                    .setSnapshotIndex(f.getInstall().getSnapshotIndex())
-                    .setTotalSnapshotChunkCount(f.getInstall().getChunks())
-                    .setSnapshotChunk(f.getInstall().hasChunk() ? chunk(f.getInstall().getChunk()) : null)
-                    .setSnapshottedMembers(endpoints(f.getInstall().getSnapshottedList()))
-                    .setGroupMembersView(members(f.getInstall().getMembers()))
-                    .setQuerySequenceNumber(f.getInstall().getQuery())
-                    .setFlowControlSequenceNumber(f.getInstall().getFlow()).build();
+                    .setTerm(term).setSenderLeader(frame.getInstall().getLeader())
+                    .setSnapshotTerm(frame.getInstall().getSnapshotTerm())
+                    .setSnapshotIndex(frame.getInstall().getSnapshotIndex())
+                    .setTotalSnapshotChunkCount(frame.getInstall().getChunks())
+                    .setSnapshotChunk(frame.getInstall().hasChunk() ? chunk(frame.getInstall().getChunk())
+                            : null)
+                    .setSnapshottedMembers(endpoints(frame.getInstall().getSnapshottedList()))
+                    .setGroupMembersView(members(frame.getInstall().getMembers()))
+                    .setQuerySequenceNumber(frame.getInstall().getQuery())
+                    .setFlowControlSequenceNumber(frame.getInstall().getFlow()).build();
             case INSTALLED -> MODEL.createInstallSnapshotResponseBuilder().setGroupId(group)
-                    .setSender(sender).setTerm(term).setSnapshotIndex(f.getInstalled().getSnapshotIndex())
-                    .setRequestedSnapshotChunkIndex(f.getInstalled().getChunk())
-                    .setQuerySequenceNumber(f.getInstalled().getQuery())
-                    .setFlowControlSequenceNumber(f.getInstalled().getFlow()).build();
-            default -> throw new IllegalArgumentException("a message of a later program");
+                    .setSender(sender).setTerm(term).setSnapshotIndex(frame.getInstalled().getSnapshotIndex())
+                    .setRequestedSnapshotChunkIndex(frame.getInstalled().getChunk())
+                    .setQuerySequenceNumber(frame.getInstalled().getQuery())
+                    .setFlowControlSequenceNumber(frame.getInstalled().getFlow()).build();
+            default -> throw new IllegalArgumentException("unknown Raft message, sent by a newer version");
         };
     }
 }
--- a/src/main/java/yewdock/council/RaftDisk.java
+++ b/src/main/java/yewdock/council/RaftDisk.java
@@ -26,159 +26,160 @@
 import yewdock.wire.RaftTermKept;
 
 /**
- * A member's log, term, vote and snapshots, on a shelf of their own. What Raft wants kept is on the disk when
- * {@link #flush} returns, in one commit; until then nothing of it is answered.
+ * Stores a member's Raft log, term, vote and snapshots in a store of their own. All that the library has
+ * asked to be persisted is on disk, in one commit, when {@link #flush} returns; the library answers for
+ * none of it before.
  */
 public final class RaftDisk implements RaftStore {
-    private static final String SELF = "self";
-    private static final String FOUNDERS = "founders";
-    private static final String TERM = "term";
-    private static final String DISK = "disk";
-    private static final String ENTRY = "e/";
-    private static final String CHUNK = "s/";
-
-    private static final String TRIED = "tried";
-
-    private final Shelf.Opening opening;
-    private final Shelf shelf;
-    private boolean broken;
+    private static final String SELF_KEY = "self";
+    private static final String FOUNDERS_KEY = "founders";
+    private static final String TERM_KEY = "term";
+    private static final String DISK_NUMBER_KEY = "disk";
+    private static final String ENTRY_PREFIX = "e/";
+    private static final String CHUNK_PREFIX = "s/";
+
+    private static final String WRITE_TEST_KEY = "tried";
+
+    private final Shelf.Opening opener;
+    private final Shelf store;
+    private boolean failed;
     private String number;
-    private Map<String, byte[]> waiting = new HashMap<>();
-    private long first = 1;
-    private long last;
+    private Map<String, byte[]> pending = new HashMap<>();
+    private long firstIndex = 1;
+    private long lastIndex;
     private RestoredRaftState restored;
 
-    /** Opens it, and reads what is there. */
-    public RaftDisk(Shelf.Opening opening) throws IOException {
-        this.opening = opening;
+    /** Opens the store and reads the state in it. */
+    public RaftDisk(Shelf.Opening opener) throws IOException {
+        this.opener = opener;
         try {
-            this.shelf = opening.open();
+            this.store = opener.open();
         } catch (StoreException e) {
-            throw new IOException("the council's log can't be opened: " + e.getMessage(), e);
+            throw new IOException("cannot open the Raft log: " + e.getMessage(), e);
         }
         try {
             restore();
         } catch (IOException e) {
-            shelf.close();
+            store.close();
             throw e;
         }
     }
 
     /**
-     * Whether a write has failed. What Raft holds in memory is more than what is on the disk then: nothing
-     * of it may be told to anybody, and the member has to begin anew from what is there.
+     * Whether a write has failed. The library's state in memory is then ahead of the disk: none of it may be
+     * sent to other members, and this member has to be restarted from what is on the disk.
      */
-    boolean broken() {
-        return broken;
+    boolean failed() {
+        return failed;
     }
 
     /**
-     * The same opened anew, once it takes writes. This one is at its end, and nothing of the member that
-     * had it runs any more; where this fails, it may be tried again.
+     * Closes this store, opens it again and checks that it takes writes. This object and the member that
+     * used it must not be used any more, whatever the outcome; after a failure this may be called again.
      */
-    RaftDisk anew() throws IOException {
-        broken = true;
-        shelf.close();
-        RaftDisk next = new RaftDisk(opening);
+    RaftDisk reopen() throws IOException {
+        failed = true;
+        store.close();
+        RaftDisk next = new RaftDisk(opener);
         try {
-            next.waiting.put(TRIED, new byte[] {1});
+            next.pending.put(WRITE_TEST_KEY, new byte[] {1});
             next.flush();
         } catch (IOException e) {
-            // left open, it would keep the next try out
+            // the store can be open only once: left open, it would make every later attempt fail
             next.close();
             throw e;
         }
         return next;
     }
 
-    /** Closes it. */
+    /** Closes the store. */
     public void close() {
-        shelf.close();
+        store.close();
     }
 
     private void restore() throws IOException {
-        SortedMap<String, byte[]> all = shelf.all();
-        if (all.containsKey(DISK)) {
-            number = new String(all.get(DISK), StandardCharsets.UTF_8);
+        SortedMap<String, byte[]> all = store.all();
+        if (all.containsKey(DISK_NUMBER_KEY)) {
+            number = new String(all.get(DISK_NUMBER_KEY), StandardCharsets.UTF_8);
         }
-        if (!all.containsKey(SELF) || !all.containsKey(FOUNDERS)) {
+        if (!all.containsKey(SELF_KEY) || !all.containsKey(FOUNDERS_KEY)) {
             return;
         }
-        RaftSelf self = RaftSelf.parseFrom(all.get(SELF));
-        RaftMembers founders = RaftMembers.parseFrom(all.get(FOUNDERS));
-        RaftTermKept term = all.containsKey(TERM) ? RaftTermKept.parseFrom(all.get(TERM))
+        RaftSelf self = RaftSelf.parseFrom(all.get(SELF_KEY));
+        RaftMembers founders = RaftMembers.parseFrom(all.get(FOUNDERS_KEY));
+        RaftTermKept term = all.containsKey(TERM_KEY) ? RaftTermKept.parseFrom(all.get(TERM_KEY))
                 : RaftTermKept.getDefaultInstance();
         List<LogEntry> entries = new ArrayList<>();
         TreeMap<Long, List<SnapshotChunk>> chunks = new TreeMap<>();
         for (Map.Entry<String, byte[]> e : all.entrySet()) {
-            if (e.getKey().startsWith(ENTRY)) {
+            if (e.getKey().startsWith(ENTRY_PREFIX)) {
                 entries.add(RaftCodec.entry(RaftEntry.parseFrom(e.getValue())));
-            } else if (e.getKey().startsWith(CHUNK)) {
+            } else if (e.getKey().startsWith(CHUNK_PREFIX)) {
                 SnapshotChunk chunk = RaftCodec.chunk(RaftChunk.parseFrom(e.getValue()));
                 chunks.computeIfAbsent(chunk.getIndex(), i -> new ArrayList<>()).add(chunk);
             }
         }
-        SnapshotEntry snapshot = whole(chunks);
+        SnapshotEntry snapshot = newestCompleteSnapshot(chunks);
         if (snapshot != null) {
             entries.removeIf(e -> e.getIndex() <= snapshot.getIndex());
         }
         if (!entries.isEmpty()) {
-            first = entries.get(0).getIndex();
-            last = entries.get(entries.size() - 1).getIndex();
+            firstIndex = entries.get(0).getIndex();
+            lastIndex = entries.get(entries.size() - 1).getIndex();
         }
         restored = new RestoredRaftState(RaftCodec.MODEL.createRaftEndpointPersistentStateBuilder()
-                .setLocalEndpoint(new Endpoint(self.getName())).setVoting(self.getVoting()).build(),
+                .setLocalEndpoint(new RaftMemberId(self.getName())).setVoting(self.getVoting()).build(),
                 RaftCodec.members(founders), RaftCodec.MODEL.createRaftTermPersistentStateBuilder()
                         .setTerm(term.getTerm()).setVotedFor(term.getVotedFor().isEmpty() ? null
-                                : new Endpoint(term.getVotedFor())).build(), snapshot, entries);
+                                : new RaftMemberId(term.getVotedFor())).build(), snapshot, entries);
     }
 
-    /** The newest snapshot of which every chunk is there; one whose taking was interrupted is none. */
-    private static SnapshotEntry whole(TreeMap<Long, List<SnapshotChunk>> byIndex) {
+    /** The newest snapshot with all of its chunks, or null; one that was interrupted half-way is ignored. */
+    private static SnapshotEntry newestCompleteSnapshot(TreeMap<Long, List<SnapshotChunk>> byIndex) {
         for (List<SnapshotChunk> chunks : byIndex.descendingMap().values()) {
-            SnapshotChunk one = chunks.get(0);
-            if (chunks.size() == one.getSnapshotChunkCount()) {
-                return RaftCodec.MODEL.createSnapshotEntryBuilder().setIndex(one.getIndex())
-                        .setTerm(one.getTerm()).setSnapshotChunks(chunks)
-                        .setGroupMembersView(one.getGroupMembersView()).build();
+            SnapshotChunk chunk = chunks.get(0);
+            if (chunks.size() == chunk.getSnapshotChunkCount()) {
+                return RaftCodec.MODEL.createSnapshotEntryBuilder().setIndex(chunk.getIndex())
+                        .setTerm(chunk.getTerm()).setSnapshotChunks(chunks)
+                        .setGroupMembersView(chunk.getGroupMembersView()).build();
             }
         }
         return null;
     }
 
-    /** What an earlier process of this member left; null where there was none. */
+    /** The state that an earlier process of this member has left; null if there is none. */
     RestoredRaftState restored() {
         return restored;
     }
 
-    /** The disk's own number; a fresh one where it has none yet. */
+    /** The number that identifies this disk; if it has none yet, the given one is stored and returned. */
     String number(String fresh) throws IOException {
         if (number == null) {
             number = fresh;
-            waiting.put(DISK, fresh.getBytes(StandardCharsets.UTF_8));
+            pending.put(DISK_NUMBER_KEY, fresh.getBytes(StandardCharsets.UTF_8));
             flush();
         }
         return number;
     }
 
-    // ---- what Raft has kept
+    // ---- RaftStore: called by the library
 
     @Override
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState self) throws IOException {
-        put(SELF, RaftSelf.newBuilder().setName(String.valueOf(self.getLocalEndpoint().getId()))
+        put(SELF_KEY, RaftSelf.newBuilder().setName(String.valueOf(self.getLocalEndpoint().getId()))
                 .setVoting(self.isVoting()).build());
         flush();
     }
 
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView founders) throws IOException {
-        put(FOUNDERS, RaftCodec.members(founders));
+        put(FOUNDERS_KEY, RaftCodec.members(founders));
         flush();
     }
 
     @Override
     public void persistAndFlushTerm(RaftTermPersistentState term) throws IOException {
-        put(TERM, RaftTermKept.newBuilder().setTerm(term.getTerm()).setVotedFor(term.getVotedFor() == null
+        put(TERM_KEY, RaftTermKept.newBuilder().setTerm(term.getTerm()).setVotedFor(term.getVotedFor() == null
                 ? "" : String.valueOf(term.getVotedFor().getId())).build());
         flush();
     }
@@ -187,7 +188,7 @@
     public void persistLogEntries(List<LogEntry> entries) {
         for (LogEntry e : entries) {
             put(key(e.getIndex()), RaftCodec.entry(e));
-            last = Math.max(last, e.getIndex());
+            lastIndex = Math.max(lastIndex, e.getIndex());
         }
     }
 
@@ -198,53 +199,53 @@
 
     @Override
     public void truncateLogEntriesFrom(long from) {
-        for (long i = Math.max(from, first); i <= last; i++) {
-            waiting.put(key(i), null);
+        for (long i = Math.max(from, firstIndex); i <= lastIndex; i++) {
+            pending.put(key(i), null);
         }
-        last = Math.min(last, from - 1);
+        lastIndex = Math.min(lastIndex, from - 1);
     }
 
     @Override
     public void truncateLogEntriesUntil(long until) {
-        for (long i = first; i <= Math.min(until, last); i++) {
-            waiting.put(key(i), null);
+        for (long i = firstIndex; i <= Math.min(until, lastIndex); i++) {
+            pending.put(key(i), null);
         }
-        first = Math.max(first, until + 1);
-        last = Math.max(last, until);
+        firstIndex = Math.max(firstIndex, until + 1);
+        lastIndex = Math.max(lastIndex, until);
     }
 
     @Override
     public void deleteSnapshotChunks(long index, int count) {
         for (int i = 0; i < count; i++) {
-            waiting.put(key(index, i), null);
+            pending.put(key(index, i), null);
         }
     }
 
     @Override
     public void flush() throws IOException {
-        if (waiting.isEmpty()) {
+        if (pending.isEmpty()) {
             return;
         }
-        Map<String, byte[]> changes = waiting;
-        waiting = new HashMap<>();
+        Map<String, byte[]> changes = pending;
+        pending = new HashMap<>();
         try {
-            shelf.write(changes);
+            store.write(changes);
         } catch (StoreException e) {
-            broken = true;
-            throw new IOException("the council's log can't be kept: " + e.getMessage(), e);
+            failed = true;
+            throw new IOException("cannot write the Raft log: " + e.getMessage(), e);
         }
     }
 
     private void put(String key, Message message) {
-        waiting.put(key, message.toByteArray());
+        pending.put(key, message.toByteArray());
     }
 
     private static String key(long index) {
-        return String.format("%s%016x", ENTRY, index);
+        return String.format("%s%016x", ENTRY_PREFIX, index);
     }
 
     private static String key(long index, int chunk) {
-        return String.format("%s%016x/%08x", CHUNK, index, chunk);
+        return String.format("%s%016x/%08x", CHUNK_PREFIX, index, chunk);
     }
 
 }
--- a/src/test/java/yewdock/council/CouncilSimTest.java
+++ b/src/test/java/yewdock/council/CouncilSimTest.java
@@ -17,18 +17,18 @@
 import yewdock.wire.RaftFrame;
 
 class CouncilSimTest {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
 
     @Test
-    void aCouncilIsFoundedAndAgreesOnAChange() {
+    void aGroupIsFoundedAndCommitsAChange() {
         CouncilSim sim = new CouncilSim(3, 2, 1, Plant.NONE);
-        sim.run(5 * SECOND);
+        sim.run(5 * SECOND_MICROS);
         assertNotNull(sim.leader(), sim.judge().notes().toString());
         for (int i = 0; i < sim.size(); i++) {
             assertTrue(sim.host(i).council().holds(), sim.host(i).name());
         }
         sim.propose(sim.host(4));
-        sim.run(SECOND);
+        sim.run(SECOND_MICROS);
         assertEquals(1, sim.judge().forced());
         for (int i = 0; i < sim.size(); i++) {
             assertEquals(1, sim.host(i).council().held().revision(), sim.host(i).name());
@@ -37,30 +37,31 @@
     }
 
     /**
-     * The library forgot to ask for votes, at two of three members at once: seed 874, before they began
-     * anew.
+     * The Raft library can stop calling elections; with seed 874 it did at two of three members at once.
+     * Members without a leader have to restart themselves.
      */
     @Test
-    void membersWhomNobodyLeadsFindALeader() {
-        CouncilSim sim = troubled(3, 3, 874, Plant.NONE);
+    void membersWithoutALeaderElectOne() {
+        CouncilSim sim = simulateFaults(3, 3, 874, Plant.NONE);
         assertNotNull(sim.leader(), sim.judge().notes().toString());
         assertTrue(sim.judge().notes().containsKey("agreement.nobody_leads"));
     }
 
-    private static CouncilSim troubled(int members, int followers, long seed, Plant plant) {
+    /** Runs a simulation with 20 s of faults, and 15 s without to recover. */
+    private static CouncilSim simulateFaults(int members, int followers, long seed, Plant plant) {
         CouncilSim sim = new CouncilSim(members, followers, seed, plant);
-        sim.run(5 * SECOND);
-        sim.trouble(20 * SECOND);
-        sim.run(15 * SECOND);
+        sim.run(5 * SECOND_MICROS);
+        sim.trouble(20 * SECOND_MICROS);
+        sim.run(15 * SECOND_MICROS);
         return sim;
     }
 
     @Test
-    void troublesBreakNothing() {
+    void faultsViolateNoInvariant() {
         int forced = 0;
         long behind = 0;
         for (int seed = 1; seed <= 60; seed++) {
-            CouncilSim sim = troubled(seed % 2 == 0 ? 3 : 5, 3, seed, Plant.NONE);
+            CouncilSim sim = simulateFaults(seed % 2 == 0 ? 3 : 5, 3, seed, Plant.NONE);
             assertNotNull(sim.leader(), "seed " + seed + " " + sim.judge().notes());
             sim.judge().nothingLost(sim.leader().council().agreed());
             assertEquals(List.of(), sim.judge().broken(), "seed " + seed);
@@ -72,17 +73,15 @@
             behind = Math.max(behind, sim.judge().longestBehind());
         }
         assertTrue(forced > 500, "changes in force: " + forced);
-        assertTrue(behind > SECOND, "nobody was ever behind: " + behind);
+        assertTrue(behind > SECOND_MICROS, "no router was ever behind: " + behind);
     }
 
-    /**
-     * A judge that sees nothing proves nothing: each of these is a mistake that the runs above could hide.
-     */
+    /** Checks the judge itself: it has to detect each of these faults that are injected on purpose. */
     @ParameterizedTest
     @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-    void eachPlantedFaultIsSeen(Plant plant) {
+    void everyInjectedFaultIsDetected(Plant plant) {
         for (int seed = 1; seed <= 60; seed++) {
-            CouncilSim sim = troubled(3, 3, seed, plant);
+            CouncilSim sim = simulateFaults(3, 3, seed, plant);
             if (sim.leader() != null) {
                 sim.judge().nothingLost(sim.leader().council().agreed());
             }
@@ -91,87 +90,87 @@
                 return;
             }
         }
-        fail(plant + " was not seen in 60 seeds");
+        fail(plant + " was not detected in 60 seeds");
     }
 
-    /** Else a leader could count an answer to a round of an earlier term for one that it begins now. */
+    /** A leader could otherwise take a response to a round of an earlier term for one to its current round. */
     @Test
-    void aLateAnswerOfAnEarlierTermIsNotTaken() {
+    void responsesOfAnEarlierTermAreDropped() {
         RaftFrame.Builder frame = RaftFrame.newBuilder().setTerm(3);
-        assertTrue(Member.outdated(frame.setAppended(Appended.getDefaultInstance()).build(), 4));
-        assertFalse(Member.outdated(frame.build(), 3));
-        assertFalse(Member.outdated(frame.build(), 2));
-        assertFalse(Member.outdated(frame.setAppend(Append.getDefaultInstance()).build(), 4));
+        assertTrue(RaftMember.isOutdatedResponse(frame.setAppended(Appended.getDefaultInstance()).build(),
+                4));
+        assertFalse(RaftMember.isOutdatedResponse(frame.build(), 3));
+        assertFalse(RaftMember.isOutdatedResponse(frame.build(), 2));
+        assertFalse(RaftMember.isOutdatedResponse(frame.setAppend(Append.getDefaultInstance()).build(), 4));
     }
 
     @Test
-    void aRouterWhoseListIsBehindIsToldOncePerVersion() {
+    void aRouterWithAnOutdatedEndpointListIsToldOncePerVersion() {
         CouncilSim sim = new CouncilSim(3, 2, 1, Plant.NONE);
-        sim.run(5 * SECOND);
+        sim.run(5 * SECOND_MICROS);
         for (int i = 0; i < 5; i++) {
             sim.host(i).council().actsOn("list", i == 4 ? 6 : 7);
         }
-        sim.run(SECOND);
+        sim.run(SECOND_MICROS);
         assertEquals(1, sim.listsCaughtUp());
         sim.host(2).council().actsOn("list", 8);
-        sim.run(SECOND);
+        sim.run(SECOND_MICROS);
         assertEquals(5, sim.listsCaughtUp());
     }
 
     /**
-     * The service starts anew and counts from below: what the others hold of its earlier life is no newer.
+     * A discovery service that restarts counts from a lower version: versions that routers still hold from
+     * before the restart must not count as newer, or the list would be requested forever.
      */
     @Test
-    void aListThatStartsAnewIsNotAskedForWithoutEnd() {
-        Lists lists = new Lists();
-        lists.heard("a", "x", 100);
-        lists.heard("b", "x", 100);
-        lists.heard("c", "y", 300);
-        lists.heard("a", "x", 5);
+    void versionsFromBeforeARestartOfDiscoveryAreNotNewer() {
+        EndpointListTracker lists = new EndpointListTracker();
+        lists.report("a", "x", 100);
+        lists.report("b", "x", 100);
+        lists.report("c", "y", 300);
+        lists.report("a", "x", 5);
         assertEquals(5, lists.newest("x"));
-        lists.heard("b", "x", 100);
+        lists.report("b", "x", 100);
         assertEquals(5, lists.newest("x"));
-        lists.heard("b", "x", 6);
+        lists.report("b", "x", 6);
         assertEquals(6, lists.newest("x"));
         assertEquals(-1, lists.newest("z"));
     }
 
-    /**
-     * A member whose disk is full votes for nothing; the others go on, and it does when there is room again.
-     */
+    /** A member with a full disk doesn't vote; the others go on, and it rejoins once there is space again. */
     @Test
-    void aMemberWithoutRoomOnItsDiskComesBackByItself() {
+    void aMemberWithAFullDiskRecoversByItself() {
         for (int one = 0; one < 3; one++) {
             CouncilSim sim = new CouncilSim(3, 1, one + 1, Plant.NONE);
-            sim.run(5 * SECOND);
+            sim.run(5 * SECOND_MICROS);
             sim.host(one).full(true);
             sim.propose(sim.host(3));
-            sim.run(8 * SECOND);
+            sim.run(8 * SECOND_MICROS);
             sim.propose(sim.host(3));
-            sim.run(4 * SECOND);
+            sim.run(4 * SECOND_MICROS);
             assertTrue(sim.judge().forced() >= 1, "the others did not go on without " + one);
             assertTrue(sim.host(3).council().holds());
             sim.host(one).full(false);
-            sim.run(8 * SECOND);
+            sim.run(8 * SECOND_MICROS);
             assertEquals(sim.leader().council().agreed().chain(), sim.host(one).council().agreed().chain());
             assertEquals(List.of(), sim.judge().broken());
         }
     }
 
-    /** It forgot what it voted: it has to ask to be taken in, and votes as another member then. */
+    /** Such a member has forgotten its votes: it has to rejoin, and votes under a new member id. */
     @Test
-    void aMemberThatLostItsDiskIsTakenInAnew() {
+    void aMemberThatLostItsDiskRejoins() {
         for (int seed = 1; seed <= 10; seed++) {
             CouncilSim sim = new CouncilSim(3, 1, seed, Plant.NONE);
-            sim.run(5 * SECOND);
+            sim.run(5 * SECOND_MICROS);
             for (int i = 0; i < 6; i++) {
                 CouncilSim.Host one = sim.host((seed + i) % 3);
                 one.wipe();
                 sim.propose(sim.host(3));
-                sim.run(SECOND / 2);
+                sim.run(SECOND_MICROS / 2);
                 one.start();
                 sim.propose(sim.host(3));
-                sim.run(8 * SECOND);
+                sim.run(8 * SECOND_MICROS);
                 assertTrue(one.council().votes(), "seed " + seed + " round " + i + " " + sim.judge().notes());
             }
             sim.judge().nothingLost(sim.leader().council().agreed());
@@ -179,38 +178,39 @@
         }
     }
 
-    /** Without a majority nobody acts by rules that others may have changed; with one again all do. */
+    /** Without a majority every lease expires, so no router acts on rules that others may have changed. */
     @Test
-    void withoutAMajorityAllAreInDoubtWithinTheStatedTime() {
+    void withoutAMajorityAllLeasesExpireInTime() {
         CouncilSim sim = new CouncilSim(3, 2, 1, Plant.NONE);
-        sim.run(5 * SECOND);
+        sim.run(5 * SECOND_MICROS);
         sim.host(0).kill();
         sim.host(1).kill();
-        sim.run(3 * SECOND);
+        sim.run(3 * SECOND_MICROS);
         for (int i = 2; i < 5; i++) {
             assertFalse(sim.host(i).council().holds(), sim.host(i).name());
         }
         sim.heal();
-        sim.run(5 * SECOND);
+        sim.run(5 * SECOND_MICROS);
         for (int i = 0; i < 5; i++) {
             assertTrue(sim.host(i).council().holds(), sim.host(i).name());
         }
     }
 
-    /** The others don't wait for a router that is cut off longer than its lease, and it refuses by then. */
+    /** A change waits for a partitioned router only until its lease has expired; that router then refuses. */
     @Test
-    void aRouterThatIsCutOffHoldsAChangeUpForOneLeaseAtMost() {
+    void aPartitionedRouterDelaysAChangeByOneLeaseAtMost() {
         CouncilSim sim = new CouncilSim(3, 2, 1, Plant.NONE);
-        sim.run(5 * SECOND);
+        sim.run(5 * SECOND_MICROS);
         sim.propose(sim.host(3));
-        sim.run(SECOND / 2);
+        sim.run(SECOND_MICROS / 2);
         assertEquals(1, sim.judge().forced());
-        assertTrue(sim.judge().timesToForce().get(0) < SECOND / 10, sim.judge().timesToForce().toString());
+        assertTrue(sim.judge().timesToForce().get(0) < SECOND_MICROS / 10,
+                sim.judge().timesToForce().toString());
         sim.cutOff(sim.host(4), true, true);
         sim.propose(sim.host(3));
-        sim.run(2 * SECOND);
+        sim.run(2 * SECOND_MICROS);
         assertEquals(1, sim.judge().forced());
-        sim.run(SECOND);
+        sim.run(SECOND_MICROS);
         assertEquals(2, sim.judge().forced());
         assertFalse(sim.host(4).council().holds());
         assertEquals(List.of(), sim.judge().broken());
--- a/src/test/java/yewdock/council/RaftDiskTest.java
+++ b/src/test/java/yewdock/council/RaftDiskTest.java
@@ -16,84 +16,84 @@
 import yewdock.store.StoreException;
 
 class RaftDiskTest {
-    private boolean shut;
+    private boolean failing;
 
-    /** A folder can be open once: a try that failed and kept it open would keep out every later one. */
+    /** A folder can be open only once: a failed attempt that kept it open would make every later one fail. */
     @Test
-    void aDiskThatCannotBeOpenedOrWrittenIsTriedAgainUntilItCan(@TempDir Path folder) throws Exception {
+    void reopeningIsRetriedUntilTheDiskWorks(@TempDir Path folder) throws Exception {
         RaftDisk first = new RaftDisk(() -> {
-            if (shut) {
+            if (failing) {
                 throw new StoreException(StoreException.Kind.UNWRITABLE, "no room");
             }
             return Store.open(folder);
         });
         String number = first.number("a");
-        shut = true;
-        assertThrows(IOException.class, first::anew);
-        assertTrue(first.broken(), "a member without a disk would take itself for a new one");
-        assertThrows(IOException.class, first::anew);
-        shut = false;
-        RaftDisk second = first.anew();
-        assertFalse(second.broken());
+        failing = true;
+        assertThrows(IOException.class, first::reopen);
+        assertTrue(first.failed(), "a member without a disk must not pass for a new one");
+        assertThrows(IOException.class, first::reopen);
+        failing = false;
+        RaftDisk second = first.reopen();
+        assertFalse(second.failed());
         assertEquals(number, second.number("b"));
-        RaftDisk third = second.anew();
+        RaftDisk third = second.reopen();
         assertEquals(number, third.number("c"));
         third.close();
     }
 
-    /** What was opened for a try is closed again when its write fails. */
+    /** The store opened by an attempt is closed again when the attempt's write fails. */
     @Test
-    void aTryWhoseWriteFailsLeavesNothingOpen(@TempDir Path folder) throws Exception {
-        int[] open = {0};
-        RaftDisk first = new RaftDisk(() -> new Counted(Store.open(folder), open));
-        shut = true;
-        assertThrows(IOException.class, first::anew);
-        assertEquals(0, open[0]);
-        shut = false;
-        first.anew().close();
-        assertEquals(0, open[0]);
+    void anAttemptWhoseWriteFailsLeavesNothingOpen(@TempDir Path folder) throws Exception {
+        int[] openStores = {0};
+        RaftDisk first = new RaftDisk(() -> new CountingStore(Store.open(folder), openStores));
+        failing = true;
+        assertThrows(IOException.class, first::reopen);
+        assertEquals(0, openStores[0]);
+        failing = false;
+        first.reopen().close();
+        assertEquals(0, openStores[0]);
     }
 
-    /** A shelf that counts itself, and takes no write while shut. */
-    private final class Counted implements Shelf {
-        private final Shelf shelf;
-        private final int[] count;
+    /** A store that counts open stores and fails every write while {@link #failing}. */
+    private final class CountingStore implements Shelf {
+        private final Shelf store;
+        private final int[] openStores;
         private boolean isOpen = true;
 
-        Counted(Shelf shelf, int[] count) {
-            this.shelf = shelf;
-            this.count = count;
-            count[0]++;
+        CountingStore(Shelf store, int[] openStores) {
+            this.store = store;
+            this.openStores = openStores;
+            openStores[0]++;
         }
 
         @Override
         public SortedMap<String, byte[]> all() {
-            return shelf.all();
+            return store.all();
         }
 
         @Override
         public long write(Map<String, byte[]> changes) throws StoreException {
-            if (shut) {
+            if (failing) {
                 throw new StoreException(StoreException.Kind.UNWRITABLE, "no room");
             }
-            return shelf.write(changes);
+            return store.write(changes);
         }
 
         @Override
         public void tidy(int mostMillis) throws StoreException {
-            shelf.tidy(mostMillis);
+            store.tidy(mostMillis);
         }
 
         @Override
         public long bytes() {
-            return shelf.bytes();
+            return store.bytes();
         }
 
         @Override
         public void close() {
-            count[0] -= isOpen ? 1 : 0;
+            openStores[0] -= isOpen ? 1 : 0;
             isOpen = false;
-            shelf.close();
+            store.close();
         }
     }
 }
