--- a/src/main/java/yewdock/lease/Grants.java
+++ b/src/main/java/yewdock/lease/Grants.java
@@ -6,132 +6,137 @@
 import java.util.Map;
 
 /**
- * The leases that a council's leader grants, and when a prepared change may take force: when every router
- * that could still act without knowing of it has said that it knows, or its lease has run out. Pure: times
- * of the leader's monotonic clock go in.
+ * Grants leases on the consensus leader, and decides when a prepared change may take effect: once every
+ * router that could still act without knowing of it has reported that it knows, or its lease has expired.
+ * No I/O; all times are microseconds of the leader's monotonic clock.
  *
- * <p>A lease is granted only to a router that holds the last prepared change, and only once a majority has
- * confirmed the leader after the call came. So whoever holds a lease from a moment after a change was
- * prepared knows of it, and all other leases are over one length after that. A leader that took over less
- * than one length ago doesn't know who holds leases, and lets that length pass.
+ * <p>A lease is granted only to a router that has the last prepared change, and only after a majority has
+ * confirmed the leader in a round that began after the request arrived. So a router whose lease began after
+ * a change was prepared knows of that change, and every other lease has expired one lease length later. A
+ * new leader doesn't know who holds leases, so it waits for one lease length first.
  */
 public final class Grants {
     private final LeaseTerms terms;
-    private final Map<String, Holder> holders = new HashMap<>();
-    private final Map<String, Long> seen = new HashMap<>();
+    private final Map<String, LeaseHolder> leases = new HashMap<>();
+    private final Map<String, Long> pendingSince = new HashMap<>();
     private List<Ask> waiting = new ArrayList<>();
-    private List<Ask> confirming = List.of();
+    private List<Ask> inConfirmation = List.of();
     private boolean leading;
-    private long since;
+    private long leaderSince;
 
-    /** A process of a router; another process of the same router is another holder. */
-    private record Holder(long step, long expires) {
+    /** The lease of one process of a router; another process of the same router has a lease of its own. */
+    private record LeaseHolder(long step, long expiresAt) {
     }
 
     /**
-     * A router's call.
+     * A router's request for a lease.
      *
-     * @param router its name
-     * @param incarnation which process of it
-     * @param number the call's number
-     * @param step the step of the rules that all its parts have taken up
+     * @param router the name of the instance
+     * @param incarnation identifies the process of that instance
+     * @param number the number of the request
+     * @param step the step of the rules that every part of the router applies
      */
     public record Ask(String router, long incarnation, long number, long step) {
-        private String holder() {
+        private String processId() {
             return router + "/" + incarnation;
         }
     }
 
+    /** A grantor that does not lead yet. */
     public Grants(LeaseTerms terms) {
         this.terms = terms;
     }
 
-    /** This instance leads from now on. */
+    /** This instance has become the leader. */
     public void leads(long now) {
         leading = true;
-        since = now;
-        holders.clear();
-        forgetCalls();
+        leaderSince = now;
+        leases.clear();
+        dropRequests();
     }
 
-    /** It leads no more: it grants nothing, and what it knows of leases is worth nothing. */
+    /** This instance is not the leader any more: it grants nothing and forgets the leases it knew of. */
     public void follows() {
         leading = false;
-        holders.clear();
-        forgetCalls();
+        leases.clear();
+        dropRequests();
     }
 
-    private void forgetCalls() {
+    private void dropRequests() {
         waiting.clear();
-        confirming = List.of();
+        inConfirmation = List.of();
     }
 
-    /** A router asks; answered once a majority has confirmed the leader, in a round that begins later. */
-    public void asked(Ask ask) {
+    /** Queues a request, to be granted after a confirmation round that begins later than now. */
+    public void asked(Ask request) {
         if (leading) {
-            waiting.add(ask);
+            waiting.add(request);
         }
     }
 
-    /** Whether a round of confirming is worth beginning; then it has begun with all that wait. */
+    /** Begins a confirmation round for all queued requests; false if there are none or one is in progress. */
     public boolean beginRound() {
-        if (!leading || !confirming.isEmpty() || waiting.isEmpty()) {
+        if (!leading || !inConfirmation.isEmpty() || waiting.isEmpty()) {
             return false;
         }
-        confirming = waiting;
+        inConfirmation = waiting;
         waiting = new ArrayList<>();
         return true;
     }
 
-    /** The round has failed: its routers ask again by themselves. */
+    /** The round has failed: its requests are dropped, as routers repeat them by themselves. */
     public void roundFailed() {
-        confirming = List.of();
+        inConfirmation = List.of();
     }
 
     /**
-     * The round has confirmed the leader. Returns the calls that are granted.
+     * The round has confirmed the leader. Returns the requests that are granted.
      *
-     * @param lastPrepared the step of the last change that was prepared, as the leader's rules have it now
+     * @param lastPrepared the step at which a change was last prepared, in the leader's rules as of now
+     * @param now the time in microseconds
      */
     public List<Ask> confirmed(long lastPrepared, long now) {
         List<Ask> granted = new ArrayList<>();
         if (leading) {
-            for (Ask ask : confirming) {
-                if (ask.step >= lastPrepared) {
-                    holders.put(ask.holder(), new Holder(ask.step, now + terms.runOut()));
-                    granted.add(ask);
+            for (Ask request : inConfirmation) {
+                if (request.step >= lastPrepared) {
+                    leases.put(request.processId(), new LeaseHolder(request.step, now + terms.runOut()));
+                    granted.add(request);
                 }
             }
         }
-        confirming = List.of();
+        inConfirmation = List.of();
         return granted;
     }
 
     /**
-     * Which changes may take force now. Every instance calls it with what its rules have under way, leader
-     * or not: the time from which a change was known here is what a leader goes by that has just taken
-     * over.
+     * The ids of the pending changes that may take effect now; empty unless this instance leads. Members that
+     * don't lead call it too: a new leader needs to know since when it has seen each change pending.
+     *
+     * @param pendingSteps the steps at which the pending changes were prepared, by id
+     * @param now the time in microseconds
      */
-    public List<String> due(Map<String, Long> underWay, long now) {
-        seen.keySet().retainAll(underWay.keySet());
-        underWay.keySet().forEach(id -> seen.putIfAbsent(id, now));
-        holders.values().removeIf(h -> h.expires <= now);
+    public List<String> due(Map<String, Long> pendingSteps, long now) {
+        pendingSince.keySet().retainAll(pendingSteps.keySet());
+        pendingSteps.keySet().forEach(id -> pendingSince.putIfAbsent(id, now));
+        leases.values().removeIf(lease -> lease.expiresAt <= now);
         List<String> due = new ArrayList<>();
         if (!leading) {
             return due;
         }
-        boolean knowsHolders = now - since >= terms.runOut();
-        underWay.forEach((id, step) -> {
-            boolean allKnow = knowsHolders && holders.values().stream().allMatch(h -> h.step >= step);
-            if (allKnow || now - seen.get(id) >= terms.runOut()) {
+        boolean knowsAllLeases = now - leaderSince >= terms.runOut();
+        pendingSteps.forEach((id, step) -> {
+            boolean allKnow = knowsAllLeases && leases.values().stream()
+                    .allMatch(lease -> lease.step >= step);
+            if (allKnow || now - pendingSince.get(id) >= terms.runOut()) {
                 due.add(id);
             }
         });
         return due;
     }
 
-    /** How many leases may be held. */
+    /** The number of leases that may still be valid. */
     public int holders() {
-        return holders.size();
+        return leases.size();
     }
 }
--- a/src/main/java/yewdock/lease/Lease.java
+++ b/src/main/java/yewdock/lease/Lease.java
@@ -3,46 +3,49 @@
 import java.util.ArrayDeque;
 
 /**
- * A router's lease: until when it may act by what it holds. Counted from the sending of the call that was
- * granted, so neither the way nor the council's clock has a say. Pure: times of one monotonic clock go in.
+ * A router's lease: the time until which it may act on its rules. It runs from when the granted request was
+ * sent, so neither network delay nor the leader's clock matters. No I/O; all times are microseconds of one
+ * monotonic clock.
  */
 public final class Lease {
     private final LeaseTerms terms;
-    private final ArrayDeque<Call> calls = new ArrayDeque<>();
-    private long numbers;
-    private long until = Long.MIN_VALUE;
+    private final ArrayDeque<SentRequest> sentRequests = new ArrayDeque<>();
+    private long lastNumber;
+    private long expiresAt = Long.MIN_VALUE;
 
-    private record Call(long number, long sentAt) {
+    /** A request that has not been answered yet. */
+    private record SentRequest(long number, long sentAt) {
     }
 
+    /** A lease that has not been granted yet. */
     public Lease(LeaseTerms terms) {
         this.terms = terms;
     }
 
-    /** A call for a lease goes out now; returns its number. */
+    /** Records that a lease request is sent now; returns its number. */
     public long asks(long now) {
-        calls.removeIf(c -> now - c.sentAt >= terms.length());
-        calls.add(new Call(++numbers, now));
-        return numbers;
+        sentRequests.removeIf(request -> now - request.sentAt >= terms.length());
+        sentRequests.add(new SentRequest(++lastNumber, now));
+        return lastNumber;
     }
 
-    /** The call of this number is granted; a second time, or too late, it changes nothing. */
+    /** The request with this number was granted; has no effect if repeated or too late. */
     public void granted(long number) {
-        for (Call c : calls) {
-            if (c.number == number) {
-                until = Math.max(until, c.sentAt + terms.length());
+        for (SentRequest request : sentRequests) {
+            if (request.number == number) {
+                expiresAt = Math.max(expiresAt, request.sentAt + terms.length());
             }
         }
-        calls.removeIf(c -> c.number <= number);
+        sentRequests.removeIf(request -> request.number <= number);
     }
 
-    /** The first moment at which it may act no more. */
+    /** The first time at which the router may not act any more; Long.MIN_VALUE if never granted. */
     public long until() {
-        return until;
+        return expiresAt;
     }
 
-    /** To be asked at each decision, with the clock read for it: a timer may come late. */
+    /** Whether the lease is valid. Call it for each decision with the current time, as timers may be late. */
     public boolean holds(long now) {
-        return now < until;
+        return now < expiresAt;
     }
 }
--- a/src/main/java/yewdock/lease/LeaseTerms.java
+++ b/src/main/java/yewdock/lease/LeaseTerms.java
@@ -1,35 +1,41 @@
 package yewdock.lease;
 
 /**
- * How long a lease is, and how far clocks may drift. Times are microseconds.
+ * The length of leases and the assumed bound on clock drift. Times are in microseconds.
  *
- * @param length a router acts by what it holds for so long after it asked, on its own monotonic clock
- * @param drift no clock gains or loses more than this part of the time that passes
+ * @param length how long after it sent its request a router may act, on its own monotonic clock
+ * @param drift the largest rate at which a clock may gain or lose time, as a fraction of the elapsed time
  */
 public record LeaseTerms(long length, double drift) {
-    /** Of the stated time this part is the lease; the rest is for clocks that drift and for looking late. */
-    private static final double PART = 0.8;
-    /** A lease is renewed so many times in its length. */
-    private static final int RENEWALS = 6;
+    /** The part of the stated time that leases last; the rest allows for clock drift and late checks. */
+    private static final double LEASE_FRACTION = 0.8;
+    /** How many renewals are sent per lease length. */
+    private static final int RENEWALS_PER_LEASE = 6;
 
     public LeaseTerms {
         if (length <= 0 || drift < 0 || drift > 0.01) {
-            throw new IllegalArgumentException("a lease of " + length + " us, clocks that drift by " + drift);
+            throw new IllegalArgumentException("invalid lease length " + length + " us or clock drift "
+                    + drift);
         }
     }
 
-    /** The terms that keep a stated time. */
+    /**
+     * Timing with which a change takes effect, or a partitioned router stops acting, within the stated time.
+     *
+     * @param agreedWithin the stated time in microseconds
+     * @param drift the bound on clock drift
+     */
     public static LeaseTerms within(long agreedWithin, double drift) {
-        return new LeaseTerms((long) (agreedWithin * PART), drift);
+        return new LeaseTerms((long) (agreedWithin * LEASE_FRACTION), drift);
     }
 
-    /** So long on one clock, and a lease that another clock measures is surely over. */
+    /** How long to wait on one clock until a lease measured by another clock has surely expired. */
     public long runOut() {
         return (long) Math.ceil(length * (1 + drift) / (1 - drift)) + 1;
     }
 
-    /** How often a router asks. */
+    /** The interval between renewals. */
     public long renewEvery() {
-        return length / RENEWALS;
+        return length / RENEWALS_PER_LEASE;
     }
 }
--- a/src/main/java/yewdock/rules/Kind.java
+++ b/src/main/java/yewdock/rules/Kind.java
@@ -3,14 +3,14 @@
 import yewdock.wire.RuleValue;
 
 /**
- * The kinds of rules, in one table: what a value may be, which value every other one is compatible with,
- * and whether a router that is in doubt may go on.
+ * The kinds of rules: which values a rule of each kind may have, which value is applied while a change is
+ * pending, and whether a router without a valid lease may go on by the last known value.
  *
- * <p>Between a change's preparing and its force a router acts by {@link #between}: by nothing that the old
- * or the new value would contradict.
+ * <p>From the time a change is prepared until it takes effect, a router applies {@link #between}, which
+ * contradicts neither the old nor the new value.
  */
 public enum Kind {
-    /** A box that gets no new work by agreement. Compatible: to send it nothing. */
+    /** A server that gets no new requests. While a change is pending it gets none either. */
     BOX("box", true) {
         @Override
         boolean fits(RuleValue value) {
@@ -19,14 +19,14 @@
 
         @Override
         RuleValue between(RuleValue before, RuleValue after) {
-            return OUT;
+            return NO_NEW_REQUESTS;
         }
     },
-    /** A municipality's requests a second, of all routers together. Compatible: the smaller of the two. */
+    /** A tenant's requests per second over all routers. While a change is pending the lower limit applies. */
     SHARE("share", true) {
         @Override
         boolean fits(RuleValue value) {
-            return value.hasShare() && value.getShare() >= 0 && value.getShare() <= MOST_SHARE;
+            return value.hasShare() && value.getShare() >= 0 && value.getShare() <= MAX_REQUESTS_PER_SECOND;
         }
 
         @Override
@@ -38,7 +38,8 @@
         }
     },
     /**
-     * A key of the operators' files that has to be the same everywhere. What holds is kept until the force.
+     * A key of the operators' settings that has to be the same everywhere. While a change is pending the old
+     * value applies.
      */
     SETTING("setting", false) {
         @Override
@@ -52,9 +53,9 @@
         }
     };
 
-    private static final double MOST_SHARE = 1e6;
-    private static final RuleValue OUT = RuleValue.newBuilder().setOut(true).build();
-    private static final int LONGEST_NAME = 200;
+    private static final double MAX_REQUESTS_PER_SECOND = 1e6;
+    private static final RuleValue NO_NEW_REQUESTS = RuleValue.newBuilder().setOut(true).build();
+    private static final int MAX_SUBJECT_LENGTH = 200;
 
     private final String word;
     private final boolean hard;
@@ -64,49 +65,47 @@
         this.hard = hard;
     }
 
-    /** What its subjects begin with. */
+    /** The part of a subject before the slash. */
     public String word() {
         return word;
     }
 
-    /** Whether a router in doubt takes no new work on its subjects; else what holds is kept. */
+    /** Whether a router without a valid lease refuses new requests under such a rule; else the value stays. */
     public boolean hard() {
         return hard;
     }
 
-    /** The subject of a name. */
+    /** The subject of this kind with the given name. */
     public String subject(String name) {
         return word + "/" + name;
     }
 
-    /** The kind of a subject, or null where this program knows none such. */
+    /** The kind of a subject, or null if this version doesn't know it or the subject is malformed. */
     public static Kind of(String subject) {
-        int end = subject.indexOf('/');
-        for (Kind k : values()) {
-            if (end > 0 && end < subject.length() - 1 && subject.length() <= LONGEST_NAME
-                    && k.word.equals(subject.substring(0, end))) {
-                return k;
+        int slash = subject.indexOf('/');
+        for (Kind kind : values()) {
+            if (slash > 0 && slash < subject.length() - 1 && subject.length() <= MAX_SUBJECT_LENGTH
+                    && kind.word.equals(subject.substring(0, slash))) {
+                return kind;
             }
         }
         return null;
     }
 
-    /** The name within its kind. */
+    /** The part of a subject after the slash. */
     public static String name(String subject) {
         return subject.substring(subject.indexOf('/') + 1);
     }
 
-    /**
-     * Whether the subject is of a kind that is known, and the value one that it may have; null is always
-     * one.
-     */
+    /** Whether the subject is of a known kind and may have this value; null (no value) is always valid. */
     public static boolean fits(String subject, RuleValue value) {
         Kind kind = of(subject);
         return kind != null && (value == null || kind.fits(value));
     }
 
+    /** Whether a rule of this kind may have the value, which is not null. */
     abstract boolean fits(RuleValue value);
 
-    /** What a router acts by between the two; null: as where nothing is agreed. */
+    /** The value that applies while a change between these two is pending; null stands for no value. */
     abstract RuleValue between(RuleValue before, RuleValue after);
 }
--- a/src/main/java/yewdock/rules/Refusal.java
+++ b/src/main/java/yewdock/rules/Refusal.java
@@ -1,51 +1,51 @@
 package yewdock.rules;
 
-/** Why a change of the rules is refused, and what whoever wants it can do. */
+/** Reasons for rejecting a change of a rule, each with advice for the operator who proposed it. */
 public enum Refusal {
-    /** The subject has changed since. */
-    STALE(1, "the subject has been changed since it was looked at",
-            "look at it again, and ask for the change from there"),
-    /** Another change of the same subject has not taken force yet. */
-    UNDER_WAY(2, "another change of the same subject is under way",
-            "wait until that one is in force, and ask again"),
-    /** No such subject, or a value that it can't have. */
-    UNFIT(3, "the subject or its value is not one that this program knows",
-            "name a box, a municipality or a setting that is there, with a value in its bounds"),
-    /** The bound on subjects is reached. */
-    FULL(4, "there are as many agreed subjects as there may be",
-            "take back what is no longer needed: a subject without a value costs nothing"),
-    /** Too much text. */
-    TOO_LARGE(5, "the change has more bytes than a change may have", "give a shorter reason or value"),
-    /** There is no change of that id under way. */
-    NOT_UNDER_WAY(6, "no change of this id is under way", "see which are, and name one of them"),
-    /** The value is what holds. */
-    SAME(7, "that is what holds already", "nothing is to be done");
+    /** The proposal was based on an older revision of the subject. */
+    STALE(1, "the subject has changed since it was read",
+            "read it again and propose the change from there"),
+    /** Another change of the same subject has not taken effect yet. */
+    UNDER_WAY(2, "another change of the same subject is pending",
+            "wait until that one has taken effect and try again"),
+    /** The subject is unknown, or its value is invalid. */
+    UNFIT(3, "the subject is unknown or its value is invalid",
+            "name an existing server, tenant or setting, with a value within its bounds"),
+    /** The limit on the number of subjects is reached. */
+    FULL(4, "the maximum number of subjects is reached",
+            "remove values that are no longer needed: a subject without a value does not count"),
+    /** The change is too large. */
+    TOO_LARGE(5, "the change exceeds the size limit", "give a shorter reason or value"),
+    /** No change with this id is pending. */
+    NOT_UNDER_WAY(6, "no change with this id is pending", "list the pending changes and name one of them"),
+    /** The subject already has this value. */
+    SAME(7, "the subject already has this value", "nothing needs to be done");
 
     private final int number;
-    private final String why;
+    private final String reason;
     private final String advice;
 
-    Refusal(int number, String why, String advice) {
+    Refusal(int number, String reason, String advice) {
         this.number = number;
-        this.why = why;
+        this.reason = reason;
         this.advice = advice;
     }
 
-    /** As in records; never used anew. */
+    /** The number on the wire and in stored records; never reused. */
     public int number() {
         return number;
     }
 
-    /** What was wrong, and after a semicolon what to do. */
+    /** The reason and, after a semicolon, what to do. */
     public String text() {
-        return why + "; " + advice;
+        return reason + "; " + advice;
     }
 
-    /** The one of this number, null for none that this program knows. */
+    /** The reason with this number; null if this version doesn't know it. */
     public static Refusal of(int number) {
-        for (Refusal r : values()) {
-            if (r.number == number) {
-                return r;
+        for (Refusal refusal : values()) {
+            if (refusal.number == number) {
+                return refusal;
             }
         }
         return null;
--- a/src/main/java/yewdock/rules/Rules.java
+++ b/src/main/java/yewdock/rules/Rules.java
@@ -23,36 +23,39 @@
 import yewdock.wire.SubjectState;
 
 /**
- * The rules as a state machine: the same commands in the same order give the same state, byte for byte, in
- * any program that knows the commands, whatever kinds of subjects it knows. A change is prepared, and then
- * takes force or is withdrawn. Pure: no I/O, no clock. Not thread-safe.
+ * The replicated state machine of the rules. The same commands in the same order give the same state, byte
+ * for byte, in every version that knows the commands, whatever kinds of subjects it knows. A change is first
+ * prepared, and then takes effect (is forced) or is withdrawn. No I/O, no clock. Not thread-safe.
  *
- * <p>Each command is a step. The chain is a hash over all of them and their outcomes: two instances at one
- * step with different chains do not hold the same rules, and that is a fault.
+ * <p>Each command is one step. The chain is a hash over all commands and their outcomes: two instances at the
+ * same step with different chains have different rules, which is a fault.
  */
 public final class Rules {
-    /** So many subjects may have a value or a change under way. */
+    /** How many subjects may have a value or a pending change. */
     public static final int MOST_SUBJECTS = 10_000;
-    /** A change with more bytes is refused. */
+    /** The largest serialized size of a change, in bytes. */
     public static final int MOST_BYTES = 16 * 1024;
-    /** So many outcomes are remembered, for retries after a lost answer. */
-    static final int MOST_OUTCOMES = 4_000;
-    static final int MOST_HISTORY = 1_000;
-    private static final int MOST_UNREAD = 100;
+    /** How many outcomes are remembered, for retries after a lost answer. */
+    static final int MAX_OUTCOMES = 4_000;
+    static final int MAX_HISTORY = 1_000;
+    private static final int MAX_UNKNOWN_COMMANDS = 100;
 
     private long step;
     private long revision;
     private long chain;
     private long prepared;
     private final TreeMap<String, SubjectState> subjects = new TreeMap<>();
-    /** The subjects with a change under way, by its id, oldest first. */
-    private final LinkedHashMap<String, String> under = new LinkedHashMap<>();
+    /** The subjects with a pending change, by the id of that change, oldest first. */
+    private final LinkedHashMap<String, String> pendingSubjects = new LinkedHashMap<>();
     private final LinkedHashMap<String, RuleOutcome> outcomes = new LinkedHashMap<>();
     private final ArrayDeque<HistoryLine> history = new ArrayDeque<>();
-    private final ArrayDeque<ByteString> unread = new ArrayDeque<>();
+    private final ArrayDeque<ByteString> unknownCommands = new ArrayDeque<>();
     private View view = View.NOTHING;
 
-    /** What is wrong with a change before anybody is asked, or null: kinds are the proposer's to know. */
+    /**
+     * Validates a change before it is proposed; null if it is valid. Only the proposer checks the kind of
+     * subject.
+     */
     public static Refusal flaw(RuleChange change) {
         if (change.getSerializedSize() > MOST_BYTES) {
             return Refusal.TOO_LARGE;
@@ -61,14 +64,14 @@
                 change.hasValue() ? change.getValue() : null) ? Refusal.UNFIT : null;
     }
 
-    /** Takes one command; the outcome is that of its change. */
+    /** Applies one command and returns the outcome of its change. */
     public RuleOutcome take(RuleCommand command) {
         step++;
         RuleOutcome outcome = switch (command.getWhatCase()) {
             case PREPARE -> prepare(command.getPrepare());
             case FORCE -> force(command.getForce());
             case WITHDRAW -> withdraw(command.getWithdraw().getId());
-            default -> unread(command);
+            default -> keepUnknown(command);
         };
         HashStream64 hash = Hashing.xxh3_64().hashStream();
         byte[] bytes = Records.bytes(command);
@@ -79,22 +82,23 @@
         return outcome;
     }
 
-    private RuleOutcome unread(RuleCommand command) {
-        add(unread, command.toByteString(), MOST_UNREAD);
+    /** Keeps a command of a newer version without applying it. */
+    private RuleOutcome keepUnknown(RuleCommand command) {
+        addBounded(unknownCommands, command.toByteString(), MAX_UNKNOWN_COMMANDS);
         return RuleOutcome.newBuilder().setStep(step).build();
     }
 
-    private static <T> void add(ArrayDeque<T> all, T one, int most) {
-        all.add(one);
-        if (all.size() > most) {
-            all.remove();
+    private static <T> void addBounded(ArrayDeque<T> queue, T element, int maxSize) {
+        queue.add(element);
+        if (queue.size() > maxSize) {
+            queue.remove();
         }
     }
 
     private RuleOutcome prepare(RuleChange change) {
-        RuleOutcome before = outcomes.get(change.getId());
-        if (before != null) {
-            return before;
+        RuleOutcome known = outcomes.get(change.getId());
+        if (known != null) {
+            return known;
         }
         SubjectState state = subjects.get(change.getSubject());
         Refusal refusal = refusal(change, state);
@@ -102,14 +106,14 @@
             SubjectState.Builder next = state == null
                     ? SubjectState.newBuilder().setSubject(change.getSubject()) : state.toBuilder();
             subjects.put(change.getSubject(), next.setPending(change).setPendingStep(step).build());
-            under.put(change.getId(), change.getSubject());
+            pendingSubjects.put(change.getId(), change.getSubject());
             prepared = step;
         }
-        return note(RuleOutcome.newBuilder().setId(change.getId()).setStep(step)
+        return remember(RuleOutcome.newBuilder().setId(change.getId()).setStep(step)
                 .setRefusal(refusal == null ? 0 : refusal.number()).build());
     }
 
-    /** Nothing here may depend on the kinds that a program knows. */
+    /** Must not depend on the kinds of subjects that this version knows, or versions would diverge. */
     private Refusal refusal(RuleChange change, SubjectState state) {
         if (change.getSerializedSize() > MOST_BYTES) {
             return Refusal.TOO_LARGE;
@@ -120,18 +124,18 @@
         if (change.getBase() != (state == null ? 0 : state.getRevision())) {
             return Refusal.STALE;
         }
-        RuleValue now = state != null && state.hasValue() ? state.getValue() : null;
-        if (Objects.equals(now, change.hasValue() ? change.getValue() : null)) {
+        RuleValue current = state != null && state.hasValue() ? state.getValue() : null;
+        if (Objects.equals(current, change.hasValue() ? change.getValue() : null)) {
             return Refusal.SAME;
         }
         return state == null && subjects.size() >= MOST_SUBJECTS ? Refusal.FULL : null;
     }
 
-    /** Once: a second force of the same change, by a leader who did not see the first, changes nothing. */
+    /** Idempotent: a new leader that didn't see the first force of a change may force it again. */
     private RuleOutcome force(String id) {
-        String subject = under.remove(id);
+        String subject = pendingSubjects.remove(id);
         if (subject == null) {
-            return notUnderWay(id);
+            return notPending(id);
         }
         SubjectState state = subjects.get(subject);
         RuleChange change = state.getPending();
@@ -141,14 +145,15 @@
             next.setValue(change.getValue());
         }
         subjects.put(state.getSubject(), next.build());
-        add(history, HistoryLine.newBuilder().setRevision(revision).setChange(change).build(), MOST_HISTORY);
-        return note(outcomes.get(id).toBuilder().setRevision(revision).build());
+        addBounded(history, HistoryLine.newBuilder().setRevision(revision).setChange(change).build(),
+                MAX_HISTORY);
+        return remember(outcomes.get(id).toBuilder().setRevision(revision).build());
     }
 
     private RuleOutcome withdraw(String id) {
-        String subject = under.remove(id);
+        String subject = pendingSubjects.remove(id);
         if (subject == null) {
-            return notUnderWay(id);
+            return notPending(id);
         }
         SubjectState state = subjects.get(subject);
         if (state.getRevision() == 0) {
@@ -156,35 +161,35 @@
         } else {
             subjects.put(state.getSubject(), state.toBuilder().clearPending().clearPendingStep().build());
         }
-        return note(outcomes.get(id).toBuilder().setWithdrawn(true).build());
+        return remember(outcomes.get(id).toBuilder().setWithdrawn(true).build());
     }
 
-    private RuleOutcome notUnderWay(String id) {
+    private RuleOutcome notPending(String id) {
         RuleOutcome known = outcomes.get(id);
         return known != null ? known : RuleOutcome.newBuilder().setId(id).setStep(step)
                 .setRefusal(Refusal.NOT_UNDER_WAY.number()).build();
     }
 
-    /** A change that is under way is never forgotten: its outcome is yet to come. */
-    private RuleOutcome note(RuleOutcome outcome) {
+    /** Remembers an outcome. Outcomes of pending changes are never evicted, as they are not final yet. */
+    private RuleOutcome remember(RuleOutcome outcome) {
         outcomes.put(outcome.getId(), outcome);
         Iterator<RuleOutcome> oldest = outcomes.values().iterator();
-        while (outcomes.size() > MOST_OUTCOMES + under.size() && oldest.hasNext()) {
-            if (!under.containsKey(oldest.next().getId())) {
+        while (outcomes.size() > MAX_OUTCOMES + pendingSubjects.size() && oldest.hasNext()) {
+            if (!pendingSubjects.containsKey(oldest.next().getId())) {
                 oldest.remove();
             }
         }
         return outcome;
     }
 
-    // ---- reading
+    // ---- queries
 
-    /** How many commands there have been. */
+    /** The number of commands applied so far. */
     public long step() {
         return step;
     }
 
-    /** How many changes have taken force. */
+    /** The number of changes that have taken effect. */
     public long revision() {
         return revision;
     }
@@ -194,40 +199,40 @@
         return chain;
     }
 
-    /** The step of the last change that was prepared, whatever has become of it since. */
+    /** The step at which a change was last prepared, whether or not it is still pending. */
     public long prepared() {
         return prepared;
     }
 
-    /** The revision at which a subject was last changed, 0 for never. */
+    /** The revision at which a subject was last changed; 0 if never. */
     public long revision(String subject) {
         SubjectState state = subjects.get(subject);
         return state == null ? 0 : state.getRevision();
     }
 
-    /** What became of a change, or null where that is not known. */
+    /** The outcome of a change; null if it is unknown. */
     public RuleOutcome outcome(String id) {
         return outcomes.get(id);
     }
 
-    /** What is agreed of each subject, by name. */
+    /** The state of each subject, in the order of their names. */
     public List<SubjectState> subjects() {
         return List.copyOf(subjects.values());
     }
 
-    /** The changes under way with their steps, oldest first. */
+    /** The ids of the pending changes with the steps at which they were prepared, oldest first. */
     public Map<String, Long> underWay() {
-        Map<String, Long> found = new LinkedHashMap<>();
-        under.forEach((id, subject) -> found.put(id, subjects.get(subject).getPendingStep()));
-        return found;
+        Map<String, Long> pending = new LinkedHashMap<>();
+        pendingSubjects.forEach((id, subject) -> pending.put(id, subjects.get(subject).getPendingStep()));
+        return pending;
     }
 
-    /** The last changes that took force, oldest first. */
+    /** The most recent changes that took effect, oldest first. */
     public List<HistoryLine> history() {
         return new ArrayList<>(history);
     }
 
-    /** What a router acts by. */
+    /** The view of the rules that a router applies. */
     public View view() {
         if (view == null) {
             view = View.of(step, revision, subjects.values());
@@ -237,35 +242,35 @@
 
     // ---- snapshots
 
-    /** All of it, in its one form. */
+    /** The whole state in its canonical form. */
     public RulesSnapshot snapshot() {
         return RulesSnapshot.newBuilder().setStep(step).setRevision(revision).setChain(chain)
                 .addAllSubjects(subjects.values()).addAllOutcomes(outcomes.values()).addAllHistory(history)
-                .addAllUnread(unread).setPrepared(prepared).build();
+                .addAllUnread(unknownCommands).setPrepared(prepared).build();
     }
 
-    /** Goes on from a snapshot. */
-    public void install(RulesSnapshot from) {
-        step = from.getStep();
-        revision = from.getRevision();
-        chain = from.getChain();
-        prepared = from.getPrepared();
+    /** Replaces the whole state by that of a snapshot. */
+    public void install(RulesSnapshot snapshot) {
+        step = snapshot.getStep();
+        revision = snapshot.getRevision();
+        chain = snapshot.getChain();
+        prepared = snapshot.getPrepared();
         subjects.clear();
-        from.getSubjectsList().forEach(s -> subjects.put(s.getSubject(), s));
-        under.clear();
-        from.getSubjectsList().stream().filter(SubjectState::hasPending)
+        snapshot.getSubjectsList().forEach(state -> subjects.put(state.getSubject(), state));
+        pendingSubjects.clear();
+        snapshot.getSubjectsList().stream().filter(SubjectState::hasPending)
                 .sorted(Comparator.comparingLong(SubjectState::getPendingStep))
-                .forEach(s -> under.put(s.getPending().getId(), s.getSubject()));
+                .forEach(state -> pendingSubjects.put(state.getPending().getId(), state.getSubject()));
         outcomes.clear();
-        from.getOutcomesList().forEach(o -> outcomes.put(o.getId(), o));
+        snapshot.getOutcomesList().forEach(outcome -> outcomes.put(outcome.getId(), outcome));
         history.clear();
-        history.addAll(from.getHistoryList());
-        unread.clear();
-        unread.addAll(from.getUnreadList());
+        history.addAll(snapshot.getHistoryList());
+        unknownCommands.clear();
+        unknownCommands.addAll(snapshot.getUnreadList());
         view = null;
     }
 
-    /** A command as {@link Records#bytes} wrote it; one of a later program is kept whole. */
+    /** Parses a command as written by {@link Records#bytes}; fields of a newer version are kept. */
     public static RuleCommand read(byte[] bytes) throws InvalidProtocolBufferException {
         return RuleCommand.parseFrom(bytes);
     }
--- a/src/main/java/yewdock/rules/View.java
+++ b/src/main/java/yewdock/rules/View.java
@@ -9,51 +9,52 @@
 import yewdock.wire.SubjectState;
 
 /**
- * What a router acts by, at one step of the rules. A subject with a change under way has the value between
- * the two.
+ * The rules that a router applies, as of one step. A subject with a pending change has the value that is
+ * compatible with both the old and the new one.
  *
  * @param step the step of the rules
- * @param revision how many changes were in force
- * @param out boxes that get no new work
- * @param shares requests a second, by municipality
- * @param settings the texts that keys of the operators' files have to have
+ * @param revision how many changes had taken effect
+ * @param out names of servers that get no new requests
+ * @param shares limits in requests per second, by tenant
+ * @param settings values of the operators' settings that have to be the same everywhere, by key
  */
 public record View(long step, long revision, Set<String> out, Map<String, Double> shares,
         Map<String, String> settings) {
-    /** Before anything is agreed. */
+    /** The view before any rule is set. */
     public static final View NOTHING = new View(0, 0, Set.of(), Map.of(), Map.of());
 
     static View of(long step, long revision, Collection<SubjectState> subjects) {
         Set<String> out = new TreeSet<>();
         Map<String, Double> shares = new TreeMap<>();
         Map<String, String> settings = new TreeMap<>();
-        for (SubjectState s : subjects) {
-            Kind kind = Kind.of(s.getSubject());
+        for (SubjectState state : subjects) {
+            Kind kind = Kind.of(state.getSubject());
             if (kind == null) {
                 continue;
             }
-            RuleValue value = acted(kind, s);
+            RuleValue value = effectiveValue(kind, state);
             if (value == null) {
                 continue;
             }
-            String name = Kind.name(s.getSubject());
+            String name = Kind.name(state.getSubject());
             switch (kind) {
                 case BOX -> out.add(name);
                 case SHARE -> shares.put(name, value.getShare());
                 case SETTING -> settings.put(name, value.getText());
                 default -> {
-                    // of a kind that routers don't act by
+                    // a kind that routers don't apply
                 }
             }
         }
         return new View(step, revision, Set.copyOf(out), Map.copyOf(shares), Map.copyOf(settings));
     }
 
-    private static RuleValue acted(Kind kind, SubjectState s) {
-        RuleValue now = s.hasValue() ? s.getValue() : null;
-        if (!s.hasPending()) {
-            return now;
+    private static RuleValue effectiveValue(Kind kind, SubjectState state) {
+        RuleValue current = state.hasValue() ? state.getValue() : null;
+        if (!state.hasPending()) {
+            return current;
         }
-        return kind.between(now, s.getPending().hasValue() ? s.getPending().getValue() : null);
+        return kind.between(current,
+                state.getPending().hasValue() ? state.getPending().getValue() : null);
     }
 }
--- a/src/test/java/yewdock/council/CouncilSimTest.java
+++ b/src/test/java/yewdock/council/CouncilSimTest.java
@@ -93,7 +93,7 @@
         fail(plant + " was not detected in 60 seeds");
     }
 
-    /** A leader could otherwise take a response to a round of an earlier term for one to its current round. */
+    /** A leader could otherwise take a response to a round of an earlier term for one to its own round. */
     @Test
     void responsesOfAnEarlierTermAreDropped() {
         RaftFrame.Builder frame = RaftFrame.newBuilder().setTerm(3);
