--- a/src/main/java/yewdock/replica/Replica.java
+++ b/src/main/java/yewdock/replica/Replica.java
@@ -27,515 +27,542 @@
 import yewdock.wire.Want;
 
 /**
- * How the instances of an installation keep each other's records: changes are pushed to every peer, sums of
- * the keys' buckets are compared every second and what differs is repaired, and an instance with nothing
- * takes a snapshot. A pure reducer: events in, effects out.
+ * Replicates records between the instances of an installation. Changes are pushed to every peer; once a
+ * second, peers compare the sums of their buckets of keys and repair differences; an instance without records
+ * requests a snapshot. A pure reducer: one event in, a list of effects out.
  *
- * <p>To a peer only keys wait, never records, and one batch at most is out: a peer that is slow, silent or
- * stale costs a name for each record and no more.
+ * <p>Only keys are queued for a peer, never records, and at most one batch is unacknowledged. So a peer that
+ * is slow, silent or stale costs no more memory than one key per record.
  */
 public final class Replica {
-    /** The version of the frames that are sent, and the least that a reader must know. */
+    /** The version of the frames sent, and the lowest version that a reader has to support. */
     public static final int VERSION = 1;
-    static final long COMPARE_EVERY = 1_000_000;
-    static final long SILENT_AFTER = 5_000_000;
-    static final int MOST_BATCH = 256;
-    static final int BATCH_BYTES = 128 * 1024;
-    /** Entries of buckets that one comparison names. */
-    static final int MOST_ENTRIES = 2_000;
+    static final long COMPARE_INTERVAL_MICROS = 1_000_000;
+    /** A peer that sends nothing for this long is disconnected. */
+    static final long SILENCE_TIMEOUT_MICROS = 5_000_000;
+    static final int MAX_BATCH_RECORDS = 256;
+    static final int MAX_BATCH_BYTES = 128 * 1024;
+    /** How many entries one comparison lists, unless a single bucket has more. */
+    static final int MAX_ENTRIES = 2_000;
 
     private final String cluster;
     private final Records records;
-    private final int mostTombstones;
+    private final int maxTombstones;
     private final Map<String, Peer> peers = new TreeMap<>();
     private List<ReplicaEffect> effects = new ArrayList<>();
-    private Set<String> toStore = new LinkedHashSet<>();
+    private Set<String> keysToStore = new LinkedHashSet<>();
     private long now;
-    /** The stamp known when the records last equalled a peer's. */
-    private long joined;
-    private long nextCompare;
-    private boolean snapshotAsked;
-    private boolean needsAll;
+    /** The greatest stamp known when the records last equalled a peer's; 0 if they never did. */
+    private long lastSyncedStamp;
+    private long nextComparison;
+    private boolean snapshotRequested;
+    private boolean needsFullSync;
 
-    /** A peer of the operator's file, connected or not. */
+    /** A configured peer, connected or not. */
     private static final class Peer {
         private final String name;
-        private final LinkedHashSet<String> dirty = new LinkedHashSet<>();
+        /** Keys of records still to be sent. */
+        private final LinkedHashSet<String> dirtyKeys = new LinkedHashSet<>();
         private boolean up;
-        private boolean greeted;
+        private boolean handshakeDone;
         private long lastHeard;
-        private long lastBatch;
-        /** The number of the batch or part that is out, 0 for none. */
-        private long out;
+        private long lastNumber;
+        /** The number of the unacknowledged batch or snapshot part; 0 for none. */
+        private long outstanding;
+        /** What is left of the snapshot being sent to the peer; null for none. */
         private Iterator<Kept> snapshot;
+        /** Whether that snapshot replaces the peer's records. */
         private boolean replace;
-        private boolean takesSnapshot;
-        private long equalStamp;
-        private long digestClock;
+        /** Whether a snapshot is expected from the peer. */
+        private boolean receivesSnapshot;
+        /** The greatest stamp here when the peer's records last equalled the ones here. */
+        private long syncedStamp;
+        /** The greatest stamp here when the last digest was sent. */
+        private long digestStamp;
         private boolean hasRecords;
         private long equalAt;
         private long sent;
         private long got;
-        private String trouble = "never seen";
+        private String trouble = "never connected";
 
         Peer(String name) {
             this.name = name;
         }
     }
 
-    /** How a peer stands: keys that wait, when it was last heard and last equal (microseconds; 0: never). */
+    /**
+     * The status of a peer.
+     *
+     * @param peer its name
+     * @param up whether it is connected and the handshake is done
+     * @param waiting how many keys are queued for it
+     * @param lastHeard when its last frame was received, in microseconds; 0 for never
+     * @param equalAt when its records were last known to equal the ones here, in microseconds; 0 for never
+     * @param sent how many records were sent to it
+     * @param got how many records from it were stored
+     * @param trouble why it is not up; empty if it is
+     */
     public record Standing(String peer, boolean up, int waiting, long lastHeard, long equalAt, long sent,
             long got, String trouble) {
     }
 
     /**
-     * Copying for these records, to the peers of these names.
+     * Replicates these records with peers.
      *
-     * @param joined what {@link #joined()} was when the records were stored, 0 with an empty disk
-     * @param mostTombstones so many removals are remembered even when all peers know them
+     * @param cluster the name of the installation
+     * @param peerNames the names of the peers
+     * @param records the records of this instance
+     * @param lastSyncedStamp the value of {@link #joined()} when the records were stored; 0 for an empty disk
+     * @param maxTombstones tombstones are purged only once there are more than this
      */
-    public Replica(String cluster, Set<String> named, Records records, long joined, int mostTombstones) {
+    public Replica(String cluster, Set<String> peerNames, Records records, long lastSyncedStamp,
+            int maxTombstones) {
         this.cluster = cluster;
         this.records = records;
-        this.joined = joined;
-        this.mostTombstones = mostTombstones;
-        this.needsAll = joined == 0;
-        named.forEach(name -> peers.put(name, new Peer(name)));
+        this.lastSyncedStamp = lastSyncedStamp;
+        this.maxTombstones = maxTombstones;
+        this.needsFullSync = lastSyncedStamp == 0;
+        peerNames.forEach(name -> peers.put(name, new Peer(name)));
     }
 
-    /** Takes one event and tells what to do about it. */
+    /** Handles an event at the given time (microseconds) and returns the effects to carry out. */
     public List<ReplicaEffect> reduce(ReplicaEvent event, long time) {
         now = Math.max(now, time);
         effects = new ArrayList<>();
-        toStore = new LinkedHashSet<>();
+        keysToStore = new LinkedHashSet<>();
         if (event instanceof ReplicaEvent.Heard e) {
-            heard(peers.get(e.peer()), e.frame());
+            receive(peers.get(e.peer()), e.frame());
         } else if (event instanceof ReplicaEvent.Changed e) {
-            spread(e.keys());
+            queueForAll(e.keys());
         } else if (event instanceof ReplicaEvent.Up e) {
-            up(peers.get(e.peer()));
+            connected(peers.get(e.peer()));
         } else if (event instanceof ReplicaEvent.Down e) {
-            down(peers.get(e.peer()), e.why());
+            disconnected(peers.get(e.peer()), e.why());
         } else if (event instanceof ReplicaEvent.Tick) {
             tick();
         }
-        if (!toStore.isEmpty()) {
-            effects.add(new ReplicaEffect.Store(List.copyOf(toStore)));
+        if (!keysToStore.isEmpty()) {
+            effects.add(new ReplicaEffect.Store(List.copyOf(keysToStore)));
         }
         return effects;
     }
 
-    /** When the next {@link ReplicaEvent.Tick} is due. */
+    /** When the next {@link ReplicaEvent.Tick} is due, in microseconds. */
     public long nextDue() {
-        return nextCompare;
+        return nextComparison;
     }
 
-    /** The stamp known when the records last equalled a peer's; to be stored with them. */
+    /** The greatest stamp known when the records last equalled a peer's; to be stored with the records. */
     public long joined() {
-        return joined;
+        return lastSyncedStamp;
     }
 
-    /** Whether the first of the records have yet to be taken from a peer. */
+    /** Whether the initial records have yet to be received from a peer. */
     public boolean needsAll() {
-        return needsAll;
+        return needsFullSync;
     }
 
+    /** The status of every configured peer. */
     public List<Standing> standings() {
-        return peers.values().stream().map(p -> new Standing(p.name, p.up && p.greeted, p.dirty.size(),
-                p.lastHeard, p.equalAt, p.sent, p.got, p.trouble)).toList();
+        return peers.values().stream().map(peer -> new Standing(peer.name, peer.up && peer.handshakeDone,
+                peer.dirtyKeys.size(), peer.lastHeard, peer.equalAt, peer.sent, peer.got, peer.trouble)).toList();
     }
 
     // ---- connections
 
-    private void up(Peer p) {
-        if (p == null) {
+    private void connected(Peer peer) {
+        if (peer == null) {
             return;
         }
-        p.up = true;
-        p.greeted = false;
-        p.lastHeard = now;
-        p.out = 0;
-        p.snapshot = null;
-        p.replace = false;
-        p.takesSnapshot = false;
-        p.trouble = "not greeted";
-        send(p, PeerFrame.newBuilder().setHello(hello(p, false)));
+        peer.up = true;
+        peer.handshakeDone = false;
+        peer.lastHeard = now;
+        peer.outstanding = 0;
+        peer.snapshot = null;
+        peer.replace = false;
+        peer.receivesSnapshot = false;
+        peer.trouble = "handshake not done";
+        send(peer, PeerFrame.newBuilder().setHello(hello(peer, false)));
     }
 
-    private PeerHello.Builder hello(Peer p, boolean again) {
+    private PeerHello.Builder hello(Peer peer, boolean again) {
         return PeerHello.newBuilder().setVersion(VERSION).setLeastReader(VERSION).setCluster(cluster)
-                .setInstance(records.instance()).setTo(p.name).setJoined(joined)
+                .setInstance(records.instance()).setTo(peer.name).setJoined(lastSyncedStamp)
                 .setHorizon(records.horizon()).setRecords(records.size()).setAgain(again);
     }
 
-    private void down(Peer p, String why) {
-        if (p == null || !p.up) {
+    private void disconnected(Peer peer, String why) {
+        if (peer == null || !peer.up) {
             return;
         }
-        p.up = false;
-        p.greeted = false;
-        // the sums tell what it lacks once it is back
-        p.dirty.clear();
-        p.out = 0;
-        p.snapshot = null;
-        snapshotAsked &= !p.takesSnapshot;
-        p.takesSnapshot = false;
-        p.trouble = why;
-        note("peer.lost", p, "why", why);
+        peer.up = false;
+        peer.handshakeDone = false;
+        // comparing sums after the next connect finds what it lacks
+        peer.dirtyKeys.clear();
+        peer.outstanding = 0;
+        peer.snapshot = null;
+        snapshotRequested &= !peer.receivesSnapshot;
+        peer.receivesSnapshot = false;
+        peer.trouble = why;
+        log("peer.lost", peer, "why", why);
     }
 
-    private void close(Peer p, String why) {
-        send(p, PeerFrame.newBuilder().setRefused(Refused.newBuilder().setWhy(why)));
-        effects.add(new ReplicaEffect.Close(p.name, why));
-        down(p, why);
+    private void close(Peer peer, String why) {
+        send(peer, PeerFrame.newBuilder().setRefused(Refused.newBuilder().setWhy(why)));
+        effects.add(new ReplicaEffect.Close(peer.name, why));
+        disconnected(peer, why);
     }
 
     private void tick() {
-        nextCompare = now + COMPARE_EVERY;
-        for (Peer p : peers.values()) {
-            if (p.up && now - p.lastHeard > SILENT_AFTER) {
-                close(p, "silent for " + (now - p.lastHeard) / 1_000_000 + " s");
-            } else if (p.up && p.greeted && needsAll && !snapshotAsked && p.hasRecords) {
-                askSnapshot(p);
-            } else if (p.up && p.greeted && leads(p) && p.snapshot == null && !p.takesSnapshot) {
-                compare(p);
+        nextComparison = now + COMPARE_INTERVAL_MICROS;
+        for (Peer peer : peers.values()) {
+            if (peer.up && now - peer.lastHeard > SILENCE_TIMEOUT_MICROS) {
+                close(peer, "no frame received for " + (now - peer.lastHeard) / 1_000_000 + " s");
+            } else if (peer.up && peer.handshakeDone && needsFullSync && !snapshotRequested
+                    && peer.hasRecords) {
+                requestSnapshot(peer);
+            } else if (peer.up && peer.handshakeDone && startsComparison(peer) && peer.snapshot == null
+                    && !peer.receivesSnapshot) {
+                compare(peer);
             }
         }
-        forget();
+        purgeTombstones();
     }
 
-    /** Of two instances one asks, and the other answers. */
-    private boolean leads(Peer p) {
-        return records.instance().compareTo(p.name) < 0;
+    /** Of two peers, the one whose name sorts first starts the comparisons. */
+    private boolean startsComparison(Peer peer) {
+        return records.instance().compareTo(peer.name) < 0;
     }
 
-    private void compare(Peer p) {
-        p.digestClock = records.clock();
-        send(p, PeerFrame.newBuilder().setDigest(Digest.newBuilder().addAllSums(records.sums())
+    private void compare(Peer peer) {
+        peer.digestStamp = records.clock();
+        send(peer, PeerFrame.newBuilder().setDigest(Digest.newBuilder().addAllSums(records.sums())
                 .setHorizon(records.horizon())));
     }
 
-    // ---- what peers say
+    // ---- frames from peers
 
-    private void heard(Peer p, PeerFrame frame) {
-        if (p == null || !p.up) {
+    private void receive(Peer peer, PeerFrame frame) {
+        if (peer == null || !peer.up) {
             return;
         }
-        p.lastHeard = now;
+        peer.lastHeard = now;
         if (frame.hasHello()) {
-            greeted(p, frame.getHello());
+            receiveHello(peer, frame.getHello());
             return;
         }
         if (frame.hasRefused()) {
-            effects.add(new ReplicaEffect.Close(p.name, "refused there: " + frame.getRefused().getWhy()));
-            down(p, "refused there: " + frame.getRefused().getWhy());
+            effects.add(new ReplicaEffect.Close(peer.name, "refused by the peer: "
+                    + frame.getRefused().getWhy()));
+            disconnected(peer, "refused by the peer: " + frame.getRefused().getWhy());
             return;
         }
-        if (!p.greeted) {
-            close(p, "a " + frame.getWhatCase() + " before any hello");
+        if (!peer.handshakeDone) {
+            close(peer, "frame " + frame.getWhatCase() + " received before hello");
             return;
         }
         switch (frame.getWhatCase()) {
-            case BATCH -> batch(p, frame.getBatch());
-            case TAKEN -> taken(p, frame.getTaken().getNumber());
-            case DIGEST -> digest(p, frame.getDigest());
+            case BATCH -> receiveBatch(peer, frame.getBatch());
+            case TAKEN -> acknowledged(peer, frame.getTaken().getNumber());
+            case DIGEST -> receiveDigest(peer, frame.getDigest());
             case SAME -> {
-                follow(frame.getSame().getHorizon());
-                equal(p, p.digestClock);
+                followHorizon(frame.getSame().getHorizon());
+                recordsEqual(peer, peer.digestStamp);
             }
-            case BUCKETS -> buckets(p, frame.getBuckets());
-            case WANT -> want(p, frame.getWant().getKeysList());
-            case ASK_SNAPSHOT -> beginSnapshot(p, false);
-            case PART -> part(p, frame.getPart());
-            default -> close(p, "a frame that this program doesn't know");
-        }
-    }
-
-    private void greeted(Peer p, PeerHello hello) {
-        String wrong = hello.getLeastReader() > VERSION ? "its frames are for readers of version "
-                + hello.getLeastReader() + "; this program's is " + VERSION
-                : !hello.getCluster().equals(cluster) ? "it is of the cluster " + hello.getCluster()
-                : !hello.getInstance().equals(p.name) ? "it calls itself " + hello.getInstance()
-                : !hello.getTo().equals(records.instance()) ? "it looks for " + hello.getTo() : null;
-        if (wrong != null) {
-            close(p, wrong);
+            case BUCKETS -> receiveBuckets(peer, frame.getBuckets());
+            case WANT -> receiveWant(peer, frame.getWant().getKeysList());
+            case ASK_SNAPSHOT -> beginSnapshot(peer, false);
+            case PART -> receivePart(peer, frame.getPart());
+            default -> close(peer, "unknown frame");
+        }
+    }
+
+    private void receiveHello(Peer peer, PeerHello hello) {
+        String mismatch = hello.getLeastReader() > VERSION ? "it requires frame version "
+                + hello.getLeastReader() + "; this router has version " + VERSION
+                : !hello.getCluster().equals(cluster) ? "it belongs to cluster " + hello.getCluster()
+                : !hello.getInstance().equals(peer.name) ? "its instance name is " + hello.getInstance()
+                : !hello.getTo().equals(records.instance()) ? "it expects instance " + hello.getTo() : null;
+        if (mismatch != null) {
+            close(peer, mismatch);
             return;
         }
-        boolean first = !p.greeted;
-        p.greeted = true;
-        p.trouble = "";
-        p.hasRecords = hello.getRecords() > 0;
-        p.replace &= !hello.getAgain();
+        boolean first = !peer.handshakeDone;
+        peer.handshakeDone = true;
+        peer.trouble = "";
+        peer.hasRecords = hello.getRecords() > 0;
+        peer.replace &= !hello.getAgain();
         if (first) {
-            note("peer.greeted", p, "records", hello.getRecords());
+            log("peer.greeted", peer, "records", hello.getRecords());
         }
         boolean peerIsNew = hello.getJoined() == 0;
-        boolean stale = !peerIsNew && hello.getJoined() < records.horizon();
-        boolean staleHere = joined != 0 && joined < hello.getHorizon();
-        if (stale && !(staleHere && hello.getHorizon() > records.horizon())) {
-            // it has missed removals that are forgotten here: what it has could bring them back
-            note("peer.stale", p, "joined", hello.getJoined(), "horizon", records.horizon());
-            beginSnapshot(p, true);
-        } else if (staleHere) {
-            // the same the other way round: the peer sends all of what holds
-            p.takesSnapshot = true;
-        } else if (needsAll && !snapshotAsked && p.hasRecords) {
-            askSnapshot(p);
-        } else if (leads(p)) {
-            compare(p);
-        }
-        push(p);
-    }
-
-    private void askSnapshot(Peer p) {
-        snapshotAsked = true;
-        p.takesSnapshot = true;
-        send(p, PeerFrame.newBuilder().setAskSnapshot(AskSnapshot.getDefaultInstance()));
-    }
-
-    private void digest(Peer p, Digest digest) {
+        boolean peerIsStale = !peerIsNew && hello.getJoined() < records.horizon();
+        boolean selfIsStale = lastSyncedStamp != 0 && lastSyncedStamp < hello.getHorizon();
+        if (peerIsStale && !(selfIsStale && hello.getHorizon() > records.horizon())) {
+            // it has missed removals whose tombstones are purged here: its records could restore them
+            log("peer.stale", peer, "joined", hello.getJoined(), "horizon", records.horizon());
+            beginSnapshot(peer, true);
+        } else if (selfIsStale) {
+            // the reverse case: the peer sends all of its records
+            peer.receivesSnapshot = true;
+        } else if (needsFullSync && !snapshotRequested && peer.hasRecords) {
+            requestSnapshot(peer);
+        } else if (startsComparison(peer)) {
+            compare(peer);
+        }
+        push(peer);
+    }
+
+    private void requestSnapshot(Peer peer) {
+        snapshotRequested = true;
+        peer.receivesSnapshot = true;
+        send(peer, PeerFrame.newBuilder().setAskSnapshot(AskSnapshot.getDefaultInstance()));
+    }
+
+    private void receiveDigest(Peer peer, Digest digest) {
         if (digest.getSumsCount() != Records.BUCKETS) {
-            close(p, "a digest of " + digest.getSumsCount() + " sums");
+            close(peer, "digest with " + digest.getSumsCount() + " sums");
             return;
         }
-        follow(digest.getHorizon());
+        followHorizon(digest.getHorizon());
         List<Integer> differing = records.differing(digest.getSumsList());
         if (differing.isEmpty()) {
-            equal(p, records.clock());
-            // all that is here was there when it sent this
-            p.dirty.clear();
-            send(p, PeerFrame.newBuilder().setSame(Same.newBuilder().setHorizon(records.horizon())));
+            recordsEqual(peer, records.clock());
+            // the peer had all records of this instance when it sent the digest
+            peer.dirtyKeys.clear();
+            send(peer, PeerFrame.newBuilder().setSame(Same.newBuilder().setHorizon(records.horizon())));
             return;
         }
-        Buckets.Builder answer = Buckets.newBuilder();
+        Buckets.Builder reply = Buckets.newBuilder();
         for (Map.Entry<Integer, List<Kept>> bucket : records.of(differing).entrySet()) {
-            List<Kept> of = bucket.getValue();
-            if (answer.getEntriesCount() > 0 && answer.getEntriesCount() + of.size() > MOST_ENTRIES) {
+            List<Kept> inBucket = bucket.getValue();
+            if (reply.getEntriesCount() > 0 && reply.getEntriesCount() + inBucket.size() > MAX_ENTRIES) {
                 break;
             }
-            answer.addIndexes(bucket.getKey());
-            of.forEach(k -> answer.addEntries(Buckets.Entry.newBuilder().setKey(k.getKey())
-                    .setHash(records.hash(k.getKey())).setStamp(k.getStamp()).setInstance(k.getInstance())));
+            reply.addIndexes(bucket.getKey());
+            inBucket.forEach(kept -> reply.addEntries(Buckets.Entry.newBuilder().setKey(kept.getKey())
+                    .setHash(records.hash(kept.getKey())).setStamp(kept.getStamp())
+                    .setInstance(kept.getInstance())));
         }
-        send(p, PeerFrame.newBuilder().setBuckets(answer));
+        send(peer, PeerFrame.newBuilder().setBuckets(reply));
     }
 
-    /** What was known here at this stamp is what was known there. */
-    private void equal(Peer p, long stamp) {
-        p.equalStamp = Math.max(p.equalStamp, stamp);
-        p.equalAt = now;
-        needsAll = false;
-        joined = Math.max(Math.max(1, joined), stamp);
+    /** The records here as of this stamp equal the peer's. */
+    private void recordsEqual(Peer peer, long stamp) {
+        peer.syncedStamp = Math.max(peer.syncedStamp, stamp);
+        peer.equalAt = now;
+        needsFullSync = false;
+        lastSyncedStamp = Math.max(Math.max(1, lastSyncedStamp), stamp);
     }
 
-    /** Another has forgotten removals that all knew: they are forgotten here too, or the sums never agree. */
-    private void follow(long horizon) {
-        if (horizon > records.horizon() && (joined == 0 || horizon <= joined)) {
-            toStore.addAll(records.forget(horizon));
+    /** Purges tombstones that a peer has purged, as otherwise the sums would never agree. */
+    private void followHorizon(long horizon) {
+        if (horizon > records.horizon() && (lastSyncedStamp == 0 || horizon <= lastSyncedStamp)) {
+            keysToStore.addAll(records.forget(horizon));
         }
     }
 
-    private void buckets(Peer p, Buckets theirs) {
-        if (theirs.getIndexesList().stream().anyMatch(i -> i < 0 || i >= Records.BUCKETS)) {
-            close(p, "buckets that there are not");
+    private void receiveBuckets(Peer peer, Buckets buckets) {
+        if (buckets.getIndexesList().stream().anyMatch(i -> i < 0 || i >= Records.BUCKETS)) {
+            close(peer, "invalid bucket index");
             return;
         }
         Set<String> want = new LinkedHashSet<>();
-        Map<String, Buckets.Entry> there = new HashMap<>();
-        for (Buckets.Entry e : theirs.getEntriesList()) {
-            there.put(e.getKey(), e);
-            Kept mine = records.raw(e.getKey());
-            if (mine == null || records.hash(e.getKey()) != e.getHash() && order(e, mine) >= 0) {
+        Map<String, Buckets.Entry> remote = new HashMap<>();
+        for (Buckets.Entry e : buckets.getEntriesList()) {
+            remote.put(e.getKey(), e);
+            Kept local = records.raw(e.getKey());
+            if (local == null || records.hash(e.getKey()) != e.getHash() && order(e, local) >= 0) {
                 want.add(e.getKey());
             }
         }
-        records.of(theirs.getIndexesList()).values().forEach(of -> of.forEach(mine -> {
-            Buckets.Entry e = there.get(mine.getKey());
-            if (e == null || e.getHash() != records.hash(mine.getKey()) && order(e, mine) <= 0) {
-                p.dirty.add(mine.getKey());
+        records.of(buckets.getIndexesList()).values().forEach(bucket -> bucket.forEach(local -> {
+            Buckets.Entry e = remote.get(local.getKey());
+            if (e == null || e.getHash() != records.hash(local.getKey()) && order(e, local) <= 0) {
+                peer.dirtyKeys.add(local.getKey());
             }
         }));
         if (!want.isEmpty()) {
-            send(p, PeerFrame.newBuilder().setWant(Want.newBuilder().addAllKeys(want)));
+            send(peer, PeerFrame.newBuilder().setWant(Want.newBuilder().addAllKeys(want)));
         }
-        push(p);
+        push(peer);
     }
 
-    private static int order(Buckets.Entry theirs, Kept mine) {
-        return Records.order(theirs.getStamp(), theirs.getInstance(), mine);
+    private static int order(Buckets.Entry remote, Kept local) {
+        return Records.order(remote.getStamp(), remote.getInstance(), local);
     }
 
-    private void want(Peer p, Collection<String> keys) {
-        keys.stream().filter(k -> records.raw(k) != null).forEach(p.dirty::add);
-        push(p);
+    private void receiveWant(Peer peer, Collection<String> keys) {
+        keys.stream().filter(k -> records.raw(k) != null).forEach(peer.dirtyKeys::add);
+        push(peer);
     }
 
     // ---- changes
 
-    private void spread(Collection<String> keys) {
-        for (Peer p : peers.values()) {
-            if (p.up && p.greeted) {
-                p.dirty.addAll(keys);
-                push(p);
+    private void queueForAll(Collection<String> keys) {
+        for (Peer peer : peers.values()) {
+            if (peer.up && peer.handshakeDone) {
+                peer.dirtyKeys.addAll(keys);
+                push(peer);
             }
         }
     }
 
-    private void push(Peer p) {
-        if (!p.up || !p.greeted || p.out != 0) {
+    private void push(Peer peer) {
+        if (!peer.up || !peer.handshakeDone || peer.outstanding != 0) {
             return;
         }
-        if (p.snapshot != null) {
-            sendPart(p);
+        if (peer.snapshot != null) {
+            sendPart(peer);
             return;
         }
-        if (p.takesSnapshot) {
+        if (peer.receivesSnapshot) {
             return;
         }
         Batch.Builder batch = Batch.newBuilder();
         int bytes = 0;
-        for (Iterator<String> waiting = p.dirty.iterator(); waiting.hasNext()
-                && batch.getRecordsCount() < MOST_BATCH && bytes < BATCH_BYTES;) {
-            String key = waiting.next();
+        for (Iterator<String> keys = peer.dirtyKeys.iterator(); keys.hasNext()
+                && batch.getRecordsCount() < MAX_BATCH_RECORDS && bytes < MAX_BATCH_BYTES;) {
+            String key = keys.next();
             Kept kept = records.raw(key);
             if (kept != null) {
                 batch.addRecords(kept);
                 bytes += kept.getSerializedSize();
             }
-            waiting.remove();
+            keys.remove();
         }
         if (batch.getRecordsCount() == 0) {
             return;
         }
-        p.out = ++p.lastBatch;
-        p.sent += batch.getRecordsCount();
-        send(p, PeerFrame.newBuilder().setBatch(batch.setNumber(p.out)));
+        peer.outstanding = ++peer.lastNumber;
+        peer.sent += batch.getRecordsCount();
+        send(peer, PeerFrame.newBuilder().setBatch(batch.setNumber(peer.outstanding)));
     }
 
-    private void batch(Peer p, Batch batch) {
-        if (p.replace || p.takesSnapshot) {
-            // what it sends before it has taken the snapshot may be of what was removed
-            send(p, PeerFrame.newBuilder().setTaken(Taken.newBuilder().setNumber(batch.getNumber())));
+    private void receiveBatch(Peer peer, Batch batch) {
+        if (peer.replace || peer.receivesSnapshot) {
+            // until it has taken the snapshot, its records may be ones that were removed
+            send(peer, PeerFrame.newBuilder().setTaken(Taken.newBuilder().setNumber(batch.getNumber())));
             return;
         }
-        if (take(p, batch.getRecordsList())) {
-            send(p, PeerFrame.newBuilder().setTaken(Taken.newBuilder().setNumber(batch.getNumber())));
+        if (merge(peer, batch.getRecordsList())) {
+            send(peer, PeerFrame.newBuilder().setTaken(Taken.newBuilder().setNumber(batch.getNumber())));
         }
     }
 
-    /** False if the peer was closed over it. */
-    private boolean take(Peer p, List<Kept> all) {
-        List<String> asserted = new ArrayList<>();
-        for (Kept kept : all) {
+    /** Merges records from a peer; false if one is invalid and the connection was closed for it. */
+    private boolean merge(Peer peer, List<Kept> received) {
+        List<String> rewrittenKeys = new ArrayList<>();
+        for (Kept kept : received) {
             String flaw = Records.flaw(kept);
             if (flaw != null) {
-                close(p, "a record with " + flaw);
+                close(peer, "invalid record: " + flaw);
                 return false;
             }
-            Kept mine = records.raw(kept.getKey());
-            if (mine != null && Keys.isOf(records.instance(), kept.getKey())
-                    && kept.getStamp() >= mine.getStamp() && !kept.equals(mine)) {
-                // of an earlier life under this name, which this instance does not remember: it knows better
-                Kept.Builder again = mine.toBuilder();
+            Kept local = records.raw(kept.getKey());
+            if (local != null && Keys.isOf(records.instance(), kept.getKey())
+                    && kept.getStamp() >= local.getStamp() && !kept.equals(local)) {
+                // this instance wrote it before it lost its disk: its present record is the right one
+                Kept.Builder rewritten = local.toBuilder();
                 records.merge(kept);
-                asserted.add(records.write(kept.getKey(), again, mine.getWall()).getKey());
-                toStore.add(kept.getKey());
+                rewrittenKeys.add(records.write(kept.getKey(), rewritten, local.getWall()).getKey());
+                keysToStore.add(kept.getKey());
                 continue;
             }
             Records.Merged merged = records.merge(kept);
             if (merged == Records.Merged.REFUSED) {
-                close(p, "more records than this instance keeps");
+                close(peer, "record limit of this instance reached");
                 return false;
             }
             if (merged == Records.Merged.TAKEN) {
-                toStore.add(kept.getKey());
-                p.got++;
+                keysToStore.add(kept.getKey());
+                peer.got++;
             }
         }
-        if (!asserted.isEmpty()) {
-            spread(asserted);
+        if (!rewrittenKeys.isEmpty()) {
+            queueForAll(rewrittenKeys);
         }
         return true;
     }
 
-    private void taken(Peer p, long number) {
-        if (number != p.out || p.out == 0) {
-            close(p, "an answer to " + number + ", which was not asked");
+    private void acknowledged(Peer peer, long number) {
+        if (number != peer.outstanding || peer.outstanding == 0) {
+            close(peer, "acknowledgement of " + number + ", which is not outstanding");
             return;
         }
-        p.out = 0;
-        push(p);
+        peer.outstanding = 0;
+        push(peer);
     }
 
     // ---- snapshots
 
-    private void beginSnapshot(Peer p, boolean replace) {
-        if (p.snapshot == null) {
-            p.snapshot = List.copyOf(listed()).iterator();
-            p.replace = replace;
-            push(p);
+    private void beginSnapshot(Peer peer, boolean replace) {
+        if (peer.snapshot == null) {
+            peer.snapshot = List.copyOf(allRecords()).iterator();
+            peer.replace = replace;
+            push(peer);
         }
     }
 
-    /** References only: the records themselves never change. */
-    private List<Kept> listed() {
+    /** All records as of now; cheap, as records are immutable and only references are copied. */
+    private List<Kept> allRecords() {
         List<Kept> all = new ArrayList<>(records.size());
         records.after("").forEach(all::add);
         return all;
     }
 
-    private void sendPart(Peer p) {
+    private void sendPart(Peer peer) {
         List<Kept> part = new ArrayList<>();
         int bytes = 0;
-        while (p.snapshot.hasNext() && bytes < Snapshots.PART_BYTES) {
-            Kept kept = p.snapshot.next();
+        while (peer.snapshot.hasNext() && bytes < Snapshots.PART_BYTES) {
+            Kept kept = peer.snapshot.next();
             part.add(kept);
             bytes += kept.getSerializedSize();
         }
-        boolean last = !p.snapshot.hasNext();
-        p.out = ++p.lastBatch;
-        p.sent += part.size();
-        Part.Builder packed = Snapshots.pack(part).setNumber(p.out).setLast(last).setReplace(p.replace)
-                .setHorizon(records.horizon());
+        boolean last = !peer.snapshot.hasNext();
+        peer.outstanding = ++peer.lastNumber;
+        peer.sent += part.size();
+        Part.Builder packed = Snapshots.pack(part).setNumber(peer.outstanding).setLast(last)
+                .setReplace(peer.replace).setHorizon(records.horizon());
         if (last) {
-            p.snapshot = null;
+            peer.snapshot = null;
         }
-        send(p, PeerFrame.newBuilder().setPart(packed));
+        send(peer, PeerFrame.newBuilder().setPart(packed));
     }
 
-    private void part(Peer p, Part part) {
-        List<Kept> all;
+    private void receivePart(Peer peer, Part part) {
+        List<Kept> received;
         try {
-            all = Snapshots.unpack(part);
+            received = Snapshots.unpack(part);
         } catch (InvalidProtocolBufferException e) {
-            close(p, e.getMessage());
+            close(peer, e.getMessage());
             return;
         }
-        if (!p.takesSnapshot) {
-            close(p, "a snapshot that nobody asked for");
+        if (!peer.receivesSnapshot) {
+            close(peer, "snapshot that was not requested");
             return;
         }
-        if (part.getReplace() && !needsAll) {
-            // first of all: what is here and not there was removed while this instance was away; but what is
-            // its own nobody else can have removed
-            note("replica.replaced", p, "records", records.size());
-            toStore.addAll(records.clear(key -> Keys.isOf(records.instance(), key)));
-            needsAll = true;
+        if (part.getReplace() && !needsFullSync) {
+            // on the first part: records that the peer lacks were removed while this instance was away, but not
+            // its own records, as no other instance can remove those
+            log("replica.replaced", peer, "records", records.size());
+            keysToStore.addAll(records.clear(key -> Keys.isOf(records.instance(), key)));
+            needsFullSync = true;
         }
-        if (!take(p, all)) {
+        if (!merge(peer, received)) {
             return;
         }
-        send(p, PeerFrame.newBuilder().setTaken(Taken.newBuilder().setNumber(part.getNumber())));
+        send(peer, PeerFrame.newBuilder().setTaken(Taken.newBuilder().setNumber(part.getNumber())));
         if (part.getLast()) {
-            p.takesSnapshot = false;
-            snapshotAsked = false;
-            needsAll = false;
-            toStore.addAll(records.forget(part.getHorizon()));
-            joined = Math.max(1, records.clock());
-            note("replica.caught_up", p, "records", records.size());
-            send(p, PeerFrame.newBuilder().setHello(hello(p, true)));
+            peer.receivesSnapshot = false;
+            snapshotRequested = false;
+            needsFullSync = false;
+            keysToStore.addAll(records.forget(part.getHorizon()));
+            lastSyncedStamp = Math.max(1, records.clock());
+            log("replica.caught_up", peer, "records", records.size());
+            send(peer, PeerFrame.newBuilder().setHello(hello(peer, true)));
             for (Peer other : peers.values()) {
-                if (other.greeted && leads(other) && other.snapshot == null) {
+                if (other.handshakeDone && startsComparison(other) && other.snapshot == null) {
                     compare(other);
                 }
                 push(other);
@@ -543,29 +570,29 @@
         }
     }
 
-    // ---- removals
+    // ---- purging tombstones
 
-    /** A removal may be forgotten once every named peer was equal after it: none can bring it back. */
-    private void forget() {
-        if (records.tombstones() <= mostTombstones) {
+    /** Purges tombstones that every configured peer had when its records last equalled the ones here. */
+    private void purgeTombstones() {
+        if (records.tombstones() <= maxTombstones) {
             return;
         }
-        long upTo = Math.min(records.clock(), joined);
-        for (Peer p : peers.values()) {
-            upTo = Math.min(upTo, p.equalStamp);
+        long upTo = Math.min(records.clock(), lastSyncedStamp);
+        for (Peer peer : peers.values()) {
+            upTo = Math.min(upTo, peer.syncedStamp);
         }
-        toStore.addAll(records.forget(upTo));
+        keysToStore.addAll(records.forget(upTo));
     }
 
-    private void send(Peer p, PeerFrame.Builder frame) {
-        effects.add(new ReplicaEffect.Send(p.name, frame.build()));
+    private void send(Peer peer, PeerFrame.Builder frame) {
+        effects.add(new ReplicaEffect.Send(peer.name, frame.build()));
     }
 
-    private void note(String event, Peer p, Object... more) {
-        Object[] all = new Object[more.length + 2];
-        all[0] = "peer";
-        all[1] = p.name;
-        System.arraycopy(more, 0, all, 2, more.length);
-        effects.add(new ReplicaEffect.Note(event, Fields.of(all)));
+    private void log(String event, Peer peer, Object... fields) {
+        Object[] allFields = new Object[fields.length + 2];
+        allFields[0] = "peer";
+        allFields[1] = peer.name;
+        System.arraycopy(fields, 0, allFields, 2, fields.length);
+        effects.add(new ReplicaEffect.Note(event, Fields.of(allFields)));
     }
 }
--- a/src/main/java/yewdock/replica/ReplicaEffect.java
+++ b/src/main/java/yewdock/replica/ReplicaEffect.java
@@ -4,21 +4,21 @@
 import java.util.Map;
 import yewdock.wire.PeerFrame;
 
-/** All that an instance's copying can ask for. */
+/** The effects that replication asks for. */
 public sealed interface ReplicaEffect {
-    /** Send a peer something. */
+    /** Send a frame to a peer. */
     record Send(String peer, PeerFrame frame) implements ReplicaEffect {
     }
 
-    /** Close the connection to a peer, once what was sent is written. */
+    /** Close the connection to a peer once all frames sent before are written. */
     record Close(String peer, String why) implements ReplicaEffect {
     }
 
-    /** These keys have changed here, by what a peer sent or by forgetting: they are to be stored. */
+    /** Store the records of these keys, changed by a peer's frames or by purging tombstones. */
     record Store(List<String> keys) implements ReplicaEffect {
     }
 
-    /** A line for the log: an event's name and its fields. */
+    /** Log an event with its fields. */
     record Note(String event, Map<String, Object> fields) implements ReplicaEffect {
     }
 }
--- a/src/main/java/yewdock/replica/ReplicaEvent.java
+++ b/src/main/java/yewdock/replica/ReplicaEvent.java
@@ -3,25 +3,25 @@
 import java.util.List;
 import yewdock.wire.PeerFrame;
 
-/** All that can happen to an instance's copying. Peers go by their names in the operator's file. */
+/** The events of replication. Peers are identified by their names in the operator's configuration. */
 public sealed interface ReplicaEvent {
-    /** A connection to a peer stands, made by either side. */
+    /** A connection with a peer was established, by either side. */
     record Up(String peer) implements ReplicaEvent {
     }
 
-    /** A peer says something. */
+    /** A frame from a peer was received. */
     record Heard(String peer, PeerFrame frame) implements ReplicaEvent {
     }
 
-    /** The connection to a peer is gone. */
+    /** The connection with a peer was closed. */
     record Down(String peer, String why) implements ReplicaEvent {
     }
 
-    /** These keys have been written here. */
+    /** Records of these keys were written by this instance. */
     record Changed(List<String> keys) implements ReplicaEvent {
     }
 
-    /** Time has passed. */
+    /** The timer is due, see {@link Replica#nextDue}. */
     record Tick() implements ReplicaEvent {
     }
 }
--- a/src/main/java/yewdock/state/Keeping.java
+++ b/src/main/java/yewdock/state/Keeping.java
@@ -17,132 +17,146 @@
 import yewdock.wire.State;
 
 /**
- * What an instance keeps of what it is told, and what it starts with. Pure: records in, records out. Times
- * are microseconds since 1970 as this machine has them; they serve for ages, and an age below zero, of a
- * clock that was moved back, counts as zero.
+ * Writes what an instance learns as records, and builds from the records the state in which it restarts. No
+ * I/O. Times are microseconds since 1970 on this machine's clock; they are used for ages only, and a negative
+ * age, after the clock was set back, counts as zero.
  */
 public final class Keeping {
-    /** What the module has learnt is worth nothing after so long. */
-    static final long MODULE_HOLDS = 3_600_000_000L;
-    /** A kept ejection or rest that would last longer than this from now is of a clock that was moved. */
-    static final long LONGEST_REST = 600_000_000L;
+    /** The age in microseconds after which what the module has learnt is not used any more. */
+    static final long MODULE_MEMORY_TTL_MICROS = 3_600_000_000L;
+    /**
+     * Stored ejections and slow starts that would end later than this from now are ignored: the clock was set
+     * back since. Microseconds.
+     */
+    static final long MAX_REMAINING_MICROS = 600_000_000L;
 
     private final Records records;
-    private final long doubt;
+    private final long maxDrainAgeMicros;
 
     /**
-     * Over these records. doubt: a drain that the list told so long ago, and that no list has told again, is
-     * no longer believed at a start.
+     * Records the state in these records.
+     *
+     * @param maxDrainAgeMicros a drain that the endpoint list first told longer ago than this is ignored at a
+     *     restart, until a list tells it again
      */
-    public Keeping(Records records, long doubt) {
+    public Keeping(Records records, long maxDrainAgeMicros) {
         this.records = records;
-        this.doubt = doubt;
+        this.maxDrainAgeMicros = maxDrainAgeMicros;
     }
 
-    // ---- what is told
+    // ---- recording
 
-    /** The list has told a generation this; returns what changed. toldAt of the boxes are moved by shift. */
-    public List<Kept> told(Boxes news, long shift, long wall) {
-        String me = records.instance();
+    /**
+     * Records an endpoint list, or a change of it, that a generation has received.
+     *
+     * @param shift added to the times in the list, to convert them to this clock (microseconds)
+     * @param wall the current time
+     * @return the records that changed
+     */
+    public List<Kept> told(Boxes list, long shift, long wall) {
+        String instance = records.instance();
         List<Kept> changed = new ArrayList<>();
-        Map<String, Box> named = new LinkedHashMap<>();
-        for (Box box : news.getBoxesList()) {
-            named.put(Keys.box(me, box.getId()), box);
+        Map<String, Box> listed = new LinkedHashMap<>();
+        for (Box box : list.getBoxesList()) {
+            listed.put(Keys.box(instance, box.getId()), box);
         }
-        if (news.getFull()) {
-            for (Kept kept : records.prefix(Keys.boxes(me))) {
-                if (!named.containsKey(kept.getKey())) {
+        if (list.getFull()) {
+            for (Kept kept : records.prefix(Keys.boxes(instance))) {
+                if (!listed.containsKey(kept.getKey())) {
                     changed.add(records.drop(kept.getKey(), wall));
-                    forgetNode(kept.getBox().getId(), wall, changed);
+                    deleteServerMemory(kept.getBox().getId(), wall, changed);
                 }
             }
         }
-        named.forEach((key, box) -> {
+        listed.forEach((key, box) -> {
             Kept before = records.get(key);
             if (box.getLifecycle() == Lifecycle.GONE.ordinal()) {
                 if (before != null) {
                     changed.add(records.drop(key, wall));
-                    forgetNode(box.getId(), wall, changed);
+                    deleteServerMemory(box.getId(), wall, changed);
                 }
                 return;
             }
-            boolean same = before != null
+            boolean sameLifecycle = before != null
                     && before.getBox().getLifecycle() == box.getLifecycle();
-            long toldAt = same ? before.getBox().getToldAt()
+            long toldAt = sameLifecycle ? before.getBox().getToldAt()
                     : box.getToldAt() == 0 ? wall : Math.min(wall, box.getToldAt() + shift);
-            Box now = box.toBuilder().setToldAt(toldAt).build();
-            if (before == null || !before.getBox().equals(now)) {
-                changed.add(records.write(key, Kept.newBuilder().setBox(now), wall));
+            Box updated = box.toBuilder().setToldAt(toldAt).build();
+            if (before == null || !before.getBox().equals(updated)) {
+                changed.add(records.write(key, Kept.newBuilder().setBox(updated), wall));
             }
             if (before != null && before.getBox().getStartedAt() != box.getStartedAt()) {
-                // what was held against the box that was there before is nothing to the one that is there now
-                forgetNode(box.getId(), wall, changed);
+                // the server was restarted: errors of the earlier process say nothing about the new one
+                deleteServerMemory(box.getId(), wall, changed);
             }
         });
-        ListHead head = ListHead.newBuilder().setAddress(news.getAddress()).setVersion(news.getVersion())
+        ListHead head = ListHead.newBuilder().setAddress(list.getAddress()).setVersion(list.getVersion())
                 .build();
-        Kept before = records.get(Keys.list(me));
+        Kept before = records.get(Keys.list(instance));
         if (before == null || !before.getList().equals(head)) {
-            changed.add(records.write(Keys.list(me), Kept.newBuilder().setList(head), wall));
+            changed.add(records.write(Keys.list(instance), Kept.newBuilder().setList(head), wall));
         }
         return changed;
     }
 
-    private void forgetNode(long box, long wall, List<Kept> changed) {
+    /** Deletes what the module has learnt about a server. */
+    private void deleteServerMemory(long box, long wall, List<Kept> changed) {
         Kept dropped = records.drop(Keys.node(records.instance(), box), wall);
         if (dropped != null) {
             changed.add(dropped);
         }
     }
 
-    /** What a generation's module has learnt; its times are moved by shift. Returns what changed. */
+    /** Records what a generation's module has learnt; shift is added to its times. Returns what changed. */
     public List<Kept> learnt(Memory module, long shift, long wall) {
-        String me = records.instance();
+        String instance = records.instance();
         List<Kept> changed = new ArrayList<>();
         for (NodeMemory node : module.getNodesList()) {
-            if (records.get(Keys.box(me, node.getId())) == null) {
+            if (records.get(Keys.box(instance, node.getId())) == null) {
                 continue;
             }
-            String key = Keys.node(me, node.getId());
-            NodeMemory now = moved(node, shift).clearLastDelay().build();
+            String key = Keys.node(instance, node.getId());
+            NodeMemory updated = shifted(node, shift).clearLastDelay().build();
             Kept before = records.get(key);
-            if (before == null ? tells(now) : !sameTrouble(before.getNode(), now)) {
-                changed.add(records.write(key, Kept.newBuilder().setNode(now), wall));
+            if (before == null ? worthStoring(updated) : !sameEjections(before.getNode(), updated)) {
+                changed.add(records.write(key, Kept.newBuilder().setNode(updated), wall));
             }
         }
         Memory rest = module.toBuilder().clearNodes().clearKeys().clearTaken().clearFurther().build();
-        Kept before = records.get(Keys.module(me));
-        if (before == null || wall - before.getWall() > MODULE_HOLDS / 360 || before.getWall() > wall) {
-            changed.add(records.write(Keys.module(me), Kept.newBuilder().setModule(rest), wall));
+        Kept before = records.get(Keys.module(instance));
+        if (before == null || wall - before.getWall() > MODULE_MEMORY_TTL_MICROS / 360
+                || before.getWall() > wall) {
+            changed.add(records.write(Keys.module(instance), Kept.newBuilder().setModule(rest), wall));
         }
         return changed;
     }
 
-    /** Rests that come and go within seconds are not worth a write each; ejections and cold starts are. */
-    private static boolean sameTrouble(NodeMemory a, NodeMemory b) {
+    /** Backoffs come and go within seconds and are not worth a write each; ejections and cold starts are. */
+    private static boolean sameEjections(NodeMemory a, NodeMemory b) {
         return Math.abs(a.getEjectedUntil() - b.getEjectedUntil()) < 1000
                 && a.getEjections() == b.getEjections() && a.getBudgetedStart() == b.getBudgetedStart()
                 && Math.abs(a.getColdBudgetAt() - b.getColdBudgetAt()) < 100_000;
     }
 
-    private static boolean tells(NodeMemory n) {
-        return n.getEjectedUntil() != 0 || n.getEjections() != 0 || n.getColdBudgetAt() != 0
-                || n.getBudgetedStart() != 0;
+    /** Whether there is anything worth storing. */
+    private static boolean worthStoring(NodeMemory node) {
+        return node.getEjectedUntil() != 0 || node.getEjections() != 0 || node.getColdBudgetAt() != 0
+                || node.getBudgetedStart() != 0;
     }
 
-    private static NodeMemory.Builder moved(NodeMemory node, long shift) {
-        NodeMemory.Builder moved = node.toBuilder().setEjectedUntil(moved(node.getEjectedUntil(), shift))
-                .setSlowUntil(moved(node.getSlowUntil(), shift))
-                .setColdBudgetAt(moved(node.getColdBudgetAt(), shift)).clearRestUntil();
-        node.getRestUntilList().forEach(t -> moved.addRestUntil(moved(t, shift)));
-        return moved;
+    private static NodeMemory.Builder shifted(NodeMemory node, long shift) {
+        NodeMemory.Builder shifted = node.toBuilder().setEjectedUntil(shifted(node.getEjectedUntil(), shift))
+                .setSlowUntil(shifted(node.getSlowUntil(), shift))
+                .setColdBudgetAt(shifted(node.getColdBudgetAt(), shift)).clearRestUntil();
+        node.getRestUntilList().forEach(t -> shifted.addRestUntil(shifted(t, shift)));
+        return shifted;
     }
 
-    private static long moved(long time, long shift) {
+    private static long shifted(long time, long shift) {
         return time == 0 ? 0 : time + shift;
     }
 
-    /** The configuration that is in force; null if it is the one kept. */
+    /** Records the configuration in use; null if it is the one recorded already. */
     public Kept applied(String text, long wall) {
         Kept before = records.get(Keys.settings(records.instance()));
         if (before != null && before.getApplied().getText().equals(text)) {
@@ -152,7 +166,7 @@
                 .setApplied(Applied.newBuilder().setText(text)), wall);
     }
 
-    /** An operator marks a box, or with NONE takes the mark back. */
+    /** Records an operator override for a server, or with NONE removes it; null if there is none to remove. */
     public Kept mark(String box, Mark.Kind kind, String by, long wall) {
         String key = Keys.mark(box);
         if (kind == Mark.Kind.NONE) {
@@ -163,20 +177,20 @@
                 .setStartedAt(started).setBy(by)), wall);
     }
 
-    /** What is known of a box of this name, by whichever instance. */
+    /** The entries for a server of this name in the endpoint lists of all instances. */
     public List<Box> known(String box) {
         return records.prefix(Keys.allBoxes()).stream().map(Kept::getBox)
                 .filter(b -> b.getName().equals(box)).toList();
     }
 
-    /** The marks that hold, by the boxes' names. */
+    /** The current operator overrides, by server name. */
     public Map<String, Mark> marks() {
         Map<String, Mark> marks = new LinkedHashMap<>();
         records.prefix(Keys.marks()).forEach(k -> marks.put(Keys.markedBox(k.getKey()), k.getMark()));
         return marks;
     }
 
-    /** A mark of GONE is for one start of a box: when the list tells of a later one it is dropped. */
+    /** Removes overrides of kind GONE for servers that have restarted: they hold for one start of a server. */
     public List<Kept> dropOutlived(long wall) {
         List<Kept> dropped = new ArrayList<>();
         Map<String, Long> starts = new HashMap<>();
@@ -191,63 +205,69 @@
         return dropped;
     }
 
-    // ---- what a start begins with
+    // ---- restarting
 
     /**
-     * What a generation goes on with after a restart, as if one before it had left it; null if nothing is
-     * kept. clock is what the reader will take this moment for on its own clock.
+     * The state in which a generation starts after a restart, in the form in which a generation hands over to
+     * the next; null if nothing is recorded.
+     *
+     * @param wall the current time; the state's times are on this clock
+     * @param monoNanos the current time of the monotonic clock in nanoseconds
      */
     public State state(int version, int leastReader, long wall, long monoNanos) {
-        String me = records.instance();
-        Kept head = records.get(Keys.list(me));
-        List<Kept> mine = records.prefix(Keys.boxes(me));
-        boolean own = !mine.isEmpty();
-        List<Kept> boxes = own ? mine : newestOfOthers();
-        if (boxes.isEmpty()) {
+        String instance = records.instance();
+        Kept head = records.get(Keys.list(instance));
+        List<Kept> ownServers = records.prefix(Keys.boxes(instance));
+        boolean hasOwn = !ownServers.isEmpty();
+        List<Kept> servers = hasOwn ? ownServers : newestOfOthers();
+        if (servers.isEmpty()) {
             return null;
         }
-        Boxes.Builder all = Boxes.newBuilder().setFull(true).setVersion(own && head != null
+        Boxes.Builder list = Boxes.newBuilder().setFull(true).setVersion(hasOwn && head != null
                 ? head.getList().getVersion() : -1).setAddress(head == null ? "" : head.getList()
                 .getAddress());
-        for (Kept kept : boxes) {
+        for (Kept kept : servers) {
             Box box = kept.getBox();
             long toldAt = Math.min(wall, Math.max(1, box.getToldAt()));
-            boolean doubted = box.getLifecycle() == Lifecycle.DRAINING.ordinal() && wall - toldAt > doubt;
-            all.addBoxes(box.toBuilder().setToldAt(toldAt).setLifecycle(doubted ? Lifecycle.READY.ordinal()
+            boolean outdatedDrain = box.getLifecycle() == Lifecycle.DRAINING.ordinal()
+                    && wall - toldAt > maxDrainAgeMicros;
+            list.addBoxes(box.toBuilder().setToldAt(toldAt).setLifecycle(outdatedDrain
+                    ? Lifecycle.READY.ordinal()
                     : box.getLifecycle()));
         }
         State.Builder state = State.newBuilder().setVersion(version).setLeastReader(leastReader)
-                .setClock(wall).setMonoNanos(monoNanos).setBoxes(all);
-        Kept module = records.get(Keys.module(me));
-        if (module != null && wall - module.getWall() <= MODULE_HOLDS) {
+                .setClock(wall).setMonoNanos(monoNanos).setBoxes(list);
+        Kept module = records.get(Keys.module(instance));
+        if (module != null && wall - module.getWall() <= MODULE_MEMORY_TTL_MICROS) {
             state.setModule(memory(module.getModule(), wall));
         }
         return state.build();
     }
 
+    /** The module's memory with what was recorded about each server. */
     private Memory memory(Memory module, long wall) {
         Memory.Builder memory = module.toBuilder();
         for (Kept kept : records.prefix(Keys.nodes(records.instance()))) {
             NodeMemory node = kept.getNode();
-            if (node.getEjectedUntil() < wall + LONGEST_REST && node.getColdBudgetAt() < wall
-                    + LONGEST_REST) {
+            if (node.getEjectedUntil() < wall + MAX_REMAINING_MICROS && node.getColdBudgetAt() < wall
+                    + MAX_REMAINING_MICROS) {
                 memory.addNodes(node);
             }
         }
         return memory.build();
     }
 
-    /** With an empty disk: what the other instances knew, a drain that any of them knew included. */
+    /** For an empty disk: the servers known to other instances, draining if any of them knew so. */
     private List<Kept> newestOfOthers() {
-        Map<String, Kept> found = new LinkedHashMap<>();
+        Map<String, Kept> byName = new LinkedHashMap<>();
         for (Kept kept : records.prefix(Keys.allBoxes())) {
-            found.merge(kept.getBox().getName(), kept, (a, b) -> {
+            byName.merge(kept.getBox().getName(), kept, (a, b) -> {
                 if (a.getBox().getStartedAt() != b.getBox().getStartedAt()) {
                     return a.getBox().getStartedAt() > b.getBox().getStartedAt() ? a : b;
                 }
                 return a.getBox().getLifecycle() == Lifecycle.DRAINING.ordinal() ? a : b;
             });
         }
-        return List.copyOf(found.values());
+        return List.copyOf(byName.values());
     }
 }
--- a/src/main/java/yewdock/state/Keys.java
+++ b/src/main/java/yewdock/state/Keys.java
@@ -1,70 +1,77 @@
 package yewdock.state;
 
 /**
- * The keys of records. What an instance has been told or has found out is its own and has its name in the
- * key: no other writes it. Operators' marks are everybody's.
+ * The keys of records. A record of what one instance has learnt has that instance's name in its key, and no
+ * other instance writes it. Operator overrides are shared: any instance may write them.
  */
 public final class Keys {
-    /** What the key of a record begins with in a store, where other things lie beside the records. */
+    /** The prefix of records' keys in a store, which holds other things too. */
     public static final String STORED = "r/";
-    private static final String MARKS = "mark/";
-    private static final String BOXES = "box/";
-    private static final String NODES = "node/";
+    private static final String OVERRIDES_PREFIX = "mark/";
+    private static final String SERVERS_PREFIX = "box/";
+    private static final String SERVER_MEMORY_PREFIX = "node/";
 
     private Keys() {
     }
 
-    /** An operator's mark on the box of this name. */
-    public static String mark(String box) {
-        return MARKS + box;
+    /** The key of an operator override for the server of this name. */
+    public static String mark(String server) {
+        return OVERRIDES_PREFIX + server;
     }
 
+    /** The prefix of the keys of all operator overrides. */
     public static String marks() {
-        return MARKS;
+        return OVERRIDES_PREFIX;
     }
 
-    /** The name of the box that a mark is on. */
+    /** The name of the server in the key of an operator override. */
     public static String markedBox(String key) {
-        return key.substring(MARKS.length());
+        return key.substring(OVERRIDES_PREFIX.length());
     }
 
-    /** What the list told an instance of a box. */
+    /** The key of a server's entry in the endpoint list of an instance. */
     public static String box(String instance, long id) {
         return boxes(instance) + Long.toUnsignedString(id, 16);
     }
 
+    /** The prefix of the keys of all servers in the endpoint list of an instance. */
     public static String boxes(String instance) {
-        return BOXES + instance + "/";
+        return SERVERS_PREFIX + instance + "/";
     }
 
+    /** The prefix of the keys of all servers in the endpoint lists of all instances. */
     public static String allBoxes() {
-        return BOXES;
+        return SERVERS_PREFIX;
     }
 
-    /** What an instance's module holds against a box. */
+    /** The key of what an instance's module has learnt about a server. */
     public static String node(String instance, long id) {
         return nodes(instance) + Long.toUnsignedString(id, 16);
     }
 
+    /** The prefix of the keys of all that an instance's module has learnt about servers. */
     public static String nodes(String instance) {
-        return NODES + instance + "/";
+        return SERVER_MEMORY_PREFIX + instance + "/";
     }
 
+    /** The key of the address and version of an instance's endpoint list. */
     public static String list(String instance) {
         return "list/" + instance;
     }
 
+    /** The key of what an instance's module has learnt, apart from servers. */
     public static String module(String instance) {
         return "module/" + instance;
     }
 
+    /** The key of the configuration that an instance uses. */
     public static String settings(String instance) {
         return "settings/" + instance;
     }
 
-    /** Whether only this instance writes the key. */
+    /** Whether this instance, and no other, writes the key. */
     public static boolean isOf(String instance, String key) {
-        return !key.startsWith(MARKS) && (key.contains("/" + instance + "/")
+        return !key.startsWith(OVERRIDES_PREFIX) && (key.contains("/" + instance + "/")
                 || key.endsWith("/" + instance));
     }
 }
--- a/src/main/java/yewdock/state/Records.java
+++ b/src/main/java/yewdock/state/Records.java
@@ -19,20 +19,20 @@
 import yewdock.wire.Kept;
 
 /**
- * The records that an instance keeps: its own, and copies of the others'. Of two records of one key that with
- * the greater stamp holds, then that of the instance whose name comes later, then the one with the greater
- * bytes; so merging gives the same in any order and however often, and no clock of a machine has a say. Pure:
- * no I/O, no clock. Not thread-safe.
+ * The records of an instance: its own and replicas of the others'. Of two records with the same key the one
+ * with the greater stamp wins, then the one of the instance whose name sorts later, then the one whose bytes
+ * sort later. So merging is commutative, associative and idempotent, and does not depend on wall clocks. No
+ * I/O. Not thread-safe.
  */
 public final class Records {
-    /** Keys are dealt out to so many buckets; each has a sum, so that a difference is found by them. */
+    /** The number of buckets that keys are hashed to; differences are found by comparing sums per bucket. */
     public static final int BUCKETS = 256;
-    /** A record with more bytes than this is refused. */
+    /** The largest serialized size of a record, in bytes. */
     public static final int MOST_BYTES = 256 * 1024;
-    private static final int LONGEST_KEY = 300;
+    private static final int MAX_KEY_LENGTH = 300;
 
     private final String instance;
-    private final int most;
+    private final int maxRecords;
     private final TreeMap<String, Entry> entries = new TreeMap<>();
     private final long[] sums = new long[BUCKETS];
     private long clock;
@@ -40,48 +40,54 @@
     private long bytes;
     private int tombstones;
 
-    /** A record with its bytes in their one form, and their hash. */
+    /** A record with its canonical bytes and their hash. */
     private record Entry(Kept kept, byte[] bytes, long hash, int bucket) {
     }
 
-    /** What became of a record that came. */
+    /** The outcome of merging a record: stored, already known, older than the stored one, or refused. */
     public enum Merged { TAKEN, KNOWN, OLDER, REFUSED }
 
-    /** Records of this instance, so many of them at most. */
-    public Records(String instance, int most) {
+    /**
+     * Creates an empty set of records.
+     *
+     * @param instance the name of this instance
+     * @param maxRecords the maximum number of records, tombstones included
+     */
+    public Records(String instance, int maxRecords) {
         this.instance = instance;
-        this.most = most;
+        this.maxRecords = maxRecords;
     }
 
+    /** The name of this instance. */
     public String instance() {
         return instance;
     }
 
-    /** Writes a record of this instance's own; the builder's key, stamp and instance are set here. */
+    /** Writes a record in this instance's name; sets the builder's key, stamp, instance and wall time. */
     public Kept write(String key, Kept.Builder content, long wall) {
         Kept kept = content.setKey(key).setStamp(++clock).setInstance(instance).setWall(wall).build();
         put(entry(kept));
         return kept;
     }
 
-    /** Notes that a key holds nothing any more; null if it held nothing. */
+    /** Replaces the record of a key by a tombstone and returns that; null if there was no record. */
     public Kept drop(String key, long wall) {
         Kept before = get(key);
         return before == null ? null : write(key, Kept.newBuilder().setDropped(Dropped.getDefaultInstance()),
                 wall);
     }
 
-    /** Takes a record that another instance, or the disk, has brought. */
+    /** Merges a record from another instance or from the disk. */
     public Merged merge(Kept kept) {
-        String why = flaw(kept);
-        if (why != null) {
+        String flaw = flaw(kept);
+        if (flaw != null) {
             return Merged.REFUSED;
         }
         Entry before = entries.get(kept.getKey());
         if (before == null && kept.hasDropped() && kept.getStamp() <= horizon) {
             return Merged.KNOWN;
         }
-        if (before == null && entries.size() >= most) {
+        if (before == null && entries.size() >= maxRecords) {
             return Merged.REFUSED;
         }
         clock = Math.max(clock, kept.getStamp());
@@ -96,19 +102,22 @@
         return Merged.TAKEN;
     }
 
-    /** What is wrong with a record, or null. A stamp near the end of the numbers would end all order. */
+    /**
+     * What is wrong with a record, or null. A stamp near the maximum is refused, as later writes could not
+     * get a greater one.
+     */
     public static String flaw(Kept kept) {
-        if (kept.getKey().isEmpty() || kept.getKey().length() > LONGEST_KEY) {
+        if (kept.getKey().isEmpty() || kept.getKey().length() > MAX_KEY_LENGTH) {
             return "a key of " + kept.getKey().length() + " characters";
         }
         if (kept.getStamp() <= 0 || kept.getStamp() > Long.MAX_VALUE / 4) {
             return "the stamp " + kept.getStamp();
         }
-        if (kept.getInstance().isEmpty() || kept.getInstance().length() > LONGEST_KEY) {
+        if (kept.getInstance().isEmpty() || kept.getInstance().length() > MAX_KEY_LENGTH) {
             return "an instance's name of " + kept.getInstance().length() + " characters";
         }
         if (kept.getWhatCase() == Kept.WhatCase.WHAT_NOT_SET) {
-            return "nothing in it that this program knows";
+            return "no content that this version knows";
         }
         return kept.getSerializedSize() > MOST_BYTES ? "a size of " + kept.getSerializedSize() + " bytes"
                 : null;
@@ -119,10 +128,10 @@
         return order != 0 ? order : Arrays.compare(a.bytes, b.bytes);
     }
 
-    /** Which comes later, one with this stamp, of this instance, or that: 0 if only their bytes can tell. */
-    public static int order(long stamp, String instance, Kept that) {
-        int order = Long.compare(stamp, that.getStamp());
-        return order != 0 ? order : instance.compareTo(that.getInstance());
+    /** Orders a record with this stamp and instance against another; 0 if their bytes have to decide. */
+    public static int order(long stamp, String instance, Kept other) {
+        int order = Long.compare(stamp, other.getStamp());
+        return order != 0 ? order : instance.compareTo(other.getInstance());
     }
 
     private void put(Entry entry) {
@@ -147,21 +156,21 @@
         return new Entry(kept, bytes, Hashing.xxh3_64().hashBytesToLong(bytes), bucket(kept.getKey()));
     }
 
-    /** One form for one content: maps in the order of their keys. */
-    public static byte[] bytes(Message kept) {
-        byte[] bytes = new byte[kept.getSerializedSize()];
+    /** Serializes deterministically, with maps in key order, so that equal messages give equal bytes. */
+    public static byte[] bytes(Message message) {
+        byte[] bytes = new byte[message.getSerializedSize()];
         CodedOutputStream out = CodedOutputStream.newInstance(bytes);
         out.useDeterministicSerialization();
         try {
-            kept.writeTo(out);
+            message.writeTo(out);
             out.flush();
         } catch (IOException e) {
-            throw new UncheckedIOException("an array can't fail", e);
+            throw new UncheckedIOException("writing to an array failed", e);
         }
         return bytes;
     }
 
-    /** Reads what {@link #bytes(Kept)} has written. */
+    /** Parses a record written by {@link #bytes(Message)}. */
     public static Kept read(byte[] bytes) throws InvalidProtocolBufferException {
         return Kept.parseFrom(bytes);
     }
@@ -170,105 +179,107 @@
         return (int) (Hashing.xxh3_64().hashStream().putString(key).getAsLong() & BUCKETS - 1);
     }
 
-    // ---- reading
+    // ---- queries
 
-    /** What a key holds, or null; a tombstone is nothing. */
+    /** The record of a key; null if there is none or it is a tombstone. */
     public Kept get(String key) {
         Entry entry = entries.get(key);
         return entry == null || entry.kept.hasDropped() ? null : entry.kept;
     }
 
-    /** What a key holds, tombstones too, or null. */
+    /** The record or tombstone of a key; null if there is neither. */
     public Kept raw(String key) {
         Entry entry = entries.get(key);
         return entry == null ? null : entry.kept;
     }
 
-    /** All whose keys begin so, without tombstones, in the order of the keys. */
-    public List<Kept> prefix(String beginning) {
+    /** The records whose keys have this prefix, without tombstones, in key order. */
+    public List<Kept> prefix(String prefix) {
         List<Kept> found = new ArrayList<>();
-        for (Entry e : entries.tailMap(beginning, true).values()) {
-            if (!e.kept.getKey().startsWith(beginning)) {
+        for (Entry entry : entries.tailMap(prefix, true).values()) {
+            if (!entry.kept.getKey().startsWith(prefix)) {
                 break;
             }
-            if (!e.kept.hasDropped()) {
-                found.add(e.kept);
+            if (!entry.kept.hasDropped()) {
+                found.add(entry.kept);
             }
         }
         return found;
     }
 
-    /** All records after this key, tombstones too, in the order of the keys; "" for all. */
+    /** All records after this key, tombstones included, in key order; "" for all. */
     public Iterable<Kept> after(String key) {
         NavigableMap<String, Entry> tail = entries.tailMap(key, false);
         return () -> tail.values().stream().map(Entry::kept).iterator();
     }
 
+    /** The number of records, tombstones included. */
     public int size() {
         return entries.size();
     }
 
+    /** The number of tombstones. */
     public int tombstones() {
         return tombstones;
     }
 
-    /** Bytes of all records as they are sent and stored. */
+    /** The serialized size of all records in bytes. */
     public long bytes() {
         return bytes;
     }
 
-    /** The greatest stamp seen. */
+    /** The greatest stamp seen so far: a Lamport clock. */
     public long clock() {
         return clock;
     }
 
-    // ---- comparing with another instance's
+    // ---- comparing with another instance
 
-    /** A sum for each bucket. */
+    /** The sum of the records' hashes in each bucket. */
     public List<Long> sums() {
         return Arrays.stream(sums).boxed().toList();
     }
 
-    /** Buckets whose sums are not those. */
-    public List<Integer> differing(List<Long> others) {
-        List<Integer> found = new ArrayList<>();
+    /** The buckets whose sums differ from these. */
+    public List<Integer> differing(List<Long> otherSums) {
+        List<Integer> differing = new ArrayList<>();
         for (int i = 0; i < BUCKETS; i++) {
-            if (others.size() != BUCKETS || others.get(i) != sums[i]) {
-                found.add(i);
+            if (otherSums.size() != BUCKETS || otherSums.get(i) != sums[i]) {
+                differing.add(i);
             }
         }
-        return found;
+        return differing;
     }
 
-    /** The records of each of these buckets, in one pass over all. */
+    /** The records in each of these buckets, tombstones included; one pass over all records. */
     public SortedMap<Integer, List<Kept>> of(Collection<Integer> buckets) {
-        SortedMap<Integer, List<Kept>> found = new TreeMap<>();
-        buckets.forEach(b -> found.put(b, new ArrayList<>()));
-        for (Entry e : entries.values()) {
-            List<Kept> wanted = found.get(e.bucket);
-            if (wanted != null) {
-                wanted.add(e.kept);
+        SortedMap<Integer, List<Kept>> byBucket = new TreeMap<>();
+        buckets.forEach(bucket -> byBucket.put(bucket, new ArrayList<>()));
+        for (Entry entry : entries.values()) {
+            List<Kept> inBucket = byBucket.get(entry.bucket);
+            if (inBucket != null) {
+                inBucket.add(entry.kept);
             }
         }
-        return found;
+        return byBucket;
     }
 
-    /** The hash of what a key holds, 0 for nothing. */
+    /** The hash of the record of a key; 0 if there is none. */
     public long hash(String key) {
         Entry entry = entries.get(key);
         return entry == null ? 0 : entry.hash;
     }
 
-    // ---- forgetting removals
+    // ---- purging tombstones
 
-    /** Tombstones up to this stamp may be missing here. */
+    /** The stamp up to which tombstones may have been purged here. */
     public long horizon() {
         return horizon;
     }
 
     /**
-     * Forgets the tombstones up to this stamp; to be called with a stamp at which every named instance is
-     * known to have had them, or with the horizon of another instance. Returns the keys forgotten.
+     * Purges the tombstones up to this stamp and returns their keys. To be called with a stamp up to which
+     * every configured peer is known to have them, or with another instance's horizon.
      */
     public List<String> forget(long upTo) {
         if (upTo <= horizon) {
@@ -280,8 +291,8 @@
             return List.of();
         }
         List<String> keys = new ArrayList<>();
-        entries.forEach((key, e) -> {
-            if (e.kept.hasDropped() && e.kept.getStamp() <= upTo) {
+        entries.forEach((key, entry) -> {
+            if (entry.kept.hasDropped() && entry.kept.getStamp() <= upTo) {
                 keys.add(key);
             }
         });
@@ -290,8 +301,8 @@
     }
 
     /**
-     * Removes all but the keys to be kept, and returns which; the clock stays, so that nothing written from
-     * now on counts as old.
+     * Removes all records, tombstones included, except those with keys to keep, and returns the removed keys.
+     * The Lamport clock is not reset, so that later writes don't count as old.
      */
     public List<String> clear(Predicate<String> keep) {
         List<String> keys = entries.keySet().stream().filter(keep.negate()).toList();
