--- a/src/main/java/yewdock/replica/Replica.java
+++ b/src/main/java/yewdock/replica/Replica.java
@@ -165,7 +165,8 @@
     /** The status of every configured peer. */
     public List<Standing> standings() {
         return peers.values().stream().map(peer -> new Standing(peer.name, peer.up && peer.handshakeDone,
-                peer.dirtyKeys.size(), peer.lastHeard, peer.equalAt, peer.sent, peer.got, peer.trouble)).toList();
+                peer.dirtyKeys.size(), peer.lastHeard, peer.equalAt, peer.sent, peer.got,
+                peer.trouble)).toList();
     }
 
     // ---- connections
@@ -543,8 +544,8 @@
             return;
         }
         if (part.getReplace() && !needsFullSync) {
-            // on the first part: records that the peer lacks were removed while this instance was away, but not
-            // its own records, as no other instance can remove those
+            // first part: records that the peer lacks were removed while this instance was away; but not its
+            // own ones, which no other instance can remove
             log("replica.replaced", peer, "records", records.size());
             keysToStore.addAll(records.clear(key -> Keys.isOf(records.instance(), key)));
             needsFullSync = true;
--- a/src/main/java/yewdock/rules/Kind.java
+++ b/src/main/java/yewdock/rules/Kind.java
@@ -70,7 +70,7 @@
         return word;
     }
 
-    /** Whether a router without a valid lease refuses new requests under such a rule; else the value stays. */
+    /** Whether a router without a valid lease refuses new requests under such a rule; else it goes on. */
     public boolean hard() {
         return hard;
     }
--- a/src/main/java/yewdock/state/Keeping.java
+++ b/src/main/java/yewdock/state/Keeping.java
@@ -166,7 +166,7 @@
                 .setApplied(Applied.newBuilder().setText(text)), wall);
     }
 
-    /** Records an operator override for a server, or with NONE removes it; null if there is none to remove. */
+    /** Records an operator override for a server; NONE removes it, and null says that there was none. */
     public Kept mark(String box, Mark.Kind kind, String by, long wall) {
         String key = Keys.mark(box);
         if (kind == Mark.Kind.NONE) {
@@ -190,7 +190,7 @@
         return marks;
     }
 
-    /** Removes overrides of kind GONE for servers that have restarted: they hold for one start of a server. */
+    /** Removes overrides of kind GONE for servers that have restarted: they hold for one start only. */
     public List<Kept> dropOutlived(long wall) {
         List<Kept> dropped = new ArrayList<>();
         Map<String, Long> starts = new HashMap<>();
--- a/src/main/java/yewdock/store/Committer.java
+++ b/src/main/java/yewdock/store/Committer.java
@@ -13,105 +13,127 @@
 import java.util.function.Consumer;
 
 /**
- * Writes changes in groups on a thread of its own, so that nobody waits for the disk who doesn't want to. Of
- * a key that changes often only the last change is kept waiting, so what waits is bounded by what is kept.
- * When the store fails, all goes on from memory; it is opened anew every so often, and what has changed
- * since then is brought to it.
+ * Commits changes in groups on a thread of its own, so that callers don't wait for the disk unless they ask
+ * to. Only the last pending change of a key is kept, so the queue is never larger than the set of keys. While
+ * the store fails, changes are kept in memory; the store is reopened at intervals, and then brought up to
+ * date.
  */
 public final class Committer implements Closeable {
-    private static final int TIDY_EVERY = 500;
-    private static final int TIDY_MILLIS = 200;
+    private static final int COMMITS_PER_COMPACTION = 500;
+    private static final int COMPACTION_MILLIS = 200;
 
-    /** How the store is: open, or why not (null: open). */
+    /**
+     * The health of the store.
+     *
+     * @param open whether the store takes writes
+     * @param kind the kind of the last failure; null while open
+     * @param why the message of the last failure; empty while open
+     * @param commits how many commits were made
+     * @param failures how many times opening or writing has failed
+     * @param waiting how many keys have changes that are not committed yet
+     */
     public record Health(boolean open, StoreException.Kind kind, String why, long commits, long failures,
             long waiting) {
     }
 
-    /** Times in milliseconds: how long changes are gathered, and after how long a failed store is tried. */
+    /**
+     * The timing of commits, in milliseconds.
+     *
+     * @param gather how long changes are collected before a commit
+     * @param retry after how long a failed store is reopened
+     */
     public record Pace(long gather, long retry) {
     }
 
-    private final Shelf.Opening opening;
-    private final Pace pace;
-    private final Consumer<Health> changed;
+    private final Shelf.Opening opener;
+    private final Pace timing;
+    private final Consumer<Health> healthListener;
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition work = lock.newCondition();
-    /** What the records are, as told to this; the store follows. */
-    private final TreeMap<String, byte[]> wanted = new TreeMap<>();
-    private Map<String, byte[]> waiting = new LinkedHashMap<>();
-    private Map<Long, CompletableFuture<Void>> asked = new HashMap<>();
-    private long put;
-    private long durable;
+    /** What the store should hold once all changes are committed. */
+    private final TreeMap<String, byte[]> target = new TreeMap<>();
+    private Map<String, byte[]> pending = new LinkedHashMap<>();
+    /** Futures of callers that wait for a ticket to become durable. */
+    private Map<Long, CompletableFuture<Void>> durableFutures = new HashMap<>();
+    /** The last ticket given out, and the last one whose changes are on disk. */
+    private long lastTicket;
+    private long durableTicket;
     private long commits;
     private long failures;
-    private StoreException trouble;
+    private StoreException failure;
     private boolean closing;
-    private Shelf shelf;
+    private Shelf store;
     private final Thread thread;
 
-    /** A committer for a store that is open already. */
-    public Committer(Shelf shelf, Shelf.Opening opening, Pace pace, Consumer<Health> changed) {
-        this(shelf, null, opening, pace, changed);
+    /**
+     * A committer for an open store, which it closes in the end.
+     *
+     * @param healthListener called on the committer's thread when the store fails or recovers
+     */
+    public Committer(Shelf store, Shelf.Opening opener, Pace timing, Consumer<Health> healthListener) {
+        this(store, null, opener, timing, healthListener);
     }
 
-    /** A committer for a store that could not be opened, and why. */
-    public Committer(StoreException trouble, Shelf.Opening opening, Pace pace, Consumer<Health> changed) {
-        this(null, trouble, opening, pace, changed);
+    /** A committer for a store that could not be opened; it is opened later. */
+    public Committer(StoreException failure, Shelf.Opening opener, Pace timing,
+            Consumer<Health> healthListener) {
+        this(null, failure, opener, timing, healthListener);
     }
 
-    private Committer(Shelf shelf, StoreException trouble, Shelf.Opening opening, Pace pace,
-            Consumer<Health> changed) {
-        this.shelf = shelf;
-        this.trouble = trouble;
-        this.opening = opening;
-        this.pace = pace;
-        this.changed = changed;
-        if (shelf != null) {
-            wanted.putAll(shelf.all());
+    private Committer(Shelf store, StoreException failure, Shelf.Opening opener, Pace timing,
+            Consumer<Health> healthListener) {
+        this.store = store;
+        this.failure = failure;
+        this.opener = opener;
+        this.timing = timing;
+        this.healthListener = healthListener;
+        if (store != null) {
+            target.putAll(store.all());
         }
         thread = new Thread(this::run, "store");
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Keeps this, a null meaning a removal; returns a ticket for {@link #durable(long)}. Never waits. */
+    /** Queues changes; a null value removes the key. Returns a ticket for {@link #durable}. Never blocks. */
     public long put(Map<String, byte[]> changes) {
         lock.lock();
         try {
             changes.forEach((key, value) -> {
                 if (value == null) {
-                    wanted.remove(key);
+                    target.remove(key);
                 } else {
-                    wanted.put(key, value);
+                    target.put(key, value);
                 }
-                waiting.put(key, value);
+                pending.put(key, value);
             });
-            put++;
+            lastTicket++;
             work.signal();
-            return put;
+            return lastTicket;
         } finally {
             lock.unlock();
         }
     }
 
-    /** Done once all that was put up to this ticket is on the disk; while the store fails, it is not. */
+    /** Completes once all changes up to this ticket are on disk; if the store fails, after it recovers. */
     public CompletableFuture<Void> durable(long ticket) {
         lock.lock();
         try {
-            if (ticket <= durable) {
+            if (ticket <= durableTicket) {
                 return CompletableFuture.completedFuture(null);
             }
-            return asked.computeIfAbsent(ticket, t -> new CompletableFuture<>());
+            return durableFutures.computeIfAbsent(ticket, t -> new CompletableFuture<>());
         } finally {
             lock.unlock();
         }
     }
 
+    /** The current health of the store. */
     public Health health() {
         lock.lock();
         try {
-            return new Health(trouble == null, trouble == null ? null : trouble.kind(),
-                    trouble == null ? "" : trouble.getMessage(), commits, failures, waiting.size());
+            return new Health(failure == null, failure == null ? null : failure.kind(),
+                    failure == null ? "" : failure.getMessage(), commits, failures, pending.size());
         } finally {
             lock.unlock();
         }
@@ -119,43 +141,46 @@
 
     private void run() {
         while (true) {
-            boolean last;
+            boolean finalRun;
             lock.lock();
             try {
-                if (trouble != null) {
-                    waitOut(pace.retry());
+                if (failure != null) {
+                    pause(timing.retry());
                 } else {
-                    while (waiting.isEmpty() && put == durable && !closing) {
+                    while (pending.isEmpty() && lastTicket == durableTicket && !closing) {
                         work.await();
                     }
-                    waitOut(pace.gather());
+                    pause(timing.gather());
                 }
-                last = closing;
+                finalRun = closing;
             } catch (InterruptedException e) {
                 return;
             } finally {
                 lock.unlock();
             }
-            if (last && trouble != null) {
+            if (finalRun && failure != null) {
                 return;
             }
             try {
-                if (trouble != null) {
+                if (failure != null) {
                     reopen();
                 } else {
                     commit();
                 }
             } catch (StoreException e) {
-                failed(e);
+                handleFailure(e);
             }
-            if (last) {
+            if (finalRun) {
                 return;
             }
         }
     }
 
-    /** Each change signals; they are not to be written, nor a store opened anew, once for each. */
-    private void waitOut(long millis) throws InterruptedException {
+    /**
+     * Waits this long, or until the committer is closed. Every change signals the condition but must not end
+     * the wait, or each change would cause a commit or an attempt to reopen the store.
+     */
+    private void pause(long millis) throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
         while (!closing && System.nanoTime() < end) {
             work.awaitNanos(end - System.nanoTime());
@@ -163,43 +188,43 @@
     }
 
     private void commit() throws StoreException {
-        Map<String, byte[]> group;
+        Map<String, byte[]> changes;
         long upTo;
         lock.lock();
         try {
-            group = waiting;
-            waiting = new LinkedHashMap<>();
-            upTo = put;
+            changes = pending;
+            pending = new LinkedHashMap<>();
+            upTo = lastTicket;
         } finally {
             lock.unlock();
         }
-        if (!group.isEmpty()) {
-            shelf.write(group);
+        if (!changes.isEmpty()) {
+            store.write(changes);
             commits++;
-            if (commits % TIDY_EVERY == 0) {
-                shelf.tidy(TIDY_MILLIS);
+            if (commits % COMMITS_PER_COMPACTION == 0) {
+                store.tidy(COMPACTION_MILLIS);
             }
         }
-        done(upTo);
+        completeUpTo(upTo);
     }
 
     private void reopen() throws StoreException {
-        Shelf next = opening.open();
+        Shelf next = opener.open();
         try {
             Map<String, byte[]> changes = new LinkedHashMap<>();
             long upTo;
             lock.lock();
             try {
-                Map<String, byte[]> there = next.all();
-                there.keySet().stream().filter(k -> !wanted.containsKey(k)).forEach(k -> changes.put(k,
+                Map<String, byte[]> stored = next.all();
+                stored.keySet().stream().filter(k -> !target.containsKey(k)).forEach(k -> changes.put(k,
                         null));
-                wanted.forEach((key, value) -> {
-                    if (!Arrays.equals(value, there.get(key))) {
+                target.forEach((key, value) -> {
+                    if (!Arrays.equals(value, stored.get(key))) {
                         changes.put(key, value);
                     }
                 });
-                waiting = new LinkedHashMap<>();
-                upTo = put;
+                pending = new LinkedHashMap<>();
+                upTo = lastTicket;
             } finally {
                 lock.unlock();
             }
@@ -207,54 +232,54 @@
                 next.write(changes);
                 commits++;
             }
-            shelf = next;
-            trouble = null;
-            done(upTo);
-            changed.accept(health());
+            store = next;
+            failure = null;
+            completeUpTo(upTo);
+            healthListener.accept(health());
         } catch (StoreException e) {
             next.close();
             throw e;
         }
     }
 
-    private void failed(StoreException e) {
-        boolean news;
+    private void handleFailure(StoreException e) {
+        boolean healthChanged;
         lock.lock();
         try {
             failures++;
-            news = trouble == null || trouble.kind() != e.kind();
-            trouble = e;
+            healthChanged = failure == null || failure.kind() != e.kind();
+            failure = e;
         } finally {
             lock.unlock();
         }
-        if (shelf != null) {
-            shelf.close();
-            shelf = null;
+        if (store != null) {
+            store.close();
+            store = null;
         }
-        if (news) {
-            changed.accept(health());
+        if (healthChanged) {
+            healthListener.accept(health());
         }
     }
 
-    private void done(long upTo) {
-        Map<Long, CompletableFuture<Void>> over = new HashMap<>();
+    private void completeUpTo(long upTo) {
+        Map<Long, CompletableFuture<Void>> completed = new HashMap<>();
         lock.lock();
         try {
-            durable = Math.max(durable, upTo);
-            asked.entrySet().removeIf(e -> {
-                boolean is = e.getKey() <= durable;
-                if (is) {
-                    over.put(e.getKey(), e.getValue());
+            durableTicket = Math.max(durableTicket, upTo);
+            durableFutures.entrySet().removeIf(e -> {
+                boolean isDurable = e.getKey() <= durableTicket;
+                if (isDurable) {
+                    completed.put(e.getKey(), e.getValue());
                 }
-                return is;
+                return isDurable;
             });
         } finally {
             lock.unlock();
         }
-        over.values().forEach(f -> f.complete(null));
+        completed.values().forEach(f -> f.complete(null));
     }
 
-    /** Writes what waits, if the store is open, and closes it. */
+    /** Commits pending changes if the store is open, and closes it. */
     @Override
     public void close() {
         lock.lock();
@@ -269,9 +294,9 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        if (shelf != null) {
-            shelf.close();
-            shelf = null;
+        if (store != null) {
+            store.close();
+            store = null;
         }
     }
 }
--- a/src/main/java/yewdock/store/Shelf.java
+++ b/src/main/java/yewdock/store/Shelf.java
@@ -4,28 +4,30 @@
 import java.util.Map;
 import java.util.SortedMap;
 
-/** Where records lie, as the committer sees it: a {@link Store}, or in tests one that fails when told. */
+/** A durable key-value store: a {@link Store}, or in tests one that fails on demand. */
 public interface Shelf extends Closeable {
-    /** Opens it. */
+    /** Opens a store. */
     interface Opening {
+        /** Opens the store; the caller closes it. */
         Shelf open() throws StoreException;
     }
 
-    /** All that is kept, in the order of the keys. */
+    /** All entries, in key order. */
     SortedMap<String, byte[]> all();
 
     /**
-     * Keeps all of this or none; a null removes. Returns the number of the commit, which is on the disk when
-     * this returns.
+     * Writes all of the changes atomically, or none; a null value removes the key. Returns the number of the
+     * commit, which is on disk by then.
      */
     long write(Map<String, byte[]> changes) throws StoreException;
 
-    /** Gives room back that old commits take, in so many milliseconds at most. */
-    void tidy(int mostMillis) throws StoreException;
+    /** Frees space taken by old commits if it is worth it, for at most this many milliseconds. */
+    void tidy(int maxMillis) throws StoreException;
 
-    /** How many bytes it takes. */
+    /** The size of the store in bytes. */
     long bytes();
 
+    /** Closes the store. */
     @Override
     void close();
 }
--- a/src/main/java/yewdock/store/Store.java
+++ b/src/main/java/yewdock/store/Store.java
@@ -18,23 +18,24 @@
 import org.h2.mvstore.MVStoreException;
 
 /**
- * Records on a disk, in one file of H2's MVStore. Writing is one thread's; reading and snapshots are any's.
+ * A durable key-value store in one file of H2's MVStore. Only one thread may write; any thread may read and
+ * take snapshots.
  *
- * <p>The library checks its chunks' heads and not what is in their pages, so every record is sealed with a
- * hash of its key and bytes, and every commit holds the number and the sum of all seals. A file whose records
- * don't add up to a sum that was committed is refused and left as it is.
+ * <p>The library verifies the headers of its chunks but not the content of their pages. So every record is
+ * stored with a checksum of its key and bytes, and every commit contains the number of records and the sum of
+ * their checksums. A file that doesn't match a committed sum is refused and left unchanged.
  */
 public final class Store implements Shelf {
-    /** The layout that is written. 1: records without seals; 2: sealed, with their sum. */
+    /** The layout version written. 1: records without checksums; 2: records with checksums and their sum. */
     static final int VERSION = 2;
-    private static final String FILE = "records.mv";
-    /** Beside the file: the number of the last commit that is surely on the disk, and its seal. */
-    private static final String NUMBER = "records.number";
-    private static final String RECORDS = "records";
-    private static final String HEAD = "head";
+    private static final String STORE_FILE = "records.mv";
+    /** A file beside the store: the number of the last commit known to be on disk, and a checksum. */
+    private static final String NUMBER_FILE = "records.number";
+    private static final String RECORDS_MAP = "records";
+    private static final String HEAD_MAP = "head";
     private static final int CACHE_MB = 2;
-    private static final int SEAL = Long.BYTES;
-    private static final long TIDY_FROM = 4 << 20;
+    private static final int CHECKSUM_BYTES = Long.BYTES;
+    private static final long MIN_BYTES_TO_COMPACT = 4 << 20;
 
     private final Path file;
     private final MVStore store;
@@ -48,11 +49,11 @@
     private Store(Path file, MVStore store) {
         this.file = file;
         this.store = store;
-        this.records = store.openMap(RECORDS);
-        this.head = store.openMap(HEAD);
+        this.records = store.openMap(RECORDS_MAP);
+        this.head = store.openMap(HEAD_MAP);
     }
 
-    /** Opens the store in this folder, or makes one; brings one of an older version up in one commit. */
+    /** Opens the store in this folder, or creates one; upgrades one of an older version in one commit. */
     public static Store open(Path folder) throws StoreException {
         Path file = fileIn(folder);
         try {
@@ -61,36 +62,36 @@
                         PosixFilePermissions.fromString("rwx------")));
             }
             if (!Files.isDirectory(folder)) {
-                throw new StoreException(StoreException.Kind.READ_ONLY, folder + " is no folder");
+                throw new StoreException(StoreException.Kind.READ_ONLY, folder + " is not a directory");
             }
             if (Files.exists(file) && Files.size(file) == 0) {
-                if (surely(file) > 0) {
+                if (confirmedNumber(file) > 0) {
                     throw new StoreException(StoreException.Kind.DAMAGED, file + " is damaged: it is empty, "
-                            + "and had " + surely(file) + " commits");
+                            + "but had " + confirmedNumber(file) + " commits");
                 }
-                // killed before the first byte was written: nothing was ever acknowledged
+                // the process was killed before the first write, so no commit was ever acknowledged
                 Files.delete(file);
             }
             if (!Files.exists(file)) {
-                Files.deleteIfExists(file.resolveSibling(NUMBER));
+                Files.deleteIfExists(file.resolveSibling(NUMBER_FILE));
             }
         } catch (IOException e) {
-            throw new StoreException(StoreException.Kind.READ_ONLY, folder + " can't be made: "
+            throw new StoreException(StoreException.Kind.READ_ONLY, folder + " cannot be created: "
                     + e.getMessage(), e);
         }
         if (Files.exists(file)) {
-            // looked at without writing first: what is refused must be left as it is
+            // check it read-only first, as a store that is refused must not be modified
             look(folder).close();
         }
         if (!Files.isWritable(folder) || Files.exists(file) && !Files.isWritable(file)) {
-            throw new StoreException(StoreException.Kind.READ_ONLY, file + " can't be written");
+            throw new StoreException(StoreException.Kind.READ_ONLY, file + " is not writable");
         }
         return guarded(file, () -> {
             Store opened = new Store(file, builder(file).autoCommitDisabled().open());
             try {
                 opened.check();
                 opened.compareNumber();
-                opened.bringUp();
+                opened.upgrade();
             } catch (StoreException | RuntimeException e) {
                 opened.close();
                 throw e;
@@ -99,11 +100,11 @@
         });
     }
 
-    /** Opens it for reading only, and checks all of it. */
+    /** Opens the store in this folder read-only and checks all records. */
     public static Store look(Path folder) throws StoreException {
         Path file = fileIn(folder);
         if (!Files.exists(file)) {
-            throw new StoreException(StoreException.Kind.UNWRITABLE, "there is no store in " + folder);
+            throw new StoreException(StoreException.Kind.UNWRITABLE, "no store found in " + folder);
         }
         return guarded(file, () -> {
             Store opened = new Store(file, builder(file).readOnly().open());
@@ -118,118 +119,124 @@
         });
     }
 
-    /** Puts a damaged store out of the way, whole, so that a new one can begin; returns where it is. */
+    /** Renames a damaged store, unchanged, so that a new one can be created; returns its new path. */
     public static Path setAside(Path folder) throws IOException {
         Path file = fileIn(folder);
-        Path aside = file.resolveSibling(FILE + ".damaged");
+        Path aside = file.resolveSibling(STORE_FILE + ".damaged");
         for (int i = 1; Files.exists(aside); i++) {
-            aside = file.resolveSibling(FILE + ".damaged-" + i);
+            aside = file.resolveSibling(STORE_FILE + ".damaged-" + i);
         }
-        Files.deleteIfExists(file.resolveSibling(NUMBER));
+        Files.deleteIfExists(file.resolveSibling(NUMBER_FILE));
         return Files.move(file, aside);
     }
 
-    /** The one file of the store in this folder. */
+    /** The path of the store's file in this folder. */
     public static Path fileIn(Path folder) {
-        return folder.resolve(FILE);
+        return folder.resolve(STORE_FILE);
     }
 
     private static MVStore.Builder builder(Path file) {
         return new MVStore.Builder().fileName(file.toString()).cacheSize(CACHE_MB);
     }
 
+    /** An operation on the store. */
     private interface Work<T> {
         T run() throws StoreException;
     }
 
+    /** Runs an operation and converts whatever the library throws to a StoreException. */
     private static <T> T guarded(Path file, Work<T> work) throws StoreException {
         try {
             return work.run();
         } catch (MVStoreException e) {
-            throw told(file, e);
+            throw convert(file, e);
         } catch (RuntimeException | StackOverflowError | OutOfMemoryError | AssertionError e) {
-            // a length or a reference that a flipped bit has made absurd
+            // the library fails in these ways when a corrupt bit gives an absurd length or reference
             throw new StoreException(StoreException.Kind.DAMAGED, file + " is damaged: " + e, e);
         }
     }
 
-    private static StoreException told(Path file, MVStoreException e) {
+    /** Converts a failure of the library. */
+    private static StoreException convert(Path file, MVStoreException e) {
         String why = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
         return switch (e.getErrorCode()) {
             case DataUtils.ERROR_FILE_LOCKED -> new StoreException(StoreException.Kind.LOCKED,
                     file + " is in use by another process", e);
             case DataUtils.ERROR_UNSUPPORTED_FORMAT -> new StoreException(StoreException.Kind.NEWER,
-                    file + " is in a format that this program does not know: " + why, e);
+                    file + " has an unknown format: " + why, e);
             case DataUtils.ERROR_WRITING_FAILED -> new StoreException(StoreException.Kind.UNWRITABLE,
-                    file + " can't be written: " + why, e);
+                    file + " cannot be written: " + why, e);
             default -> new StoreException(StoreException.Kind.DAMAGED, file + " is damaged: " + why, e);
         };
     }
 
-    // ---- what must hold
+    // ---- integrity checks
 
+    /** Checks the version, every record's checksum, and their sum against the last commit. */
     private void check() throws StoreException {
         long version = head.getOrDefault("version", 0L);
         number = head.getOrDefault("number", 0L);
         if (version > VERSION) {
             throw new StoreException(StoreException.Kind.NEWER, file + " has version " + version
-                    + "; this program knows versions up to " + VERSION);
+                    + "; the newest supported version is " + VERSION);
         }
         if (version == 0 && (!records.isEmpty() || number != 0)) {
-            throw damaged("it has records and no version");
+            throw damaged("it has records but no version");
         }
         if (version < 2) {
             return;
         }
         for (Iterator<String> keys = records.keyIterator(null); keys.hasNext();) {
             String key = keys.next();
-            byte[] sealed = records.get(key);
-            if (sealed == null || sealed.length < SEAL || seal(key, sealed) != sealIn(sealed)) {
-                throw damaged("the record " + key + " is not what was written");
+            byte[] stored = records.get(key);
+            if (stored == null || stored.length < CHECKSUM_BYTES
+                    || checksum(key, stored) != storedChecksum(stored)) {
+                throw damaged("the record " + key + " does not match its checksum");
             }
             count++;
-            sum += sealIn(sealed);
+            sum += storedChecksum(stored);
         }
         if (count != head.getOrDefault("count", -1L) || sum != head.getOrDefault("sum", 0L)
-                || headSeal() != head.getOrDefault("seal", 0L)) {
-            throw damaged("its " + count + " records are not a set that was committed");
+                || headChecksum() != head.getOrDefault("seal", 0L)) {
+            throw damaged("its " + count + " records do not match the last commit");
         }
     }
 
     /**
-     * The library opens a file whose newest parts are destroyed as it was before them, and one whose parts
-     * are all destroyed as an empty one: that must not pass for what was committed last.
+     * Detects lost commits. The library opens a file whose newest chunks are destroyed as of an older commit,
+     * and one without any intact chunk as empty; neither may pass for the last committed state.
      */
     private void compareNumber() throws StoreException {
-        missing = Math.max(0, surely(file) - number);
+        missing = Math.max(0, confirmedNumber(file) - number);
         if (missing > 0 && number == 0) {
-            throw damaged("nothing of its " + missing + " commits can be found in it");
+            throw damaged("none of its " + missing + " commits can be found");
         }
     }
 
-    private static long surely(Path file) {
+    /** The number of the last commit known to be on disk; 0 if unknown. */
+    private static long confirmedNumber(Path file) {
         try {
-            ByteBuffer bytes = ByteBuffer.wrap(Files.readAllBytes(file.resolveSibling(NUMBER)));
+            ByteBuffer bytes = ByteBuffer.wrap(Files.readAllBytes(file.resolveSibling(NUMBER_FILE)));
             long number = bytes.getLong();
-            return bytes.getLong() == sealOf(number) ? number : 0;
+            return bytes.getLong() == checksumOf(number) ? number : 0;
         } catch (IOException | BufferUnderflowException e) {
-            // killed before the first commit, or half written by a kill: then nothing can be told
+            // killed before the first commit or while writing it: nothing is known then
             return 0;
         }
     }
 
-    private static long sealOf(long number) {
+    private static long checksumOf(long number) {
         return Hashing.xxh3_64().hashStream().putLong(number).getAsLong();
     }
 
-    /** Never before the commit is on the disk; not synced itself, for being behind does no harm. */
-    private void noteNumber() {
+    /** Called only once the commit is on disk. Not synced itself, as a number that is too low is harmless. */
+    private void writeNumberFile() {
         ByteBuffer bytes = ByteBuffer.allocate(2 * Long.BYTES).putLong(number)
-                .putLong(sealOf(number));
+                .putLong(checksumOf(number));
         try {
-            Files.write(file.resolveSibling(NUMBER), bytes.array());
+            Files.write(file.resolveSibling(NUMBER_FILE), bytes.array());
         } catch (IOException e) {
-            // the commit stands all the same
+            // the commit is on disk nevertheless
         }
     }
 
@@ -237,8 +244,8 @@
         return new StoreException(StoreException.Kind.DAMAGED, file + " is damaged: " + why);
     }
 
-    /** In one commit: killed before it, the old version is there; after it, the new. */
-    private void bringUp() throws StoreException {
+    /** Upgrades the layout in one commit, so that a crash leaves either the old or the new version. */
+    private void upgrade() throws StoreException {
         long version = head.getOrDefault("version", 0L);
         if (version == VERSION) {
             return;
@@ -254,31 +261,36 @@
         write(old);
     }
 
-    private long headSeal() {
+    /** The checksum of the head. */
+    private long headChecksum() {
         return Hashing.xxh3_64().hashStream().putLong(VERSION).putLong(number).putLong(count).putLong(sum)
                 .getAsLong();
     }
 
-    private static long seal(String key, byte[] sealed) {
+    /** The checksum of a record's key and bytes; the first bytes, which hold the checksum, are left out. */
+    private static long checksum(String key, byte[] stored) {
         byte[] name = key.getBytes(StandardCharsets.UTF_8);
         return Hashing.xxh3_64().hashStream().putBytes(name).putInt(name.length)
-                .putBytes(sealed, SEAL, sealed.length - SEAL).getAsLong();
+                .putBytes(stored, CHECKSUM_BYTES, stored.length - CHECKSUM_BYTES).getAsLong();
     }
 
-    private static long sealIn(byte[] sealed) {
-        return ByteBuffer.wrap(sealed).getLong();
+    /** The checksum stored with a record. */
+    private static long storedChecksum(byte[] stored) {
+        return ByteBuffer.wrap(stored).getLong();
     }
 
-    private static byte[] sealed(String key, byte[] bytes) {
-        byte[] sealed = new byte[SEAL + bytes.length];
-        System.arraycopy(bytes, 0, sealed, SEAL, bytes.length);
-        ByteBuffer.wrap(sealed).putLong(seal(key, sealed));
-        return sealed;
+    /** Prefixes a record's bytes with their checksum. */
+    private static byte[] withChecksum(String key, byte[] bytes) {
+        byte[] stored = new byte[CHECKSUM_BYTES + bytes.length];
+        System.arraycopy(bytes, 0, stored, CHECKSUM_BYTES, bytes.length);
+        ByteBuffer.wrap(stored).putLong(checksum(key, stored));
+        return stored;
     }
 
-    private static byte[] opened(byte[] sealed) {
-        byte[] bytes = new byte[sealed.length - SEAL];
-        System.arraycopy(sealed, SEAL, bytes, 0, bytes.length);
+    /** A record's bytes without the checksum. */
+    private static byte[] withoutChecksum(byte[] stored) {
+        byte[] bytes = new byte[stored.length - CHECKSUM_BYTES];
+        System.arraycopy(stored, CHECKSUM_BYTES, bytes, 0, bytes.length);
         return bytes;
     }
 
@@ -289,57 +301,58 @@
         return guarded(file, () -> {
             commit(changes);
             store.sync();
-            noteNumber();
+            writeNumberFile();
             return number;
         });
     }
 
-    /** Under the lock, so that no snapshot sees half of it. */
+    /** Commits changes; synchronized, so that no snapshot sees a part of them. */
     private synchronized void commit(Map<String, byte[]> changes) {
         for (Map.Entry<String, byte[]> change : changes.entrySet()) {
             byte[] after = change.getValue() == null ? null
-                    : sealed(change.getKey(), change.getValue());
+                    : withChecksum(change.getKey(), change.getValue());
             byte[] before = after == null ? records.remove(change.getKey())
                     : records.put(change.getKey(), after);
             count += (after == null ? 0 : 1) - (before == null ? 0 : 1);
-            sum += (after == null ? 0 : sealIn(after)) - (before == null ? 0 : sealIn(before));
+            sum += (after == null ? 0 : storedChecksum(after))
+                    - (before == null ? 0 : storedChecksum(before));
         }
         number++;
         head.put("number", number);
         head.put("count", count);
         head.put("sum", sum);
-        head.put("seal", headSeal());
+        head.put("seal", headChecksum());
         store.commit();
     }
 
     @Override
-    public void tidy(int mostMillis) throws StoreException {
-        if (bytes() > TIDY_FROM) {
-            compact(mostMillis);
+    public void tidy(int maxMillis) throws StoreException {
+        if (bytes() > MIN_BYTES_TO_COMPACT) {
+            compact(maxMillis);
         }
     }
 
-    /** Gives back all the room that can be had in so many milliseconds. */
-    public void compact(int mostMillis) throws StoreException {
+    /** Frees as much space in the file as possible, for at most this many milliseconds. */
+    public void compact(int maxMillis) throws StoreException {
         guarded(file, () -> {
-            store.compactFile(mostMillis);
+            store.compactFile(maxMillis);
             return null;
         });
     }
 
-    // ---- reading
+    // ---- queries
 
-    /** The number of the last commit; all up to it are on the disk. */
+    /** The number of the last commit; all commits up to it are on disk. */
     public long number() {
         return number;
     }
 
-    /** How many commits were on the disk and are there no more: what is here was committed before them. */
+    /** How many of the newest commits were on disk but are lost; the content is as of before them. */
     public long missing() {
         return missing;
     }
 
-    /** The layout that the file has. */
+    /** The layout version of the file. */
     public int version() {
         return Math.toIntExact(head.getOrDefault("version", 0L));
     }
@@ -358,51 +371,51 @@
         return prefix("");
     }
 
-    /** The records whose keys begin so, in the order of the keys, as of one commit. */
-    public SortedMap<String, byte[]> prefix(String beginning) {
+    /** The records whose keys have this prefix, in key order, as of one commit. */
+    public SortedMap<String, byte[]> prefix(String prefix) {
         try (Snapshot snapshot = snapshot()) {
-            return snapshot.prefix(beginning);
+            return snapshot.prefix(prefix);
         }
     }
 
-    /** What is committed now, whatever is written after; to be closed. */
+    /** A snapshot of the last commit, unaffected by later writes; the caller closes it. */
     public synchronized Snapshot snapshot() {
         return new Snapshot();
     }
 
     /** The records as of one commit. */
     public final class Snapshot implements AutoCloseable {
-        private final MVStore.TxCounter use = store.registerVersionUsage();
-        private final MVMap<String, byte[]> then = records.getVersion() == 0 && records.isEmpty() ? records
-                : records.openVersion(use.version);
+        private final MVStore.TxCounter versionUse = store.registerVersionUsage();
+        private final MVMap<String, byte[]> view = records.getVersion() == 0 && records.isEmpty() ? records
+                : records.openVersion(versionUse.version);
 
-        /** The records whose keys begin so, in the order of the keys. */
-        public SortedMap<String, byte[]> prefix(String beginning) {
+        /** The records whose keys have this prefix, in key order. */
+        public SortedMap<String, byte[]> prefix(String prefix) {
             SortedMap<String, byte[]> found = new TreeMap<>();
-            for (Iterator<String> keys = then.keyIterator(beginning); keys.hasNext();) {
+            for (Iterator<String> keys = view.keyIterator(prefix); keys.hasNext();) {
                 String key = keys.next();
-                if (!key.startsWith(beginning)) {
+                if (!key.startsWith(prefix)) {
                     break;
                 }
-                byte[] sealed = then.get(key);
-                found.put(key, version() < 2 ? sealed : opened(sealed));
+                byte[] stored = view.get(key);
+                found.put(key, version() < 2 ? stored : withoutChecksum(stored));
             }
             return found;
         }
 
         @Override
         public void close() {
-            store.deregisterVersionUsage(use);
+            store.deregisterVersionUsage(versionUse);
         }
     }
 
     @Override
     public void close() {
         try {
-            // tidied while it is open; an end is not to wait for it
+            // no compaction here: it is done while the store is open, and closing should not take long
             store.close(0);
         } catch (RuntimeException e) {
-            // what was acknowledged was synced; the file is checked when it is next opened
+            // all acknowledged commits were synced, and the file is checked when it is opened again
             store.closeImmediately();
         }
     }
--- a/src/main/java/yewdock/store/StoreException.java
+++ b/src/main/java/yewdock/store/StoreException.java
@@ -1,35 +1,38 @@
 package yewdock.store;
 
-/** Why a store can't be used; the message is one line for the operator. */
+/** Thrown when a store can't be used; the message is one line for the operator. */
 public final class StoreException extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** What is the matter. */
+    /** The kinds of failure. */
     public enum Kind {
-        /** Another process has it open. */
+        /** Another process has the store open. */
         LOCKED,
-        /** It can be read and not written. */
+        /** The store can't be written. */
         READ_ONLY,
-        /** A later program has written it. */
+        /** The store was written by a newer version. */
         NEWER,
-        /** What lies in it is not what was committed. */
+        /** The content is not what was committed. */
         DAMAGED,
-        /** There is no room, or the disk fails. */
+        /** The disk is full or fails, or there is no store to read. */
         UNWRITABLE
     }
 
     private final Kind kind;
 
+    /** A failure without a cause. */
     public StoreException(Kind kind, String message) {
         super(message);
         this.kind = kind;
     }
 
+    /** A failure caused by another exception. */
     public StoreException(Kind kind, String message, Throwable cause) {
         super(message, cause);
         this.kind = kind;
     }
 
+    /** The kind of failure. */
     public Kind kind() {
         return kind;
     }
--- a/src/test/java/yewdock/lease/GrantsTest.java
+++ b/src/test/java/yewdock/lease/GrantsTest.java
@@ -9,92 +9,93 @@
 import org.junit.jupiter.api.Test;
 
 class GrantsTest {
-    private static final long SECOND = 1_000_000;
-    private static final LeaseTerms TERMS = new LeaseTerms(2 * SECOND, 0.001);
-    private final Grants grants = new Grants(TERMS);
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final LeaseTerms TIMING = new LeaseTerms(2 * SECOND_MICROS, 0.001);
+    private final Grants grants = new Grants(TIMING);
 
-    private static Grants.Ask ask(String router, long step) {
+    private static Grants.Ask request(String router, long step) {
         return new Grants.Ask(router, 1, 1, step);
     }
 
-    private List<Grants.Ask> granted(long lastPrepared, long now, Grants.Ask... asks) {
-        for (Grants.Ask a : asks) {
-            grants.asked(a);
+    private List<Grants.Ask> granted(long lastPrepared, long now, Grants.Ask... requests) {
+        for (Grants.Ask request : requests) {
+            grants.asked(request);
         }
         assertTrue(grants.beginRound());
         return grants.confirmed(lastPrepared, now);
     }
 
     @Test
-    void aLeaseRunsFromTheSendingOfItsCall() {
-        Lease lease = new Lease(TERMS);
-        long number = lease.asks(5 * SECOND);
-        assertFalse(lease.holds(5 * SECOND));
+    void aLeaseRunsFromTheSendingOfItsRequest() {
+        Lease lease = new Lease(TIMING);
+        long number = lease.asks(5 * SECOND_MICROS);
+        assertFalse(lease.holds(5 * SECOND_MICROS));
         lease.granted(number);
-        assertTrue(lease.holds(7 * SECOND - 1));
-        assertFalse(lease.holds(7 * SECOND));
+        assertTrue(lease.holds(7 * SECOND_MICROS - 1));
+        assertFalse(lease.holds(7 * SECOND_MICROS));
         lease.granted(number);
         lease.granted(99);
-        assertEquals(7 * SECOND, lease.until());
-        long second = lease.asks(6 * SECOND);
-        lease.asks(9 * SECOND);
+        assertEquals(7 * SECOND_MICROS, lease.until());
+        long second = lease.asks(6 * SECOND_MICROS);
+        lease.asks(9 * SECOND_MICROS);
         lease.granted(second);
-        assertEquals(7 * SECOND, lease.until(), "an answer that comes a lease late is worth nothing");
+        assertEquals(7 * SECOND_MICROS, lease.until(),
+                "an answer that arrives later than one lease length has no effect");
     }
 
     @Test
-    void aRouterThatDoesNotKnowTheLastChangeGetsNoLease() {
+    void aRouterWithoutTheLastChangeGetsNoLease() {
         grants.leads(0);
-        assertEquals(List.of(ask("b", 7)), granted(7, SECOND, ask("a", 6), ask("b", 7)));
+        assertEquals(List.of(request("b", 7)), granted(7, SECOND_MICROS, request("a", 6), request("b", 7)));
     }
 
-    /** Else a leader that others have replaced could be taken for confirmed by what it heard before. */
+    /** A leader that was replaced could otherwise grant on responses sent before its replacement. */
     @Test
-    void aCallThatComesDuringARoundWaitsForTheNext() {
+    void aRequestDuringARoundWaitsForTheNext() {
         grants.leads(0);
-        grants.asked(ask("a", 0));
+        grants.asked(request("a", 0));
         assertTrue(grants.beginRound());
-        grants.asked(ask("b", 0));
+        grants.asked(request("b", 0));
         assertFalse(grants.beginRound());
-        assertEquals(List.of(ask("a", 0)), grants.confirmed(0, 1));
+        assertEquals(List.of(request("a", 0)), grants.confirmed(0, 1));
         assertTrue(grants.beginRound());
-        assertEquals(List.of(ask("b", 0)), grants.confirmed(0, 2));
+        assertEquals(List.of(request("b", 0)), grants.confirmed(0, 2));
     }
 
     @Test
-    void aChangeTakesForceOnceAllHoldersKnowOrAreRunOut() {
+    void aChangeTakesEffectOnceAllLeasesKnowItOrExpired() {
         grants.leads(0);
-        long now = TERMS.runOut();
-        granted(0, now, ask("a", 0), ask("b", 0));
-        Map<String, Long> under = Map.of("c", 1L);
-        assertEquals(List.of(), grants.due(under, now));
-        granted(1, now + 1, ask("a", 1));
-        assertEquals(List.of(), grants.due(under, now + 1));
-        assertEquals(List.of("c"), grants.due(under, now + TERMS.runOut()));
+        long now = TIMING.runOut();
+        granted(0, now, request("a", 0), request("b", 0));
+        Map<String, Long> pending = Map.of("c", 1L);
+        assertEquals(List.of(), grants.due(pending, now));
+        granted(1, now + 1, request("a", 1));
+        assertEquals(List.of(), grants.due(pending, now + 1));
+        assertEquals(List.of("c"), grants.due(pending, now + TIMING.runOut()));
         grants.due(Map.of(), now);
-        granted(1, now + SECOND, ask("b", 1));
-        assertEquals(List.of("c"), grants.due(under, now + SECOND));
+        granted(1, now + SECOND_MICROS, request("b", 1));
+        assertEquals(List.of("c"), grants.due(pending, now + SECOND_MICROS));
     }
 
-    /** An older process of the router may be asleep, with its lease. */
+    /** An older process of the router may be suspended and still have its lease. */
     @Test
-    void anotherProcessOfTheSameRouterIsAnotherHolder() {
+    void eachProcessOfARouterHasALeaseOfItsOwn() {
         grants.leads(0);
-        long now = TERMS.runOut();
+        long now = TIMING.runOut();
         granted(0, now, new Grants.Ask("a", 1, 1, 0));
         granted(1, now, new Grants.Ask("a", 2, 1, 1));
         assertEquals(List.of(), grants.due(Map.of("c", 1L), now));
     }
 
     @Test
-    void aLeaderThatTookOverLetsOneLeasePass() {
+    void aNewLeaderWaitsForOneLeaseLength() {
         assertEquals(List.of(), grants.due(Map.of("c", 1L), 0));
-        grants.leads(TERMS.runOut() - 1);
-        assertEquals(List.of(), grants.due(Map.of("c", 1L), TERMS.runOut() - 1));
-        assertEquals(List.of("c"), grants.due(Map.of("c", 1L), TERMS.runOut()));
+        grants.leads(TIMING.runOut() - 1);
+        assertEquals(List.of(), grants.due(Map.of("c", 1L), TIMING.runOut() - 1));
+        assertEquals(List.of("c"), grants.due(Map.of("c", 1L), TIMING.runOut()));
         grants.follows();
-        assertEquals(List.of(), grants.due(Map.of("c", 1L), TERMS.runOut()));
-        grants.asked(ask("a", 1));
+        assertEquals(List.of(), grants.due(Map.of("c", 1L), TIMING.runOut()));
+        grants.asked(request("a", 1));
         assertFalse(grants.beginRound());
     }
 }
--- a/src/test/java/yewdock/replica/ReplicaSimTest.java
+++ b/src/test/java/yewdock/replica/ReplicaSimTest.java
@@ -23,7 +23,7 @@
 import yewdock.wire.PeerFrame;
 
 class ReplicaSimTest {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
 
     private static Kept.Builder mark(int kind) {
         return Kept.newBuilder().setMark(Mark.newBuilder().setKindValue(kind));
@@ -34,10 +34,10 @@
     }
 
     @Test
-    void cutOffFromEachOtherAndJoinedTheyAgree() {
+    void instancesAgreeAfterPartitionsHeal() {
         for (int seed = 1; seed <= 20; seed++) {
             CopiesSim sim = new CopiesSim(names(5), seed);
-            sim.run(3 * SECOND);
+            sim.run(3 * SECOND_MICROS);
             SplittableRandom random = new SplittableRandom(seed);
             for (int round = 0; round < 5; round++) {
                 sim.split(random.nextInt(1 << 5));
@@ -45,44 +45,44 @@
                     sim.node(random.nextInt(5)).write(Keys.mark("s-" + random.nextInt(20)),
                             mark(1 + random.nextInt(2)));
                     sim.node(random.nextInt(5)).drop(Keys.mark("s-" + random.nextInt(20)));
-                    sim.run(random.nextLong(SECOND / 2));
+                    sim.run(random.nextLong(SECOND_MICROS / 2));
                 }
                 sim.join();
-                sim.run(5 * SECOND);
+                sim.run(5 * SECOND_MICROS);
                 assertTrue(sim.agree(), "seed " + seed + " round " + round + ": " + sim.differences());
             }
         }
     }
 
     @Test
-    void aDrainReachesAllWithoutWaitingForAComparison() {
+    void aDrainIsPushedWithoutWaitingForAComparison() {
         CopiesSim sim = new CopiesSim(names(5), 1);
-        sim.run(3 * SECOND);
+        sim.run(3 * SECOND_MICROS);
         sim.node(2).write(Keys.mark("s-1"), mark(1));
-        sim.run(SECOND / 10);
+        sim.run(SECOND_MICROS / 10);
         assertTrue(sim.agree());
         assertNotNull(sim.node(4).records().get(Keys.mark("s-1")));
     }
 
     @Test
-    void anEmptyDiskTakesASnapshotAndKnowsItsOwnAgain() {
+    void anInstanceWithAnEmptyDiskRecoversFromASnapshot() {
         CopiesSim sim = new CopiesSim(names(3), 1);
         for (int i = 0; i < 3000; i++) {
             sim.node(i % 3).write(Keys.box("i" + i % 3, i), mark(1));
         }
-        sim.run(20 * SECOND);
+        sim.run(20 * SECOND_MICROS);
         assertTrue(sim.agree());
         sim.wipe(1);
         sim.node(1).write(Keys.box("i1", 1), mark(2));
-        sim.run(20 * SECOND);
+        sim.run(20 * SECOND_MICROS);
         assertTrue(sim.agree(), sim.differences());
         assertEquals(3000, sim.node(1).records().size());
-        // what it has written in this life holds, though its stamps began anew
+        // what it has written since wins, although its stamps started from zero again
         assertEquals(2, sim.node(0).records().get(Keys.box("i1", 1)).getMark().getKindValue());
     }
 
     @Test
-    void aSnapshotCutOffHalfWayIsTakenAnew() {
+    void anInterruptedSnapshotIsRestarted() {
         CopiesSim sim = new CopiesSim(names(2), 1);
         for (int i = 0; i < 20_000; i++) {
             sim.node(0).write(Keys.box("i0", i), mark(1));
@@ -90,57 +90,57 @@
         sim.wipe(1);
         sim.run(1);
         while (sim.node(1).records().size() == 0) {
-            sim.run(SECOND / 1000);
+            sim.run(SECOND_MICROS / 1000);
         }
         assertTrue(sim.node(1).records().size() < 20_000);
         sim.split(1);
-        sim.run(SECOND);
+        sim.run(SECOND_MICROS);
         assertTrue(sim.node(1).replica().needsAll());
         sim.join();
-        sim.run(20 * SECOND);
+        sim.run(20 * SECOND_MICROS);
         assertTrue(sim.agree(), sim.differences());
     }
 
     @Test
-    void whatWasRemovedLongAgoStaysRemoved() {
+    void removedRecordsAreNotRestoredByAStalePeer() {
         CopiesSim sim = new CopiesSim(names(3), 1, 5);
         sim.node(0).write(Keys.mark("s-old"), mark(1));
-        sim.run(5 * SECOND);
+        sim.run(5 * SECOND_MICROS);
         byte[] disk = sim.disk(2);
         sim.stop(2);
         sim.rename(List.of("i0", "i1"));
         sim.node(0).drop(Keys.mark("s-old"));
         for (int i = 0; i < 30; i++) {
             sim.node(0).write(Keys.mark("s-" + i), mark(1));
-            sim.run(SECOND / 10);
+            sim.run(SECOND_MICROS / 10);
             sim.node(0).drop(Keys.mark("s-" + i));
         }
-        sim.run(10 * SECOND);
-        assertNull(sim.node(0).records().raw(Keys.mark("s-old")), "the removal should be forgotten by now");
+        sim.run(10 * SECOND_MICROS);
+        assertNull(sim.node(0).records().raw(Keys.mark("s-old")), "the tombstone should be purged by now");
         sim.rename(List.of("i0", "i1", "i2"));
         sim.start(2, disk);
         assertNotNull(sim.node(2).records().get(Keys.mark("s-old")));
-        sim.run(10 * SECOND);
+        sim.run(10 * SECOND_MICROS);
         assertTrue(sim.agree(), sim.differences());
         assertNull(sim.node(2).records().get(Keys.mark("s-old")));
         assertNull(sim.node(0).records().get(Keys.mark("s-old")));
     }
 
     @Test
-    void aClockAnHourOffDecidesNothing() {
+    void wallClocksDoNotDecideConflicts() {
         CopiesSim sim = new CopiesSim(names(3), 1);
-        sim.run(3 * SECOND);
-        sim.wallOff(0, 3600 * SECOND);
+        sim.run(3 * SECOND_MICROS);
+        sim.wallOff(0, 3600 * SECOND_MICROS);
         sim.node(0).write(Keys.mark("s-1"), mark(1));
-        sim.run(3 * SECOND);
+        sim.run(3 * SECOND_MICROS);
         sim.node(1).drop(Keys.mark("s-1"));
-        sim.run(3 * SECOND);
+        sim.run(3 * SECOND_MICROS);
         assertTrue(sim.agree());
         assertNull(sim.node(0).records().get(Keys.mark("s-1")));
     }
 
     @Test
-    void aPeerThatNeverAnswersCostsNamesOnly() {
+    void onlyKeysAreQueuedForASilentPeer() {
         Records records = new Records("a", 100_000);
         Replica replica = new Replica("c", Set.of("b"), records, 1, 1000);
         replica.reduce(new ReplicaEvent.Up("b"), 0);
@@ -150,44 +150,44 @@
             records.write(Keys.mark("s-" + i % 500), mark(1 + i % 2), 0);
             sent += replica.reduce(new ReplicaEvent.Changed(List.of(Keys.mark("s-" + i % 500))), 1).size();
         }
-        assertTrue(sent <= 2, sent + " frames to a peer that takes none");
+        assertTrue(sent <= 2, sent + " frames to a peer that acknowledges none");
         assertTrue(replica.standings().get(0).waiting() <= 500);
-        List<ReplicaEffect> late = replica.reduce(new ReplicaEvent.Tick(), 6 * SECOND);
-        assertTrue(late.stream().anyMatch(e -> e instanceof ReplicaEffect.Close));
+        List<ReplicaEffect> timeoutEffects = replica.reduce(new ReplicaEvent.Tick(), 6 * SECOND_MICROS);
+        assertTrue(timeoutEffects.stream().anyMatch(e -> e instanceof ReplicaEffect.Close));
         assertEquals(0, replica.standings().get(0).waiting());
     }
 
     @Test
-    void whatMakesNoSenseClosesTheConnectionAndChangesNothing() {
-        List<PeerFrame> nonsense = new ArrayList<>();
-        Kept good = mark(1).setKey("mark/x").setStamp(3).setInstance("b").build();
-        for (Kept bad : List.of(good.toBuilder().setStamp(Long.MAX_VALUE).build(),
-                good.toBuilder().setStamp(0).build(), good.toBuilder().setKey("").build(),
-                good.toBuilder().setInstance("").build(), good.toBuilder().clearMark().build())) {
-            nonsense.add(PeerFrame.newBuilder().setBatch(Batch.newBuilder().setNumber(1).addRecords(bad))
-                    .build());
+    void invalidFramesCloseTheConnectionAndChangeNothing() {
+        List<PeerFrame> invalidFrames = new ArrayList<>();
+        Kept valid = mark(1).setKey("mark/x").setStamp(3).setInstance("b").build();
+        for (Kept invalid : List.of(valid.toBuilder().setStamp(Long.MAX_VALUE).build(),
+                valid.toBuilder().setStamp(0).build(), valid.toBuilder().setKey("").build(),
+                valid.toBuilder().setInstance("").build(), valid.toBuilder().clearMark().build())) {
+            invalidFrames.add(PeerFrame.newBuilder().setBatch(Batch.newBuilder().setNumber(1)
+                    .addRecords(invalid)).build());
         }
-        nonsense.add(PeerFrame.newBuilder().setPart(Part.newBuilder().setPlainBytes(1 << 30)).build());
-        nonsense.add(PeerFrame.getDefaultInstance());
-        for (PeerFrame frame : nonsense) {
+        invalidFrames.add(PeerFrame.newBuilder().setPart(Part.newBuilder().setPlainBytes(1 << 30)).build());
+        invalidFrames.add(PeerFrame.getDefaultInstance());
+        for (PeerFrame frame : invalidFrames) {
             Records records = new Records("a", 100);
             Replica replica = new Replica("c", Set.of("b"), records, 1, 1000);
             replica.reduce(new ReplicaEvent.Up("b"), 0);
             replica.reduce(new ReplicaEvent.Heard("b", CopiesSim.hello("c", "b", "a")), 0);
-            List<ReplicaEffect> done = replica.reduce(new ReplicaEvent.Heard("b", frame), 1);
-            assertTrue(done.stream().anyMatch(e -> e instanceof ReplicaEffect.Close), frame.toString());
+            List<ReplicaEffect> effects = replica.reduce(new ReplicaEvent.Heard("b", frame), 1);
+            assertTrue(effects.stream().anyMatch(e -> e instanceof ReplicaEffect.Close), frame.toString());
             assertEquals(0, records.size());
         }
     }
 
     @Test
-    void strangersAreRefused() {
+    void unknownPeersAreRefused() {
         Stream.of(CopiesSim.hello("other", "b", "a"), CopiesSim.hello("c", "d", "a"),
                 CopiesSim.hello("c", "b", "z")).forEach(hello -> {
                     Replica replica = new Replica("c", Set.of("b"), new Records("a", 100), 1, 1000);
                     replica.reduce(new ReplicaEvent.Up("b"), 0);
-                    List<ReplicaEffect> done = replica.reduce(new ReplicaEvent.Heard("b", hello), 0);
-                    assertTrue(done.stream().anyMatch(e -> e instanceof ReplicaEffect.Close));
+                    List<ReplicaEffect> effects = replica.reduce(new ReplicaEvent.Heard("b", hello), 0);
+                    assertTrue(effects.stream().anyMatch(e -> e instanceof ReplicaEffect.Close));
                     assertFalse(replica.standings().get(0).up());
                 });
     }
--- a/src/test/java/yewdock/rules/RulesTest.java
+++ b/src/test/java/yewdock/rules/RulesTest.java
@@ -30,11 +30,11 @@
         return RuleChange.newBuilder().setId(id).setWho("staff").setSubject(subject).setBase(base);
     }
 
-    private static RuleValue out() {
+    private static RuleValue noNewRequests() {
         return RuleValue.newBuilder().setOut(true).build();
     }
 
-    private static RuleValue share(double share) {
+    private static RuleValue rateLimit(double share) {
         return RuleValue.newBuilder().setShare(share).build();
     }
 
@@ -50,74 +50,77 @@
         return RuleCommand.newBuilder().setWithdraw(Withdrawal.newBuilder().setId(id)).build();
     }
 
-    private Refusal refused(RuleCommand command) {
+    private Refusal rejectionOf(RuleCommand command) {
         return Refusal.of(rules.take(command).getRefusal());
     }
 
     @Test
-    void aChangeIsPreparedAndThenTakesForce() {
-        assertEquals(null, refused(prepare(change("a", "box/s-1", 0).setValue(out()))));
+    void aChangeIsPreparedAndThenTakesEffect() {
+        assertEquals(null, rejectionOf(prepare(change("a", "box/s-1", 0).setValue(noNewRequests()))));
         assertEquals(Set.of("s-1"), rules.view().out());
         assertEquals(0, rules.revision());
         rules.take(force("a"));
         assertEquals(1, rules.revision("box/s-1"));
         rules.take(prepare(change("b", "box/s-1", 1)));
-        assertEquals(Set.of("s-1"), rules.view().out(), "not back before all know");
+        assertEquals(Set.of("s-1"), rules.view().out(),
+                "the server must get no requests until the change has taken effect");
         rules.take(force("b"));
         assertEquals(Set.of(), rules.view().out());
         assertEquals(List.of("a", "b"), rules.history().stream().map(h -> h.getChange().getId()).toList());
     }
 
     @Test
-    void whatCannotBeIsRefusedAndChangesNothing() {
-        rules.take(prepare(change("a", "share/birgunj", 0).setValue(share(5))));
-        assertEquals(Refusal.UNDER_WAY, refused(prepare(change("b", "share/birgunj", 0).setValue(share(6)))));
+    void invalidCommandsAreRejectedAndChangeNothing() {
+        rules.take(prepare(change("a", "share/birgunj", 0).setValue(rateLimit(5))));
+        assertEquals(Refusal.UNDER_WAY, rejectionOf(prepare(change("b", "share/birgunj", 0)
+                .setValue(rateLimit(6)))));
         rules.take(force("a"));
-        assertEquals(Refusal.STALE, refused(prepare(change("c", "share/birgunj", 0).setValue(share(6)))));
-        assertEquals(Refusal.SAME, refused(prepare(change("d", "share/birgunj", 1).setValue(share(5)))));
-        assertEquals(Refusal.NOT_UNDER_WAY, refused(force("never")));
-        assertEquals(Refusal.TOO_LARGE, refused(prepare(change("e", "share/birgunj", 1)
+        assertEquals(Refusal.STALE, rejectionOf(prepare(change("c", "share/birgunj", 0)
+                .setValue(rateLimit(6)))));
+        assertEquals(Refusal.SAME, rejectionOf(prepare(change("d", "share/birgunj", 1)
+                .setValue(rateLimit(5)))));
+        assertEquals(Refusal.NOT_UNDER_WAY, rejectionOf(force("never")));
+        assertEquals(Refusal.TOO_LARGE, rejectionOf(prepare(change("e", "share/birgunj", 1)
                 .setWhy("x".repeat(Rules.MOST_BYTES)))));
         assertEquals(5, rules.view().shares().get("birgunj"));
         for (int i = rules.subjects().size(); i < Rules.MOST_SUBJECTS; i++) {
-            rules.take(prepare(change("f" + i, "box/" + i, 0).setValue(out())));
+            rules.take(prepare(change("f" + i, "box/" + i, 0).setValue(noNewRequests())));
         }
-        assertEquals(Refusal.FULL, refused(prepare(change("g", "box/last", 0).setValue(out()))));
+        assertEquals(Refusal.FULL, rejectionOf(prepare(change("g", "box/last", 0)
+                .setValue(noNewRequests()))));
     }
 
     @Test
-    void flawsAreFoundBeforeAnybodyIsAsked() {
+    void invalidChangesAreFoundBeforeTheyAreProposed() {
         assertEquals(Refusal.UNFIT, Rules.flaw(change("a", "moon/1", 0).build()));
-        assertEquals(Refusal.UNFIT, Rules.flaw(change("a", "box/", 0).setValue(out()).build()));
-        assertEquals(Refusal.UNFIT, Rules.flaw(change("a", "share/x", 0).setValue(share(-1)).build()));
+        assertEquals(Refusal.UNFIT, Rules.flaw(change("a", "box/", 0).setValue(noNewRequests()).build()));
+        assertEquals(Refusal.UNFIT, Rules.flaw(change("a", "share/x", 0).setValue(rateLimit(-1)).build()));
         assertEquals(Refusal.UNFIT,
-                Rules.flaw(change("a", "share/x", 0).setValue(share(Double.NaN)).build()));
-        assertEquals(Refusal.UNFIT, Rules.flaw(change("", "box/x", 0).setValue(out()).build()));
+                Rules.flaw(change("a", "share/x", 0).setValue(rateLimit(Double.NaN)).build()));
+        assertEquals(Refusal.UNFIT, Rules.flaw(change("", "box/x", 0).setValue(noNewRequests()).build()));
         assertEquals(null, Rules.flaw(change("a", "setting/k", 0)
                 .setValue(RuleValue.newBuilder().setText("v")).build()));
     }
 
-    /**
-     * A retry whose first answer was lost gets that answer, also once the change is in force or withdrawn.
-     */
+    /** A retry after a lost answer gets the same outcome, also once the change is in effect or withdrawn. */
     @Test
     void theSameChangeIsAppliedOnce() {
-        RuleCommand ask = prepare(change("a", "box/s-1", 0).setValue(out()));
-        RuleOutcome first = rules.take(ask);
-        assertEquals(first, rules.take(ask));
+        RuleCommand command = prepare(change("a", "box/s-1", 0).setValue(noNewRequests()));
+        RuleOutcome first = rules.take(command);
+        assertEquals(first, rules.take(command));
         rules.take(force("a"));
-        assertEquals(1, rules.take(ask).getRevision());
+        assertEquals(1, rules.take(command).getRevision());
         assertEquals(1, rules.take(force("a")).getRevision());
         assertEquals(1, rules.revision());
-        rules.take(prepare(change("b", "box/s-2", 0).setValue(out())));
+        rules.take(prepare(change("b", "box/s-2", 0).setValue(noNewRequests())));
         assertTrue(rules.take(withdraw("b")).getWithdrawn());
         assertTrue(rules.take(force("b")).getWithdrawn());
         assertEquals(Set.of("s-1"), rules.view().out());
     }
 
-    /** Kinds of a later program take force and are kept; this program's routers don't act by them. */
+    /** Kinds of rules that only newer versions know are replicated and kept, but not applied. */
     @Test
-    void whatALaterProgramKnowsIsKeptAndNotActedOn() throws InvalidProtocolBufferException {
+    void rulesOfNewerVersionsAreKeptAndNotApplied() throws InvalidProtocolBufferException {
         RuleValue later = RuleValue.newBuilder().setUnknownFields(UnknownFieldSet.newBuilder().addField(99,
                 UnknownFieldSet.Field.newBuilder().addVarint(7).build()).build()).build();
         rules.take(prepare(change("a", "moon/1", 0).setValue(later)));
@@ -132,58 +135,58 @@
         assertEquals(Set.of(), next.view().out());
     }
 
-    /** Any commands, taken through a snapshot at any point or not, make the same bytes and the same chain. */
+    /** Any commands give the same bytes and chain whether or not a snapshot is installed in between. */
     @Property(tries = 300)
-    void aSnapshotAtAnyPointGoesOnTheSame(@ForAll @Size(max = 60) List<@IntRange(max = 719) Integer> draws,
-            @ForAll @IntRange(max = 60) int at) {
-        Rules whole = new Rules();
-        Rules through = new Rules();
+    void aSnapshotAtAnyPointChangesNothing(@ForAll @Size(max = 60) List<@IntRange(max = 719) Integer> draws,
+            @ForAll @IntRange(max = 60) int snapshotAt) {
+        Rules direct = new Rules();
+        Rules viaSnapshot = new Rules();
         int i = 0;
         for (int draw : draws) {
             String id = "c" + draw % 12;
             String subject = Kind.values()[draw / 12 % 3].subject("x" + draw / 36 % 2);
             RuleCommand command = switch (draw / 72 % 4) {
-                case 0, 1 -> prepare(change(id, subject, whole.revision(subject)).setValue(
-                        subject.startsWith("box") ? out() : share(draw % 7)));
+                case 0, 1 -> prepare(change(id, subject, direct.revision(subject)).setValue(
+                        subject.startsWith("box") ? noNewRequests() : rateLimit(draw % 7)));
                 case 2 -> force(id);
                 default -> withdraw(id);
             };
-            if (i++ == at) {
+            if (i++ == snapshotAt) {
                 Rules next = new Rules();
-                next.install(through.snapshot());
-                through = next;
+                next.install(viaSnapshot.snapshot());
+                viaSnapshot = next;
             }
-            assertEquals(whole.take(command), through.take(command));
+            assertEquals(direct.take(command), viaSnapshot.take(command));
         }
-        assertArrayEquals(Records.bytes(whole.snapshot()), Records.bytes(through.snapshot()));
-        assertEquals(whole.chain(), through.chain());
-        assertEquals(whole.view(), through.view());
+        assertArrayEquals(Records.bytes(direct.snapshot()), Records.bytes(viaSnapshot.snapshot()));
+        assertEquals(direct.chain(), viaSnapshot.chain());
+        assertEquals(direct.view(), viaSnapshot.view());
     }
 
     @Test
     void differentHistoriesHaveDifferentChains() {
         Rules other = new Rules();
-        rules.take(prepare(change("a", "box/s-1", 0).setValue(out())));
-        other.take(prepare(change("a", "box/s-2", 0).setValue(out())));
+        rules.take(prepare(change("a", "box/s-1", 0).setValue(noNewRequests())));
+        other.take(prepare(change("a", "box/s-2", 0).setValue(noNewRequests())));
         assertFalse(rules.chain() == other.chain());
     }
 
     @Test
-    void betweenTwoValuesNothingThatEitherContradicts() {
-        assertEquals(out(), Kind.BOX.between(out(), null));
-        assertEquals(out(), Kind.BOX.between(null, out()));
-        assertEquals(share(3), Kind.SHARE.between(share(3), share(8)));
-        assertEquals(share(3), Kind.SHARE.between(share(8), share(3)));
-        assertEquals(share(3), Kind.SHARE.between(null, share(3)));
+    void thePendingValueContradictsNeitherOldNorNew() {
+        assertEquals(noNewRequests(), Kind.BOX.between(noNewRequests(), null));
+        assertEquals(noNewRequests(), Kind.BOX.between(null, noNewRequests()));
+        assertEquals(rateLimit(3), Kind.SHARE.between(rateLimit(3), rateLimit(8)));
+        assertEquals(rateLimit(3), Kind.SHARE.between(rateLimit(8), rateLimit(3)));
+        assertEquals(rateLimit(3), Kind.SHARE.between(null, rateLimit(3)));
     }
 
     @Test
-    void everyRefusalSaysWhatToDo() {
+    void everyRejectionSaysWhatToDo() {
         Set<String> texts = new HashSet<>();
-        for (Refusal r : Refusal.values()) {
-            assertEquals(r, Refusal.of(r.number()));
-            assertTrue(r.text().contains("; "), r.text());
-            assertTrue(texts.add(r.text()));
+        for (Refusal rejection : Refusal.values()) {
+            assertEquals(rejection, Refusal.of(rejection.number()));
+            assertTrue(rejection.text().contains("; "), rejection.text());
+            assertTrue(texts.add(rejection.text()));
         }
         assertEquals(null, Refusal.of(0));
     }
--- a/src/test/java/yewdock/state/KeepingTest.java
+++ b/src/test/java/yewdock/state/KeepingTest.java
@@ -17,14 +17,14 @@
 import yewdock.wire.State;
 
 class KeepingTest {
-    private static final long SECOND = 1_000_000;
-    private static final long NOW = 1_700_000_000 * SECOND;
-    private static final long DOUBT = 3600 * SECOND;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long NOW_MICROS = 1_700_000_000 * SECOND_MICROS;
+    private static final long MAX_DRAIN_AGE_MICROS = 3600 * SECOND_MICROS;
 
     private final Records records = new Records("here", 1000);
-    private final Keeping keeping = new Keeping(records, DOUBT);
+    private final Keeping recorder = new Keeping(records, MAX_DRAIN_AGE_MICROS);
 
-    private static Box box(long id, Lifecycle lifecycle, long startedAt) {
+    private static Box server(long id, Lifecycle lifecycle, long startedAt) {
         return Box.newBuilder().setId(id).setName("s-" + id).setAddress("10.0.0.1:" + (8000 + id))
                 .setLifecycle(lifecycle.ordinal()).setStartedAt(startedAt).setWeight(1).build();
     }
@@ -35,112 +35,124 @@
     }
 
     private State state(long wall) {
-        return keeping.state(1, 1, wall, 0);
+        return recorder.state(1, 1, wall, 0);
     }
 
-    private Box kept(State state, long id) {
+    private Box serverIn(State state, long id) {
         return state.getBoxes().getBoxesList().stream().filter(b -> b.getId() == id).findFirst()
                 .orElseThrow();
     }
 
     @Test
-    void aDrainHoldsAtAStartWithTheTimeAtWhichItWasFirstTold() {
-        keeping.told(list(3, true, box(1, Lifecycle.READY, 5), box(2, Lifecycle.READY, 5)), 0, NOW);
-        keeping.told(list(4, false, box(1, Lifecycle.DRAINING, 5)), 0, NOW + SECOND);
-        assertEquals(2, keeping.told(list(5, false, box(1, Lifecycle.DRAINING, 5), box(2, Lifecycle.DRAINING,
-                5)), 0, NOW + 9 * SECOND).size(), "only what is new is written");
-        State state = state(NOW + 20 * SECOND);
+    void aDrainSurvivesARestartWithTheTimeItWasFirstTold() {
+        recorder.told(list(3, true, server(1, Lifecycle.READY, 5), server(2, Lifecycle.READY, 5)), 0,
+                NOW_MICROS);
+        recorder.told(list(4, false, server(1, Lifecycle.DRAINING, 5)), 0, NOW_MICROS + SECOND_MICROS);
+        assertEquals(2, recorder.told(list(5, false, server(1, Lifecycle.DRAINING, 5),
+                server(2, Lifecycle.DRAINING, 5)), 0, NOW_MICROS + 9 * SECOND_MICROS).size(),
+                "only changed records are written");
+        State state = state(NOW_MICROS + 20 * SECOND_MICROS);
         assertEquals(5, state.getBoxes().getVersion());
         assertEquals("list:1", state.getBoxes().getAddress());
-        assertEquals(Lifecycle.DRAINING.ordinal(), kept(state, 1).getLifecycle());
-        assertEquals(NOW + SECOND, kept(state, 1).getToldAt());
+        assertEquals(Lifecycle.DRAINING.ordinal(), serverIn(state, 1).getLifecycle());
+        assertEquals(NOW_MICROS + SECOND_MICROS, serverIn(state, 1).getToldAt());
     }
 
     @Test
-    void aDrainToldLongAgoIsDoubtedAndOneOfAClockAheadIsNot() {
-        keeping.told(list(3, true, box(1, Lifecycle.DRAINING, 5)), 0, NOW);
-        assertEquals(Lifecycle.DRAINING.ordinal(), kept(state(NOW + DOUBT), 1).getLifecycle());
-        assertEquals(Lifecycle.READY.ordinal(), kept(state(NOW + DOUBT + 1), 1).getLifecycle());
-        // the clock was moved back by an hour since: an age below zero is none
-        assertEquals(Lifecycle.DRAINING.ordinal(), kept(state(NOW - DOUBT), 1).getLifecycle());
-        assertEquals(NOW - DOUBT, kept(state(NOW - DOUBT), 1).getToldAt());
+    void anOldDrainIsIgnoredAtARestartUnlessTheClockWasSetBack() {
+        recorder.told(list(3, true, server(1, Lifecycle.DRAINING, 5)), 0, NOW_MICROS);
+        assertEquals(Lifecycle.DRAINING.ordinal(), serverIn(state(NOW_MICROS + MAX_DRAIN_AGE_MICROS), 1)
+                .getLifecycle());
+        assertEquals(Lifecycle.READY.ordinal(), serverIn(state(NOW_MICROS + MAX_DRAIN_AGE_MICROS + 1), 1)
+                .getLifecycle());
+        // the clock was set back by an hour since: a negative age counts as zero
+        assertEquals(Lifecycle.DRAINING.ordinal(), serverIn(state(NOW_MICROS - MAX_DRAIN_AGE_MICROS), 1)
+                .getLifecycle());
+        assertEquals(NOW_MICROS - MAX_DRAIN_AGE_MICROS, serverIn(state(NOW_MICROS - MAX_DRAIN_AGE_MICROS), 1)
+                .getToldAt());
     }
 
     @Test
-    void aWholeListDropsWhatItDoesNotNameAndTheBoxesTroubles() {
-        keeping.told(list(3, true, box(1, Lifecycle.READY, 5), box(2, Lifecycle.READY, 5)), 0, NOW);
-        keeping.learnt(Memory.newBuilder().addNodes(NodeMemory.newBuilder().setId(2).setEjections(3)
-                .setEjectedUntil(NOW + SECOND)).build(), 0, NOW);
-        assertEquals(1, state(NOW).getModule().getNodesCount());
-        keeping.told(list(4, true, box(1, Lifecycle.READY, 5)), 0, NOW);
-        assertEquals(1, state(NOW).getBoxes().getBoxesCount());
-        assertEquals(0, state(NOW).getModule().getNodesCount());
+    void aFullListRemovesServersThatItDoesNotContain() {
+        recorder.told(list(3, true, server(1, Lifecycle.READY, 5), server(2, Lifecycle.READY, 5)), 0,
+                NOW_MICROS);
+        recorder.learnt(Memory.newBuilder().addNodes(NodeMemory.newBuilder().setId(2).setEjections(3)
+                .setEjectedUntil(NOW_MICROS + SECOND_MICROS)).build(), 0, NOW_MICROS);
+        assertEquals(1, state(NOW_MICROS).getModule().getNodesCount());
+        recorder.told(list(4, true, server(1, Lifecycle.READY, 5)), 0, NOW_MICROS);
+        assertEquals(1, state(NOW_MICROS).getBoxes().getBoxesCount());
+        assertEquals(0, state(NOW_MICROS).getModule().getNodesCount());
     }
 
     @Test
-    void whatWasHeldAgainstABoxIsNothingToTheOneThatTookItsPlace() {
-        keeping.told(list(3, true, box(1, Lifecycle.READY, 5)), 0, NOW);
-        keeping.learnt(Memory.newBuilder().addNodes(NodeMemory.newBuilder().setId(1).setEjections(3)
-                .setEjectedUntil(NOW + SECOND).setBudgetedStart(5)).build(), 0, NOW);
-        keeping.told(list(4, false, box(1, Lifecycle.READY, 9)), 0, NOW);
+    void aRestartedServerDoesNotInheritEjections() {
+        recorder.told(list(3, true, server(1, Lifecycle.READY, 5)), 0, NOW_MICROS);
+        recorder.learnt(Memory.newBuilder().addNodes(NodeMemory.newBuilder().setId(1).setEjections(3)
+                .setEjectedUntil(NOW_MICROS + SECOND_MICROS).setBudgetedStart(5)).build(), 0, NOW_MICROS);
+        recorder.told(list(4, false, server(1, Lifecycle.READY, 9)), 0, NOW_MICROS);
         assertNull(records.get(Keys.node("here", 1)));
     }
 
     @Test
-    void timesOfAGenerationAreMovedToTheDaemonsClock() {
-        keeping.told(list(3, true, box(1, Lifecycle.READY, 5)), 0, NOW);
+    void timesOfAGenerationAreConvertedToTheDaemonsClock() {
+        recorder.told(list(3, true, server(1, Lifecycle.READY, 5)), 0, NOW_MICROS);
         Memory learnt = Memory.newBuilder().addNodes(NodeMemory.newBuilder().setId(1).setEjections(1)
                 .setEjectedUntil(700)).build();
-        keeping.learnt(learnt, 50, NOW);
+        recorder.learnt(learnt, 50, NOW_MICROS);
         assertEquals(750, records.get(Keys.node("here", 1)).getNode().getEjectedUntil());
-        assertTrue(keeping.learnt(learnt, 50, NOW + SECOND).isEmpty(), "the same again is not written");
-        // an ejection of hours is one of a clock that was moved
-        keeping.learnt(learnt, NOW + 7200 * SECOND, NOW + 2 * SECOND);
-        assertEquals(0, state(NOW + 2 * SECOND).getModule().getNodesCount());
+        assertTrue(recorder.learnt(learnt, 50, NOW_MICROS + SECOND_MICROS).isEmpty(),
+                "an unchanged record is not written again");
+        // an ejection that lasts for hours comes from a clock that was changed
+        recorder.learnt(learnt, NOW_MICROS + 7200 * SECOND_MICROS, NOW_MICROS + 2 * SECOND_MICROS);
+        assertEquals(0, state(NOW_MICROS + 2 * SECOND_MICROS).getModule().getNodesCount());
     }
 
     @Test
-    void whatTheModuleHasLearntIsWorthNothingAfterAnHour() {
-        keeping.told(list(3, true, box(1, Lifecycle.READY, 5)), 0, NOW);
-        keeping.learnt(Memory.newBuilder().setReadRate(7).build(), 0, NOW);
-        assertEquals(7, state(NOW + 60 * SECOND).getModule().getReadRate());
-        assertFalse(state(NOW + 2 * DOUBT).hasModule());
+    void moduleMemoryExpiresAfterAnHour() {
+        recorder.told(list(3, true, server(1, Lifecycle.READY, 5)), 0, NOW_MICROS);
+        recorder.learnt(Memory.newBuilder().setReadRate(7).build(), 0, NOW_MICROS);
+        assertEquals(7, state(NOW_MICROS + 60 * SECOND_MICROS).getModule().getReadRate());
+        assertFalse(state(NOW_MICROS + 2 * MAX_DRAIN_AGE_MICROS).hasModule());
     }
 
     @Test
-    void aMarkOfGoneEndsWithALaterStartAndADrainDoesNot() {
-        keeping.told(list(3, true, box(1, Lifecycle.READY, 5), box(2, Lifecycle.READY, 5)), 0, NOW);
-        keeping.mark("s-1", Mark.Kind.GONE, "here", NOW);
-        keeping.mark("s-2", Mark.Kind.DRAIN, "here", NOW);
-        assertTrue(keeping.dropOutlived(NOW).isEmpty());
-        keeping.told(list(4, false, box(1, Lifecycle.READY, 6), box(2, Lifecycle.READY, 6)), 0, NOW);
-        assertEquals(1, keeping.dropOutlived(NOW).size());
-        assertEquals(List.of("s-2"), List.copyOf(keeping.marks().keySet()));
-        keeping.mark("s-2", Mark.Kind.NONE, "here", NOW);
-        assertTrue(keeping.marks().isEmpty());
+    void aGoneOverrideEndsWithARestartOfTheServerAndADrainDoesNot() {
+        recorder.told(list(3, true, server(1, Lifecycle.READY, 5), server(2, Lifecycle.READY, 5)), 0,
+                NOW_MICROS);
+        recorder.mark("s-1", Mark.Kind.GONE, "here", NOW_MICROS);
+        recorder.mark("s-2", Mark.Kind.DRAIN, "here", NOW_MICROS);
+        assertTrue(recorder.dropOutlived(NOW_MICROS).isEmpty());
+        recorder.told(list(4, false, server(1, Lifecycle.READY, 6), server(2, Lifecycle.READY, 6)), 0,
+                NOW_MICROS);
+        assertEquals(1, recorder.dropOutlived(NOW_MICROS).size());
+        assertEquals(List.of("s-2"), List.copyOf(recorder.marks().keySet()));
+        recorder.mark("s-2", Mark.Kind.NONE, "here", NOW_MICROS);
+        assertTrue(recorder.marks().isEmpty());
     }
 
     @Test
-    void withAnEmptyDiskADrainThatAnyOtherKnowsHolds() {
+    void withAnEmptyDiskDrainsKnownToOtherInstancesApply() {
         Records north = new Records("north", 100);
         Records south = new Records("south", 100);
-        new Keeping(north, DOUBT).told(list(3, true, box(1, Lifecycle.READY, 5), box(2, Lifecycle.READY, 9)),
-                0, NOW);
-        new Keeping(south, DOUBT).told(list(4, true, box(1, Lifecycle.DRAINING, 5), box(2,
-                Lifecycle.DRAINING, 5)), 0, NOW);
+        new Keeping(north, MAX_DRAIN_AGE_MICROS).told(list(3, true, server(1, Lifecycle.READY, 5),
+                server(2, Lifecycle.READY, 9)), 0, NOW_MICROS);
+        new Keeping(south, MAX_DRAIN_AGE_MICROS).told(list(4, true, server(1, Lifecycle.DRAINING, 5),
+                server(2, Lifecycle.DRAINING, 5)), 0, NOW_MICROS);
         for (Records other : List.of(north, south)) {
             for (Kept kept : other.after("")) {
                 records.merge(kept);
             }
         }
-        State state = state(NOW);
-        assertEquals(-1, state.getBoxes().getVersion(), "another's version is no version of this one's");
-        assertEquals(Lifecycle.DRAINING.ordinal(), kept(state, 1).getLifecycle());
-        assertEquals(Lifecycle.READY.ordinal(), kept(state, 2).getLifecycle(), "it has started since");
+        State state = state(NOW_MICROS);
+        assertEquals(-1, state.getBoxes().getVersion(),
+                "the version of another instance's list must not be used");
+        assertEquals(Lifecycle.DRAINING.ordinal(), serverIn(state, 1).getLifecycle());
+        assertEquals(Lifecycle.READY.ordinal(), serverIn(state, 2).getLifecycle(),
+                "the server has restarted since");
     }
 
     @Test
-    void nothingKeptIsNoState() {
-        assertNull(state(NOW));
+    void withoutRecordsThereIsNoState() {
+        assertNull(state(NOW_MICROS));
     }
 }
--- a/src/test/java/yewdock/state/RecordsPropertiesTest.java
+++ b/src/test/java/yewdock/state/RecordsPropertiesTest.java
@@ -16,7 +16,7 @@
 import yewdock.wire.Kept;
 import yewdock.wire.Mark;
 
-/** Merging gives the same whatever the order and however often; wall clocks have no say. */
+/** Merging is commutative, associative and idempotent, and does not depend on wall clocks. */
 class RecordsPropertiesTest {
     private static final String SEED = "42";
 
@@ -51,49 +51,49 @@
     }
 
     @Property(seed = SEED)
-    void theOrderIsNothing(@ForAll("sets") List<Kept> a, @ForAll("sets") List<Kept> b,
+    void mergingIsCommutative(@ForAll("sets") List<Kept> a, @ForAll("sets") List<Kept> b,
             @ForAll Random random) {
         Records one = of(a, b);
         assertEquals(all(one), all(of(b, a)));
-        List<Kept> mixed = new ArrayList<>(a);
-        mixed.addAll(b);
-        Collections.shuffle(mixed, random);
-        Records other = of(mixed, List.of());
+        List<Kept> shuffled = new ArrayList<>(a);
+        shuffled.addAll(b);
+        Collections.shuffle(shuffled, random);
+        Records other = of(shuffled, List.of());
         assertEquals(all(one), all(other));
         assertEquals(one.sums(), other.sums());
     }
 
     @Property(seed = SEED)
-    void groupsAreNothing(@ForAll("sets") List<Kept> a, @ForAll("sets") List<Kept> b,
+    void mergingIsAssociative(@ForAll("sets") List<Kept> a, @ForAll("sets") List<Kept> b,
             @ForAll("sets") List<Kept> c) {
         assertEquals(all(of(all(of(a, b)), c)), all(of(a, all(of(b, c)))));
     }
 
     @Property(seed = SEED)
-    void twiceIsOnce(@ForAll("sets") List<Kept> a) {
+    void mergingIsIdempotent(@ForAll("sets") List<Kept> a) {
         Records once = of(a, List.of());
         assertEquals(all(once), all(of(a, a)));
         assertEquals(once.sums(), of(a, a).sums());
     }
 
     @Property(seed = SEED)
-    void aRecordWrittenHereHoldsOverAllSeen(@ForAll("sets") List<Kept> a,
-            @ForAll("sets") List<Kept> late) {
+    void aLocalWriteWinsOverAllRecordsSeenBefore(@ForAll("sets") List<Kept> a,
+            @ForAll("sets") List<Kept> unseen) {
         Records here = of(a, List.of());
-        Kept mine = here.write("a", Kept.newBuilder().setMark(Mark.newBuilder().setKindValue(2)), -5);
+        Kept local = here.write("a", Kept.newBuilder().setMark(Mark.newBuilder().setKindValue(2)), -5);
         a.forEach(here::merge);
-        assertEquals(mine, here.get("a"));
-        Records there = of(late, a);
-        there.merge(mine);
+        assertEquals(local, here.get("a"));
+        Records there = of(unseen, a);
+        there.merge(local);
         all(here).forEach(there::merge);
         assertEquals(there.sums(), of(all(there), all(here)).sums());
     }
 
     @Property(seed = SEED)
-    void theSumsAreOfWhatIsThere(@ForAll("sets") List<Kept> a, @ForAll("sets") List<Kept> b) {
-        Records grown = of(a, b);
-        assertEquals(of(all(grown), List.of()).sums(), grown.sums());
-        assertEquals(all(grown).equals(all(of(a, List.of()))),
-                grown.differing(of(a, List.of()).sums()).isEmpty());
+    void sumsMatchTheRecords(@ForAll("sets") List<Kept> a, @ForAll("sets") List<Kept> b) {
+        Records merged = of(a, b);
+        assertEquals(of(all(merged), List.of()).sums(), merged.sums());
+        assertEquals(all(merged).equals(all(of(a, List.of()))),
+                merged.differing(of(a, List.of()).sums()).isEmpty());
     }
 }
--- a/src/test/java/yewdock/store/CommitterTest.java
+++ b/src/test/java/yewdock/store/CommitterTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.Test;
 
 class CommitterTest {
-    private static final Committer.Pace PACE = new Committer.Pace(1, 5);
+    private static final Committer.Pace TIMING = new Committer.Pace(1, 5);
 
-    /** A disk that fails when told to. */
+    /** A store in memory that fails on demand. */
     private static final class Disk implements Shelf.Opening {
         private final TreeMap<String, byte[]> kept = new TreeMap<>();
         private volatile boolean full;
@@ -39,11 +39,11 @@
                         if (full) {
                             throw new StoreException(StoreException.Kind.UNWRITABLE, "no room");
                         }
-                        changes.forEach((k, v) -> {
-                            if (v == null) {
-                                kept.remove(k);
+                        changes.forEach((key, value) -> {
+                            if (value == null) {
+                                kept.remove(key);
                             } else {
-                                kept.put(k, v);
+                                kept.put(key, value);
                             }
                         });
                         return ++writes;
@@ -51,8 +51,8 @@
                 }
 
                 @Override
-                public void tidy(int mostMillis) {
-                    // nothing to tidy
+                public void tidy(int maxMillis) {
+                    // nothing to compact
                 }
 
                 @Override
@@ -69,9 +69,10 @@
     }
 
     @Test
-    void changesOfOneKeyAreWrittenOnce() throws Exception {
+    void changesOfOneKeyAreCommittedTogether() throws Exception {
         Disk disk = new Disk();
-        try (Committer committer = new Committer(disk.open(), disk, new Committer.Pace(50, 5), h -> { })) {
+        try (Committer committer = new Committer(disk.open(), disk, new Committer.Pace(50, 5),
+                health -> { })) {
             long ticket = 0;
             for (int i = 0; i <= 1000; i++) {
                 ticket = committer.put(Map.of("a", new byte[] {(byte) i}));
@@ -83,16 +84,16 @@
     }
 
     @Test
-    void aFullDiskStopsNobodyAndIsMadeGoodLater() throws Exception {
+    void changesWhileTheDiskIsFullAreWrittenLater() throws Exception {
         Disk disk = new Disk();
         disk.kept.put("old", new byte[] {1});
-        BlockingQueue<Committer.Health> said = new LinkedBlockingQueue<>();
-        try (Committer committer = new Committer(disk.open(), disk, PACE, said::add)) {
+        BlockingQueue<Committer.Health> healthChanges = new LinkedBlockingQueue<>();
+        try (Committer committer = new Committer(disk.open(), disk, TIMING, healthChanges::add)) {
             disk.full = true;
             long first = committer.put(Map.of("a", new byte[] {1}));
-            Committer.Health bad = said.poll(10, TimeUnit.SECONDS);
-            assertFalse(bad.open());
-            assertEquals(StoreException.Kind.UNWRITABLE, bad.kind());
+            Committer.Health failed = healthChanges.poll(10, TimeUnit.SECONDS);
+            assertFalse(failed.open());
+            assertEquals(StoreException.Kind.UNWRITABLE, failed.kind());
             Map<String, byte[]> removal = new TreeMap<>();
             removal.put("old", null);
             committer.put(removal);
@@ -101,16 +102,16 @@
             assertFalse(committer.durable(first).isDone());
             disk.full = false;
             promise.get(10, TimeUnit.SECONDS);
-            assertTrue(said.poll(10, TimeUnit.SECONDS).open());
+            assertTrue(healthChanges.poll(10, TimeUnit.SECONDS).open());
             assertEquals("[a, b]", disk.kept.keySet().toString());
         }
     }
 
     @Test
-    void oneThatCouldNotBeOpenedIsTriedAgain() throws Exception {
+    void aStoreThatCouldNotBeOpenedIsRetried() throws Exception {
         Disk disk = new Disk();
-        StoreException why = new StoreException(StoreException.Kind.READ_ONLY, "read only");
-        try (Committer committer = new Committer(why, disk, PACE, h -> { })) {
+        StoreException cause = new StoreException(StoreException.Kind.READ_ONLY, "read only");
+        try (Committer committer = new Committer(cause, disk, TIMING, health -> { })) {
             committer.durable(committer.put(Map.of("a", new byte[] {1}))).get(10, TimeUnit.SECONDS);
             assertTrue(committer.health().open());
             assertEquals(1, disk.kept.size());
@@ -118,9 +119,9 @@
     }
 
     @Test
-    void closingWritesWhatWaits() throws Exception {
+    void closingCommitsPendingChanges() throws Exception {
         Disk disk = new Disk();
-        Committer committer = new Committer(disk.open(), disk, new Committer.Pace(60_000, 5), h -> { });
+        Committer committer = new Committer(disk.open(), disk, new Committer.Pace(60_000, 5), health -> { });
         committer.put(Map.of("a", new byte[] {1}));
         committer.close();
         assertTrue(disk.kept.containsKey("a"));
--- a/src/test/java/yewdock/store/StoreFullTest.java
+++ b/src/test/java/yewdock/store/StoreFullTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A real store in a process that may not make a file larger than so much, and then may. */
+/** Runs a store in a process whose file size is limited first, and then is not. */
 class StoreFullTest {
     private static final int RECORD = 3_000;
 
@@ -21,7 +21,7 @@
     private Path folder;
 
     @Test
-    void withNoRoomItGoesOnFromMemoryAndWithRoomAgainItHasAll() throws Exception {
+    void changesOnAFullDiskAreWrittenOnceThereIsSpace() throws Exception {
         Process process = new ProcessBuilder("sh", "-c", "ulimit -S -f 400; exec \"$@\"", "sh",
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
                 System.getProperty("java.class.path"), Full.class.getName(), folder.toString())
@@ -34,13 +34,13 @@
         }
     }
 
-    /** The process. */
+    /** The main class of that process. */
     static final class Full {
         private Full() {
         }
 
-        public static void main(String[] words) throws Exception {
-            Path folder = Path.of(words[0]);
+        public static void main(String[] args) throws Exception {
+            Path folder = Path.of(args[0]);
             BlockingQueue<Committer.Health> said = new LinkedBlockingQueue<>();
             Map<String, byte[]> all = new TreeMap<>();
             try (Committer committer = new Committer(Store.open(folder), () -> Store.open(folder),
@@ -55,7 +55,7 @@
                 System.out.println("full " + (health == null ? "never" : health.kind()));
                 long ticket = committer.put(Map.of("last", new byte[RECORD]));
                 all.put("last", new byte[RECORD]);
-                raise();
+                liftFileSizeLimit();
                 committer.durable(ticket).get(20, TimeUnit.SECONDS);
                 System.out.println("room");
             }
@@ -65,7 +65,7 @@
             }
         }
 
-        private static void raise() throws IOException, InterruptedException {
+        private static void liftFileSizeLimit() throws IOException, InterruptedException {
             new ProcessBuilder("prlimit", "--pid", Long.toString(ProcessHandle.current().pid()),
                     "--fsize=unlimited:unlimited").inheritIO().start().waitFor();
         }
--- a/src/test/java/yewdock/store/StoreTest.java
+++ b/src/test/java/yewdock/store/StoreTest.java
@@ -25,9 +25,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class StoreTest {
-    /** How many offsets of the long tests run in CI; -Dstore.offsets=all plays every one. */
-    private static final String OFFSETS = System.getProperty("store.offsets", "250");
-    private static final Duration LONGEST = Duration.ofSeconds(20);
+    /** How many offsets the corruption tests try; -Dstore.offsets=all tries every one. */
+    private static final String OFFSET_COUNT = System.getProperty("store.offsets", "250");
+    private static final Duration TIMEOUT = Duration.ofSeconds(20);
 
     @TempDir
     private Path folder;
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void keepsBatchesInOrderAcrossOpenings() throws StoreException {
+    void commitsSurviveReopening() throws StoreException {
         try (Store store = Store.open(folder)) {
             assertEquals(2, store.write(Map.of("b/1", bytes("one"), "a/2", bytes("two"))));
             assertEquals(3, store.write(Map.of("b/2", bytes("three"), "c", bytes("four"))));
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void aSnapshotStaysAsItWas() throws StoreException {
+    void aSnapshotIsUnaffectedByLaterWrites() throws StoreException {
         try (Store store = Store.open(folder)) {
             store.write(Map.of("a", bytes("before")));
             try (Store.Snapshot snapshot = store.snapshot()) {
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void oneProcessForAFolder() throws StoreException {
+    void aFolderCanBeOpenOnlyOnce() throws StoreException {
         try (Store store = Store.open(folder)) {
             store.write(Map.of("a", bytes("1")));
             StoreException e = assertThrows(StoreException.class, () -> Store.open(folder));
@@ -88,9 +88,9 @@
     }
 
     @Test
-    void aNewerOneIsLeftUntouched() throws StoreException, IOException {
+    void aStoreOfANewerVersionIsNotModified() throws StoreException, IOException {
         Store.open(folder).close();
-        withHead("version", 3L);
+        writeHead("version", 3L);
         byte[] before = Files.readAllBytes(Store.fileIn(folder));
         StoreException e = assertThrows(StoreException.class, () -> Store.open(folder));
         assertEquals(StoreException.Kind.NEWER, e.kind());
@@ -98,7 +98,7 @@
         assertArrayEquals(before, Files.readAllBytes(Store.fileIn(folder)));
     }
 
-    private void withHead(String key, long value) {
+    private void writeHead(String key, long value) {
         try (MVStore raw = MVStore.open(Store.fileIn(folder).toString())) {
             raw.<String, Long>openMap("head").put(key, value);
             raw.commit();
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void anOlderOneIsBroughtUpInOneStep() throws StoreException, IOException {
+    void aStoreOfAnOlderVersionIsUpgradedAtomically() throws StoreException, IOException {
         writeVersion1(40);
         byte[] old = Files.readAllBytes(Store.fileIn(folder));
         Map<String, String> wanted = new TreeMap<>();
@@ -129,7 +129,7 @@
             assertEquals(Store.VERSION, store.version());
             assertEquals(wanted, texts(store.all()));
         }
-        // killed at any point of it: the old part of the file, and more or less of what came after
+        // a crash at any point of the upgrade leaves the old part of the file and some of what follows
         byte[] all = Files.readAllBytes(Store.fileIn(folder));
         assertTrue(all.length > old.length);
         for (int length : offsets(old.length, all.length, 3)) {
@@ -142,17 +142,17 @@
         }
     }
 
-    /** Every offset, or as many as asked for, drawn from a seed; the ends always. */
+    /** All offsets in the range, or the configured number of random ones and both ends. */
     private static List<Integer> offsets(int from, int to, long seed) {
         List<Integer> all = new ArrayList<>();
-        if (OFFSETS.equals("all")) {
+        if (OFFSET_COUNT.equals("all")) {
             for (int i = from; i <= to; i++) {
                 all.add(i);
             }
             return all;
         }
         SplittableRandom random = new SplittableRandom(seed);
-        for (int i = 0; i < Integer.parseInt(OFFSETS); i++) {
+        for (int i = 0; i < Integer.parseInt(OFFSET_COUNT); i++) {
             all.add(from + random.nextInt(to - from + 1));
         }
         all.add(from);
@@ -160,7 +160,7 @@
         return all;
     }
 
-    /** All sets that were ever committed, and the file as it is after the last. */
+    /** Makes commits in the folder; returns the content after each, and that of the empty store. */
     private List<Map<String, String>> history(int commits) throws StoreException, IOException {
         List<Map<String, String>> committed = new ArrayList<>();
         committed.add(Map.of());
@@ -181,71 +181,72 @@
     }
 
     @Test
-    void cutAnywhereItIsAsCommittedOrRefused() throws StoreException, IOException {
+    void aTruncatedFileHasCommittedContentOrIsRefused() throws StoreException, IOException {
         List<Map<String, String>> committed = history(8);
         byte[] all = Files.readAllBytes(Store.fileIn(folder));
-        long good = offsets(0, all.length, 1).parallelStream().filter(length ->
-                playWith(Arrays.copyOf(all, length), committed, "cut to " + length)).count();
-        System.out.println("cut: " + good + " as committed, of a file of " + all.length + " bytes");
-        assertTrue(good > 0);
+        long accepted = offsets(0, all.length, 1).parallelStream().filter(length ->
+                hasCommittedContent(Arrays.copyOf(all, length), committed, "cut to " + length)).count();
+        System.out.println("cut: " + accepted + " as committed, of a file of " + all.length + " bytes");
+        assertTrue(accepted > 0);
     }
 
     @Test
-    void flippedAnywhereItIsAsCommittedOrRefused() throws StoreException, IOException {
+    void aFileWithAFlippedBitHasCommittedContentOrIsRefused() throws StoreException, IOException {
         List<Map<String, String>> committed = history(8);
         byte[] all = Files.readAllBytes(Store.fileIn(folder));
         long refused = offsets(0, all.length - 1, 2).parallelStream().filter(at -> {
             byte[] flipped = all.clone();
             flipped[at] ^= (byte) (1 << new SplittableRandom(at).nextInt(8));
-            return !playWith(flipped, committed, "flipped at " + at);
+            return !hasCommittedContent(flipped, committed, "flipped at " + at);
         }).count();
         System.out.println("flipped: " + refused + " refused, of a file of " + all.length + " bytes");
-        assertTrue(refused > 0, "no flip was noticed");
+        assertTrue(refused > 0, "no flipped bit was detected");
     }
 
     @Test
-    void tornAcrossTwoWritesItIsAsCommittedOrRefused() throws StoreException, IOException {
+    void aFileWithALostBlockHasCommittedContentOrIsRefused() throws StoreException, IOException {
         List<Map<String, String>> committed = history(8);
         byte[] all = Files.readAllBytes(Store.fileIn(folder));
-        // a block that never reached the disk reads as zeroes, with later blocks written
+        // a block that never reached the disk reads as zeroes, although later blocks were written
         for (int at : offsets(0, all.length / 512 - 1, 4)) {
             byte[] torn = all.clone();
             Arrays.fill(torn, at * 512, at * 512 + 512, (byte) 0);
-            playWith(torn, committed, "block " + at + " lost");
+            hasCommittedContent(torn, committed, "block " + at + " lost");
         }
     }
 
-    /** Opens such a file; true if it held a committed set, false if it was refused and left alone. */
-    private boolean playWith(byte[] file, List<Map<String, String>> committed, String how) {
+    /** Opens a store with this file; false if it is refused and unmodified, else it has committed content. */
+    private boolean hasCommittedContent(byte[] file, List<Map<String, String>> committed,
+            String description) {
         Map<String, String> last = committed.get(committed.size() - 1);
-        return assertTimeoutPreemptively(LONGEST, () -> {
-            Path own = Files.createTempDirectory(folder, "case");
-            Files.write(Store.fileIn(own), file);
-            Files.write(own.resolve("records.number"), number);
-            try (Store store = Store.open(own)) {
+        return assertTimeoutPreemptively(TIMEOUT, () -> {
+            Path caseFolder = Files.createTempDirectory(folder, "case");
+            Files.write(Store.fileIn(caseFolder), file);
+            Files.write(caseFolder.resolve("records.number"), number);
+            try (Store store = Store.open(caseFolder)) {
                 Map<String, String> found = texts(store.all());
-                assertTrue(committed.contains(found), how + ": never committed: " + found);
+                assertTrue(committed.contains(found), description + ": never committed: " + found);
                 assertTrue(store.missing() > 0 == !found.equals(last),
-                        how + ": " + store.missing() + " commits are said to be missing");
+                        description + ": " + store.missing() + " commits reported missing");
                 store.write(Map.of("new", bytes("room")));
                 assertTrue(store.all().containsKey("new"));
                 return true;
             } catch (StoreException e) {
                 assertTrue(e.kind() == StoreException.Kind.DAMAGED || e.kind() == StoreException.Kind.NEWER,
-                        how + ": " + e.getMessage());
-                assertArrayEquals(file, Files.readAllBytes(Store.fileIn(own)), how);
+                        description + ": " + e.getMessage());
+                assertArrayEquals(file, Files.readAllBytes(Store.fileIn(caseFolder)), description);
                 return false;
             } finally {
                 for (String name : List.of("records.mv", "records.number")) {
-                    Files.deleteIfExists(own.resolve(name));
+                    Files.deleteIfExists(caseFolder.resolve(name));
                 }
-                Files.deleteIfExists(own);
+                Files.deleteIfExists(caseFolder);
             }
-        }, how);
+        }, description);
     }
 
     @Test
-    void killedInTheMiddleOfTidyingNothingIsMissing() throws StoreException, IOException {
+    void aCrashDuringCompactionLosesNothing() throws StoreException, IOException {
         Map<String, String> wanted = new TreeMap<>();
         try (Store store = Store.open(folder)) {
             for (int i = 0; i < 120; i++) {
@@ -254,9 +255,9 @@
                 wanted.put("k" + i % 4, value);
             }
             long before = store.bytes();
-            // what a kill leaves is the file as it is at some moment: taken while it tidies
+            // a crash leaves the file as it is at some moment: copy it repeatedly during compaction
             byte[] number = Files.readAllBytes(folder.resolve("records.number"));
-            List<byte[]> moments = new ArrayList<>();
+            List<byte[]> copies = new ArrayList<>();
             Thread tidy = new Thread(() -> {
                 try {
                     store.tidy(2_000);
@@ -266,20 +267,20 @@
             });
             tidy.start();
             do {
-                moments.add(Files.readAllBytes(Store.fileIn(folder)));
-            } while (tidy.isAlive() && moments.size() < 40);
+                copies.add(Files.readAllBytes(Store.fileIn(folder)));
+            } while (tidy.isAlive() && copies.size() < 40);
             join(tidy);
             assertTrue(store.bytes() < before, before + " bytes are " + store.bytes());
             assertEquals(wanted, texts(store.all()));
             Path other = Files.createDirectory(folder.resolve("other"));
-            for (byte[] moment : moments) {
-                Files.write(Store.fileIn(other), moment);
+            for (byte[] copy : copies) {
+                Files.write(Store.fileIn(other), copy);
                 Files.write(other.resolve("records.number"), number);
-                try (Store killed = Store.open(other)) {
-                    // its head may be older than its end: what is missing then is told
-                    assertEquals(!wanted.equals(texts(killed.all())), killed.missing() > 0);
+                try (Store reopened = Store.open(other)) {
+                    // its header may be older than the rest; then the store has to report missing commits
+                    assertEquals(!wanted.equals(texts(reopened.all())), reopened.missing() > 0);
                 } catch (StoreException e) {
-                    // a copy is not of one moment, as a kill's file is: it may be refused, never be wrong
+                    // unlike after a crash, a copy mixes moments: it may be refused, but must not be wrong
                     assertEquals(StoreException.Kind.DAMAGED, e.kind());
                 }
             }
@@ -295,7 +296,7 @@
     }
 
     @Test
-    void whatIsInTheWayOfAFolderIsToldClearly() throws IOException {
+    void aFileInPlaceOfTheFolderIsReported() throws IOException {
         Path file = Files.writeString(folder.resolve("a file"), "");
         StoreException e = assertThrows(StoreException.class, () -> Store.open(file));
         assertEquals(StoreException.Kind.READ_ONLY, e.kind());
