--- a/src/main/java/yewdock/door/Caller.java
+++ b/src/main/java/yewdock/admin/AdminConnection.java
@@ -1,36 +1,36 @@
-package yewdock.door;
+package yewdock.admin;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
-import yewdock.desk.Call;
-import yewdock.platform.Side;
-import yewdock.platform.Wire;
+import yewdock.core.OperatorCommand;
+import yewdock.platform.Connection;
+import yewdock.platform.ConnectionHandler;
 
 /** An operator's connection: a line comes, an answer goes, and it is closed. */
-final class Caller implements Side {
+final class AdminConnection implements ConnectionHandler {
     /** No call is longer. */
     static final int MOST_LINE = 512;
 
-    private final Door door;
+    private final AdminInterface door;
     private final long id;
-    private final Wire wire;
+    private final Connection wire;
     private final StringBuilder line = new StringBuilder();
     private boolean called;
 
-    Caller(Door door, long id, Wire wire) {
+    AdminConnection(AdminInterface door, long id, Connection wire) {
         this.door = door;
         this.id = id;
         this.wire = wire;
     }
 
     @Override
-    public void up() {
+    public void onConnected() {
         // a caller's connection is up from the first
     }
 
     @Override
-    public void received(ByteBuffer bytes) {
+    public void onReceived(ByteBuffer bytes) {
         if (called) {
             return;
         }
@@ -50,8 +50,8 @@
 
     private void call(String text) {
         String[] words = text.strip().split("\\s+");
-        Call call = named(words[0]);
-        int wanted = call != null && call.namesBox() ? 2 : 1;
+        OperatorCommand call = named(words[0]);
+        int wanted = call != null && call.namesServer() ? 2 : 1;
         if (call == null) {
             turnDown("unknown call; there are health, counters, cordon ID, uncordon ID, quiesce, resume");
         } else if (words.length != wanted) {
@@ -62,8 +62,8 @@
         }
     }
 
-    private static Call named(String word) {
-        for (Call call : Call.values()) {
+    private static OperatorCommand named(String word) {
+        for (OperatorCommand call : OperatorCommand.values()) {
             if (call.name().toLowerCase(Locale.ROOT).equals(word)) {
                 return call;
             }
@@ -78,7 +78,7 @@
 
     void answer(String text) {
         wire.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
-        wire.linger();
+        wire.closeLingering();
     }
 
     /** Others need the place: one that is being answered goes by itself, one that says nothing goes now. */
@@ -91,19 +91,19 @@
     }
 
     @Override
-    public void written(int bytes) {
+    public void onWritten(int bytes) {
         // the close waits for it
     }
 
     /** No call came for long, or it has lingered long enough. */
     @Override
-    public void idle() {
+    public void onIdle() {
         called = true;
         wire.close();
     }
 
     @Override
-    public void down() {
+    public void onClosed() {
         called = true;
         door.forget(id);
     }
--- a/src/main/java/yewdock/door/Door.java
+++ b/src/main/java/yewdock/admin/AdminInterface.java
@@ -1,14 +1,14 @@
-package yewdock.door;
+package yewdock.admin;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import yewdock.desk.Call;
-import yewdock.desk.Effect;
-import yewdock.desk.Event;
-import yewdock.desk.Figures;
-import yewdock.platform.Front;
-import yewdock.platform.Side;
-import yewdock.platform.Wire;
+import yewdock.core.Effect;
+import yewdock.core.Event;
+import yewdock.core.OperatorCommand;
+import yewdock.core.RouterStatistics;
+import yewdock.platform.Connection;
+import yewdock.platform.ConnectionHandler;
+import yewdock.platform.ConnectionManager;
 
 /**
  * The operators' door: one line to a connection, and one answer. It reads calls and prints answers; what they
@@ -17,37 +17,37 @@
  * <p>Callers that say nothing cost no good one its place: beyond a few, the one that has been silent longest
  * makes room.
  */
-public final class Door {
+public final class AdminInterface {
     /** So many callers at once; more take descriptors that clients and boxes need. */
-    public static final int MOST_CALLERS = 16;
+    public static final int MAX_CONNECTIONS = 16;
     /** Those that are being given up still hold a descriptor for a moment. */
-    public static final int MOST_ACCEPTED = MOST_CALLERS + 8;
+    public static final int MAX_ACCEPTED_CONNECTIONS = MAX_CONNECTIONS + 8;
     /** A caller that sends nothing for so long is given up. */
-    public static final int PATIENCE_SECONDS = 3;
+    public static final int IDLE_TIMEOUT_SECONDS = 3;
     private static final String PREFIX = "edge_proxy.";
 
-    private final Front front;
-    private final Map<Long, Caller> callers = new LinkedHashMap<>();
+    private final ConnectionManager front;
+    private final Map<Long, AdminConnection> callers = new LinkedHashMap<>();
     private long last;
 
     /** A door whose calls go through this front. */
-    public Door(Front front) {
+    public AdminInterface(ConnectionManager front) {
         this.front = front;
-        front.answerCallsBy(this::answer);
+        front.forwardOperatorAnswersTo(this::answer);
     }
 
     /** An operator has connected. */
-    public Side accept(Wire wire) {
-        Caller caller = new Caller(this, ++last, wire);
+    public ConnectionHandler accept(Connection wire) {
+        AdminConnection caller = new AdminConnection(this, ++last, wire);
         callers.put(last, caller);
-        if (callers.size() > MOST_CALLERS) {
+        if (callers.size() > MAX_CONNECTIONS) {
             callers.values().iterator().next().makeRoom();
         }
         return caller;
     }
 
-    void called(long caller, Call call, String box) {
-        front.happened(new Event.Called(caller, call, box));
+    void called(long caller, OperatorCommand call, String box) {
+        front.dispatch(new Event.OperatorCommandReceived(caller, call, box));
     }
 
     void forget(long caller) {
@@ -55,33 +55,33 @@
     }
 
     private void answer(Effect effect) {
-        if (effect instanceof Effect.AnswerCall e) {
-            answer(e.caller(), (e.yes() ? "YES " : "NO ") + e.text() + "\n");
-        } else if (effect instanceof Effect.AnswerFigures e) {
-            answer(e.caller(), print(e.figures()));
+        if (effect instanceof Effect.AnswerCommand e) {
+            answer(e.caller(), (e.accepted() ? "YES " : "NO ") + e.text() + "\n");
+        } else if (effect instanceof Effect.AnswerStatistics e) {
+            answer(e.caller(), print(e.statistics()));
         }
     }
 
     private void answer(long caller, String text) {
-        Caller to = callers.get(caller);
+        AdminConnection to = callers.get(caller);
         if (to != null) {
             to.answer(text);
         }
     }
 
     /** The figures, one a line, and a last line that tells that none is missing. */
-    static String print(Figures figures) {
+    static String print(RouterStatistics figures) {
         StringBuilder text = new StringBuilder();
-        for (Figures.OfClass c : figures.classes()) {
+        for (RouterStatistics.ClassStatistics c : figures.classes()) {
             String name = "downstream_requests." + c.name() + '.';
             line(text, name + "completed", c.completed());
             line(text, name + "rejected", c.rejected());
             line(text, name + "failed", c.failed());
         }
-        line(text, "upstream_requests", figures.tries());
+        line(text, "upstream_requests", figures.attempts());
         line(text, "pending", figures.pending());
-        line(text, "members", figures.boxes());
-        line(text, "members_unavailable", figures.avoided());
+        line(text, "members", figures.servers());
+        line(text, "members_unavailable", figures.unavailableServers());
         return text.append("END\n").toString();
     }
 
--- a/src/main/java/yewdock/council/CommandBacklog.java
+++ b/src/main/java/yewdock/consensus/CommandBacklog.java
@@ -1,12 +1,12 @@
-package yewdock.council;
+package yewdock.consensus;
 
 import com.google.protobuf.ByteString;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
-import yewdock.rules.Rules;
-import yewdock.state.Records;
+import yewdock.rules.RuleStateMachine;
+import yewdock.state.ReplicatedRecords;
 import yewdock.wire.Feed;
 import yewdock.wire.RuleCommand;
 
@@ -22,12 +22,12 @@
     }
 
     /** Adds a command that was just applied; the rules are those after it. */
-    void add(RuleCommand command, Rules rules) {
+    void add(RuleCommand command, RuleStateMachine rules) {
         if (!steps.isEmpty() && steps.peekLast().step != rules.step() - 1) {
             steps.clear();
             bytes = 0;
         }
-        ByteString serialized = ByteString.copyFrom(Records.bytes(command));
+        ByteString serialized = ByteString.copyFrom(ReplicatedRecords.bytes(command));
         steps.add(new Step(rules.step(), rules.chain(), serialized));
         bytes += serialized.size();
         while (steps.size() > MAX_COMMANDS || bytes > MAX_BYTES && steps.size() > 1) {
@@ -48,7 +48,7 @@
     }
 
     /** The commands after this step, or a snapshot if they are no longer held; null if there are none. */
-    Feed feedAfter(long step, Rules rules) {
+    Feed feedAfter(long step, RuleStateMachine rules) {
         if (step >= rules.step()) {
             return null;
         }
@@ -65,7 +65,7 @@
     }
 
     /** A feed with a snapshot of the rules. */
-    static Feed snapshotFeed(Rules rules) {
+    static Feed snapshotFeed(RuleStateMachine rules) {
         return Feed.newBuilder().setSnapshot(rules.snapshot()).build();
     }
 }
--- a/src/main/java/yewdock/council/Council.java
+++ b/src/main/java/yewdock/consensus/ConsensusNode.java
@@ -1,4 +1,4 @@
-package yewdock.council;
+package yewdock.consensus;
 
 import com.google.protobuf.ByteString;
 import com.google.protobuf.InvalidProtocolBufferException;
@@ -11,12 +11,12 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Consumer;
-import yewdock.lease.Grants;
 import yewdock.lease.Lease;
-import yewdock.lease.LeaseTerms;
-import yewdock.rules.Refusal;
-import yewdock.rules.Rules;
-import yewdock.rules.View;
+import yewdock.lease.LeaseGrantor;
+import yewdock.lease.LeaseTiming;
+import yewdock.rules.ChangeRejection;
+import yewdock.rules.RuleStateMachine;
+import yewdock.rules.RulesView;
 import yewdock.wire.CouncilFrame;
 import yewdock.wire.Feed;
 import yewdock.wire.Founding;
@@ -34,7 +34,7 @@
  * the leader, grants leases. Everything runs on the scheduler's thread, and routing a request never waits
  * for any of it.
  */
-public final class Council {
+public final class ConsensusNode {
     private static final long SECOND_MICROS = 1_000_000;
     private static final long ROUND_TIMEOUT_MICROS = SECOND_MICROS;
     private static final long PROPOSAL_TIMEOUT_MICROS = 2 * SECOND_MICROS;
@@ -51,46 +51,47 @@
      * @param members the names of the voting instances; sorted by the constructor
      * @param lease how long leases last
      */
-    public record Terms(String cluster, String self, List<String> members, LeaseTerms lease) {
-        public Terms {
+    public record ConsensusConfig(String cluster, String self, List<String> members, LeaseTiming lease) {
+        public ConsensusConfig {
             members = members.stream().sorted().toList();
         }
     }
 
     /** What the consensus code needs from the router instance that it runs in. */
-    public interface Instance {
+    public interface ConsensusHost {
         /** Sends a frame to another instance without blocking; dropped if it can't be reached. */
         void send(String instance, CouncilFrame frame);
 
         /** Whether there is a connection to the instance. */
-        boolean reaches(String instance);
+        boolean isReachable(String instance);
 
         /**
-         * Applies this view of the rules from now on. The implementation calls {@link Council#takenUp} once
+         * Applies this view of the rules from now on. The implementation calls {@link
+         * ConsensusNode#rulesApplied} once
          * every part of this instance does.
          */
-        void actBy(View view);
+        void applyRules(RulesView view);
 
         /** The lease is valid until this time, in microseconds of the scheduler's clock. */
-        void leaseUntil(long until);
+        void leaseExtended(long until);
 
         /** Another router uses a newer version of the endpoint list than this one has reported. */
-        void listBehind(long newest);
+        void endpointListOutdated(long newest);
 
         /** Logs an event for operators; the fields are alternating names and values. */
-        void note(String event, Object... fields);
+        void logEvent(String event, Object... fields);
     }
 
-    private final Terms config;
-    private final Loop scheduler;
-    private final Instance host;
-    private RaftDisk raftStore;
+    private final ConsensusConfig config;
+    private final TaskScheduler scheduler;
+    private final ConsensusHost host;
+    private DurableRaftStore raftStore;
     private final RaftMemberId selfId;
     /** Drawn at random at each start; tells this process apart from earlier ones of the same instance. */
     private final long incarnation;
-    private final Rules localRules = new Rules();
+    private final RuleStateMachine localRules = new RuleStateMachine();
     private final Lease lease;
-    private final Grants leaseGrantor;
+    private final LeaseGrantor leaseGrantor;
     private final CommandBacklog backlog = new CommandBacklog();
     private final EndpointListTracker listTracker = new EndpointListTracker();
     /** The step that each router has reported, or has been sent since. */
@@ -115,7 +116,7 @@
     /** The endpoint list in use: where it comes from, and its version; -1 for none. */
     private String listAddress = "";
     private long listVersion = -1;
-    /** The last version passed to {@link Instance#listBehind}. */
+    /** The last version passed to {@link ConsensusHost#endpointListOutdated}. */
     private long reportedListVersion = -1;
     private boolean closed;
 
@@ -134,7 +135,8 @@
      * @param seed seed for random values; has to differ at each start
      * @throws IOException if the disk can't be read or written
      */
-    public Council(Terms config, Loop scheduler, Instance host, RaftDisk raftStore, long seed)
+    public ConsensusNode(ConsensusConfig config, TaskScheduler scheduler, ConsensusHost host,
+            DurableRaftStore raftStore, long seed)
             throws IOException {
         this.config = config;
         this.scheduler = scheduler;
@@ -142,7 +144,7 @@
         this.raftStore = raftStore;
         this.incarnation = seed;
         this.lease = new Lease(config.lease());
-        this.leaseGrantor = new Grants(config.lease());
+        this.leaseGrantor = new LeaseGrantor(config.lease());
         this.selfId = raftStore == null ? null : RaftMemberId.of(config.self(),
                 raftStore.number(Long.toHexString(seed)));
         if (raftStore != null && raftStore.restored() != null) {
@@ -170,19 +172,19 @@
         }
         renewLease();
         announcements.values().removeIf(announcement ->
-                scheduler.now() - announcement.at >= ANNOUNCEMENT_TTL_MICROS);
+                scheduler.nowMicros() - announcement.at >= ANNOUNCEMENT_TTL_MICROS);
         if (raftStore != null && raftStore.failed()) {
             restartMember("agreement.disk_failed");
         } else if (member != null && member.isStuck()) {
             restartMember("agreement.nobody_leads");
-        } else if (raftStore != null && !votes()) {
+        } else if (raftStore != null && !isVotingMember()) {
             announce();
         }
         if (member != null) {
             forceReadyChanges();
             reconcileMembership();
         }
-        long now = scheduler.now();
+        long now = scheduler.nowMicros();
         List<Long> expired = new ArrayList<>();
         pendingProposals.forEach((number, proposal) -> {
             if (now >= proposal.deadline) {
@@ -191,14 +193,14 @@
         });
         expired.forEach(number -> completeProposal(Proposed.newBuilder().setNumber(number)
                 .setNobody("no leader answered in time").build()));
-        scheduler.after(config.lease().renewEvery(), this::tick);
+        scheduler.schedule(config.lease().renewalIntervalMicros(), this::tick);
     }
 
     /** Restarts the Raft member from what is on its disk; retried with each tick while the disk fails. */
     private void restartMember(String event) {
         if (member != null) {
-            host.note(event, "now", "restarting this member from its disk");
-            leaseGrantor.follows();
+            host.logEvent(event, "now", "restarting this member from its disk");
+            leaseGrantor.stepDown();
             member = null;
             membershipChangePending = false;
         }
@@ -215,18 +217,18 @@
     // ---- every router: the local rules and the lease
 
     /** The rules as known here; may be behind the committed ones. */
-    public Rules held() {
+    public RuleStateMachine localRules() {
         return localRules;
     }
 
     /** The rules up to the last command that this member knows to be committed; null if it doesn't vote. */
-    public Rules agreed() {
+    public RuleStateMachine committedRules() {
         return member == null ? null : member.rules();
     }
 
     /** Whether the lease is valid, so that this router may act on its rules now. */
-    public boolean holds() {
-        return lease.holds(scheduler.now());
+    public boolean holdsLease() {
+        return lease.isValid(scheduler.nowMicros());
     }
 
     /** The name of the leader as far as known here; null if none is known. */
@@ -235,22 +237,22 @@
     }
 
     /** Whether this instance is the leader. */
-    public boolean leads() {
+    public boolean isLeader() {
         return member != null && member.isLeader();
     }
 
     /** Whether this instance is a voting member, as far as it knows. */
-    public boolean votes() {
+    public boolean isVotingMember() {
         return member != null && Boolean.TRUE.equals(member.membersById().get(selfId.id()));
     }
 
     /** Reports that all of this instance applies the rules as of this step, or a later one. */
-    public void takenUp(long step, long chain) {
+    public void rulesApplied(long step, long chain) {
         if (step > appliedStep) {
-            boolean wasCurrent = appliedStep >= localRules.prepared();
+            boolean wasCurrent = appliedStep >= localRules.lastPreparedStep();
             appliedStep = step;
             appliedChain = chain;
-            if (!wasCurrent && appliedStep >= localRules.prepared()) {
+            if (!wasCurrent && appliedStep >= localRules.lastPreparedStep()) {
                 // a change that waits for this router should not wait for the next regular renewal
                 renewLease();
             }
@@ -258,13 +260,13 @@
     }
 
     /** Reports which endpoint list this instance uses from now on. */
-    public void actsOn(String address, long version) {
+    public void endpointListInUse(String address, long version) {
         listAddress = address;
         listVersion = version;
     }
 
     private void renewLease() {
-        Renew.Builder request = Renew.newBuilder().setNumber(lease.asks(scheduler.now())).setStep(appliedStep)
+        Renew.Builder request = Renew.newBuilder().setNumber(lease.beginRenewal(scheduler.nowMicros())).setStep(appliedStep)
                 .setChain(appliedChain).setIncarnation(incarnation).setListAddress(listAddress)
                 .setListVersion(listVersion);
         if (++unansweredRenewals > MAX_UNANSWERED_RENEWALS) {
@@ -282,13 +284,13 @@
         if (member != null) {
             leader = member.leader();
         }
-        if (leader != null && (leader.equals(config.self()) || host.reaches(leader))) {
+        if (leader != null && (leader.equals(config.self()) || host.isReachable(leader))) {
             return leader;
         }
         leader = null;
         for (int i = 0; i < config.members().size(); i++) {
             String candidate = config.members().get(nextMemberIndex++ % config.members().size());
-            if (!candidate.equals(config.self()) && host.reaches(candidate)) {
+            if (!candidate.equals(config.self()) && host.isReachable(candidate)) {
                 return candidate;
             }
         }
@@ -297,7 +299,7 @@
 
     private void send(String to, CouncilFrame frame) {
         if (to.equals(config.self())) {
-            scheduler.after(0, () -> heard(to, frame));
+            scheduler.schedule(0, () -> receive(to, frame));
         } else {
             host.send(to, frame);
         }
@@ -320,15 +322,15 @@
             int known = (int) Math.min(feed.getCommandsCount(), localRules.step() - feed.getAfter());
             for (ByteString bytes : feed.getCommandsList().subList(known, feed.getCommandsCount())) {
                 try {
-                    localRules.take(Rules.read(bytes.toByteArray()));
+                    localRules.apply(RuleStateMachine.parseCommand(bytes.toByteArray()));
                 } catch (InvalidProtocolBufferException e) {
-                    host.note("agreement.unreadable", "from", from, "why", e.getMessage());
+                    host.logEvent("agreement.unreadable", "from", from, "why", e.getMessage());
                     return;
                 }
             }
         }
         if (localRules.step() != previousStep) {
-            host.actBy(localRules.view());
+            host.applyRules(localRules.view());
         }
     }
 
@@ -339,14 +341,14 @@
      * the change, or with the reason why no leader took it; the same change may then be proposed again.
      */
     public void propose(RuleChange change, Consumer<Proposed> callback) {
-        Refusal rejection = Rules.flaw(change);
+        ChangeRejection rejection = RuleStateMachine.validate(change);
         if (rejection != null) {
             callback.accept(Proposed.newBuilder().setOutcome(RuleOutcome.newBuilder().setId(change.getId())
                     .setRefusal(rejection.number())).build());
             return;
         }
         long number = ++lastProposalNumber;
-        pendingProposals.put(number, new PendingProposal(change, callback, scheduler.now()
+        pendingProposals.put(number, new PendingProposal(change, callback, scheduler.nowMicros()
                 + PROPOSAL_TIMEOUT_MICROS));
         String to = leaderOrNextMember();
         if (to == null) {
@@ -367,7 +369,7 @@
 
     private void receiveProposal(String from, Proposal proposal) {
         Proposed.Builder answer = Proposed.newBuilder().setNumber(proposal.getNumber());
-        if (!leads()) {
+        if (!isLeader()) {
             send(from, CouncilFrame.newBuilder().setProposed(
                     answer.setNobody("the instance asked is not the leader")).build());
             return;
@@ -386,14 +388,14 @@
     // ---- incoming frames
 
     /** Handles a frame from another instance. */
-    public void heard(String from, CouncilFrame frame) {
+    public void receive(String from, CouncilFrame frame) {
         if (closed) {
             return;
         }
         switch (frame.getWhatCase()) {
             case RAFT -> {
                 if (member != null && !member.receive(frame.getRaft()) && foreignInstances.add(from)) {
-                    host.note("agreement.other_council", "instance", from, "its",
+                    host.logEvent("agreement.other_council", "instance", from, "its",
                             frame.getRaft().getGroup(), "ours", member.group());
                 }
             }
@@ -413,12 +415,12 @@
         if (grant.getIncarnation() == incarnation) {
             unansweredRenewals = 0;
             lease.granted(grant.getNumber());
-            host.leaseUntil(lease.until());
+            host.leaseExtended(lease.expiresAt());
             // once per version: a discovery service that restarted may never reach this version again
             if (grant.getListVersion() > listVersion && grant.getListVersion() != reportedListVersion
                     && listVersion >= 0) {
                 reportedListVersion = grant.getListVersion();
-                host.listBehind(grant.getListVersion());
+                host.endpointListOutdated(grant.getListVersion());
             }
         }
     }
@@ -426,7 +428,7 @@
     // ---- the leader: leases and distribution of the rules
 
     private void receiveRenewal(String from, Renew request) {
-        if (!leads()) {
+        if (!isLeader()) {
             String known = member == null ? null : member.leader();
             if (known != null) {
                 send(from, CouncilFrame.newBuilder().setFeed(Feed.newBuilder().setLeader(known)).build());
@@ -436,13 +438,14 @@
         routerSteps.put(from, request.getStep());
         listTracker.report(from, request.getListAddress(), request.getListVersion());
         if (!backlog.matches(request.getStep(), request.getChain())) {
-            host.note("agreement.diverged", "instance", from, "step", request.getStep());
+            host.logEvent("agreement.diverged", "instance", from, "step", request.getStep());
             send(from, CouncilFrame.newBuilder().setFeed(CommandBacklog.snapshotFeed(member.rules())
                     .toBuilder().setLeader(config.self())).build());
             return;
         }
         sendFeed(from, request.getStep());
-        leaseGrantor.asked(new Grants.Ask(from, request.getIncarnation(), request.getNumber(),
+        leaseGrantor.request(new LeaseGrantor.LeaseRequest(from, request.getIncarnation(),
+                request.getNumber(),
                 request.getStep()));
         confirmLeadership();
     }
@@ -458,27 +461,28 @@
     /** Runs one round of leadership confirmation at a time, for all lease requests that wait. */
     private void confirmLeadership() {
         if (roundInProgress) {
-            if (scheduler.now() < roundDeadline) {
+            if (scheduler.nowMicros() < roundDeadline) {
                 return;
             }
-            leaseGrantor.roundFailed();
+            leaseGrantor.confirmationFailed();
         }
-        roundInProgress = leaseGrantor.beginRound();
+        roundInProgress = leaseGrantor.beginConfirmation();
         if (!roundInProgress) {
             return;
         }
         long round = ++roundNumber;
-        roundDeadline = scheduler.now() + ROUND_TIMEOUT_MICROS;
+        roundDeadline = scheduler.nowMicros() + ROUND_TIMEOUT_MICROS;
         member.confirmLeadership().whenComplete((done, failed) -> {
             if (round != roundNumber) {
                 return;
             }
             roundInProgress = false;
             if (failed != null) {
-                leaseGrantor.roundFailed();
+                leaseGrantor.confirmationFailed();
                 return;
             }
-            for (Grants.Ask request : leaseGrantor.confirmed(member.rules().prepared(), scheduler.now())) {
+            for (LeaseGrantor.LeaseRequest request : leaseGrantor.confirm(member.rules().lastPreparedStep(),
+                    scheduler.nowMicros())) {
                 send(request.router(), CouncilFrame.newBuilder().setGranted(Granted.newBuilder()
                         .setNumber(request.number()).setIncarnation(request.incarnation())
                         .setListVersion(listTracker.newestFor(request.router()))).build());
@@ -493,9 +497,9 @@
      * leader knows since when each change has been pending.
      */
     private void forceReadyChanges() {
-        long now = scheduler.now();
+        long now = scheduler.nowMicros();
         forceSentAt.values().removeIf(at -> now - at >= FORCE_RETRY_MICROS);
-        for (String id : leaseGrantor.due(member.rules().underWay(), now)) {
+        for (String id : leaseGrantor.changesToApply(member.rules().pendingChanges(), now)) {
             if (forceSentAt.putIfAbsent(id, now) == null) {
                 RuleCommand force = RuleCommand.newBuilder().setForce(id).build();
                 member.replicate(force).whenComplete((done, failed) -> {
@@ -509,7 +513,7 @@
 
     /** Sends each router that renews its lease here the commands that it hasn't been sent yet. */
     private void sendFeedToAll() {
-        if (leads()) {
+        if (isLeader()) {
             new HashMap<>(routerSteps).forEach(this::sendFeed);
         }
     }
@@ -523,11 +527,11 @@
                 routerSteps.clear();
                 forceSentAt.clear();
                 if (leading) {
-                    leaseGrantor.leads(scheduler.now());
+                    leaseGrantor.becomeLeader(scheduler.nowMicros());
                 } else {
-                    leaseGrantor.follows();
+                    leaseGrantor.stepDown();
                 }
-                host.note(leading ? "agreement.leads" : "agreement.follows");
+                host.logEvent(leading ? "agreement.leads" : "agreement.follows");
             }
 
             @Override
@@ -543,8 +547,8 @@
         };
         member = new RaftMember(scheduler, config.cluster(), selfId, founders, raftStore, incarnation,
                 listener,
-                (to, frame) -> send(to, CouncilFrame.newBuilder().setRaft(frame).build()), host::reaches);
-        host.note("agreement.member", "council", member.group());
+                (to, frame) -> send(to, CouncilFrame.newBuilder().setRaft(frame).build()), host::isReachable);
+        host.logEvent("agreement.member", "council", member.group());
     }
 
     /**
@@ -552,7 +556,7 @@
      * exists: it joins the one it hears of, and if all members are new, the first of them founds the group.
      */
     private void announce() {
-        announcements.put(config.self(), new MemberAnnouncement(selfId.id(), scheduler.now()));
+        announcements.put(config.self(), new MemberAnnouncement(selfId.id(), scheduler.nowMicros()));
         for (String other : config.members()) {
             if (!other.equals(config.self())) {
                 send(other, CouncilFrame.newBuilder().setFounding(Founding.newBuilder()
@@ -570,7 +574,7 @@
             return;
         }
         if (message.getMembersCount() == 0) {
-            announcements.put(from, new MemberAnnouncement(message.getEndpoint(), scheduler.now()));
+            announcements.put(from, new MemberAnnouncement(message.getEndpoint(), scheduler.nowMicros()));
             if (member != null) {
                 send(from, CouncilFrame.newBuilder().setFounding(Founding.newBuilder()
                         .setEndpoint(selfId.id()).addAllMembers(member.founders())).build());
@@ -582,7 +586,7 @@
 
     /** Replaces a member that came back with an empty disk: it forgot its votes, so it joins as a new one. */
     private void reconcileMembership() {
-        if (!leads() || membershipChangePending) {
+        if (!isLeader() || membershipChangePending) {
             return;
         }
         Map<String, Boolean> members = member.membersById();
@@ -604,11 +608,11 @@
 
     private void changeMembership(String endpoint, MembershipChangeMode mode) {
         membershipChangePending = true;
-        host.note("agreement.membership", "member", endpoint, "change", mode);
+        host.logEvent("agreement.membership", "member", endpoint, "change", mode);
         member.changeMembership(endpoint, mode).whenComplete((done, failed) -> {
             membershipChangePending = false;
             if (failed != null) {
-                host.note("agreement.membership_failed", "member", endpoint, "why", failed.getMessage());
+                host.logEvent("agreement.membership_failed", "member", endpoint, "why", failed.getMessage());
             }
         });
     }
--- a/src/main/java/yewdock/council/RaftDisk.java
+++ b/src/main/java/yewdock/consensus/DurableRaftStore.java
@@ -1,4 +1,4 @@
-package yewdock.council;
+package yewdock.consensus;
 
 import com.google.protobuf.Message;
 import io.microraft.model.log.LogEntry;
@@ -17,7 +17,7 @@
 import java.util.Map;
 import java.util.SortedMap;
 import java.util.TreeMap;
-import yewdock.store.Shelf;
+import yewdock.store.KeyValueStore;
 import yewdock.store.StoreException;
 import yewdock.wire.RaftChunk;
 import yewdock.wire.RaftEntry;
@@ -30,7 +30,7 @@
  * asked to be persisted is on disk, in one commit, when {@link #flush} returns; the library answers for
  * none of it before.
  */
-public final class RaftDisk implements RaftStore {
+public final class DurableRaftStore implements RaftStore {
     private static final String SELF_KEY = "self";
     private static final String FOUNDERS_KEY = "founders";
     private static final String TERM_KEY = "term";
@@ -40,8 +40,8 @@
 
     private static final String WRITE_TEST_KEY = "tried";
 
-    private final Shelf.Opening opener;
-    private final Shelf store;
+    private final KeyValueStore.StoreOpener opener;
+    private final KeyValueStore store;
     private boolean failed;
     private String number;
     private Map<String, byte[]> pending = new HashMap<>();
@@ -50,7 +50,7 @@
     private RestoredRaftState restored;
 
     /** Opens the store and reads the state in it. */
-    public RaftDisk(Shelf.Opening opener) throws IOException {
+    public DurableRaftStore(KeyValueStore.StoreOpener opener) throws IOException {
         this.opener = opener;
         try {
             this.store = opener.open();
@@ -77,10 +77,10 @@
      * Closes this store, opens it again and checks that it takes writes. This object and the member that
      * used it must not be used any more, whatever the outcome; after a failure this may be called again.
      */
-    RaftDisk reopen() throws IOException {
+    DurableRaftStore reopen() throws IOException {
         failed = true;
         store.close();
-        RaftDisk next = new RaftDisk(opener);
+        DurableRaftStore next = new DurableRaftStore(opener);
         try {
             next.pending.put(WRITE_TEST_KEY, new byte[] {1});
             next.flush();
--- a/src/main/java/yewdock/council/RaftMember.java
+++ b/src/main/java/yewdock/consensus/RaftMember.java
@@ -1,4 +1,4 @@
-package yewdock.council;
+package yewdock.consensus;
 
 import io.microraft.MembershipChangeMode;
 import io.microraft.Ordered;
@@ -27,7 +27,7 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import java.util.stream.Collectors;
-import yewdock.rules.Rules;
+import yewdock.rules.RuleStateMachine;
 import yewdock.wire.NewTerm;
 import yewdock.wire.RaftFrame;
 import yewdock.wire.RuleCommand;
@@ -52,10 +52,10 @@
     private static final long STUCK_MICROS = 5_000_000;
     private static final Object CONFIRM_QUERY = new Object();
 
-    private final Loop scheduler;
-    private final Rules rules = new Rules();
+    private final TaskScheduler scheduler;
+    private final RuleStateMachine rules = new RuleStateMachine();
     private final MemberListener listener;
-    private final RaftDisk raftStore;
+    private final DurableRaftStore raftStore;
     private final RaftNode node;
     private final String group;
     private final List<String> founders;
@@ -83,7 +83,8 @@
      * @param send sends a frame to the named instance
      * @param reachable whether the named instance is reachable
      */
-    RaftMember(Loop scheduler, String cluster, RaftMemberId self, List<String> founders, RaftDisk raftStore,
+    RaftMember(TaskScheduler scheduler, String cluster, RaftMemberId self, List<String> founders,
+            DurableRaftStore raftStore,
             long seed, MemberListener listener, FrameSender send, Predicate<String> reachable) {
         this.scheduler = scheduler;
         this.raftStore = raftStore;
@@ -109,7 +110,7 @@
         } else {
             builder.setLocalEndpoint(self).setInitialGroupMembers(RaftCodec.endpoints(founders));
         }
-        lastLeaderContact = scheduler.now();
+        lastLeaderContact = scheduler.nowMicros();
         node = builder.build();
         node.start();
     }
@@ -138,7 +139,7 @@
     }
 
     /** The rules up to the last command that this member knows to be committed. */
-    Rules rules() {
+    RuleStateMachine rules() {
         return rules;
     }
 
@@ -159,7 +160,7 @@
      * is restarted from its disk calls elections again.
      */
     boolean isStuck() {
-        return !isLeader && scheduler.now() - lastLeaderContact >= STUCK_MICROS;
+        return !isLeader && scheduler.nowMicros() - lastLeaderContact >= STUCK_MICROS;
     }
 
     /**
@@ -172,7 +173,7 @@
             return false;
         }
         if (frame.hasAppend() || frame.hasInstall()) {
-            lastLeaderContact = scheduler.now();
+            lastLeaderContact = scheduler.nowMicros();
         }
         if (!raftStore.failed() && !isOutdatedResponse(frame, node.getTerm().getTerm())) {
             node.handle(RaftCodec.message(frame));
@@ -223,17 +224,17 @@
     private final class SchedulerExecutor implements RaftNodeExecutor {
         @Override
         public void execute(Runnable task) {
-            scheduler.after(0, guarded(task));
+            scheduler.schedule(0, guarded(task));
         }
 
         @Override
         public void submit(Runnable task) {
-            scheduler.after(0, guarded(task));
+            scheduler.schedule(0, guarded(task));
         }
 
         @Override
         public void schedule(Runnable task, long delay, TimeUnit unit) {
-            scheduler.after(unit.toMicros(delay) / CLOCK_SPEEDUP, guarded(task));
+            scheduler.schedule(unit.toMicros(delay) / CLOCK_SPEEDUP, guarded(task));
         }
 
         /**
@@ -268,7 +269,7 @@
 
         @Override
         public long millis() {
-            return scheduler.now() / 1000 * CLOCK_SPEEDUP;
+            return scheduler.nowMicros() / 1000 * CLOCK_SPEEDUP;
         }
     }
 
@@ -303,9 +304,9 @@
             if (!(operation instanceof RuleCommand command)) {
                 return null;
             }
-            RuleOutcome outcome = rules.take(command);
+            RuleOutcome outcome = rules.apply(command);
             listener.committed(command);
-            scheduler.after(0, listener::rulesChanged);
+            scheduler.schedule(0, listener::rulesChanged);
             return outcome;
         }
 
@@ -317,7 +318,7 @@
         @Override
         public void installSnapshot(long index, List<Object> chunks) {
             rules.install((RulesSnapshot) chunks.get(0));
-            scheduler.after(0, listener::rulesChanged);
+            scheduler.schedule(0, listener::rulesChanged);
         }
 
         @Override
--- a/src/main/java/yewdock/daemon/Agreement.java
+++ b/src/main/java/yewdock/daemon/ConsensusService.java
@@ -18,17 +18,17 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import yewdock.council.Council;
-import yewdock.council.Loop;
-import yewdock.council.RaftDisk;
-import yewdock.lease.LeaseTerms;
-import yewdock.log.Say;
-import yewdock.rules.Kind;
-import yewdock.rules.Refusal;
-import yewdock.rules.Rules;
-import yewdock.rules.View;
+import yewdock.consensus.ConsensusNode;
+import yewdock.consensus.DurableRaftStore;
+import yewdock.consensus.TaskScheduler;
+import yewdock.lease.LeaseTiming;
+import yewdock.logging.EventLog;
+import yewdock.rules.ChangeRejection;
+import yewdock.rules.RuleKind;
+import yewdock.rules.RuleStateMachine;
+import yewdock.rules.RulesView;
 import yewdock.settings.OperatorSettings;
-import yewdock.store.Store;
+import yewdock.store.RecordFile;
 import yewdock.wire.Agreed;
 import yewdock.wire.Answer;
 import yewdock.wire.AskListAnew;
@@ -47,7 +47,7 @@
  * generations are told by which rules and until when they may act, and say when they do; a generation that
  * hangs holds the lease up, for nobody knows by what it acts.
  */
-final class Agreement implements Council.Instance, Loop, Closeable {
+final class ConsensusService implements ConsensusNode.ConsensusHost, TaskScheduler, Closeable {
     /** An operator's word for a mark of this instance's own, without asking the others. */
     static final String HERE = "--here";
     private static final String LOG = "council";
@@ -63,18 +63,18 @@
     private final SecureRandom random = new SecureRandom();
     private final Map<Integer, Told> generations = new HashMap<>();
     private final List<Asked> waiting = new ArrayList<>();
-    private Peers peers;
-    private Council council;
-    private View view = View.NOTHING;
+    private PeerConnections peers;
+    private ConsensusNode council;
+    private RulesView view = RulesView.EMPTY;
     private long chain;
     private long until = Long.MIN_VALUE;
 
     /** A generation that acts by what it is told, and the step that it has said it acts by. */
     private static final class Told {
-        private final Link link;
+        private final ControlConnection link;
         private long step;
 
-        Told(Link link) {
+        Told(ControlConnection link) {
             this.link = link;
         }
     }
@@ -84,7 +84,7 @@
     }
 
     /** For this operator's file; boxes that get nothing new go to boxesOut. */
-    Agreement(OperatorSettings settings, Consumer<Set<String>> boxesOut) {
+    ConsensusService(OperatorSettings settings, Consumer<Set<String>> boxesOut) {
         this.settings = settings;
         this.boxesOut = boxesOut;
         this.loop = new ScheduledThreadPoolExecutor(1, task -> {
@@ -93,32 +93,33 @@
             return thread;
         });
         loop.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
-        after(0, Say::onlyEvents);
+        schedule(0, EventLog::muteLibraryLogs);
     }
 
     /** Begins to take part, over these connections. */
-    void begin(Peers over) throws IOException {
+    void begin(PeerConnections over) throws IOException {
         peers = over;
-        OperatorSettings.Agreement a = settings.agreement();
-        String self = settings.copies().instance();
-        RaftDisk disk = null;
+        OperatorSettings.ConsensusSettings a = settings.consensus();
+        String self = settings.replication().instance();
+        DurableRaftStore disk = null;
         if (a.members().contains(self)) {
             Path folder = settings.store().folder().resolve(LOG);
             try {
-                disk = new RaftDisk(() -> Store.open(folder));
+                disk = new DurableRaftStore(() -> RecordFile.open(folder));
             } catch (IOException e) {
                 throw new IOException(e.getMessage() + ", in " + folder
                         + "; an instance that has lost it is put in anew with an empty folder", e);
             }
         }
-        RaftDisk mine = disk;
+        DurableRaftStore mine = disk;
         long seed = random.nextLong() >>> 1;
-        after(0, () -> {
+        schedule(0, () -> {
             try {
-                council = new Council(new Council.Terms(settings.copies().cluster(), self, a.members(),
-                        LeaseTerms.within(a.agreedWithin(), a.drift())), this, this, mine, seed);
+                council = new ConsensusNode(new ConsensusNode.ConsensusConfig(settings.replication().cluster(), self, a.members(),
+                        LeaseTiming.forMaxDelay(a.agreedWithinMicros(), a.clockDrift())), this, this, mine,
+                                seed);
             } catch (IOException e) {
-                Say.warn("agreement.broken", "why", e.getMessage());
+                EventLog.warn("agreement.broken", "why", e.getMessage());
             }
         });
     }
@@ -126,18 +127,18 @@
     // ---- the loop
 
     @Override
-    public long now() {
+    public long nowMicros() {
         return System.nanoTime() / 1000;
     }
 
     @Override
-    public void after(long micros, Runnable task) {
+    public void schedule(long micros, Runnable task) {
         try {
             loop.schedule(() -> {
                 try {
                     task.run();
                 } catch (RuntimeException e) {
-                    Say.warn("agreement.fault", "why", e, "at", e.getStackTrace().length > 0
+                    EventLog.warn("agreement.fault", "why", e, "at", e.getStackTrace().length > 0
                             ? e.getStackTrace()[0] : "");
                 }
             }, micros, TimeUnit.MICROSECONDS);
@@ -150,9 +151,9 @@
 
     /** A frame of another instance's. */
     void heard(String peer, CouncilFrame frame) {
-        after(0, () -> {
+        schedule(0, () -> {
             if (council != null) {
-                council.heard(peer, frame);
+                council.receive(peer, frame);
             }
         });
     }
@@ -163,44 +164,44 @@
     }
 
     @Override
-    public boolean reaches(String instance) {
+    public boolean isReachable(String instance) {
         return peers.up(instance);
     }
 
     /** The generation that serves acts on this version of the box list. */
     void actsOn(String address, long version) {
-        after(0, () -> {
+        schedule(0, () -> {
             if (council != null) {
-                council.actsOn(address, version);
+                council.endpointListInUse(address, version);
             }
         });
     }
 
     @Override
-    public void listBehind(long newest) {
-        Say.info("list.behind", "newest", newest);
+    public void endpointListOutdated(long newest) {
+        EventLog.info("list.behind", "newest", newest);
         generations.values().forEach(t -> t.link.send(Frame.newBuilder().setAskListAnew(
                 AskListAnew.getDefaultInstance()).build()));
     }
 
     @Override
-    public void note(String event, Object... fields) {
-        Say.info(event, fields);
+    public void logEvent(String event, Object... fields) {
+        EventLog.info(event, fields);
     }
 
     // ---- generations
 
     /** A generation that is ready is told; one that says what it acts by is believed. */
-    void heard(int generation, Link link, Frame frame) {
+    void heard(int generation, ControlConnection link, Frame frame) {
         if (frame.hasReady()) {
-            after(0, () -> {
+            schedule(0, () -> {
                 Told told = new Told(link);
                 generations.put(generation, told);
                 // the marks of this view were sent to it before: with its state, or as they changed
                 tell(told);
             });
         } else if (frame.hasTakenUp()) {
-            after(0, () -> {
+            schedule(0, () -> {
                 Told told = generations.get(generation);
                 if (told != null) {
                     told.step = Math.max(told.step, frame.getTakenUp().getStep());
@@ -212,7 +213,7 @@
 
     /** A generation is no more, and acts by nothing. */
     void gone(int generation) {
-        after(0, () -> {
+        schedule(0, () -> {
             generations.remove(generation);
             takenUp();
         });
@@ -220,30 +221,30 @@
 
     private void takenUp() {
         if (council != null && generations.values().stream().allMatch(t -> t.step >= view.step())) {
-            council.takenUp(view.step(), chain);
+            council.rulesApplied(view.step(), chain);
         }
     }
 
     @Override
-    public void actBy(View next) {
+    public void applyRules(RulesView next) {
         view = next;
-        chain = council.held().chain();
+        chain = council.localRules().chain();
         // the marks first, on the same connections: who has heard of the step acts by it
-        boxesOut.accept(next.out());
+        boxesOut.accept(next.cordonedServers());
         generations.values().forEach(this::tell);
         takenUp();
         settle();
     }
 
     @Override
-    public void leaseUntil(long end) {
+    public void leaseExtended(long end) {
         until = end;
         generations.values().forEach(this::tell);
     }
 
     private void tell(Told told) {
         told.link.send(Frame.newBuilder().setAgreed(Agreed.newBuilder().setStep(view.step()).setChain(chain)
-                .setUntil(settings.agreement().serveInDoubt() ? Long.MAX_VALUE : until)).build());
+                .setUntil(settings.consensus().serveInDoubt() ? Long.MAX_VALUE : until)).build());
     }
 
     // ---- operators
@@ -252,14 +253,14 @@
     boolean asked(String command, List<String> words, Predicate<String> known, Consumer<Answer> answer) {
         boolean drain = command.equals("drain");
         if (command.equals("rules")) {
-            after(0, () -> show(answer));
+            schedule(0, () -> show(answer));
             return true;
         }
         if (!drain && !command.equals("undrain")) {
             return false;
         }
         if (words.size() == 2 && words.get(1).equals(HERE)) {
-            Say.warn("mark.without_agreement", "box", words.get(0), "command", command);
+            EventLog.warn("mark.without_agreement", "box", words.get(0), "command", command);
             return false;
         }
         if (words.isEmpty()) {
@@ -274,18 +275,18 @@
         byte[] id = new byte[ID_BYTES];
         random.nextBytes(id);
         RuleChange.Builder change = RuleChange.newBuilder().setId(HexFormat.of().formatHex(id))
-                .setWho(settings.copies().instance()).setWall(System.currentTimeMillis() * 1000)
-                .setWhy(words.size() > 1 ? words.get(1) : "").setSubject(Kind.BOX.subject(box));
+                .setWho(settings.replication().instance()).setWall(System.currentTimeMillis() * 1000)
+                .setWhy(words.size() > 1 ? words.get(1) : "").setSubject(RuleKind.SERVER.subject(box));
         if (drain) {
             change.setValue(RuleValue.newBuilder().setOut(true));
         }
-        after(0, () -> {
+        schedule(0, () -> {
             if (council == null) {
                 answer.accept(last("this instance takes no part: see agreement.broken in its log", 1));
                 return;
             }
-            change.setBase(council.held().revision(change.getSubject()));
-            propose(new Asked(change.build(), now() + FORCE_PATIENCE, answer));
+            change.setBase(council.localRules().revision(change.getSubject()));
+            propose(new Asked(change.build(), nowMicros() + FORCE_PATIENCE, answer));
         });
         return true;
     }
@@ -294,19 +295,19 @@
     private void propose(Asked asked) {
         council.propose(asked.change, (Proposed said) -> {
             RuleOutcome outcome = said.getOutcome();
-            if (!said.hasOutcome() && now() < asked.patience) {
-                after(TRY_AGAIN, () -> propose(asked));
+            if (!said.hasOutcome() && nowMicros() < asked.patience) {
+                schedule(TRY_AGAIN, () -> propose(asked));
             } else if (!said.hasOutcome()) {
                 asked.answer.accept(last("not known to be agreed: " + said.getNobody()
                         + "; see the council in status, or mark the box at each instance with " + HERE, 1));
             } else if (outcome.getRefusal() != 0) {
-                Refusal refusal = Refusal.of(outcome.getRefusal());
+                ChangeRejection refusal = ChangeRejection.of(outcome.getRefusal());
                 asked.answer.accept(last("not agreed: " + (refusal == null ? "refused by a later program"
-                        : refusal.text()), refusal == Refusal.SAME ? 0 : 1));
+                        : refusal.message()), refusal == ChangeRejection.UNCHANGED ? 0 : 1));
             } else {
                 waiting.add(asked);
                 settle();
-                after(Math.max(0, asked.patience - now()), this::settle);
+                schedule(Math.max(0, asked.patience - nowMicros()), this::settle);
             }
         });
     }
@@ -314,14 +315,14 @@
     /** Tells operators whose changes are in force here. */
     private void settle() {
         waiting.removeIf(asked -> {
-            RuleOutcome outcome = council.held().outcome(asked.change.getId());
+            RuleOutcome outcome = council.localRules().outcome(asked.change.getId());
             if (outcome != null && outcome.getRevision() > 0) {
-                asked.answer.accept(last(Kind.name(asked.change.getSubject())
+                asked.answer.accept(last(RuleKind.name(asked.change.getSubject())
                         + (asked.change.hasValue() ? " drains" : " has no mark any more")
                         + " by agreement, revision " + outcome.getRevision(), 0));
                 return true;
             }
-            if (now() >= asked.patience) {
+            if (nowMicros() >= asked.patience) {
                 asked.answer.accept(last("agreed, and not in force yet: it takes force by itself", 1));
                 return true;
             }
@@ -331,7 +332,7 @@
 
     private void show(Consumer<Answer> answer) {
         if (council != null) {
-            Rules held = council.held();
+            RuleStateMachine held = council.localRules();
             for (SubjectState s : held.subjects()) {
                 answer.accept(line(s.getSubject() + " = " + text(s.hasValue() ? s.getValue() : null)
                         + ", revision " + s.getRevision() + (s.hasPending() ? ", under way: "
@@ -374,13 +375,14 @@
             return List.of("agreement: not begun");
         }
         // before the first lease there is none: its end is the least number, from which nothing may be taken
-        long now = now();
+        long now = nowMicros();
         String lease = until > now ? String.format(Locale.ROOT, "lease for %.1f s", (until - now) / 1e6)
-                : settings.agreement().serveInDoubt() ? "in doubt, serving on" : "in doubt, refusing";
+                : settings.consensus().serveInDoubt() ? "in doubt, serving on" : "in doubt, refusing";
         return List.of("agreement: " + lease + ", step " + view.step() + ", revision " + view.revision()
-                + ", leader " + (council.leads() ? "this instance" : council.leader() == null ? "unknown"
-                : council.leader()) + ", " + (settings.agreement().members().contains(
-                settings.copies().instance()) ? council.votes() ? "votes" : "does not vote yet" : "follows"));
+                + ", leader " + (council.isLeader() ? "this instance" : council.leader() == null ? "unknown"
+                : council.leader()) + ", " + (settings.consensus().members().contains(
+                settings.replication().instance()) ? council.isVotingMember() ? "votes" : "does not vote yet"
+                        : "follows"));
     }
 
     private static Answer line(String text) {
@@ -393,7 +395,7 @@
 
     @Override
     public void close() {
-        after(0, () -> {
+        schedule(0, () -> {
             if (council != null) {
                 council.close();
             }
--- a/src/main/java/yewdock/daemon/Link.java
+++ b/src/main/java/yewdock/daemon/ControlConnection.java
@@ -8,26 +8,26 @@
 import yewdock.wire.Frame;
 
 /** A connection of the control socket. */
-public final class Link extends Framed<Frame> {
+public final class ControlConnection extends FramedConnection<Frame> {
     /** The largest frame: a state with thousands of boxes takes under 1 MiB. */
     private static final int MOST_FRAME = 32 << 20;
     private static final int MOST_WAITING = 20_000;
 
-    Link(SocketChannel channel) {
+    ControlConnection(SocketChannel channel) {
         super(channel, Frame.parser(), MOST_FRAME, MOST_WAITING, 0);
     }
 
     /** Connects to the control socket in this folder. */
-    public static Link to(Path control) throws IOException {
+    public static ControlConnection inFolder(Path control) throws IOException {
         try {
-            return at(socketIn(control));
+            return connectTo(socketIn(control));
         } catch (IOException e) {
             throw new IOException("no daemon answers at " + socketIn(control) + ": " + e.getMessage(), e);
         }
     }
 
     /** Connects to the socket at this path; throws IOException where nobody listens. */
-    static Link at(Path socket) throws IOException {
+    static ControlConnection connectTo(Path socket) throws IOException {
         SocketChannel channel = SocketChannel.open(StandardProtocolFamily.UNIX);
         try {
             channel.connect(UnixDomainSocketAddress.of(socket));
@@ -35,7 +35,7 @@
             channel.close();
             throw e;
         }
-        return new Link(channel);
+        return new ControlConnection(channel);
     }
 
     static Path socketIn(Path control) {
--- a/src/main/java/yewdock/daemon/Framed.java
+++ b/src/main/java/yewdock/daemon/FramedConnection.java
@@ -15,7 +15,7 @@
  * fills a bounded queue and is then cut off, so that one that hangs holds nobody up. Reading goes no faster
  * than it is allowed to, and what is not read waits at the sender.
  */
-class Framed<F extends Message> {
+class FramedConnection<F extends Message> {
     private static final double NANOS = 1e9;
     private static final ByteBuffer END = ByteBuffer.allocate(0);
 
@@ -28,7 +28,8 @@
     private Thread writer;
 
     /** Frames of so many bytes; so many may wait to be sent; read so fast at most, 0: as they come. */
-    Framed(SocketChannel channel, Parser<F> parser, int mostFrame, int mostWaiting, double mostASecond) {
+    FramedConnection(SocketChannel channel, Parser<F> parser, int mostFrame, int mostWaiting,
+            double mostASecond) {
         this.channel = channel;
         this.parser = parser;
         this.mostFrame = mostFrame;
@@ -88,7 +89,7 @@
     }
 
     /** Writes out what was sent, waiting so long at most, and closes. */
-    public final void finish(long millis) {
+    public final void flushAndClose(long millis) {
         if (writer != null && waiting.offer(END)) {
             try {
                 writer.join(millis);
@@ -138,7 +139,7 @@
     }
 
     /** The first frame, before {@link #start}. */
-    final F first() throws IOException {
+    final F readFirst() throws IOException {
         return read();
     }
 
--- a/src/main/java/yewdock/daemon/Generation.java
+++ b/src/main/java/yewdock/daemon/Generation.java
@@ -11,20 +11,20 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import umberspread.GenerationRouter;
 import umberspread.Routing;
-import yewdock.desk.EndpointList;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Effect;
-import yewdock.desk.Event;
-import yewdock.desk.OtherNews;
-import yewdock.desk.Terms;
-import yewdock.log.Say;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Effect;
+import yewdock.core.EndpointList;
+import yewdock.core.Event;
+import yewdock.core.GenerationMessage;
+import yewdock.core.Reducer;
+import yewdock.logging.EventLog;
 import yewdock.platform.Config;
-import yewdock.platform.Front;
-import yewdock.platform.Side;
-import yewdock.sockets.Clock;
+import yewdock.platform.ConnectionHandler;
+import yewdock.platform.ConnectionManager;
+import yewdock.sockets.MinaTransport;
+import yewdock.sockets.MonotonicClock;
 import yewdock.sockets.Signals;
-import yewdock.sockets.Sockets;
 import yewdock.upgrade.Stage;
 import yewdock.wire.Agreed;
 import yewdock.wire.Checked;
@@ -56,18 +56,18 @@
     private final String secret;
     private final String file;
     /** Whether the keeper keeps what the list and the module tell. */
-    private final boolean keeping = System.getenv(Keeper.KEEPS) != null;
+    private final boolean keeping = System.getenv(Supervisor.KEEPS) != null;
     /** Whether it may act only by what is agreed, and while a lease holds. */
-    private final boolean agreeing = System.getenv(Keeper.AGREES) != null;
+    private final boolean agreeing = System.getenv(Supervisor.AGREES) != null;
     private Runnable whenListed;
     private final BlockingQueue<Frame> early = new LinkedBlockingQueue<>();
     private volatile boolean up;
-    private Link link;
+    private ControlConnection supervisorConnection;
     private Config config;
     private Counters counters;
-    private Desk desk;
-    private Front front;
-    private Sockets sockets;
+    private Reducer desk;
+    private ConnectionManager front;
+    private MinaTransport sockets;
     private GenerationRouter router;
     private ServerSocketChannel listener;
     private boolean accepting;
@@ -83,97 +83,97 @@
 
     /** Runs the generation that the environment describes, to its end; returns the exit code. */
     public static int run(Map<String, String> environment) {
-        return of(environment, Generation::new).run();
+        return fromEnvironment(environment, Generation::new).run();
     }
 
     /** Makes a generation, as {@link #Generation} does. */
-    public interface Maker<G> {
+    public interface Factory<G> {
         G make(int number, Path control, String secret, String file);
     }
 
     /** The generation that the environment describes. */
-    public static <G> G of(Map<String, String> environment, Maker<G> maker) {
-        String number = environment.get(Keeper.GENERATION);
-        String control = environment.get(Keeper.CONTROL);
+    public static <G> G fromEnvironment(Map<String, String> environment, Factory<G> maker) {
+        String number = environment.get(Supervisor.GENERATION);
+        String control = environment.get(Supervisor.CONTROL);
         if (number == null || control == null) {
             throw new IllegalArgumentException("a generation is started by its daemon, not by hand");
         }
         return maker.make(Integer.parseInt(number), Path.of(control),
-                environment.getOrDefault(Keeper.SECRET, ""), environment.get("PROXY_CONFIG"));
+                environment.getOrDefault(Supervisor.SECRET, ""), environment.get("PROXY_CONFIG"));
     }
 
     /** Called as each stage is reached, on whichever thread gets there; stand-ins make it fail. */
-    protected void reached(Stage stage) {
+    protected void stageReached(Stage stage) {
         // nothing fails here
     }
 
     /** The connection to the keeper. */
-    protected final Link link() {
-        return link;
+    protected final ControlConnection supervisorConnection() {
+        return supervisorConnection;
     }
 
     /** Serves to the end; returns the exit code. */
     public final int run() {
         try {
-            link = Link.to(control);
+            supervisorConnection = ControlConnection.inFolder(control);
         } catch (IOException e) {
-            Say.warn("generation.alone", "generation", number, "why", e.getMessage());
+            EventLog.warn("generation.alone", "generation", number, "why", e.getMessage());
             return 1;
         }
-        link.start("keeper", this::heard, this::lost);
+        supervisorConnection.start("keeper", this::heard, this::lost);
         // the keeper passes SIGHUP on; one that comes here straight must not end the process
         Signals.onHangUp(() -> {
             if (up) {
                 reconfigure();
             }
         });
-        reached(Stage.START);
-        link.send(Frame.newBuilder().setHello(Hello.newBuilder().setGeneration(number).setSecret(secret)
+        stageReached(Stage.START);
+        supervisorConnection.send(Frame.newBuilder().setHello(Hello.newBuilder().setGeneration(number).setSecret(secret)
                 .setProgram(String.valueOf(getClass().getPackage().getImplementationVersion()))).build());
-        reached(Stage.CHECK);
+        stageReached(Stage.CHECK);
         try {
             config = read();
         } catch (IOException | IllegalArgumentException e) {
-            link.send(Frame.newBuilder().setFailed(Failed.newBuilder()
+            supervisorConnection.send(Frame.newBuilder().setFailed(Failed.newBuilder()
                     .setWhy("the configuration can't be read: " + e.getMessage())).build());
-            link.finish(LAST_WORDS_MILLIS);
+            supervisorConnection.flushAndClose(LAST_WORDS_MILLIS);
             return 1;
         }
-        link.send(Frame.newBuilder().setChecked(Checked.getDefaultInstance()).build());
-        States.Left left = awaitState();
-        reached(Stage.READY);
-        Rehearsal.play(config, REHEARSED);
+        supervisorConnection.send(Frame.newBuilder().setChecked(Checked.getDefaultInstance()).build());
+        StateCodec.InheritedState left = awaitState();
+        stageReached(Stage.READY);
+        JvmWarmUp.play(config, REHEARSED);
         build(left);
-        sockets.serveLater(() -> begin(left), front, desk);
-        link.send(Frame.newBuilder().setNews(News.newBuilder().setCounts(
+        sockets.serveWithoutListening(() -> begin(left), front, desk);
+        supervisorConnection.send(Frame.newBuilder().setNews(News.newBuilder().setCounts(
                 Counts.newBuilder().putAllByName(countedSince()))).build());
-        Say.info("generation.ends", "generation", number, "counters", counters.toString().strip()
+        EventLog.info("generation.ends", "generation", number, "counters", counters.toString().strip()
                 .replace('\n', ';'));
-        link.finish(LAST_WORDS_MILLIS);
+        supervisorConnection.flushAndClose(LAST_WORDS_MILLIS);
         return 0;
     }
 
     private Config read() throws IOException {
-        return Serve.read(file, this::log);
+        return StandaloneRouter.read(file, this::log);
     }
 
     private void log(String line) {
-        Say.info("router", "generation", number, "line", line);
+        EventLog.info("router", "generation", number, "line", line);
     }
 
     /** Waits for the state; one that can't be read leaves this generation as after a restart. */
-    private States.Left awaitState() {
+    private StateCodec.InheritedState awaitState() {
         while (true) {
             try {
                 Frame frame = early.take();
                 if (!frame.hasState()) {
                     continue;
                 }
-                reached(Stage.STATE);
-                return States.read(frame.getState(), new Clock().getAsLong(),
+                stageReached(Stage.STATE);
+                return StateCodec.read(frame.getState(), new MonotonicClock().getAsLong(),
                         System.nanoTime());
             } catch (UnreadableStateException e) {
-                Say.warn("state.refused", "generation", number, "why", e.getMessage());
+                EventLog.warn("state.refused", "generation", number, "why", e.getMessage());
                 return null;
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
@@ -182,24 +182,24 @@
         }
     }
 
-    private void build(States.Left left) {
+    private void build(StateCodec.InheritedState left) {
         counters = new Counters();
         if (left != null) {
             left.counters().forEach(counters::add);
         }
         countedBefore = counters.all();
-        desk = new Desk(Terms.of(config.settings(), config.keepalive()), config.bounds(),
+        desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()), config.bounds(),
                 counters, actions -> {
                     router = router(config, seed(), actions, left);
                     return router;
                 });
-        sockets = new Sockets(config.bounds().clients(),
+        sockets = new MinaTransport(config.bounds().maxClientConnections(),
                 config.settings().contract().drainGrace());
-        front = new Front(config, desk, counters, sockets, sockets.clock(), this::log);
-        front.tellOthersBy(this::tellOthers);
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> sockets.leave(), "leave"));
+        front = new ConnectionManager(config, desk, counters, sockets, sockets.clock(), this::log);
+        front.forwardGenerationEffectsTo(this::tellOthers);
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> sockets.shutDownGracefully(), "leave"));
         if (keeping) {
-            every(KEEP_MILLIS, () -> link.send(Frame.newBuilder().setKeep(States.keep(router.memory(false),
+            every(KEEP_MILLIS, () -> supervisorConnection.send(Frame.newBuilder().setKeep(StateCodec.keep(router.learnedState(false),
                     sockets.clock().getAsLong())).build()));
         }
     }
@@ -230,13 +230,13 @@
     }
 
     /** On the desk's thread, first of all. */
-    private void begin(States.Left left) {
+    private void begin(StateCodec.InheritedState left) {
         begin(front, desk, config, left);
         if (keeping) {
-            front.happened(new Event.Keeping());
+            front.dispatch(new Event.EndpointListRelayEnabled());
         }
         if (agreeing) {
-            front.happened(new Event.Leased(0, 0));
+            front.dispatch(new Event.LeaseGranted(0, 0));
         }
         synchronized (early) {
             for (Frame frame = early.poll(); frame != null; frame = early.poll()) {
@@ -248,28 +248,32 @@
         if (keeping && (left == null || left.afterRestart())) {
             // a drain told in the last moment before a kill is in no record: the list knows it
             whenListed = ready;
-            sockets.postAfter(LIST_PATIENCE_MILLIS, this::listed);
+            sockets.postDelayed(LIST_PATIENCE_MILLIS, this::listed);
         } else {
             ready.run();
         }
     }
 
     /** The module, with what another process has learnt, if there is such. */
-    static GenerationRouter router(Config config, long seed, Routing.Actions actions, States.Left left) {
+    static GenerationRouter router(Config config, long seed, Routing.Actions actions,
+            StateCodec.InheritedState left) {
         return left == null || left.memory() == null
                 ? new GenerationRouter(config.settings(), seed, actions)
-                : new GenerationRouter(config.settings(), seed, actions, left.memory(), left.shift());
+                : new GenerationRouter(config.settings(), seed, actions, left.memory(),
+                        left.clockShiftMicros());
     }
 
     /** The first event of a process that goes on with what another left it, if there is such. */
-    static void begin(Front front, Desk desk, Config config, States.Left left) {
-        boolean sameList = left != null && left.listAddress().equals(config.discovery());
-        if (left == null || left.boxes().boxes().isEmpty() && config.known().version() >= 0) {
+    static void begin(ConnectionManager front, Reducer desk, Config config, StateCodec.InheritedState left) {
+        boolean sameList = left != null && left.listAddress().equals(config.discoveryAddress());
+        if (left == null || left.endpointList().servers().isEmpty()
+                && config.cachedEndpoints().version() >= 0) {
             front.start();
         } else {
             // the versions of one list mean nothing to another: then the whole of it is asked for
-            front.start(new EndpointList(sameList ? left.boxes().version() : -1, true, left.boxes().boxes()));
-            desk.recallTold(left.toldAt());
+            front.start(new EndpointList(sameList ? left.endpointList().version() : -1, true,
+                    left.endpointList().servers()));
+            desk.restoreToldAt(left.stateReportedAt());
         }
     }
 
@@ -281,10 +285,11 @@
         }
     }
 
-    private void ready(States.Left left) {
-        link.send(Frame.newBuilder().setReady(Ready.newBuilder().setNote(left == null ? "starts afresh"
-                : "goes on with " + left.boxes().boxes().size() + " boxes, list version "
-                + left.boxes().version())).build());
+    private void ready(StateCodec.InheritedState left) {
+        supervisorConnection.send(Frame.newBuilder().setReady(Ready.newBuilder().setNote(left == null
+                ? "starts afresh"
+                : "goes on with " + left.endpointList().servers().size() + " boxes, list version "
+                + left.endpointList().version())).build());
     }
 
     private void heard(Frame frame) {
@@ -298,7 +303,7 @@
     }
 
     private void lost(String why) {
-        Say.warn("keeper.lost", "generation", number, "why", why, "now", "serving on without upgrades");
+        EventLog.warn("keeper.lost", "generation", number, "why", why, "now", "serving on without upgrades");
         if (!up) {
             // nobody will ever tell it to serve
             Runtime.getRuntime().halt(1);
@@ -309,36 +314,36 @@
         try {
             handle(frame);
         } catch (IOException | RuntimeException e) {
-            Say.warn("generation.fault", "generation", number, "frame", frame.getWhatCase(), "why", e);
+            EventLog.warn("generation.fault", "generation", number, "frame", frame.getWhatCase(), "why", e);
             if (!accepting) {
-                link.send(Frame.newBuilder().setFailed(Failed.newBuilder().setWhy(e.toString())).build());
+                supervisorConnection.send(Frame.newBuilder().setFailed(Failed.newBuilder().setWhy(e.toString())).build());
             }
         }
     }
 
     private void handle(Frame frame) throws IOException {
         switch (frame.getWhatCase()) {
-            case GIVE_STATE -> link.send(Frame.newBuilder().setState(States.write(desk.holdings(),
-                    router.memory(), counters.all(), sockets.clock().getAsLong(),
+            case GIVE_STATE -> supervisorConnection.send(Frame.newBuilder().setState(StateCodec.write(desk.generationState(),
+                    router.learnedState(), counters.all(), sockets.clock().getAsLong(),
                             System.nanoTime())).build());
-            case SHARE -> front.happened(new Event.Share());
+            case SHARE -> front.dispatch(new Event.HandoverStarted());
             case SHARING -> {
-                reached(Stage.SHARE);
-                front.happened(new Event.Adopt(frame.getSharing().getGeneration(),
-                        States.holdings(frame.getSharing())));
+                stageReached(Stage.SHARE);
+                front.dispatch(new Event.GenerationStateReceived(frame.getSharing().getGeneration(),
+                        StateCodec.holdings(frame.getSharing())));
             }
             case NEWS -> news(frame.getNews());
-            case OTHER_GONE -> front.happened(new Event.OtherGone(frame.getOtherGone().getGeneration()));
-            case MARKS -> front.happened(new Event.Marked(States.marks(frame.getMarks())));
+            case OTHER_GONE -> front.dispatch(new Event.GenerationGone(frame.getOtherGone().getGeneration()));
+            case MARKS -> front.dispatch(new Event.OverridesReplaced(StateCodec.marks(frame.getMarks())));
             case AGREED -> agreed(frame.getAgreed());
-            case ASK_LIST_ANEW -> front.happened(new Event.ListBehind());
+            case ASK_LIST_ANEW -> front.dispatch(new Event.EndpointListOutdated());
             case TAKE -> take();
             case GO -> go();
             case LET_GO -> letGo(frame.getLetGo().getLimitMicros());
             case TAKE_BACK -> takeBack();
-            case LEAVE -> front.happened(new Event.Leave());
+            case LEAVE -> front.dispatch(new Event.ShutdownRequested());
             case RECONFIGURE -> reconfigure();
-            default -> Say.warn("frame.unknown", "generation", number, "frame", frame.getWhatCase());
+            default -> EventLog.warn("frame.unknown", "generation", number, "frame", frame.getWhatCase());
         }
     }
 
@@ -346,9 +351,9 @@
     private void agreed(Agreed agreed) {
         long until = agreed.getUntil() == Long.MAX_VALUE ? Long.MAX_VALUE
                 : agreed.getUntil() + sockets.clock().getAsLong() - System.nanoTime() / 1000;
-        front.happened(new Event.Leased(until,
+        front.dispatch(new Event.LeaseGranted(until,
                 Math.min(COME_BACK_MICROS, config.settings().limits().retryAfterMax())));
-        link.send(Frame.newBuilder().setTakenUp(TakenUp.newBuilder().setStep(agreed.getStep())
+        supervisorConnection.send(Frame.newBuilder().setTakenUp(TakenUp.newBuilder().setStep(agreed.getStep())
                 .setChain(agreed.getChain())).build());
     }
 
@@ -357,54 +362,54 @@
             told.getCounts().getByNameMap().forEach(counters::add);
             return;
         }
-        OtherNews news = States.news(told);
+        GenerationMessage news = StateCodec.news(told);
         if (news != null) {
-            front.happened(new Event.FromOther(told.getGeneration(), news));
+            front.dispatch(new Event.GenerationMessageReceived(told.getGeneration(), news));
         }
     }
 
     private void tellOthers(Effect effect) {
-        if (effect instanceof Effect.ShareOut e) {
-            link.send(Frame.newBuilder().setSharing(States.sharing(e.held())).build());
-        } else if (effect instanceof Effect.TellOthers e) {
-            link.send(Frame.newBuilder().setNews(States.news(e.news())).build());
-            if (e.news() instanceof OtherNews.Told) {
+        if (effect instanceof Effect.SendGenerationState e) {
+            supervisorConnection.send(Frame.newBuilder().setSharing(StateCodec.sharing(e.state())).build());
+        } else if (effect instanceof Effect.SendToGenerations e) {
+            supervisorConnection.send(Frame.newBuilder().setNews(StateCodec.news(e.message())).build());
+            if (e.message() instanceof GenerationMessage.EndpointListRelayed) {
                 sockets.post(this::listed);
             }
         }
     }
 
     private void take() throws IOException {
-        listener = Listener.inherited();
+        listener = InheritedListener.inherited();
         String answer = tryOut();
         if (!answer.startsWith("HTTP/1.1 200 ") && !answer.startsWith("HTTP/1.1 503 ")) {
             throw new IOException("the try-out brought " + answer.lines().findFirst().orElse("nothing"));
         }
-        reached(Stage.TAKE);
-        link.send(Frame.newBuilder().setTook(Took.getDefaultInstance()).build());
+        stageReached(Stage.TAKE);
+        supervisorConnection.send(Frame.newBuilder().setTook(Took.getDefaultInstance()).build());
     }
 
     private void go() throws IOException {
-        reached(Stage.GO);
-        sockets.accept(listener);
+        stageReached(Stage.GO);
+        sockets.acceptFrom(listener);
         accepting = true;
-        Say.info("generation.serves", "generation", number, "address", listener.getLocalAddress());
-        link.send(Frame.newBuilder().setServing(Serving.newBuilder()
+        EventLog.info("generation.serves", "generation", number, "address", listener.getLocalAddress());
+        supervisorConnection.send(Frame.newBuilder().setServing(Serving.newBuilder()
                 .setAddress(listener.getLocalAddress().toString())).build());
-        reached(Stage.LET_GO);
+        stageReached(Stage.LET_GO);
     }
 
     /** One request through the front and the desk, over a connection that is none. */
     private String tryOut() {
         StringBuilder answer = new StringBuilder();
-        Side side = front.accept(new NoWire() {
+        ConnectionHandler side = front.accept(new NoOpConnection() {
             @Override
             public void write(ByteBuffer bytes) {
                 answer.append(StandardCharsets.ISO_8859_1.decode(bytes));
             }
         });
-        side.received(ByteBuffer.wrap("GET /ready HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
-        side.down();
+        side.onReceived(ByteBuffer.wrap("GET /ready HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
+        side.onClosed();
         return answer.toString();
     }
 
@@ -413,18 +418,19 @@
             sockets.stopAccepting();
             accepting = false;
         }
-        Say.info("generation.lets_go", "generation", number, "open", desk.holdings().ids().size());
-        link.send(Frame.newBuilder().setLetGoDone(LetGoDone.getDefaultInstance()).build());
-        front.happened(new Event.LetGo(limit));
+        EventLog.info("generation.lets_go", "generation", number, "open",
+                desk.generationState().requestIds().size());
+        supervisorConnection.send(Frame.newBuilder().setLetGoDone(LetGoDone.getDefaultInstance()).build());
+        front.dispatch(new Event.HandedOver(limit));
     }
 
     private void takeBack() throws IOException {
         if (!accepting) {
-            sockets.accept(listener);
+            sockets.acceptFrom(listener);
             accepting = true;
         }
-        Say.info("generation.takes_back", "generation", number);
-        front.happened(new Event.TakeBack());
+        EventLog.info("generation.takes_back", "generation", number);
+        front.dispatch(new Event.HandoverAborted());
     }
 
     /** Read on a thread of its own: a slow disk must not hold requests up. */
@@ -433,7 +439,7 @@
             try {
                 sockets.reconfigure(read());
             } catch (IOException | IllegalArgumentException e) {
-                Say.warn("configuration.refused", "generation", number, "why", e.getMessage(),
+                EventLog.warn("configuration.refused", "generation", number, "why", e.getMessage(),
                         "now", "the old one stays");
             }
         }, "reconfigure");
--- a/src/main/java/yewdock/daemon/Listener.java
+++ b/src/main/java/yewdock/daemon/InheritedListener.java
@@ -16,7 +16,7 @@
  * The listener as descriptor 0: every process started with this one's standard input has the same listener,
  * with the same queue of connections that nobody has accepted yet.
  */
-final class Listener {
+final class InheritedListener {
     private static final int BACKLOG = 512;
     /** Columns of the system's table of sockets: the local address, the state, the inode. */
     private static final int LOCAL = 1;
@@ -29,7 +29,7 @@
         int dup2(int from, int to);
     }
 
-    private Listener() {
+    private InheritedListener() {
     }
 
     /** Listens there, and makes the listener this process's standard input. */
--- a/src/main/java/yewdock/daemon/Rehearsal.java
+++ b/src/main/java/yewdock/daemon/JvmWarmUp.java
@@ -10,24 +10,24 @@
 import java.util.function.Function;
 import umberspread.GenerationRouter;
 import umberspread.Routing.Lifecycle;
-import umberspread.Routing.Replica;
-import yewdock.desk.EndpointList;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.ModelServer;
-import yewdock.desk.Terms;
+import umberspread.Routing.ServerState;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.EndpointList;
+import yewdock.core.ModelServer;
+import yewdock.core.Reducer;
 import yewdock.platform.Config;
-import yewdock.platform.Front;
-import yewdock.platform.Side;
-import yewdock.platform.Wire;
-import yewdock.platform.Wires;
+import yewdock.platform.Connection;
+import yewdock.platform.ConnectionHandler;
+import yewdock.platform.ConnectionManager;
+import yewdock.platform.Transport;
 
 /**
  * Requests played through a front, a desk and a module of their own, with connections that are none, before a
  * generation serves: its first clients should not wait while its code is loaded and compiled. Nothing that
  * happens here is known to the generation itself.
  */
-final class Rehearsal implements Wires {
+final class JvmWarmUp implements Transport {
     private static final int BOXES = 4;
     private static final long STEP = 60_000;
     private static final String ANSWER = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -38,22 +38,24 @@
     private final Queue<Runnable> due = new ArrayDeque<>();
     private final Counters counters = new Counters();
     private final Config config;
-    private final Front front;
+    private final ConnectionManager front;
     private long now = 1;
 
-    private Rehearsal(Config config) {
+    private JvmWarmUp(Config config) {
         this.config = config;
-        Desk desk = new Desk(Terms.of(config.settings(), config.keepalive()), config.bounds(),
+        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
+                config.bounds(),
                 counters, actions -> new GenerationRouter(config.settings(), 1, actions));
-        front = new Front(config, desk, counters, this, () -> now, line -> { });
+        front = new ConnectionManager(config, desk, counters, this, () -> now, line -> { });
     }
 
     /** Plays so many requests; returns how many were served. */
     static long play(Config config, int requests) {
-        Rehearsal rehearsal = new Rehearsal(config);
+        JvmWarmUp rehearsal = new JvmWarmUp(config);
         List<ModelServer> boxes = new ArrayList<>();
         for (int i = 1; i <= BOXES; i++) {
-            boxes.add(new ModelServer("s-" + i, "127.0.0.1:" + i, new Replica(i, 0, 0, 0, 1, Lifecycle.READY,
+            boxes.add(new ModelServer("s-" + i, "127.0.0.1:" + i, new ServerState(i, 0, 0, 0, 1,
+                    Lifecycle.READY,
                     0)));
         }
         rehearsal.front.start(new EndpointList(1, true, boxes));
@@ -65,12 +67,12 @@
 
     private void one(int number) {
         now += STEP;
-        Side client = front.accept(new Nowhere());
-        client.received(ByteBuffer.wrap(request(number).getBytes(StandardCharsets.US_ASCII)));
+        ConnectionHandler client = front.accept(new Nowhere());
+        client.onReceived(ByteBuffer.wrap(request(number).getBytes(StandardCharsets.US_ASCII)));
         for (Runnable next = due.poll(); next != null; next = due.poll()) {
             next.run();
         }
-        client.down();
+        client.onClosed();
     }
 
     private String request(int number) {
@@ -85,12 +87,12 @@
 
     /** A box's connection, which answers what is written to it; the list's never comes up. */
     @Override
-    public <S extends Side> S connect(String address, Function<Wire, S> makeSide) {
+    public <S extends ConnectionHandler> S connect(String address, Function<Connection, S> makeSide) {
         Nowhere wire = new Nowhere();
         S side = makeSide.apply(wire);
-        if (!address.equals(config.discovery())) {
+        if (!address.equals(config.discoveryAddress())) {
             wire.answers = side;
-            due.add(side::up);
+            due.add(side::onConnected);
         }
         return side;
     }
@@ -100,22 +102,22 @@
         // nobody asks for it
     }
 
-    private final class Nowhere extends NoWire {
-        private Side answers;
+    private final class Nowhere extends NoOpConnection {
+        private ConnectionHandler answers;
 
         @Override
         public void write(ByteBuffer bytes) {
-            Side box = answers;
+            ConnectionHandler box = answers;
             if (box == null) {
                 return;
             }
             int size = bytes.remaining();
             due.add(() -> {
-                box.written(size);
-                box.received(bytes(ANSWER));
-                EVENTS.forEach(e -> box.received(bytes(Integer.toHexString(e.length()) + "\r\n" + e
+                box.onWritten(size);
+                box.onReceived(bytes(ANSWER));
+                EVENTS.forEach(e -> box.onReceived(bytes(Integer.toHexString(e.length()) + "\r\n" + e
                         + "\r\n")));
-                box.received(bytes("0\r\n\r\n"));
+                box.onReceived(bytes("0\r\n\r\n"));
             });
         }
 
@@ -126,7 +128,7 @@
         @Override
         public void close() {
             if (answers != null) {
-                due.add(answers::down);
+                due.add(answers::onClosed);
             }
         }
     }
--- a/src/main/java/yewdock/daemon/NoWire.java
+++ b/src/main/java/yewdock/daemon/NoOpConnection.java
@@ -1,10 +1,10 @@
 package yewdock.daemon;
 
 import java.nio.ByteBuffer;
-import yewdock.platform.Wire;
+import yewdock.platform.Connection;
 
 /** A connection that is none: what is written to it goes nowhere, and closing it closes nothing. */
-class NoWire implements Wire {
+class NoOpConnection implements Connection {
     @Override
     public void write(ByteBuffer bytes) {
         // nobody reads it
@@ -21,23 +21,23 @@
     }
 
     @Override
-    public boolean hasUnheard() {
+    public boolean hasUndelivered() {
         return false;
     }
 
     @Override
-    public boolean closeUnlessUnheard() {
+    public boolean closeUnlessUndelivered() {
         close();
         return true;
     }
 
     @Override
-    public void linger() {
+    public void closeLingering() {
         close();
     }
 
     @Override
-    public void hold(boolean held) {
+    public void setReadingPaused(boolean held) {
         // never full
     }
 }
--- a/src/main/java/yewdock/daemon/Operator.java
+++ b/src/main/java/yewdock/daemon/OperatorClient.java
@@ -12,8 +12,8 @@
 import yewdock.wire.Frame;
 
 /** An operator's side of the control socket. */
-public final class Operator {
-    private Operator() {
+public final class OperatorClient {
+    private OperatorClient() {
     }
 
     /**
@@ -21,9 +21,10 @@
      * exit code that the daemon gives; throws IOException if there is no daemon, or none that answers in
      * time.
      */
-    public static int ask(Path control, String command, List<String> words, long millis, Consumer<String> out)
+    public static int sendCommand(Path control, String command, List<String> words, long millis,
+            Consumer<String> out)
             throws IOException {
-        Link link = Link.to(control);
+        ControlConnection link = ControlConnection.inFolder(control);
         BlockingQueue<Frame> answers = new LinkedBlockingQueue<>();
         link.start("daemon", answers::add, why -> answers.add(Frame.getDefaultInstance()));
         link.send(Frame.newBuilder().setAsk(Ask.newBuilder().setCommand(command).addAllWords(words)).build());
--- a/src/main/java/yewdock/daemon/Peers.java
+++ b/src/main/java/yewdock/daemon/PeerConnections.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
-import yewdock.log.Say;
+import yewdock.logging.EventLog;
 import yewdock.platform.Addresses;
 import yewdock.settings.OperatorSettings;
 import yewdock.wire.PeerFrame;
@@ -20,9 +20,9 @@
  * threads of its own and is read no faster than the settings allow, so that a peer that sends without end
  * costs what it is allowed to and no request waits for it.
  */
-final class Peers implements Closeable {
+final class PeerConnections implements Closeable {
     /** What is done with what comes; called on the connections' threads. */
-    interface Hearer {
+    interface PeerHandler {
         void up(String peer);
 
         void heard(String peer, PeerFrame frame);
@@ -39,21 +39,21 @@
     private static final long LAST_WORDS_MILLIS = 200;
     private static final double MEGA = 1e6;
 
-    private final OperatorSettings.Copies settings;
-    private final Hearer hearer;
-    private final Map<String, Framed<PeerFrame>> links = new ConcurrentHashMap<>();
+    private final OperatorSettings.ReplicationSettings settings;
+    private final PeerHandler hearer;
+    private final Map<String, FramedConnection<PeerFrame>> links = new ConcurrentHashMap<>();
     private final Semaphore strangers = new Semaphore(MOST_STRANGERS);
     private final ServerSocketChannel listener;
     private volatile boolean closed;
 
     /** Listens, and begins to call. */
-    Peers(OperatorSettings.Copies settings, Hearer hearer) throws IOException {
+    PeerConnections(OperatorSettings.ReplicationSettings settings, PeerHandler hearer) throws IOException {
         this.settings = settings;
         this.hearer = hearer;
         listener = ServerSocketChannel.open();
         listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
         try {
-            listener.bind(Addresses.of(settings.listen()));
+            listener.bind(Addresses.parse(settings.listen()));
         } catch (IOException e) {
             listener.close();
             throw new IOException("copies.listen: " + settings.listen() + ": " + e.getMessage(), e);
@@ -61,7 +61,7 @@
         begin("peers", this::accept);
         settings.peers().forEach((name, address) -> {
             if (settings.instance().compareTo(name) < 0) {
-                begin("call " + name, () -> call(name, Addresses.of(address)));
+                begin("call " + name, () -> call(name, Addresses.parse(address)));
             }
         });
     }
@@ -72,10 +72,10 @@
         thread.start();
     }
 
-    private Framed<PeerFrame> framed(SocketChannel channel) throws IOException {
+    private FramedConnection<PeerFrame> framed(SocketChannel channel) throws IOException {
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-        return new Framed<>(channel, PeerFrame.parser(), MOST_FRAME, MOST_WAITING,
-                settings.readMegabytes() * MEGA);
+        return new FramedConnection<>(channel, PeerFrame.parser(), MOST_FRAME, MOST_WAITING,
+                settings.readMegabytesPerSecond() * MEGA);
     }
 
     private void call(String name, InetSocketAddress address) {
@@ -90,7 +90,7 @@
                         channel.close();
                     }
                 } catch (IOException e) {
-                    Say.warn("peer.unreachable", "peer", name, "why", e.getMessage());
+                    EventLog.warn("peer.unreachable", "peer", name, "why", e.getMessage());
                 }
             }
             try {
@@ -112,7 +112,7 @@
                 }
             } catch (IOException e) {
                 if (!closed) {
-                    Say.warn("peers.broken", "why", e.getMessage());
+                    EventLog.warn("peers.broken", "why", e.getMessage());
                     return;
                 }
             }
@@ -132,15 +132,15 @@
         patience.setDaemon(true);
         patience.start();
         try {
-            Framed<PeerFrame> link = framed(channel);
-            PeerFrame first = link.first();
+            FramedConnection<PeerFrame> link = framed(channel);
+            PeerFrame first = link.readFirst();
             patience.interrupt();
             String name = first.getHello().getInstance();
             if (!settings.peers().containsKey(name) || settings.instance().compareTo(name) < 0) {
-                Say.warn("peer.stranger", "instance", name, "from", channel.getRemoteAddress());
+                EventLog.warn("peer.stranger", "instance", name, "from", channel.getRemoteAddress());
                 link.close();
             } else {
-                Framed<PeerFrame> before = links.get(name);
+                FramedConnection<PeerFrame> before = links.get(name);
                 if (before != null) {
                     // it calls anew, so it has lost the connection that seems to stand here
                     before.close();
@@ -166,7 +166,7 @@
         }
     }
 
-    private void take(String name, Framed<PeerFrame> link) {
+    private void take(String name, FramedConnection<PeerFrame> link) {
         links.put(name, link);
         hearer.up(name);
         link.start("peer " + name, frame -> {
@@ -186,7 +186,7 @@
     }
 
     void send(String peer, PeerFrame frame) {
-        Framed<PeerFrame> link = links.get(peer);
+        FramedConnection<PeerFrame> link = links.get(peer);
         if (link != null) {
             link.send(frame);
         }
@@ -194,9 +194,9 @@
 
     /** Closes a connection once what was sent over it is written; the caller knows that it is down. */
     void close(String peer) {
-        Framed<PeerFrame> link = links.remove(peer);
+        FramedConnection<PeerFrame> link = links.remove(peer);
         if (link != null) {
-            begin("last words", () -> link.finish(LAST_WORDS_MILLIS));
+            begin("last words", () -> link.flushAndClose(LAST_WORDS_MILLIS));
         }
     }
 
@@ -208,6 +208,6 @@
         } catch (IOException e) {
             // closed all the same
         }
-        links.values().forEach(Framed::close);
+        links.values().forEach(FramedConnection::close);
     }
 }
--- a/src/main/java/yewdock/daemon/Succession.java
+++ b/src/main/java/yewdock/daemon/ProcessHandover.java
@@ -16,17 +16,17 @@
 import java.util.concurrent.TimeoutException;
 import umberspread.GenerationRouter;
 import umberspread.Routing;
-import yewdock.desk.BoxMark;
-import yewdock.desk.Desk;
-import yewdock.desk.Effect;
-import yewdock.desk.Event;
-import yewdock.desk.Older;
-import yewdock.desk.OtherNews;
-import yewdock.log.Say;
+import yewdock.core.Effect;
+import yewdock.core.Event;
+import yewdock.core.GenerationMessage;
+import yewdock.core.OlderGeneration;
+import yewdock.core.OperatorOverride;
+import yewdock.core.Reducer;
+import yewdock.logging.EventLog;
 import yewdock.platform.Config;
-import yewdock.platform.Front;
-import yewdock.sockets.Clock;
-import yewdock.sockets.Sockets;
+import yewdock.platform.ConnectionManager;
+import yewdock.sockets.MinaTransport;
+import yewdock.sockets.MonotonicClock;
 import yewdock.upgrade.Stage;
 import yewdock.wire.Frame;
 import yewdock.wire.GiveState;
@@ -45,7 +45,7 @@
  * <p>With nobody there, or with one that doesn't answer, the newer one serves by itself; it is never kept
  * from serving by what it finds in the folder. All but the finding happens on the desk's thread.
  */
-public class Succession {
+public class ProcessHandover {
     private static final int OLDER = 1;
     private static final int NEWER = 2;
     /** An older process that is asked for its state, and then for what it has out, answers so soon. */
@@ -71,19 +71,19 @@
     private final Config config;
     /** Null where there is no folder that both processes would have. */
     private final Path socket;
-    private final MarksFile marksFile;
+    private final OperatorOverridesFile marksFile;
     private final CompletableFuture<State> state = new CompletableFuture<>();
     private volatile Marks marksLeft;
-    private Link older;
-    private States.Left left;
+    private ControlConnection predecessor;
+    private StateCodec.InheritedState left;
     private GenerationRouter router;
     private final List<Runnable> early = new ArrayList<>();
-    private Sockets sockets;
-    private Front front;
-    private Desk desk;
+    private MinaTransport sockets;
+    private ConnectionManager front;
+    private Reducer desk;
     private ServerSocketChannel door;
     /** Written on the desk's thread only. */
-    private Link newer;
+    private ControlConnection newer;
     /** Where clients come; they come back to the same port. */
     private String address;
     private boolean tookOver;
@@ -92,52 +92,53 @@
     private boolean letGo;
 
     /** The router of this configuration, whose processes have this folder; "" if they have none. */
-    public Succession(String folder, Config config) {
+    public ProcessHandover(String folder, Config config) {
         this.config = config;
-        this.address = config.listen();
+        this.address = config.listenAddress();
         Path base = folder.isEmpty() ? null : Path.of(folder).toAbsolutePath()
                 .resolve("yewdock-" + config.name().replaceAll("[^A-Za-z0-9_-]", "_"));
         this.marksFile = base == null ? null
-                : new MarksFile(base.resolveSibling(base.getFileName() + ".marks"));
+                : new OperatorOverridesFile(base.resolveSibling(base.getFileName() + ".marks"));
         this.socket = base == null || base.toString().length() > MOST_PATH ? null
                 : base.resolveSibling(base.getFileName() + ".sock");
     }
 
     /** Called as each stage of taking over is reached; stand-ins make it fail. */
-    protected void reached(Stage stage) {
+    protected void stageReached(Stage stage) {
         // nothing fails here
     }
 
     /** The connection to the older process; null if there is none. */
-    protected final Link older() {
-        return older;
+    protected final ControlConnection predecessor() {
+        return predecessor;
     }
 
     /** Looks for an older process and takes its state; any thread may call it, once, before all else. */
-    public final void find() {
+    public final void fetchPredecessorState() {
         if (socket == null || !Files.exists(socket)) {
             return;
         }
         try {
-            older = Link.at(socket);
+            predecessor = ControlConnection.connectTo(socket);
         } catch (IOException | RuntimeException e) {
-            Say.info("succession.nobody", "why", e.getMessage());
+            EventLog.info("succession.nobody", "why", e.getMessage());
             return;
         }
-        reached(Stage.CHECK);
-        older.start("older", this::heardOfOlder, why -> {
+        stageReached(Stage.CHECK);
+        predecessor.start("older", this::heardOfOlder, why -> {
             state.complete(State.getDefaultInstance());
             later(() -> olderGone(why));
         });
-        older.send(Frame.newBuilder().setHello(Hello.newBuilder().setProgram(
+        predecessor.send(Frame.newBuilder().setHello(Hello.newBuilder().setProgram(
                 String.valueOf(getClass().getPackage().getImplementationVersion()))).build());
-        older.send(Frame.newBuilder().setGiveState(GiveState.getDefaultInstance()).build());
+        predecessor.send(Frame.newBuilder().setGiveState(GiveState.getDefaultInstance()).build());
         try {
-            left = States.read(state.get(STATE_MILLIS, TimeUnit.MILLISECONDS), new Clock().getAsLong(),
+            left = StateCodec.read(state.get(STATE_MILLIS, TimeUnit.MILLISECONDS),
+                    new MonotonicClock().getAsLong(),
                     System.nanoTime());
-            reached(Stage.STATE);
+            stageReached(Stage.STATE);
         } catch (TimeoutException | ExecutionException | UnreadableStateException e) {
-            Say.warn("succession.no_state", "why", e.toString(), "now", "going on without");
+            EventLog.warn("succession.no_state", "why", e.toString(), "now", "going on without");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -150,7 +151,7 @@
     }
 
     /** Serves until told to stop. */
-    public final void serve(Sockets on, Front by, Desk of) {
+    public final void serve(MinaTransport on, ConnectionManager by, Reducer of) {
         synchronized (this) {
             sockets = on;
             early.forEach(on::post);
@@ -158,8 +159,8 @@
         }
         front = by;
         desk = of;
-        front.tellOthersBy(this::tell);
-        sockets.serveLater(this::begin, front, desk);
+        front.forwardGenerationEffectsTo(this::tell);
+        sockets.serveWithoutListening(this::begin, front, desk);
         if (newer == null && door != null) {
             delete();
         }
@@ -178,31 +179,31 @@
 
     private void begin() {
         Generation.begin(front, desk, config, left);
-        Map<String, BoxMark> marks = marksLeft != null ? States.marks(marksLeft) : kept();
+        Map<String, OperatorOverride> marks = marksLeft != null ? StateCodec.marks(marksLeft) : kept();
         if (!marks.isEmpty()) {
-            front.happened(new Event.Marked(marks));
-            Say.info("succession.marks", "boxes", marks.size());
+            front.dispatch(new Event.OverridesReplaced(marks));
+            EventLog.info("succession.marks", "boxes", marks.size());
         }
-        if (older == null) {
+        if (predecessor == null) {
             takeOver();
             return;
         }
-        front.happened(new Event.Beside(Older.SERVES));
-        reached(Stage.READY);
-        older.send(Frame.newBuilder().setShare(Share.getDefaultInstance()).build());
-        sockets.postAfter(SHARE_MILLIS, () -> {
+        front.dispatch(new Event.OlderGenerationChanged(OlderGeneration.SERVING));
+        stageReached(Stage.READY);
+        predecessor.send(Frame.newBuilder().setShare(Share.getDefaultInstance()).build());
+        sockets.postDelayed(SHARE_MILLIS, () -> {
             if (!tookOver) {
-                Say.warn("succession.silent", "now", "taking over all the same");
+                EventLog.warn("succession.silent", "now", "taking over all the same");
                 takeOver();
             }
         });
     }
 
-    private Map<String, BoxMark> kept() {
+    private Map<String, OperatorOverride> kept() {
         try {
             return marksFile == null ? Map.of() : marksFile.read();
         } catch (IOException e) {
-            Say.warn("succession.marks_unreadable", "why", e.getMessage(), "now", "going on without");
+            EventLog.warn("succession.marks_unreadable", "why", e.getMessage(), "now", "going on without");
             return Map.of();
         }
     }
@@ -216,12 +217,14 @@
         tookOver = true;
         listen();
         awaitSuccessor();
-        front.happened(new Event.Beside(older == null ? Older.NONE : Older.FINISHES));
-        if (older != null) {
-            sockets.postAfter(Math.max(0, READY_MILLIS - age()),
-                    () -> front.happened(new Event.Beside(Older.NONE)));
-            older.send(Frame.newBuilder().setLetGo(LetGo.newBuilder().setLimitMicros(LET_GO_MICROS)).build());
-            Say.info("succession.took_over", "boxes", desk.holdings().boxes().boxes().size());
+        front.dispatch(new Event.OlderGenerationChanged(predecessor == null ? OlderGeneration.NONE
+                : OlderGeneration.FINISHING));
+        if (predecessor != null) {
+            sockets.postDelayed(Math.max(0, READY_MILLIS - age()),
+                    () -> front.dispatch(new Event.OlderGenerationChanged(OlderGeneration.NONE)));
+            predecessor.send(Frame.newBuilder().setLetGo(LetGo.newBuilder().setLimitMicros(LET_GO_MICROS)).build());
+            EventLog.info("succession.took_over", "boxes",
+                    desk.generationState().endpointList().servers().size());
         }
     }
 
@@ -242,10 +245,10 @@
 
     private void listen() {
         try {
-            address = sockets.listenBeside(address);
+            address = sockets.listenShared(address);
             listening = true;
         } catch (IOException e) {
-            Say.warn("succession.no_listener", "address", address, "why", e.getMessage());
+            EventLog.warn("succession.no_listener", "address", address, "why", e.getMessage());
             Runtime.getRuntime().halt(1);
         }
     }
@@ -263,21 +266,22 @@
     private void fromOlder(Frame frame) {
         switch (frame.getWhatCase()) {
             case SHARING -> {
-                reached(Stage.SHARE);
-                front.happened(new Event.Adopt(OLDER, States.holdings(frame.getSharing())));
+                stageReached(Stage.SHARE);
+                front.dispatch(new Event.GenerationStateReceived(OLDER,
+                        StateCodec.holdings(frame.getSharing())));
                 takeOver();
             }
             case NEWS -> news(OLDER, frame.getNews());
             case MARKS -> changed(frame.getMarks());
-            default -> Say.warn("frame.unknown", "from", "older", "frame", frame.getWhatCase());
+            default -> EventLog.warn("frame.unknown", "from", "older", "frame", frame.getWhatCase());
         }
     }
 
     private void olderGone(String why) {
-        Say.info("succession.older_gone", "why", why);
-        older = null;
-        front.happened(new Event.OtherGone(OLDER));
-        front.happened(new Event.Beside(Older.NONE));
+        EventLog.info("succession.older_gone", "why", why);
+        predecessor = null;
+        front.dispatch(new Event.GenerationGone(OLDER));
+        front.dispatch(new Event.OlderGenerationChanged(OlderGeneration.NONE));
         takeOver();
     }
 
@@ -294,7 +298,7 @@
             door.bind(UnixDomainSocketAddress.of(socket));
         } catch (IOException | RuntimeException e) {
             // Unix sockets may be refused here: the process can be replaced all the same, without its state
-            Say.warn("succession.no_socket", "why", e.getMessage());
+            EventLog.warn("succession.no_socket", "why", e.getMessage());
             door = null;
             return;
         }
@@ -302,13 +306,13 @@
         Thread acceptor = new Thread(() -> {
             try {
                 while (true) {
-                    Link link = new Link(mine.accept());
+                    ControlConnection link = new ControlConnection(mine.accept());
                     later(() -> came(link));
                 }
             } catch (ClosedChannelException e) {
                 // not waiting any more
             } catch (IOException e) {
-                Say.warn("succession.no_socket", "why", e.getMessage());
+                EventLog.warn("succession.no_socket", "why", e.getMessage());
             }
         }, "succession");
         acceptor.setDaemon(true);
@@ -319,13 +323,13 @@
         try {
             Files.deleteIfExists(socket);
         } catch (IOException e) {
-            Say.warn("succession.leftover", "file", socket, "why", e.getMessage());
+            EventLog.warn("succession.leftover", "file", socket, "why", e.getMessage());
         }
     }
 
-    private void came(Link link) {
+    private void came(ControlConnection link) {
         if (newer != null) {
-            Say.warn("succession.second", "now", "turned away: another process is taking over");
+            EventLog.warn("succession.second", "now", "turned away: another process is taking over");
             link.close();
             return;
         }
@@ -334,16 +338,18 @@
                 why -> later(() -> newerGone(link, why)));
     }
 
-    private void fromNewer(Link link, Frame frame) {
+    private void fromNewer(ControlConnection link, Frame frame) {
         if (link != newer) {
             return;
         }
         switch (frame.getWhatCase()) {
-            case HELLO -> Say.info("succession.newer", "program", frame.getHello().getProgram());
+            case HELLO -> EventLog.info("succession.newer", "program", frame.getHello().getProgram());
             case GIVE_STATE -> {
-                newer.send(Frame.newBuilder().setMarks(States.marks(desk.marks(), false)).build());
+                newer.send(Frame.newBuilder().setMarks(StateCodec.marks(desk.operatorOverrides(),
+                        false)).build());
                 // each process counts from 0
-                newer.send(Frame.newBuilder().setState(States.write(desk.holdings(), router.memory(),
+                newer.send(Frame.newBuilder().setState(StateCodec.write(desk.generationState(),
+                        router.learnedState(),
                         Map.of(), sockets.clock().getAsLong(), System.nanoTime())).build());
             }
             case SHARE -> share(link, System.nanoTime());
@@ -355,28 +361,28 @@
                     listening = false;
                     sockets.stopAccepting();
                 }
-                Say.info("succession.lets_go", "open", desk.holdings().ids().size());
-                front.happened(new Event.LetGo(frame.getLetGo().getLimitMicros()));
+                EventLog.info("succession.lets_go", "open", desk.generationState().requestIds().size());
+                front.dispatch(new Event.HandedOver(frame.getLetGo().getLimitMicros()));
             }
-            default -> Say.warn("frame.unknown", "from", "newer", "frame", frame.getWhatCase());
+            default -> EventLog.warn("frame.unknown", "from", "newer", "frame", frame.getWhatCase());
         }
     }
 
     /** Of three processes the middle one can't speak for the oldest: that one is waited for, but not long. */
-    private void share(Link link, long since) {
+    private void share(ControlConnection link, long since) {
         if (link != newer) {
             return;
         }
-        if (older != null && System.nanoTime() - since < TimeUnit.MILLISECONDS.toNanos(FINISH_MILLIS)) {
-            sockets.postAfter(LOOK_MILLIS, () -> share(link, since));
+        if (predecessor != null && System.nanoTime() - since < TimeUnit.MILLISECONDS.toNanos(FINISH_MILLIS)) {
+            sockets.postDelayed(LOOK_MILLIS, () -> share(link, since));
             return;
         }
-        if (older != null) {
-            older.close();
+        if (predecessor != null) {
+            predecessor.close();
         }
         shared = true;
-        front.happened(new Event.Share());
-        sockets.postAfter(TAKE_MILLIS, () -> {
+        front.dispatch(new Event.HandoverStarted());
+        sockets.postDelayed(TAKE_MILLIS, () -> {
             if (link == newer && !letGo) {
                 link.close();
                 newerGone(link, "it took the ids and then said nothing");
@@ -385,20 +391,20 @@
     }
 
     /** The newer process died: this one serves as before, if it is not leaving itself. */
-    private void newerGone(Link link, String why) {
+    private void newerGone(ControlConnection link, String why) {
         if (link != newer) {
             return;
         }
-        Say.warn("succession.newer_gone", "why", why, "shared", shared);
+        EventLog.warn("succession.newer_gone", "why", why, "shared", shared);
         newer = null;
         letGo = false;
         if (!shared) {
             return;
         }
         shared = false;
-        front.happened(new Event.OtherGone(NEWER));
-        front.happened(new Event.TakeBack());
-        if (!listening && !desk.leaving()) {
+        front.dispatch(new Event.GenerationGone(NEWER));
+        front.dispatch(new Event.HandoverAborted());
+        if (!listening && !desk.isShuttingDown()) {
             listen();
             awaitSuccessor();
         }
@@ -407,39 +413,40 @@
     // ---- both
 
     private void news(int who, News told) {
-        OtherNews news = States.news(told);
+        GenerationMessage news = StateCodec.news(told);
         if (news != null) {
-            front.happened(new Event.FromOther(who, news));
+            front.dispatch(new Event.GenerationMessageReceived(who, news));
         }
     }
 
     private void changed(Marks marks) {
-        States.marks(marks).forEach((box, mark) -> front.happened(new Event.MarkChanged(box, mark)));
+        StateCodec.marks(marks).forEach((box, mark) -> front.dispatch(new Event.OverrideChanged(box, mark)));
         keep();
     }
 
     private void tell(Effect effect) {
-        if (effect instanceof Effect.ShareOut e) {
-            send(newer, Frame.newBuilder().setSharing(States.sharing(e.held())).build());
-        } else if (effect instanceof Effect.MarkChanged e) {
-            Frame frame = Frame.newBuilder().setMarks(States.marks(Map.of(e.box(), e.mark()), true)).build();
+        if (effect instanceof Effect.SendGenerationState e) {
+            send(newer, Frame.newBuilder().setSharing(StateCodec.sharing(e.state())).build());
+        } else if (effect instanceof Effect.PublishOverride e) {
+            Frame frame = Frame.newBuilder().setMarks(StateCodec.marks(Map.of(e.server(), e.override()),
+                    true)).build();
             send(newer, frame);
-            send(older, frame);
+            send(predecessor, frame);
             keep();
-        } else if (effect instanceof Effect.TellOthers e) {
-            Frame frame = Frame.newBuilder().setNews(States.news(e.news())).build();
-            if (e.news() instanceof OtherNews.Claimed c) {
-                send(c.to() == OLDER ? older : newer, frame);
-            } else if (e.news() instanceof OtherNews.Told) {
+        } else if (effect instanceof Effect.SendToGenerations e) {
+            Frame frame = Frame.newBuilder().setNews(StateCodec.news(e.message())).build();
+            if (e.message() instanceof GenerationMessage.ClaimAnswer c) {
+                send(c.generation() == OLDER ? predecessor : newer, frame);
+            } else if (e.message() instanceof GenerationMessage.EndpointListRelayed) {
                 send(newer, frame);
-                send(older, frame);
+                send(predecessor, frame);
             } else {
                 send(newer, frame);
             }
         }
     }
 
-    private static void send(Link to, Frame frame) {
+    private static void send(ControlConnection to, Frame frame) {
         if (to != null) {
             to.send(frame);
         }
@@ -450,9 +457,9 @@
             return;
         }
         try {
-            marksFile.write(desk.marks());
+            marksFile.write(desk.operatorOverrides());
         } catch (IOException e) {
-            Say.warn("succession.marks_unwritten", "why", e.getMessage());
+            EventLog.warn("succession.marks_unwritten", "why", e.getMessage());
         }
     }
 }
--- a/src/main/java/yewdock/daemon/States.java
+++ b/src/main/java/yewdock/daemon/StateCodec.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import java.util.Map;
 import umberspread.Routing.Lifecycle;
-import umberspread.Routing.Replica;
-import yewdock.desk.EndpointList;
-import yewdock.desk.BoxMark;
-import yewdock.desk.Holdings;
-import yewdock.desk.ModelServer;
-import yewdock.desk.OtherNews;
+import umberspread.Routing.ServerState;
+import yewdock.core.EndpointList;
+import yewdock.core.GenerationMessage;
+import yewdock.core.GenerationState;
+import yewdock.core.ModelServer;
+import yewdock.core.OperatorOverride;
 import yewdock.wire.Box;
 import yewdock.wire.Boxes;
 import yewdock.wire.Keep;
@@ -25,32 +25,35 @@
 import yewdock.wire.State;
 
 /** Turns what generations tell each other into messages, and back. No I/O. */
-public final class States {
+public final class StateCodec {
     /** The version that is written, and the oldest that is still read. */
     static final int VERSION = 1;
     static final int OLDEST_READ = 1;
     /** The least version that a reader must know to make sense of what is written now. */
     static final int LEAST_READER = 1;
 
-    private States() {
+    private StateCodec() {
     }
 
     /** What a state holds for the next generation; memory is null if there is none to go on with. */
-    public record Left(EndpointList boxes, String listAddress, Map<Long, Long> toldAt,
-            umberspread.Memory memory,
-            long shift, Map<String, Long> counters, boolean afterRestart) {
+    public record InheritedState(EndpointList endpointList, String listAddress, Map<Long,
+            Long> stateReportedAt,
+            umberspread.LearnedState memory,
+            long clockShiftMicros, Map<String, Long> counters, boolean afterRestart) {
     }
 
     /** The state of a generation, as of this time on its clock and on the system's monotonic one. */
-    public static State write(Holdings held, umberspread.Memory memory, Map<String, Long> counters,
+    public static State write(GenerationState held, umberspread.LearnedState memory, Map<String,
+            Long> counters,
             long clock, long monoNanos) {
         return State.newBuilder().setVersion(VERSION).setLeastReader(LEAST_READER).setClock(clock)
-                .setMonoNanos(monoNanos).setBoxes(boxes(held.boxes(), held.listAddress(), held.toldAt()))
+                .setMonoNanos(monoNanos).setBoxes(boxes(held.endpointList(), held.discoveryAddress(),
+                        held.toldAt()))
                 .setModule(memory(memory)).putAllCounters(counters).build();
     }
 
     /** Reads a state at this time on the reader's clock; null if there is none. */
-    public static Left read(State s, long clock, long monoNanos) throws UnreadableStateException {
+    public static InheritedState read(State s, long clock, long monoNanos) throws UnreadableStateException {
         if (s.getVersion() == 0 && s.getLeastReader() == 0 && !s.hasModule()) {
             return null;
         }
@@ -76,7 +79,7 @@
                     toldAt.put(box.getId(), box.getToldAt() + shift);
                 }
             }
-            return new Left(list(s.getBoxes()), s.getBoxes().getAddress(), toldAt,
+            return new InheritedState(list(s.getBoxes()), s.getBoxes().getAddress(), toldAt,
                     s.hasModule() ? memory(s.getModule()) : null, shift, Map.copyOf(s.getCountersMap()),
                     s.getAfterRestart());
         } catch (IllegalArgumentException e) {
@@ -85,13 +88,15 @@
     }
 
     /** The marks that hold. */
-    static Map<String, BoxMark> marks(Marks told) {
-        Map<String, BoxMark> marks = new HashMap<>();
+    static Map<String, OperatorOverride> marks(Marks told) {
+        Map<String, OperatorOverride> marks = new HashMap<>();
         told.getByBoxMap().forEach((box, mark) -> {
             switch (mark.getKind()) {
-                case DRAIN -> marks.put(box, BoxMark.DRAINS);
-                case GONE -> marks.put(box, new BoxMark(BoxMark.Kind.GONE, mark.getStartedAt()));
-                case BACK -> marks.put(box, new BoxMark(BoxMark.Kind.BACK, mark.getStartedAt()));
+                case DRAIN -> marks.put(box, OperatorOverride.DRAINS);
+                case GONE -> marks.put(box, new OperatorOverride(OperatorOverride.Kind.GONE,
+                        mark.getStartedAt()));
+                case BACK -> marks.put(box, new OperatorOverride(OperatorOverride.Kind.BACK,
+                        mark.getStartedAt()));
                 default -> { }
             }
         });
@@ -99,14 +104,14 @@
     }
 
     /** Marks for another process; changes: those of other boxes hold as they did. */
-    static Marks marks(Map<String, BoxMark> marks, boolean changes) {
+    static Marks marks(Map<String, OperatorOverride> marks, boolean changes) {
         Marks.Builder all = Marks.newBuilder().setChanges(changes);
         marks.forEach((box, mark) -> all.putByBox(box,
-                Mark.newBuilder().setKind(kind(mark)).setStartedAt(mark.at()).build()));
+                Mark.newBuilder().setKind(kind(mark)).setStartedAt(mark.atEpochMicros()).build()));
         return all.build();
     }
 
-    private static Mark.Kind kind(BoxMark mark) {
+    private static Mark.Kind kind(OperatorOverride mark) {
         return switch (mark.kind()) {
             case DRAINS -> Mark.Kind.DRAIN;
             case GONE -> Mark.Kind.GONE;
@@ -115,56 +120,59 @@
     }
 
     /** What the module has learnt, for the keeper to keep. */
-    static Keep keep(umberspread.Memory memory, long clock) {
+    static Keep keep(umberspread.LearnedState memory, long clock) {
         return Keep.newBuilder().setClock(clock).setModule(memory(memory)).build();
     }
 
-    static Sharing sharing(Holdings held) {
-        Sharing.Builder all = Sharing.newBuilder().addAllIds(held.ids())
-                .setBoxes(boxes(held.boxes(), held.listAddress(), held.toldAt()));
-        held.out().forEach(o -> all.addOuts(Out.newBuilder().setToken(o.token()).setBox(o.box())));
+    static Sharing sharing(GenerationState held) {
+        Sharing.Builder all = Sharing.newBuilder().addAllIds(held.requestIds())
+                .setBoxes(boxes(held.endpointList(), held.discoveryAddress(), held.toldAt()));
+        held.attemptsInFlight().forEach(o ->
+                all.addOuts(Out.newBuilder().setToken(o.token()).setBox(o.server())));
         return all.build();
     }
 
-    static Holdings holdings(Sharing s) {
-        List<OtherNews.Sent> out = new ArrayList<>();
-        s.getOutsList().forEach(o -> out.add(new OtherNews.Sent(o.getToken(), o.getBox())));
-        return new Holdings(s.getIdsList(), out, list(s.getBoxes()), s.getBoxes().getAddress(), Map.of());
+    static GenerationState holdings(Sharing s) {
+        List<GenerationMessage.AttemptSent> out = new ArrayList<>();
+        s.getOutsList().forEach(o -> out.add(new GenerationMessage.AttemptSent(o.getToken(), o.getBox())));
+        return new GenerationState(s.getIdsList(), out, list(s.getBoxes()), s.getBoxes().getAddress(),
+                Map.of());
     }
 
-    static News news(OtherNews n) {
+    static News news(GenerationMessage n) {
         News.Builder news = News.newBuilder();
-        if (n instanceof OtherNews.Claim c) {
-            news.setClaim(c.id()).setNumber(c.number());
-        } else if (n instanceof OtherNews.Claimed c) {
-            news.setOf(c.to()).setNumber(c.number());
+        if (n instanceof GenerationMessage.Claim c) {
+            news.setClaim(c.id()).setNumber(c.claimNumber());
+        } else if (n instanceof GenerationMessage.ClaimAnswer c) {
+            news.setOf(c.generation()).setNumber(c.claimNumber());
             if (c.granted()) {
                 news.setGranted(c.id());
             } else {
                 news.setDenied(c.id());
             }
-        } else if (n instanceof OtherNews.Released r) {
+        } else if (n instanceof GenerationMessage.RequestReleased r) {
             news.setReleased(r.id());
-        } else if (n instanceof OtherNews.Sent s) {
-            news.setSent(Out.newBuilder().setToken(s.token()).setBox(s.box()));
-        } else if (n instanceof OtherNews.Ended e) {
+        } else if (n instanceof GenerationMessage.AttemptSent s) {
+            news.setSent(Out.newBuilder().setToken(s.token()).setBox(s.server()));
+        } else if (n instanceof GenerationMessage.AttemptEnded e) {
             news.setEnded(e.token());
-        } else if (n instanceof OtherNews.Told t) {
-            news.setBoxes(boxes(t.list(), t.address(), Map.of()));
+        } else if (n instanceof GenerationMessage.EndpointListRelayed t) {
+            news.setBoxes(boxes(t.list(), t.discoveryAddress(), Map.of()));
         }
         return news.build();
     }
 
     /** The news, or null where a later version tells of something that this one doesn't know. */
-    static OtherNews news(News n) {
+    static GenerationMessage news(News n) {
         return switch (n.getWhatCase()) {
-            case CLAIM -> new OtherNews.Claim(n.getClaim(), n.getNumber());
-            case GRANTED -> new OtherNews.Claimed(n.getOf(), n.getGranted(), n.getNumber(), true);
-            case DENIED -> new OtherNews.Claimed(n.getOf(), n.getDenied(), n.getNumber(), false);
-            case RELEASED -> new OtherNews.Released(n.getReleased());
-            case SENT -> new OtherNews.Sent(n.getSent().getToken(), n.getSent().getBox());
-            case ENDED -> new OtherNews.Ended(n.getEnded());
-            case BOXES -> new OtherNews.Told(list(n.getBoxes()), n.getBoxes().getAddress());
+            case CLAIM -> new GenerationMessage.Claim(n.getClaim(), n.getNumber());
+            case GRANTED -> new GenerationMessage.ClaimAnswer(n.getOf(), n.getGranted(), n.getNumber(), true);
+            case DENIED -> new GenerationMessage.ClaimAnswer(n.getOf(), n.getDenied(), n.getNumber(), false);
+            case RELEASED -> new GenerationMessage.RequestReleased(n.getReleased());
+            case SENT -> new GenerationMessage.AttemptSent(n.getSent().getToken(), n.getSent().getBox());
+            case ENDED -> new GenerationMessage.AttemptEnded(n.getEnded());
+            case BOXES -> new GenerationMessage.EndpointListRelayed(list(n.getBoxes()),
+                    n.getBoxes().getAddress());
             default -> null;
         };
     }
@@ -172,8 +180,8 @@
     private static Boxes boxes(EndpointList list, String address, Map<Long, Long> toldAt) {
         Boxes.Builder all = Boxes.newBuilder().setVersion(list.version()).setFull(list.full())
                 .setAddress(address == null ? "" : address);
-        for (ModelServer box : list.boxes()) {
-            Replica r = box.replica();
+        for (ModelServer box : list.servers()) {
+            ServerState r = box.replica();
             all.addBoxes(Box.newBuilder().setName(box.name()).setAddress(box.address()).setId(r.id())
                     .setSite(r.zone()).setKind(r.kind()).setCell(r.cell()).setWeight(r.weight())
                     .setLifecycle(r.lifecycle().ordinal()).setStartedAt(r.startedAt())
@@ -188,45 +196,47 @@
             if (b.getLifecycle() < 0 || b.getLifecycle() >= Lifecycle.values().length) {
                 throw new IllegalArgumentException("box " + b.getName() + " is in an unknown state");
             }
-            all.add(new ModelServer(b.getName(), b.getAddress(), new Replica(b.getId(), b.getSite(),
+            all.add(new ModelServer(b.getName(), b.getAddress(), new ServerState(b.getId(), b.getSite(),
                     b.getKind(),
                     b.getCell(), b.getWeight(), Lifecycle.values()[b.getLifecycle()], b.getStartedAt())));
         }
         return new EndpointList(boxes.getVersion(), boxes.getFull(), all);
     }
 
-    private static Memory memory(umberspread.Memory m) {
-        Memory.Builder all = Memory.newBuilder().setUnitWeight(m.unitWeight())
-                .setAverageWorth(m.averageWorth()).setSendTally(m.firstTokenTally()).setReadRate(m.readRate())
-                .setUnnamed(m.unnamed()).setPlannedAt(m.plannedAt()).addAllClassTime(m.classTime())
-                .putAllKindTime(m.kindTime()).addAllMunicipalityTally(m.tenantTally())
-                .addAllTaken(m.taken()).addAllFurther(m.further()).addAllPoolArrivals(m.poolArrivals());
-        for (umberspread.Memory.OfReplica r : m.replicas()) {
+    private static Memory memory(umberspread.LearnedState m) {
+        Memory.Builder all = Memory.newBuilder().setUnitWeight(m.referenceWeight())
+                .setAverageWorth(m.averageWorth()).setSendTally(m.recentFirstTokens()).setReadRate(m.prefillRate())
+                .setUnnamed(m.unkeyedRequests()).setPlannedAt(m.plannedAt()).addAllClassTime(m.classLatency())
+                .putAllKindTime(m.kindLatencyRatio()).addAllMunicipalityTally(m.tenantRequests())
+                .addAllTaken(m.recentArrivals()).addAllFurther(m.recentExtraAttempts()).addAllPoolArrivals(m.poolArrivals());
+        for (umberspread.LearnedState.LearnedServer r : m.servers()) {
             all.addNodes(NodeMemory.newBuilder().setId(r.id()).setPoints(r.points())
-                    .addAllRestUntil(r.restUntil()).addAllStrikes(r.strikes())
-                    .setEjectedUntil(r.ejectedUntil()).setEjections(r.ejections()).setBreaks(r.breaks())
-                    .setSlowUntil(r.slowUntil()).setLastDelay(r.lastDelay())
-                    .setColdBudgetAt(r.coldBudgetAt()).setBudgetedStart(r.budgetedStart()));
+                    .addAllRestUntil(r.classBackoffUntil()).addAllStrikes(r.classFailures())
+                    .setEjectedUntil(r.ejectedUntil()).setEjections(r.ejections()).setBreaks(r.consecutiveResets())
+                    .setSlowUntil(r.slowUntil()).setLastDelay(r.lastFirstTokenDelay())
+                    .setColdBudgetAt(r.nextColdSendAt()).setBudgetedStart(r.coldBudgetStart()));
         }
-        for (umberspread.Memory.OfKey k : m.keys()) {
-            all.addKeys(KeyMemory.newBuilder().setKey(k.key()).setTally(k.tally()).setSpread(k.spread())
-                    .setPool(k.pool()));
+        for (umberspread.LearnedState.LearnedKey k : m.keys()) {
+            all.addKeys(KeyMemory.newBuilder().setKey(k.key()).setTally(k.recentRequests()).setSpread(k.spread())
+                    .setPool(k.poolIndex()));
         }
         return all.build();
     }
 
-    private static umberspread.Memory memory(Memory m) {
-        List<umberspread.Memory.OfReplica> replicas = new ArrayList<>();
+    private static umberspread.LearnedState memory(Memory m) {
+        List<umberspread.LearnedState.LearnedServer> replicas = new ArrayList<>();
         for (NodeMemory n : m.getNodesList()) {
-            replicas.add(new umberspread.Memory.OfReplica(n.getId(), n.getPoints(), n.getRestUntilList(),
+            replicas.add(new umberspread.LearnedState.LearnedServer(n.getId(), n.getPoints(),
+                    n.getRestUntilList(),
                     n.getStrikesList(), n.getEjectedUntil(), n.getEjections(), n.getBreaks(),
                     n.getSlowUntil(), n.getLastDelay(), n.getColdBudgetAt(), n.getBudgetedStart()));
         }
-        List<umberspread.Memory.OfKey> keys = new ArrayList<>();
+        List<umberspread.LearnedState.LearnedKey> keys = new ArrayList<>();
         for (KeyMemory k : m.getKeysList()) {
-            keys.add(new umberspread.Memory.OfKey(k.getKey(), k.getTally(), k.getSpread(), k.getPool()));
+            keys.add(new umberspread.LearnedState.LearnedKey(k.getKey(), k.getTally(), k.getSpread(),
+                    k.getPool()));
         }
-        return new umberspread.Memory(m.getUnitWeight(), m.getAverageWorth(), m.getSendTally(),
+        return new umberspread.LearnedState(m.getUnitWeight(), m.getAverageWorth(), m.getSendTally(),
                 m.getReadRate(), m.getUnnamed(),
                 m.getPlannedAt(), m.getClassTimeList(), m.getKindTimeMap(), m.getMunicipalityTallyList(),
                 m.getTakenList(), m.getFurtherList(), replicas, keys, m.getPoolArrivalsList());
--- a/src/main/java/yewdock/daemon/Archive.java
+++ b/src/main/java/yewdock/daemon/StateService.java
@@ -14,18 +14,18 @@
 import java.util.TreeSet;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import yewdock.log.Say;
-import yewdock.replica.Replica;
-import yewdock.replica.ReplicaEffect;
-import yewdock.replica.ReplicaEvent;
+import yewdock.logging.EventLog;
+import yewdock.replication.ReplicationEffect;
+import yewdock.replication.ReplicationEvent;
+import yewdock.replication.Replicator;
 import yewdock.settings.OperatorSettings;
-import yewdock.sockets.Clock;
-import yewdock.state.Keeping;
-import yewdock.state.Keys;
-import yewdock.state.Records;
+import yewdock.sockets.MonotonicClock;
+import yewdock.state.RecordKeys;
+import yewdock.state.ReplicatedRecords;
+import yewdock.state.StateRecorder;
 import yewdock.store.Committer;
-import yewdock.store.Shelf;
-import yewdock.store.Store;
+import yewdock.store.KeyValueStore;
+import yewdock.store.RecordFile;
 import yewdock.store.StoreException;
 import yewdock.wire.Answer;
 import yewdock.wire.Boxes;
@@ -42,62 +42,63 @@
  * belongs to the keeper, which no upgrade replaces: so there is one writer, whatever generation serves.
  * Everything here is done under one lock, and nothing under it waits for a disk or a peer.
  */
-final class Archive implements Closeable, Peers.Hearer {
+final class StateService implements Closeable, PeerConnections.PeerHandler {
     private static final String JOINED = "joined";
     private static final String HORIZON = "horizon";
     private static final long TICK_MILLIS = 100;
     private static final long DURABLE_MILLIS = 5_000;
     private static final double MICROS = 1e6;
 
-    private final OperatorSettings.Store settings;
-    private final Clock clock = new Clock();
-    private final Records records;
-    private final Keeping keeping;
-    private final Replica replica;
+    private final OperatorSettings.StoreSettings settings;
+    private final MonotonicClock clock = new MonotonicClock();
+    private final ReplicatedRecords records;
+    private final StateRecorder keeping;
+    private final Replicator replica;
     private final Committer committer;
     private final Consumer<Frame> toAll;
     private Set<String> agreedOut = Set.of();
     private final Map<String, Long> metaKept = new HashMap<>();
-    private Peers peers;
+    private PeerConnections peers;
     /** Null where nothing is agreed. */
-    private Agreement agreement;
+    private ConsensusService agreement;
 
     /**
      * Opens the store, which another process must not have open, and begins to copy. What goes to all
      * generations goes to toAll.
      */
-    Archive(OperatorSettings all, Consumer<Frame> toAll) throws IOException {
+    StateService(OperatorSettings all, Consumer<Frame> toAll) throws IOException {
         this.settings = all.store();
         this.toAll = toAll;
-        String instance = all.copies().instance();
-        records = new Records(instance, settings.mostRecords());
-        Shelf.Opening opening = () -> open(settings.folder());
-        Committer.Pace pace = new Committer.Pace(settings.gather() / 1000, settings.retry() / 1000);
+        String instance = all.replication().instance();
+        records = new ReplicatedRecords(instance, settings.maxRecords());
+        KeyValueStore.StoreOpener opening = () -> open(settings.folder());
+        Committer.CommitTiming pace = new Committer.CommitTiming(settings.batchMicros() / 1000,
+                settings.reopenMicros() / 1000);
         Committer made;
         try {
             long began = System.nanoTime();
-            Shelf shelf = opening.open();
+            KeyValueStore shelf = opening.open();
             load(shelf);
-            Say.info("store.opened", "folder", settings.folder(), "records", records.size(), "ms",
+            EventLog.info("store.opened", "folder", settings.folder(), "records", records.size(), "ms",
                     (System.nanoTime() - began) / 1_000_000);
             made = new Committer(shelf, opening, pace, this::health);
         } catch (StoreException e) {
             if (e.kind() == StoreException.Kind.LOCKED) {
                 throw new IOException(e.getMessage(), e);
             }
-            Say.warn("store.unusable", "kind", e.kind(), "why", e.getMessage(), "now",
+            EventLog.warn("store.unusable", "kind", e.kind(), "why", e.getMessage(), "now",
                     "serving on from memory");
             made = new Committer(e, opening, pace, this::health);
         }
         committer = made;
-        keeping = new Keeping(records, settings.doubt());
-        replica = new Replica(all.copies().cluster(), all.copies().peers().keySet(), records,
-                metaKept.getOrDefault(JOINED, 0L), all.copies().mostRemovals());
-        if (!all.copies().peers().isEmpty()) {
-            if (all.agreement().on()) {
-                agreement = new Agreement(all, this::agreed);
+        keeping = new StateRecorder(records, settings.unconfirmedDrainMicros());
+        replica = new Replicator(all.replication().cluster(), all.replication().peers().keySet(), records,
+                metaKept.getOrDefault(JOINED, 0L), all.replication().maxTombstones());
+        if (!all.replication().peers().isEmpty()) {
+            if (all.consensus().enabled()) {
+                agreement = new ConsensusService(all, this::agreed);
             }
-            peers = new Peers(all.copies(), this);
+            peers = new PeerConnections(all.replication(), this);
             if (agreement != null) {
                 agreement.begin(peers);
             }
@@ -108,12 +109,12 @@
     }
 
     /** A damaged store is put out of the way, whole; what it held comes back from memory or from peers. */
-    private static Shelf open(Path folder) throws StoreException {
+    private static KeyValueStore open(Path folder) throws StoreException {
         try {
-            Store store = Store.open(folder);
-            if (store.missing() > 0) {
-                Say.warn("store.rolled_back", "missing", store.missing(), "now", "as of commit "
-                        + store.number());
+            RecordFile store = RecordFile.open(folder);
+            if (store.missingCommits() > 0) {
+                EventLog.warn("store.rolled_back", "missing", store.missingCommits(), "now", "as of commit "
+                        + store.lastCommitNumber());
             }
             return store;
         } catch (StoreException e) {
@@ -121,39 +122,40 @@
                 throw e;
             }
             try {
-                Say.warn("store.damaged", "why", e.getMessage(), "kept_as", Store.setAside(folder));
+                EventLog.warn("store.damaged", "why", e.getMessage(), "kept_as",
+                        RecordFile.moveAside(folder));
             } catch (IOException moved) {
                 throw e;
             }
-            return Store.open(folder);
+            return RecordFile.open(folder);
         }
     }
 
-    private void load(Shelf shelf) {
+    private void load(KeyValueStore shelf) {
         Map<String, byte[]> all = shelf.all();
         all.forEach((key, bytes) -> {
-            if (!key.startsWith(Keys.STORED)) {
+            if (!key.startsWith(RecordKeys.STORE_PREFIX)) {
                 metaKept.put(key, ByteBuffer.wrap(bytes).getLong());
             }
         });
         // before the records: the tombstones up to there are not missed
-        records.forget(metaKept.getOrDefault(HORIZON, 0L));
+        records.purgeTombstones(metaKept.getOrDefault(HORIZON, 0L));
         all.forEach((key, bytes) -> {
-            if (key.startsWith(Keys.STORED)) {
+            if (key.startsWith(RecordKeys.STORE_PREFIX)) {
                 try {
-                    records.merge(Records.read(bytes));
+                    records.merge(ReplicatedRecords.parse(bytes));
                 } catch (InvalidProtocolBufferException e) {
-                    Say.warn("record.unreadable", "key", key, "why", e.getMessage());
+                    EventLog.warn("record.unreadable", "key", key, "why", e.getMessage());
                 }
             }
         });
     }
 
-    private void health(Committer.Health health) {
+    private void health(Committer.StoreHealth health) {
         if (health.open()) {
-            Say.info("store.recovered", "commits", health.commits());
+            EventLog.info("store.recovered", "commits", health.commits());
         } else {
-            Say.warn("store.failed", "kind", health.kind(), "why", health.why(), "now",
+            EventLog.warn("store.failed", "kind", health.kind(), "why", health.why(), "now",
                     "serving on from memory");
         }
     }
@@ -170,23 +172,23 @@
             told(frame.getNews().getBoxes());
         } else if (frame.hasKeep()) {
             Keep keep = frame.getKeep();
-            keep(keeping.learnt(keep.getModule(), wall() - keep.getClock(), wall()));
+            keep(keeping.recordModuleMemory(keep.getModule(), wall() - keep.getClock(), wall()));
         }
     }
 
     private void told(Boxes news) {
-        Kept head = records.get(Keys.list(records.instance()));
+        Kept head = records.get(RecordKeys.endpointList(records.instance()));
         boolean older = head != null && head.getList().getAddress().equals(news.getAddress())
                 && news.getVersion() < head.getList().getVersion();
         if (older && !news.getFull()) {
             // of a generation that finishes, and hears of the list later than the one that serves
             return;
         }
-        keep(keeping.told(news, 0, wall()));
+        keep(keeping.recordEndpointList(news, 0, wall()));
         if (agreement != null) {
             agreement.actsOn(news.getAddress(), news.getVersion());
         }
-        List<Kept> outlived = keeping.dropOutlived(wall());
+        List<Kept> outlived = keeping.dropOutdatedOverrides(wall());
         if (!outlived.isEmpty()) {
             keep(outlived);
             tellMarks();
@@ -195,7 +197,7 @@
 
     /** The configuration that is in force. */
     synchronized void applied(String text) {
-        Kept kept = keeping.applied(text, wall());
+        Kept kept = keeping.recordSettings(text, wall());
         if (kept != null) {
             keep(List.of(kept));
         }
@@ -207,17 +209,17 @@
         }
         List<String> keys = changed.stream().map(Kept::getKey).toList();
         long ticket = store(keys);
-        reduce(new ReplicaEvent.Changed(keys));
+        reduce(new ReplicationEvent.RecordsChanged(keys));
         return ticket;
     }
 
     private long store(List<String> keys) {
         Map<String, byte[]> changes = new HashMap<>();
         for (String key : keys) {
-            Kept kept = records.raw(key);
-            changes.put(Keys.STORED + key, kept == null ? null : Records.bytes(kept));
+            Kept kept = records.getWithTombstones(key);
+            changes.put(RecordKeys.STORE_PREFIX + key, kept == null ? null : ReplicatedRecords.bytes(kept));
         }
-        meta(JOINED, replica.joined(), changes);
+        meta(JOINED, replica.lastSyncedStamp(), changes);
         meta(HORIZON, records.horizon(), changes);
         return committer.put(changes);
     }
@@ -233,7 +235,8 @@
 
     /** What a generation goes on with when none before it can tell; null if nothing is kept. */
     synchronized State state() {
-        State state = keeping.state(States.VERSION, States.LEAST_READER, wall(), System.nanoTime());
+        State state = keeping.restartState(StateCodec.VERSION, StateCodec.LEAST_READER, wall(),
+                System.nanoTime());
         return state == null ? null : state.toBuilder().setAfterRestart(true).build();
     }
 
@@ -244,7 +247,7 @@
 
     /** Those of operators here, and over them what is agreed. */
     private Frame marks() {
-        Map<String, Mark> all = new HashMap<>(keeping.marks());
+        Map<String, Mark> all = new HashMap<>(keeping.overrides());
         agreedOut.forEach(box -> all.put(box, Mark.newBuilder().setKind(Mark.Kind.DRAIN).setBy("agreement")
                 .build()));
         return Frame.newBuilder().setMarks(Marks.newBuilder().putAllByBox(all)).build();
@@ -257,7 +260,7 @@
     }
 
     /** A generation has said something that may concern the agreement. */
-    void agreement(int generation, Link link, Frame frame) {
+    void agreement(int generation, ControlConnection link, Frame frame) {
         if (agreement != null) {
             agreement.heard(generation, link, frame);
         }
@@ -290,7 +293,7 @@
         if (kind == null) {
             return false;
         }
-        boolean here = agreement != null && words.size() == 2 && words.get(1).equals(Agreement.HERE);
+        boolean here = agreement != null && words.size() == 2 && words.get(1).equals(ConsensusService.HERE);
         if (words.size() != 1 && !here) {
             answer.accept(last("one box is to be named" + (agreement == null
                     ? ", and nothing else: nothing is agreed here" : ""), 1));
@@ -301,11 +304,11 @@
     }
 
     private synchronized boolean isKnown(String box) {
-        return !keeping.known(box).isEmpty();
+        return !keeping.knownServers(box).isEmpty();
     }
 
     private synchronized void mark(String box, Mark.Kind kind, Consumer<Answer> answer) {
-        Mark before = keeping.marks().get(box);
+        Mark before = keeping.overrides().get(box);
         if (kind == Mark.Kind.NONE && before == null) {
             answer.accept(last(box + " has no mark", 1));
             return;
@@ -314,14 +317,14 @@
             answer.accept(last("no box of the name " + box + " is known", 1));
             return;
         }
-        long ticket = keep(List.of(keeping.mark(box, kind, records.instance(), wall())));
+        long ticket = keep(List.of(keeping.recordOverride(box, kind, records.instance(), wall())));
         tellMarks();
         String what = switch (kind) {
             case DRAIN -> "drains";
             case GONE -> "is gone";
             default -> "has no mark any more";
         };
-        Say.info("box.marked", "box", box, "mark", kind);
+        EventLog.info("box.marked", "box", box, "mark", kind);
         committer.durable(ticket).orTimeout(DURABLE_MILLIS, TimeUnit.MILLISECONDS)
                 .whenComplete((done, failed) -> answer.accept(failed == null ? last(box + " " + what, 0)
                         : last(box + " " + what + ", but this is not on the disk: "
@@ -335,25 +338,26 @@
     /** Lines for an operator: what is kept here, how old, from whom, and how the copies stand. */
     synchronized List<String> status() {
         List<String> lines = new ArrayList<>(agreement == null ? List.of() : agreement.status());
-        Committer.Health health = committer.health();
+        Committer.StoreHealth health = committer.health();
         lines.add("store: " + (health.open() ? "open" : "failed (" + health.kind() + "): " + health.why())
                 + "; records " + (records.size() - records.tombstones()) + ", removed "
                 + records.tombstones() + ", bytes " + records.bytes() + "; commits " + health.commits()
                 + ", failures " + health.failures() + ", waiting " + health.waiting());
-        Kept head = records.get(Keys.list(records.instance()));
+        Kept head = records.get(RecordKeys.endpointList(records.instance()));
         if (head != null) {
             lines.add("list: version " + head.getList().getVersion() + " of " + head.getList().getAddress()
                     + ", told " + ago(head.getWall()));
         }
-        keeping.marks().forEach((box, mark) -> {
-            Kept kept = records.raw(Keys.mark(box));
+        keeping.overrides().forEach((box, mark) -> {
+            Kept kept = records.getWithTombstones(RecordKeys.override(box));
             lines.add("mark: " + box + " " + mark.getKind().name().toLowerCase(Locale.ROOT) + ", by "
                     + mark.getBy() + " " + ago(kept.getWall()));
         });
         for (String instance : instances()) {
-            lines.add("boxes told to " + instance + ": " + records.prefix(Keys.boxes(instance)).size());
+            lines.add("boxes told to " + instance + ": "
+                    + records.withPrefix(RecordKeys.serversPrefix(instance)).size());
         }
-        for (Replica.Standing s : replica.standings()) {
+        for (Replicator.PeerStatus s : replica.peerStatuses()) {
             lines.add("peer " + s.peer() + ": " + (s.up() ? "up" : "down (" + s.trouble() + ")")
                     + ", equal " + (s.equalAt() == 0 ? "never" : ago(s.equalAt())) + ", waiting "
                     + s.waiting() + ", sent " + s.sent() + ", got " + s.got());
@@ -363,7 +367,7 @@
 
     private TreeSet<String> instances() {
         TreeSet<String> found = new TreeSet<>();
-        records.prefix(Keys.allBoxes()).forEach(k -> found.add(k.getKey().split("/")[1]));
+        records.withPrefix(RecordKeys.allServersPrefix()).forEach(k -> found.add(k.getKey().split("/")[1]));
         return found;
     }
 
@@ -375,7 +379,7 @@
 
     @Override
     public synchronized void up(String peer) {
-        reduce(new ReplicaEvent.Up(peer));
+        reduce(new ReplicationEvent.PeerConnected(peer));
     }
 
     @Override
@@ -388,12 +392,12 @@
     }
 
     private synchronized void copied(String peer, PeerFrame frame) {
-        reduce(new ReplicaEvent.Heard(peer, frame));
+        reduce(new ReplicationEvent.PeerFrameReceived(peer, frame));
     }
 
     @Override
     public synchronized void down(String peer, String why) {
-        reduce(new ReplicaEvent.Down(peer, why));
+        reduce(new ReplicationEvent.PeerDisconnected(peer, why));
     }
 
     private void tick() {
@@ -401,8 +405,8 @@
             while (true) {
                 TimeUnit.MILLISECONDS.sleep(TICK_MILLIS);
                 synchronized (this) {
-                    if (wall() >= replica.nextDue()) {
-                        reduce(new ReplicaEvent.Tick());
+                    if (wall() >= replica.nextTickDue()) {
+                        reduce(new ReplicationEvent.Tick());
                         store(List.of());
                     }
                 }
@@ -412,19 +416,19 @@
         }
     }
 
-    private void reduce(ReplicaEvent event) {
-        for (ReplicaEffect effect : replica.reduce(event, wall())) {
-            if (effect instanceof ReplicaEffect.Send e) {
+    private void reduce(ReplicationEvent event) {
+        for (ReplicationEffect effect : replica.reduce(event, wall())) {
+            if (effect instanceof ReplicationEffect.SendToPeer e) {
                 peers.send(e.peer(), e.frame());
-            } else if (effect instanceof ReplicaEffect.Close e) {
+            } else if (effect instanceof ReplicationEffect.ClosePeer e) {
                 peers.close(e.peer());
-            } else if (effect instanceof ReplicaEffect.Store e) {
+            } else if (effect instanceof ReplicationEffect.StoreRecords e) {
                 store(e.keys());
-                if (e.keys().stream().anyMatch(k -> k.startsWith(Keys.marks()))) {
+                if (e.keys().stream().anyMatch(k -> k.startsWith(RecordKeys.overridesPrefix()))) {
                     tellMarks();
                 }
-            } else if (effect instanceof ReplicaEffect.Note e) {
-                Say.info(e.event(), e.fields());
+            } else if (effect instanceof ReplicationEffect.LogEvent e) {
+                EventLog.info(e.event(), e.fields());
             }
         }
     }
--- a/src/main/java/yewdock/daemon/Keeper.java
+++ b/src/main/java/yewdock/daemon/Supervisor.java
@@ -22,16 +22,16 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import yewdock.log.Say;
+import yewdock.logging.EventLog;
 import yewdock.platform.Addresses;
 import yewdock.platform.Config;
 import yewdock.settings.OperatorSettings;
-import yewdock.sockets.Clock;
-import yewdock.upgrade.KeeperEffect;
-import yewdock.upgrade.KeeperEvent;
-import yewdock.upgrade.Limits;
+import yewdock.sockets.MonotonicClock;
 import yewdock.upgrade.Stage;
-import yewdock.upgrade.Upgrade;
+import yewdock.upgrade.SupervisorEffect;
+import yewdock.upgrade.SupervisorEvent;
+import yewdock.upgrade.SupervisorReducer;
+import yewdock.upgrade.UpgradeLimits;
 import yewdock.wire.Answer;
 import yewdock.wire.Frame;
 import yewdock.wire.Hello;
@@ -39,9 +39,10 @@
 
 /**
  * The small parent: it holds the listener, starts generations that have it as their standard input, and
- * carries out what {@link Upgrade} decides. It never accepts a client's connection and never reads one.
+ * carries out what {@link SupervisorReducer} decides. It never accepts a client's connection and never reads
+ * one.
  */
-public final class Keeper {
+public final class Supervisor {
     static final String GENERATION = "YEWDOCK_GENERATION";
     static final String CONTROL = "YEWDOCK_CONTROL";
     static final String SECRET = "YEWDOCK_SECRET";
@@ -53,61 +54,62 @@
     private static final Set<String> MARKING = Set.of("drain", "undrain", "mark-gone");
 
     private final OperatorSettings settings;
-    private final List<String> usual;
-    private final Upgrade upgrade;
-    private final Clock clock = new Clock();
-    private final BlockingQueue<KeeperEvent> events = new LinkedBlockingQueue<>();
-    private final Map<Integer, Link> links = new ConcurrentHashMap<>();
+    private final List<String> defaultMainCommand;
+    private final SupervisorReducer upgrade;
+    private final MonotonicClock clock = new MonotonicClock();
+    private final BlockingQueue<SupervisorEvent> events = new LinkedBlockingQueue<>();
+    private final Map<Integer, ControlConnection> links = new ConcurrentHashMap<>();
     private final Map<Integer, String> secrets = new ConcurrentHashMap<>();
     private final Map<Integer, Process> processes = new HashMap<>();
-    private final Map<Long, Link> operators = new ConcurrentHashMap<>();
+    private final Map<Long, ControlConnection> operators = new ConcurrentHashMap<>();
     private final AtomicLong lastCommand = new AtomicLong();
     private final SecureRandom random = new SecureRandom();
     private final CountDownLatch ended = new CountDownLatch(1);
     private ServerSocketChannel listener;
     private ServerSocketChannel control;
     /** Null where nothing is kept. */
-    private Archive archive;
+    private StateService archive;
     private int exit = -1;
 
     /** A keeper whose generations run this main class with these words, where an upgrade names no other. */
-    public Keeper(OperatorSettings settings, List<String> usual) {
+    public Supervisor(OperatorSettings settings, List<String> usual) {
         this.settings = settings;
-        this.usual = List.copyOf(usual);
-        OperatorSettings.Upgrade u = settings.upgrade();
-        Limits limits = new Limits(Map.of(Stage.START, u.start(),
-                Stage.CHECK, u.check(), Stage.STATE, u.state(),
-                Stage.READY, u.ready(), Stage.SHARE, u.share(),
-                Stage.TAKE, u.take(), Stage.GO, u.go(), Stage.LET_GO, u.letGo()),
-                u.finish(), u.mostFinishing());
-        this.upgrade = new Upgrade(limits);
+        this.defaultMainCommand = List.copyOf(usual);
+        OperatorSettings.UpgradeSettings u = settings.upgrade();
+        UpgradeLimits limits = new UpgradeLimits(Map.of(Stage.START, u.startMicros(),
+                Stage.CHECK, u.checkMicros(), Stage.STATE, u.stateMicros(),
+                Stage.READY, u.readyMicros(), Stage.SHARE, u.shareMicros(),
+                Stage.TAKE, u.takeMicros(), Stage.GO, u.goMicros(), Stage.LET_GO, u.letGoMicros()),
+                u.finishMicros(), u.maxFinishing());
+        this.upgrade = new SupervisorReducer(limits);
     }
 
     /** Listens, starts the first generation and keeps until the last has ended; returns the exit code. */
     public int run() throws IOException {
-        Config config = Config.read(Files.readString(settings.daemon().config()), line -> { });
+        Config config = Config.read(Files.readString(settings.daemon().configFile()), line -> { });
         openControl();
-        if (settings.store().on()) {
-            archive = new Archive(settings, frame -> links.values().forEach(link -> link.send(frame)));
-            archive.applied(Files.readString(settings.daemon().config()));
+        if (settings.store().enabled()) {
+            archive = new StateService(settings, frame -> links.values().forEach(link -> link.send(frame)));
+            archive.applied(Files.readString(settings.daemon().configFile()));
         }
-        listener = Listener.asStandardInput(Addresses.of(config.listen()));
-        Say.info("keeper.listens", "address", listener.getLocalAddress(), "control",
-                Link.socketIn(settings.daemon().control()));
+        listener = InheritedListener.asStandardInput(Addresses.parse(config.listenAddress()));
+        EventLog.info("keeper.listens", "address", listener.getLocalAddress(), "control",
+                ControlConnection.socketIn(settings.daemon().controlFolder()));
         Thread accepting = new Thread(this::acceptControl, "control");
         accepting.setDaemon(true);
         accepting.start();
-        ConfigurationFile configurationFile = ConfigurationFile.at(settings.daemon().config());
+        ConfigurationFile configurationFile = ConfigurationFile.at(settings.daemon().configFile());
         configurationFile.readBy(() -> {
-            events.add(new KeeperEvent.HungUp());
-            return Serve.isReadable(settings.daemon().config());
+            events.add(new SupervisorEvent.ReloadRequested());
+            return StandaloneRouter.isReadable(settings.daemon().configFile());
         });
         if (!configurationFile.takesSignal()) {
-            Say.warn("configuration.looked_at", "why", "SIGHUP was ignored when this process was started",
-                    "file", settings.daemon().config());
+            EventLog.warn("configuration.looked_at", "why",
+                    "SIGHUP was ignored when this process was started",
+                    "file", settings.daemon().configFile());
         }
         Thread leave = new Thread(() -> {
-            events.add(new KeeperEvent.Leave());
+            events.add(new SupervisorEvent.ShutdownRequested());
             try {
                 ended.await();
             } catch (InterruptedException e) {
@@ -115,40 +117,40 @@
             }
         }, "leave");
         Runtime.getRuntime().addShutdownHook(leave);
-        String program = settings.daemon().program();
-        events.add(new KeeperEvent.Begun(List.of(program.isEmpty() ? ownProgram() : program)));
+        String program = settings.daemon().classPath();
+        events.add(new SupervisorEvent.ListenerOpened(List.of(program.isEmpty() ? ownProgram() : program)));
         while (exit < 0) {
             keepOn();
         }
         control.close();
-        Files.deleteIfExists(Link.socketIn(settings.daemon().control()));
+        Files.deleteIfExists(ControlConnection.socketIn(settings.daemon().controlFolder()));
         if (archive != null) {
             archive.close();
         }
-        Say.info("keeper.ends", "exit", exit);
+        EventLog.info("keeper.ends", "exit", exit);
         ended.countDown();
         return exit;
     }
 
     private void keepOn() {
         try {
-            long wait = Math.max(0, Math.min(upgrade.nextDue() - clock.getAsLong(), LONGEST_SLEEP));
-            KeeperEvent event = events.poll(wait, TimeUnit.MICROSECONDS);
-            if (event instanceof KeeperEvent.Ended gone) {
+            long wait = Math.max(0, Math.min(upgrade.nextTimerDue() - clock.getAsLong(), LONGEST_SLEEP));
+            SupervisorEvent event = events.poll(wait, TimeUnit.MICROSECONDS);
+            if (event instanceof SupervisorEvent.ProcessEnded gone) {
                 processes.remove(gone.generation());
                 secrets.remove(gone.generation());
             }
-            if (event instanceof KeeperEvent.HungUp) {
+            if (event instanceof SupervisorEvent.ReloadRequested) {
                 applied();
             }
             if (event != null) {
                 upgrade.reduce(event, clock.getAsLong()).forEach(this::perform);
             }
-            if (upgrade.nextDue() <= clock.getAsLong()) {
-                upgrade.reduce(new KeeperEvent.Tick(), clock.getAsLong()).forEach(this::perform);
+            if (upgrade.nextTimerDue() <= clock.getAsLong()) {
+                upgrade.reduce(new SupervisorEvent.Tick(), clock.getAsLong()).forEach(this::perform);
             }
         } catch (InterruptedException e) {
-            Say.warn("keeper.interrupted");
+            EventLog.warn("keeper.interrupted");
         }
     }
 
@@ -156,11 +158,11 @@
     private void applied() {
         if (archive != null) {
             try {
-                String text = Files.readString(settings.daemon().config());
+                String text = Files.readString(settings.daemon().configFile());
                 Config.read(text, line -> { });
                 archive.applied(text);
             } catch (IOException | IllegalArgumentException e) {
-                Say.warn("configuration.not_kept", "why", e.getMessage());
+                EventLog.warn("configuration.not_kept", "why", e.getMessage());
             }
         }
     }
@@ -177,14 +179,14 @@
     // ---- the control socket
 
     private void openControl() throws IOException {
-        Path folder = settings.daemon().control();
+        Path folder = settings.daemon().controlFolder();
         Files.createDirectories(folder);
         Files.setPosixFilePermissions(folder, PosixFilePermissions.fromString("rwx------"));
-        Path socket = Link.socketIn(folder);
+        Path socket = ControlConnection.socketIn(folder);
         if (Files.exists(socket)) {
             // left by a daemon that was killed, or held by one that lives
             try {
-                Link.to(folder).close();
+                ControlConnection.inFolder(folder).close();
                 throw new IOException("a daemon runs already, its control socket is " + socket);
             } catch (IOException e) {
                 if (e.getMessage().startsWith("a daemon runs")) {
@@ -204,7 +206,7 @@
                 new Peer(control.accept()).start();
             } catch (IOException e) {
                 if (control.isOpen()) {
-                    Say.warn("control.broken", "why", e.getMessage());
+                    EventLog.warn("control.broken", "why", e.getMessage());
                 }
             }
         }
@@ -212,12 +214,12 @@
 
     /** A connection of the control socket: its first frame tells whose it is. */
     private final class Peer {
-        private final Link link;
+        private final ControlConnection link;
         private int generation;
         private long command;
 
         Peer(SocketChannel channel) {
-            link = new Link(channel);
+            link = new ControlConnection(channel);
         }
 
         void start() {
@@ -231,7 +233,7 @@
                     archive.agreement(generation, link, frame);
                 }
                 if (!frame.hasKeep() && !frame.hasTakenUp()) {
-                    events.add(new KeeperEvent.Heard(generation, frame));
+                    events.add(new SupervisorEvent.FrameReceived(generation, frame));
                 }
             } else if (command != 0) {
                 link.close();
@@ -258,8 +260,8 @@
                     archive.status().forEach(l -> answer(Answer.newBuilder().setLine(l).build()));
                 }
                 events.add(frame.getAsk().getCommand().equals("upgrade")
-                        ? new KeeperEvent.Asked(command, frame.getAsk().getWordsList())
-                        : new KeeperEvent.StatusAsked(command));
+                        ? new SupervisorEvent.UpgradeRequested(command, frame.getAsk().getWordsList())
+                        : new SupervisorEvent.StatusRequested(command));
             } else {
                 link.close();
             }
@@ -277,7 +279,7 @@
             }
             generation = hello.getGeneration();
             links.put(generation, link);
-            events.add(new KeeperEvent.Heard(generation, frame));
+            events.add(new SupervisorEvent.FrameReceived(generation, frame));
         }
 
         private void lost(String why) {
@@ -286,7 +288,7 @@
                 if (archive != null) {
                     archive.gone(generation);
                 }
-                events.add(new KeeperEvent.Lost(generation, why));
+                events.add(new SupervisorEvent.ConnectionLost(generation, why));
             } else if (command != 0) {
                 operators.remove(command);
             }
@@ -295,37 +297,37 @@
 
     // ---- effects
 
-    private void perform(KeeperEffect effect) {
-        if (effect instanceof KeeperEffect.Tell e) {
-            Link link = links.get(e.generation());
+    private void perform(SupervisorEffect effect) {
+        if (effect instanceof SupervisorEffect.SendFrame e) {
+            ControlConnection link = links.get(e.generation());
             if (link != null && e.frame().hasState() && archive != null) {
                 stateWithMarks(link, e.frame());
             } else if (link != null) {
                 link.send(e.frame());
             }
-        } else if (effect instanceof KeeperEffect.Start e) {
+        } else if (effect instanceof SupervisorEffect.StartProcess e) {
             start(e.generation(), e.program());
-        } else if (effect instanceof KeeperEffect.Kill e) {
+        } else if (effect instanceof SupervisorEffect.KillProcess e) {
             Process process = processes.get(e.generation());
             if (process != null) {
                 process.destroyForcibly();
             }
-        } else if (effect instanceof KeeperEffect.Reply e) {
-            Link link = operators.get(e.command());
+        } else if (effect instanceof SupervisorEffect.Reply e) {
+            ControlConnection link = operators.get(e.command());
             if (link != null) {
                 link.send(Frame.newBuilder().setAnswer(Answer.newBuilder().setLine(e.line())
                         .setLast(e.last()).setExit(e.exit())).build());
             }
-        } else if (effect instanceof KeeperEffect.Note e) {
-            Say.info(e.event(), e.fields());
-        } else if (effect instanceof KeeperEffect.Stop e) {
+        } else if (effect instanceof SupervisorEffect.WriteLog e) {
+            EventLog.info(e.event(), e.fields());
+        } else if (effect instanceof SupervisorEffect.ExitSupervisor e) {
             exit = e.exit();
-            operators.values().forEach(link -> link.finish(LAST_WORDS_MILLIS));
+            operators.values().forEach(link -> link.flushAndClose(LAST_WORDS_MILLIS));
         }
     }
 
     /** Where no generation before it can tell what it knew, what is kept stands in; marks follow at once. */
-    private void stateWithMarks(Link link, Frame frame) {
+    private void stateWithMarks(ControlConnection link, Frame frame) {
         State kept = frame.getState().hasModule() ? null : archive.state();
         link.send(kept == null ? frame : Frame.newBuilder().setState(kept).build());
         archive.withMarks(link::send);
@@ -337,32 +339,32 @@
     private void start(int number, List<String> program) {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        command.addAll(settings.daemon().java());
+        command.addAll(settings.daemon().jvmFlags());
         command.addAll(List.of("-cp", program.get(0)));
         command.addAll(program.size() > 1 ? program.subList(1, program.size())
-                : usual);
+                : defaultMainCommand);
         byte[] bytes = new byte[SECRET_BYTES];
         random.nextBytes(bytes);
         secrets.put(number, HexFormat.of().formatHex(bytes));
         ProcessBuilder builder = new ProcessBuilder(command).inheritIO();
         builder.environment().put(GENERATION, Integer.toString(number));
         builder.environment().put(SECRET, secrets.get(number));
-        builder.environment().put(CONTROL, settings.daemon().control().toAbsolutePath().toString());
+        builder.environment().put(CONTROL, settings.daemon().controlFolder().toAbsolutePath().toString());
         if (archive != null) {
             builder.environment().put(KEEPS, "1");
         }
-        if (settings.agreement().on()) {
+        if (settings.consensus().enabled()) {
             builder.environment().put(AGREES, "1");
         }
-        builder.environment().put("PROXY_CONFIG", settings.daemon().config().toString());
+        builder.environment().put("PROXY_CONFIG", settings.daemon().configFile().toString());
         builder.environment().put("YEWDOCK_LOG", settings.log().form());
         try {
             Process process = builder.start();
             processes.put(number, process);
-            process.onExit().thenAccept(done -> events.add(new KeeperEvent.Ended(number,
+            process.onExit().thenAccept(done -> events.add(new SupervisorEvent.ProcessEnded(number,
                     "its process ended with " + done.exitValue())));
         } catch (IOException e) {
-            events.add(new KeeperEvent.Ended(number, "it can't be started: " + e.getMessage()));
+            events.add(new SupervisorEvent.ProcessEnded(number, "it can't be started: " + e.getMessage()));
         }
     }
 }
--- a/src/main/java/yewdock/lease/Lease.java
+++ b/src/main/java/yewdock/lease/Lease.java
@@ -8,7 +8,7 @@
  * monotonic clock.
  */
 public final class Lease {
-    private final LeaseTerms terms;
+    private final LeaseTiming terms;
     private final ArrayDeque<SentRequest> sentRequests = new ArrayDeque<>();
     private long lastNumber;
     private long expiresAt = Long.MIN_VALUE;
@@ -18,13 +18,13 @@
     }
 
     /** A lease that has not been granted yet. */
-    public Lease(LeaseTerms terms) {
+    public Lease(LeaseTiming terms) {
         this.terms = terms;
     }
 
     /** Records that a lease request is sent now; returns its number. */
-    public long asks(long now) {
-        sentRequests.removeIf(request -> now - request.sentAt >= terms.length());
+    public long beginRenewal(long now) {
+        sentRequests.removeIf(request -> now - request.sentAt >= terms.lengthMicros());
         sentRequests.add(new SentRequest(++lastNumber, now));
         return lastNumber;
     }
@@ -33,19 +33,19 @@
     public void granted(long number) {
         for (SentRequest request : sentRequests) {
             if (request.number == number) {
-                expiresAt = Math.max(expiresAt, request.sentAt + terms.length());
+                expiresAt = Math.max(expiresAt, request.sentAt + terms.lengthMicros());
             }
         }
         sentRequests.removeIf(request -> request.number <= number);
     }
 
     /** The first time at which the router may not act any more; Long.MIN_VALUE if never granted. */
-    public long until() {
+    public long expiresAt() {
         return expiresAt;
     }
 
     /** Whether the lease is valid. Call it for each decision with the current time, as timers may be late. */
-    public boolean holds(long now) {
+    public boolean isValid(long now) {
         return now < expiresAt;
     }
 }
--- a/src/main/java/yewdock/lease/Grants.java
+++ b/src/main/java/yewdock/lease/LeaseGrantor.java
@@ -15,12 +15,12 @@
  * a change was prepared knows of that change, and every other lease has expired one lease length later. A
  * new leader doesn't know who holds leases, so it waits for one lease length first.
  */
-public final class Grants {
-    private final LeaseTerms terms;
+public final class LeaseGrantor {
+    private final LeaseTiming terms;
     private final Map<String, LeaseHolder> leases = new HashMap<>();
     private final Map<String, Long> pendingSince = new HashMap<>();
-    private List<Ask> waiting = new ArrayList<>();
-    private List<Ask> inConfirmation = List.of();
+    private List<LeaseRequest> waiting = new ArrayList<>();
+    private List<LeaseRequest> inConfirmation = List.of();
     private boolean leading;
     private long leaderSince;
 
@@ -36,19 +36,19 @@
      * @param number the number of the request
      * @param step the step of the rules that every part of the router applies
      */
-    public record Ask(String router, long incarnation, long number, long step) {
+    public record LeaseRequest(String router, long incarnation, long number, long step) {
         private String processId() {
             return router + "/" + incarnation;
         }
     }
 
     /** A grantor that does not lead yet. */
-    public Grants(LeaseTerms terms) {
+    public LeaseGrantor(LeaseTiming terms) {
         this.terms = terms;
     }
 
     /** This instance has become the leader. */
-    public void leads(long now) {
+    public void becomeLeader(long now) {
         leading = true;
         leaderSince = now;
         leases.clear();
@@ -56,7 +56,7 @@
     }
 
     /** This instance is not the leader any more: it grants nothing and forgets the leases it knew of. */
-    public void follows() {
+    public void stepDown() {
         leading = false;
         leases.clear();
         dropRequests();
@@ -68,14 +68,14 @@
     }
 
     /** Queues a request, to be granted after a confirmation round that begins later than now. */
-    public void asked(Ask request) {
+    public void request(LeaseRequest request) {
         if (leading) {
             waiting.add(request);
         }
     }
 
     /** Begins a confirmation round for all queued requests; false if there are none or one is in progress. */
-    public boolean beginRound() {
+    public boolean beginConfirmation() {
         if (!leading || !inConfirmation.isEmpty() || waiting.isEmpty()) {
             return false;
         }
@@ -85,7 +85,7 @@
     }
 
     /** The round has failed: its requests are dropped, as routers repeat them by themselves. */
-    public void roundFailed() {
+    public void confirmationFailed() {
         inConfirmation = List.of();
     }
 
@@ -95,12 +95,13 @@
      * @param lastPrepared the step at which a change was last prepared, in the leader's rules as of now
      * @param now the time in microseconds
      */
-    public List<Ask> confirmed(long lastPrepared, long now) {
-        List<Ask> granted = new ArrayList<>();
+    public List<LeaseRequest> confirm(long lastPrepared, long now) {
+        List<LeaseRequest> granted = new ArrayList<>();
         if (leading) {
-            for (Ask request : inConfirmation) {
+            for (LeaseRequest request : inConfirmation) {
                 if (request.step >= lastPrepared) {
-                    leases.put(request.processId(), new LeaseHolder(request.step, now + terms.runOut()));
+                    leases.put(request.processId(), new LeaseHolder(request.step, now
+                            + terms.expiryMicros()));
                     granted.add(request);
                 }
             }
@@ -116,7 +117,7 @@
      * @param pendingSteps the steps at which the pending changes were prepared, by id
      * @param now the time in microseconds
      */
-    public List<String> due(Map<String, Long> pendingSteps, long now) {
+    public List<String> changesToApply(Map<String, Long> pendingSteps, long now) {
         pendingSince.keySet().retainAll(pendingSteps.keySet());
         pendingSteps.keySet().forEach(id -> pendingSince.putIfAbsent(id, now));
         leases.values().removeIf(lease -> lease.expiresAt <= now);
@@ -124,11 +125,11 @@
         if (!leading) {
             return due;
         }
-        boolean knowsAllLeases = now - leaderSince >= terms.runOut();
+        boolean knowsAllLeases = now - leaderSince >= terms.expiryMicros();
         pendingSteps.forEach((id, step) -> {
             boolean allKnow = knowsAllLeases && leases.values().stream()
                     .allMatch(lease -> lease.step >= step);
-            if (allKnow || now - pendingSince.get(id) >= terms.runOut()) {
+            if (allKnow || now - pendingSince.get(id) >= terms.expiryMicros()) {
                 due.add(id);
             }
         });
@@ -136,7 +137,7 @@
     }
 
     /** The number of leases that may still be valid. */
-    public int holders() {
+    public int leaseCount() {
         return leases.size();
     }
 }
--- a/src/main/java/yewdock/lease/LeaseTerms.java
+++ b/src/main/java/yewdock/lease/LeaseTiming.java
@@ -3,19 +3,19 @@
 /**
  * The length of leases and the assumed bound on clock drift. Times are in microseconds.
  *
- * @param length how long after it sent its request a router may act, on its own monotonic clock
- * @param drift the largest rate at which a clock may gain or lose time, as a fraction of the elapsed time
+ * @param lengthMicros how long after it sent its request a router may act, on its own monotonic clock
+ * @param maxDrift the largest rate at which a clock may gain or lose time, as a fraction of the elapsed time
  */
-public record LeaseTerms(long length, double drift) {
+public record LeaseTiming(long lengthMicros, double maxDrift) {
     /** The part of the stated time that leases last; the rest allows for clock drift and late checks. */
     private static final double LEASE_FRACTION = 0.8;
     /** How many renewals are sent per lease length. */
     private static final int RENEWALS_PER_LEASE = 6;
 
-    public LeaseTerms {
-        if (length <= 0 || drift < 0 || drift > 0.01) {
-            throw new IllegalArgumentException("invalid lease length " + length + " us or clock drift "
-                    + drift);
+    public LeaseTiming {
+        if (lengthMicros <= 0 || maxDrift < 0 || maxDrift > 0.01) {
+            throw new IllegalArgumentException("invalid lease length " + lengthMicros + " us or clock drift "
+                    + maxDrift);
         }
     }
 
@@ -25,17 +25,17 @@
      * @param agreedWithin the stated time in microseconds
      * @param drift the bound on clock drift
      */
-    public static LeaseTerms within(long agreedWithin, double drift) {
-        return new LeaseTerms((long) (agreedWithin * LEASE_FRACTION), drift);
+    public static LeaseTiming forMaxDelay(long agreedWithin, double drift) {
+        return new LeaseTiming((long) (agreedWithin * LEASE_FRACTION), drift);
     }
 
     /** How long to wait on one clock until a lease measured by another clock has surely expired. */
-    public long runOut() {
-        return (long) Math.ceil(length * (1 + drift) / (1 - drift)) + 1;
+    public long expiryMicros() {
+        return (long) Math.ceil(lengthMicros * (1 + maxDrift) / (1 - maxDrift)) + 1;
     }
 
     /** The interval between renewals. */
-    public long renewEvery() {
-        return length / RENEWALS_PER_LEASE;
+    public long renewalIntervalMicros() {
+        return lengthMicros / RENEWALS_PER_LEASE;
     }
 }
--- a/src/main/java/yewdock/log/Say.java
+++ b/src/main/java/yewdock/logging/EventLog.java
@@ -1,4 +1,4 @@
-package yewdock.log;
+package yewdock.logging;
 
 import java.util.Map;
 import org.tinylog.Level;
@@ -10,33 +10,33 @@
  * JSON they are fields of the line's object, so that one request or one upgrade can be followed by its
  * number.
  */
-public final class Say {
+public final class EventLog {
     /** How lines are written. */
-    public enum Form { TEXT, JSON }
+    public enum LogFormat { TEXT, JSON }
 
-    private Say() {
+    private EventLog() {
     }
 
     /** Sets the form of the lines to come. */
-    public static void as(Form form) {
-        Lines.as(form);
+    public static void setFormat(LogFormat form) {
+        TinylogProvider.setFormat(form);
     }
 
     /**
      * Of what libraries say on this thread, only errors count from now on: one of them tells its every step.
      */
-    public static void onlyEvents() {
-        Lines.onlyEvents();
+    public static void muteLibraryLogs() {
+        TinylogProvider.muteLibraryLogs();
     }
 
     /** A line with fields given as name and value by turns. */
     public static void info(String event, Object... fields) {
-        say(Level.INFO, event, Fields.of(fields));
+        say(Level.INFO, event, LogFields.of(fields));
     }
 
     /** A line that tells of trouble. */
     public static void warn(String event, Object... fields) {
-        say(Level.WARN, event, Fields.of(fields));
+        say(Level.WARN, event, LogFields.of(fields));
     }
 
     /** A line with these fields. */
--- a/src/main/java/yewdock/log/Fields.java
+++ b/src/main/java/yewdock/logging/LogFields.java
@@ -1,11 +1,11 @@
-package yewdock.log;
+package yewdock.logging;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /** A line's fields, in their order. */
-public final class Fields {
-    private Fields() {
+public final class LogFields {
+    private LogFields() {
     }
 
     /** The fields given as name and value by turns. */
--- a/src/main/java/yewdock/log/Lines.java
+++ b/src/main/java/yewdock/logging/TinylogProvider.java
@@ -1,4 +1,4 @@
-package yewdock.log;
+package yewdock.logging;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -20,19 +20,19 @@
  * management beans, process ids and locales at its first line, which took a fifth of a start. And its JSON
  * writer seeks in its file, and so can't write to a pipe, which is what a service manager gives.
  */
-public final class Lines implements LoggingProvider {
-    private static volatile Say.Form form = Say.Form.TEXT;
+public final class TinylogProvider implements LoggingProvider {
+    private static volatile EventLog.LogFormat form = EventLog.LogFormat.TEXT;
     private static final ThreadLocal<Boolean> ONLY_EVENTS = new ThreadLocal<>();
 
     private final PrintStream out = System.out;
     private final Context context = new Context();
     private final TimeZone zone = TimeZone.getDefault();
 
-    static void as(Say.Form next) {
+    static void setFormat(EventLog.LogFormat next) {
         form = next;
     }
 
-    static void onlyEvents() {
+    static void muteLibraryLogs() {
         ONLY_EVENTS.set(true);
     }
 
@@ -71,7 +71,7 @@
         String text = arguments == null || formatter == null ? String.valueOf(message)
                 : formatter.format(String.valueOf(message), arguments);
         long now = System.currentTimeMillis();
-        if (form == Say.Form.JSON) {
+        if (form == EventLog.LogFormat.JSON) {
             out.println(json(now, level, text, exception));
             return;
         }
--- a/src/main/java/yewdock/replica/Replica.java
+++ b/src/main/java/yewdock/replication/Replicator.java
@@ -1,4 +1,4 @@
-package yewdock.replica;
+package yewdock.replication;
 
 import com.google.protobuf.InvalidProtocolBufferException;
 import java.util.ArrayList;
@@ -10,9 +10,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import yewdock.log.Fields;
-import yewdock.state.Keys;
-import yewdock.state.Records;
+import yewdock.logging.LogFields;
+import yewdock.state.RecordKeys;
+import yewdock.state.ReplicatedRecords;
 import yewdock.wire.AskSnapshot;
 import yewdock.wire.Batch;
 import yewdock.wire.Buckets;
@@ -34,7 +34,7 @@
  * <p>Only keys are queued for a peer, never records, and at most one batch is unacknowledged. So a peer that
  * is slow, silent or stale costs no more memory than one key per record.
  */
-public final class Replica {
+public final class Replicator {
     /** The version of the frames sent, and the lowest version that a reader has to support. */
     public static final int VERSION = 1;
     static final long COMPARE_INTERVAL_MICROS = 1_000_000;
@@ -46,10 +46,10 @@
     static final int MAX_ENTRIES = 2_000;
 
     private final String cluster;
-    private final Records records;
+    private final ReplicatedRecords records;
     private final int maxTombstones;
     private final Map<String, Peer> peers = new TreeMap<>();
-    private List<ReplicaEffect> effects = new ArrayList<>();
+    private List<ReplicationEffect> effects = new ArrayList<>();
     private Set<String> keysToStore = new LinkedHashSet<>();
     private long now;
     /** The greatest stamp known when the records last equalled a peer's; 0 if they never did. */
@@ -102,7 +102,7 @@
      * @param got how many records from it were stored
      * @param trouble why it is not up; empty if it is
      */
-    public record Standing(String peer, boolean up, int waiting, long lastHeard, long equalAt, long sent,
+    public record PeerStatus(String peer, boolean up, int waiting, long lastHeard, long equalAt, long sent,
             long got, String trouble) {
     }
 
@@ -112,10 +112,11 @@
      * @param cluster the name of the installation
      * @param peerNames the names of the peers
      * @param records the records of this instance
-     * @param lastSyncedStamp the value of {@link #joined()} when the records were stored; 0 for an empty disk
+     * @param lastSyncedStamp the value of {@link #lastSyncedStamp()} when the records were stored; 0 for an
+     * empty disk
      * @param maxTombstones tombstones are purged only once there are more than this
      */
-    public Replica(String cluster, Set<String> peerNames, Records records, long lastSyncedStamp,
+    public Replicator(String cluster, Set<String> peerNames, ReplicatedRecords records, long lastSyncedStamp,
             int maxTombstones) {
         this.cluster = cluster;
         this.records = records;
@@ -126,45 +127,45 @@
     }
 
     /** Handles an event at the given time (microseconds) and returns the effects to carry out. */
-    public List<ReplicaEffect> reduce(ReplicaEvent event, long time) {
+    public List<ReplicationEffect> reduce(ReplicationEvent event, long time) {
         now = Math.max(now, time);
         effects = new ArrayList<>();
         keysToStore = new LinkedHashSet<>();
-        if (event instanceof ReplicaEvent.Heard e) {
+        if (event instanceof ReplicationEvent.PeerFrameReceived e) {
             receive(peers.get(e.peer()), e.frame());
-        } else if (event instanceof ReplicaEvent.Changed e) {
+        } else if (event instanceof ReplicationEvent.RecordsChanged e) {
             queueForAll(e.keys());
-        } else if (event instanceof ReplicaEvent.Up e) {
+        } else if (event instanceof ReplicationEvent.PeerConnected e) {
             connected(peers.get(e.peer()));
-        } else if (event instanceof ReplicaEvent.Down e) {
+        } else if (event instanceof ReplicationEvent.PeerDisconnected e) {
             disconnected(peers.get(e.peer()), e.why());
-        } else if (event instanceof ReplicaEvent.Tick) {
+        } else if (event instanceof ReplicationEvent.Tick) {
             tick();
         }
         if (!keysToStore.isEmpty()) {
-            effects.add(new ReplicaEffect.Store(List.copyOf(keysToStore)));
+            effects.add(new ReplicationEffect.StoreRecords(List.copyOf(keysToStore)));
         }
         return effects;
     }
 
-    /** When the next {@link ReplicaEvent.Tick} is due, in microseconds. */
-    public long nextDue() {
+    /** When the next {@link ReplicationEvent.Tick} is due, in microseconds. */
+    public long nextTickDue() {
         return nextComparison;
     }
 
     /** The greatest stamp known when the records last equalled a peer's; to be stored with the records. */
-    public long joined() {
+    public long lastSyncedStamp() {
         return lastSyncedStamp;
     }
 
     /** Whether the initial records have yet to be received from a peer. */
-    public boolean needsAll() {
+    public boolean needsFullSync() {
         return needsFullSync;
     }
 
     /** The status of every configured peer. */
-    public List<Standing> standings() {
-        return peers.values().stream().map(peer -> new Standing(peer.name, peer.up && peer.handshakeDone,
+    public List<PeerStatus> peerStatuses() {
+        return peers.values().stream().map(peer -> new PeerStatus(peer.name, peer.up && peer.handshakeDone,
                 peer.dirtyKeys.size(), peer.lastHeard, peer.equalAt, peer.sent, peer.got,
                 peer.trouble)).toList();
     }
@@ -210,7 +211,7 @@
 
     private void close(Peer peer, String why) {
         send(peer, PeerFrame.newBuilder().setRefused(Refused.newBuilder().setWhy(why)));
-        effects.add(new ReplicaEffect.Close(peer.name, why));
+        effects.add(new ReplicationEffect.ClosePeer(peer.name, why));
         disconnected(peer, why);
     }
 
@@ -237,7 +238,7 @@
 
     private void compare(Peer peer) {
         peer.digestStamp = records.clock();
-        send(peer, PeerFrame.newBuilder().setDigest(Digest.newBuilder().addAllSums(records.sums())
+        send(peer, PeerFrame.newBuilder().setDigest(Digest.newBuilder().addAllSums(records.bucketSums())
                 .setHorizon(records.horizon())));
     }
 
@@ -253,7 +254,7 @@
             return;
         }
         if (frame.hasRefused()) {
-            effects.add(new ReplicaEffect.Close(peer.name, "refused by the peer: "
+            effects.add(new ReplicationEffect.ClosePeer(peer.name, "refused by the peer: "
                     + frame.getRefused().getWhy()));
             disconnected(peer, "refused by the peer: " + frame.getRefused().getWhy());
             return;
@@ -321,12 +322,12 @@
     }
 
     private void receiveDigest(Peer peer, Digest digest) {
-        if (digest.getSumsCount() != Records.BUCKETS) {
+        if (digest.getSumsCount() != ReplicatedRecords.BUCKETS) {
             close(peer, "digest with " + digest.getSumsCount() + " sums");
             return;
         }
         followHorizon(digest.getHorizon());
-        List<Integer> differing = records.differing(digest.getSumsList());
+        List<Integer> differing = records.differingBuckets(digest.getSumsList());
         if (differing.isEmpty()) {
             recordsEqual(peer, records.clock());
             // the peer had all records of this instance when it sent the digest
@@ -335,7 +336,7 @@
             return;
         }
         Buckets.Builder reply = Buckets.newBuilder();
-        for (Map.Entry<Integer, List<Kept>> bucket : records.of(differing).entrySet()) {
+        for (Map.Entry<Integer, List<Kept>> bucket : records.recordsInBuckets(differing).entrySet()) {
             List<Kept> inBucket = bucket.getValue();
             if (reply.getEntriesCount() > 0 && reply.getEntriesCount() + inBucket.size() > MAX_ENTRIES) {
                 break;
@@ -359,12 +360,12 @@
     /** Purges tombstones that a peer has purged, as otherwise the sums would never agree. */
     private void followHorizon(long horizon) {
         if (horizon > records.horizon() && (lastSyncedStamp == 0 || horizon <= lastSyncedStamp)) {
-            keysToStore.addAll(records.forget(horizon));
+            keysToStore.addAll(records.purgeTombstones(horizon));
         }
     }
 
     private void receiveBuckets(Peer peer, Buckets buckets) {
-        if (buckets.getIndexesList().stream().anyMatch(i -> i < 0 || i >= Records.BUCKETS)) {
+        if (buckets.getIndexesList().stream().anyMatch(i -> i < 0 || i >= ReplicatedRecords.BUCKETS)) {
             close(peer, "invalid bucket index");
             return;
         }
@@ -372,12 +373,13 @@
         Map<String, Buckets.Entry> remote = new HashMap<>();
         for (Buckets.Entry e : buckets.getEntriesList()) {
             remote.put(e.getKey(), e);
-            Kept local = records.raw(e.getKey());
+            Kept local = records.getWithTombstones(e.getKey());
             if (local == null || records.hash(e.getKey()) != e.getHash() && order(e, local) >= 0) {
                 want.add(e.getKey());
             }
         }
-        records.of(buckets.getIndexesList()).values().forEach(bucket -> bucket.forEach(local -> {
+        records.recordsInBuckets(buckets.getIndexesList()).values().forEach(bucket -> bucket.forEach(local ->
+                {
             Buckets.Entry e = remote.get(local.getKey());
             if (e == null || e.getHash() != records.hash(local.getKey()) && order(e, local) <= 0) {
                 peer.dirtyKeys.add(local.getKey());
@@ -390,11 +392,11 @@
     }
 
     private static int order(Buckets.Entry remote, Kept local) {
-        return Records.order(remote.getStamp(), remote.getInstance(), local);
+        return ReplicatedRecords.compare(remote.getStamp(), remote.getInstance(), local);
     }
 
     private void receiveWant(Peer peer, Collection<String> keys) {
-        keys.stream().filter(k -> records.raw(k) != null).forEach(peer.dirtyKeys::add);
+        keys.stream().filter(k -> records.getWithTombstones(k) != null).forEach(peer.dirtyKeys::add);
         push(peer);
     }
 
@@ -425,7 +427,7 @@
         for (Iterator<String> keys = peer.dirtyKeys.iterator(); keys.hasNext()
                 && batch.getRecordsCount() < MAX_BATCH_RECORDS && bytes < MAX_BATCH_BYTES;) {
             String key = keys.next();
-            Kept kept = records.raw(key);
+            Kept kept = records.getWithTombstones(key);
             if (kept != null) {
                 batch.addRecords(kept);
                 bytes += kept.getSerializedSize();
@@ -455,13 +457,13 @@
     private boolean merge(Peer peer, List<Kept> received) {
         List<String> rewrittenKeys = new ArrayList<>();
         for (Kept kept : received) {
-            String flaw = Records.flaw(kept);
+            String flaw = ReplicatedRecords.validate(kept);
             if (flaw != null) {
                 close(peer, "invalid record: " + flaw);
                 return false;
             }
-            Kept local = records.raw(kept.getKey());
-            if (local != null && Keys.isOf(records.instance(), kept.getKey())
+            Kept local = records.getWithTombstones(kept.getKey());
+            if (local != null && RecordKeys.isOwnedBy(records.instance(), kept.getKey())
                     && kept.getStamp() >= local.getStamp() && !kept.equals(local)) {
                 // this instance wrote it before it lost its disk: its present record is the right one
                 Kept.Builder rewritten = local.toBuilder();
@@ -470,12 +472,12 @@
                 keysToStore.add(kept.getKey());
                 continue;
             }
-            Records.Merged merged = records.merge(kept);
-            if (merged == Records.Merged.REFUSED) {
+            ReplicatedRecords.MergeResult merged = records.merge(kept);
+            if (merged == ReplicatedRecords.MergeResult.REJECTED) {
                 close(peer, "record limit of this instance reached");
                 return false;
             }
-            if (merged == Records.Merged.TAKEN) {
+            if (merged == ReplicatedRecords.MergeResult.APPLIED) {
                 keysToStore.add(kept.getKey());
                 peer.got++;
             }
@@ -508,7 +510,7 @@
     /** All records as of now; cheap, as records are immutable and only references are copied. */
     private List<Kept> allRecords() {
         List<Kept> all = new ArrayList<>(records.size());
-        records.after("").forEach(all::add);
+        records.recordsAfter("").forEach(all::add);
         return all;
     }
 
@@ -547,7 +549,7 @@
             // first part: records that the peer lacks were removed while this instance was away; but not its
             // own ones, which no other instance can remove
             log("replica.replaced", peer, "records", records.size());
-            keysToStore.addAll(records.clear(key -> Keys.isOf(records.instance(), key)));
+            keysToStore.addAll(records.removeExcept(key -> RecordKeys.isOwnedBy(records.instance(), key)));
             needsFullSync = true;
         }
         if (!merge(peer, received)) {
@@ -558,7 +560,7 @@
             peer.receivesSnapshot = false;
             snapshotRequested = false;
             needsFullSync = false;
-            keysToStore.addAll(records.forget(part.getHorizon()));
+            keysToStore.addAll(records.purgeTombstones(part.getHorizon()));
             lastSyncedStamp = Math.max(1, records.clock());
             log("replica.caught_up", peer, "records", records.size());
             send(peer, PeerFrame.newBuilder().setHello(hello(peer, true)));
@@ -582,11 +584,11 @@
         for (Peer peer : peers.values()) {
             upTo = Math.min(upTo, peer.syncedStamp);
         }
-        keysToStore.addAll(records.forget(upTo));
+        keysToStore.addAll(records.purgeTombstones(upTo));
     }
 
     private void send(Peer peer, PeerFrame.Builder frame) {
-        effects.add(new ReplicaEffect.Send(peer.name, frame.build()));
+        effects.add(new ReplicationEffect.SendToPeer(peer.name, frame.build()));
     }
 
     private void log(String event, Peer peer, Object... fields) {
@@ -594,6 +596,6 @@
         allFields[0] = "peer";
         allFields[1] = peer.name;
         System.arraycopy(fields, 0, allFields, 2, fields.length);
-        effects.add(new ReplicaEffect.Note(event, Fields.of(allFields)));
+        effects.add(new ReplicationEffect.LogEvent(event, LogFields.of(allFields)));
     }
 }
--- a/src/main/java/yewdock/replica/Snapshots.java
+++ b/src/main/java/yewdock/replication/Snapshots.java
@@ -1,4 +1,4 @@
-package yewdock.replica;
+package yewdock.replication;
 
 import com.github.luben.zstd.Zstd;
 import com.github.luben.zstd.ZstdException;
@@ -14,7 +14,7 @@
     /** A part is complete once its records have this many bytes before compression. */
     static final int PART_BYTES = 256 * 1024;
     /** The largest decompressed size that is accepted for a part, in bytes. */
-    static final int MAX_PLAIN_BYTES = 2 * PART_BYTES + yewdock.state.Records.MOST_BYTES;
+    static final int MAX_PLAIN_BYTES = 2 * PART_BYTES + yewdock.state.ReplicatedRecords.MAX_RECORD_BYTES;
     private static final int COMPRESSION_LEVEL = 3;
 
     private Snapshots() {
