--- a/src/main/java/yewdock/rules/Kind.java
+++ b/src/main/java/yewdock/rules/RuleKind.java
@@ -9,11 +9,11 @@
  * <p>From the time a change is prepared until it takes effect, a router applies {@link #between}, which
  * contradicts neither the old nor the new value.
  */
-public enum Kind {
+public enum RuleKind {
     /** A server that gets no new requests. While a change is pending it gets none either. */
-    BOX("box", true) {
+    SERVER("box", true) {
         @Override
-        boolean fits(RuleValue value) {
+        boolean isValid(RuleValue value) {
             return value.hasOut() && value.getOut();
         }
 
@@ -23,9 +23,9 @@
         }
     },
     /** A tenant's requests per second over all routers. While a change is pending the lower limit applies. */
-    SHARE("share", true) {
+    RATE_LIMIT("share", true) {
         @Override
-        boolean fits(RuleValue value) {
+        boolean isValid(RuleValue value) {
             return value.hasShare() && value.getShare() >= 0 && value.getShare() <= MAX_REQUESTS_PER_SECOND;
         }
 
@@ -43,7 +43,7 @@
      */
     SETTING("setting", false) {
         @Override
-        boolean fits(RuleValue value) {
+        boolean isValid(RuleValue value) {
             return value.hasText();
         }
 
@@ -57,35 +57,35 @@
     private static final RuleValue NO_NEW_REQUESTS = RuleValue.newBuilder().setOut(true).build();
     private static final int MAX_SUBJECT_LENGTH = 200;
 
-    private final String word;
-    private final boolean hard;
+    private final String prefix;
+    private final boolean requiresLease;
 
-    Kind(String word, boolean hard) {
-        this.word = word;
-        this.hard = hard;
+    RuleKind(String word, boolean hard) {
+        this.prefix = word;
+        this.requiresLease = hard;
     }
 
     /** The part of a subject before the slash. */
-    public String word() {
-        return word;
+    public String prefix() {
+        return prefix;
     }
 
     /** Whether a router without a valid lease refuses new requests under such a rule; else it goes on. */
-    public boolean hard() {
-        return hard;
+    public boolean requiresLease() {
+        return requiresLease;
     }
 
     /** The subject of this kind with the given name. */
     public String subject(String name) {
-        return word + "/" + name;
+        return prefix + "/" + name;
     }
 
     /** The kind of a subject, or null if this version doesn't know it or the subject is malformed. */
-    public static Kind of(String subject) {
+    public static RuleKind of(String subject) {
         int slash = subject.indexOf('/');
-        for (Kind kind : values()) {
+        for (RuleKind kind : values()) {
             if (slash > 0 && slash < subject.length() - 1 && subject.length() <= MAX_SUBJECT_LENGTH
-                    && kind.word.equals(subject.substring(0, slash))) {
+                    && kind.prefix.equals(subject.substring(0, slash))) {
                 return kind;
             }
         }
@@ -98,13 +98,13 @@
     }
 
     /** Whether the subject is of a known kind and may have this value; null (no value) is always valid. */
-    public static boolean fits(String subject, RuleValue value) {
-        Kind kind = of(subject);
-        return kind != null && (value == null || kind.fits(value));
+    public static boolean isValid(String subject, RuleValue value) {
+        RuleKind kind = of(subject);
+        return kind != null && (value == null || kind.isValid(value));
     }
 
     /** Whether a rule of this kind may have the value, which is not null. */
-    abstract boolean fits(RuleValue value);
+    abstract boolean isValid(RuleValue value);
 
     /** The value that applies while a change between these two is pending; null stands for no value. */
     abstract RuleValue between(RuleValue before, RuleValue after);
--- a/src/main/java/yewdock/rules/Rules.java
+++ b/src/main/java/yewdock/rules/RuleStateMachine.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.TreeMap;
-import yewdock.state.Records;
+import yewdock.state.ReplicatedRecords;
 import yewdock.wire.HistoryLine;
 import yewdock.wire.RuleChange;
 import yewdock.wire.RuleCommand;
@@ -30,11 +30,11 @@
  * <p>Each command is one step. The chain is a hash over all commands and their outcomes: two instances at the
  * same step with different chains have different rules, which is a fault.
  */
-public final class Rules {
+public final class RuleStateMachine {
     /** How many subjects may have a value or a pending change. */
-    public static final int MOST_SUBJECTS = 10_000;
+    public static final int MAX_SUBJECTS = 10_000;
     /** The largest serialized size of a change, in bytes. */
-    public static final int MOST_BYTES = 16 * 1024;
+    public static final int MAX_CHANGE_BYTES = 16 * 1024;
     /** How many outcomes are remembered, for retries after a lost answer. */
     static final int MAX_OUTCOMES = 4_000;
     static final int MAX_HISTORY = 1_000;
@@ -43,29 +43,29 @@
     private long step;
     private long revision;
     private long chain;
-    private long prepared;
+    private long lastPreparedStep;
     private final TreeMap<String, SubjectState> subjects = new TreeMap<>();
     /** The subjects with a pending change, by the id of that change, oldest first. */
     private final LinkedHashMap<String, String> pendingSubjects = new LinkedHashMap<>();
     private final LinkedHashMap<String, RuleOutcome> outcomes = new LinkedHashMap<>();
     private final ArrayDeque<HistoryLine> history = new ArrayDeque<>();
     private final ArrayDeque<ByteString> unknownCommands = new ArrayDeque<>();
-    private View view = View.NOTHING;
+    private RulesView view = RulesView.EMPTY;
 
     /**
      * Validates a change before it is proposed; null if it is valid. Only the proposer checks the kind of
      * subject.
      */
-    public static Refusal flaw(RuleChange change) {
-        if (change.getSerializedSize() > MOST_BYTES) {
-            return Refusal.TOO_LARGE;
+    public static ChangeRejection validate(RuleChange change) {
+        if (change.getSerializedSize() > MAX_CHANGE_BYTES) {
+            return ChangeRejection.TOO_LARGE;
         }
-        return change.getId().isEmpty() || !Kind.fits(change.getSubject(),
-                change.hasValue() ? change.getValue() : null) ? Refusal.UNFIT : null;
+        return change.getId().isEmpty() || !RuleKind.isValid(change.getSubject(),
+                change.hasValue() ? change.getValue() : null) ? ChangeRejection.INVALID : null;
     }
 
     /** Applies one command and returns the outcome of its change. */
-    public RuleOutcome take(RuleCommand command) {
+    public RuleOutcome apply(RuleCommand command) {
         step++;
         RuleOutcome outcome = switch (command.getWhatCase()) {
             case PREPARE -> prepare(command.getPrepare());
@@ -74,7 +74,7 @@
             default -> keepUnknown(command);
         };
         HashStream64 hash = Hashing.xxh3_64().hashStream();
-        byte[] bytes = Records.bytes(command);
+        byte[] bytes = ReplicatedRecords.bytes(command);
         hash.putLong(chain).putBytes(bytes).putInt(bytes.length);
         hash.putInt(outcome.getRefusal()).putLong(outcome.getRevision());
         chain = hash.getAsLong();
@@ -101,34 +101,34 @@
             return known;
         }
         SubjectState state = subjects.get(change.getSubject());
-        Refusal refusal = refusal(change, state);
+        ChangeRejection refusal = refusal(change, state);
         if (refusal == null) {
             SubjectState.Builder next = state == null
                     ? SubjectState.newBuilder().setSubject(change.getSubject()) : state.toBuilder();
             subjects.put(change.getSubject(), next.setPending(change).setPendingStep(step).build());
             pendingSubjects.put(change.getId(), change.getSubject());
-            prepared = step;
+            lastPreparedStep = step;
         }
         return remember(RuleOutcome.newBuilder().setId(change.getId()).setStep(step)
                 .setRefusal(refusal == null ? 0 : refusal.number()).build());
     }
 
     /** Must not depend on the kinds of subjects that this version knows, or versions would diverge. */
-    private Refusal refusal(RuleChange change, SubjectState state) {
-        if (change.getSerializedSize() > MOST_BYTES) {
-            return Refusal.TOO_LARGE;
+    private ChangeRejection refusal(RuleChange change, SubjectState state) {
+        if (change.getSerializedSize() > MAX_CHANGE_BYTES) {
+            return ChangeRejection.TOO_LARGE;
         }
         if (state != null && state.hasPending()) {
-            return Refusal.UNDER_WAY;
+            return ChangeRejection.ALREADY_PENDING;
         }
         if (change.getBase() != (state == null ? 0 : state.getRevision())) {
-            return Refusal.STALE;
+            return ChangeRejection.STALE;
         }
         RuleValue current = state != null && state.hasValue() ? state.getValue() : null;
         if (Objects.equals(current, change.hasValue() ? change.getValue() : null)) {
-            return Refusal.SAME;
+            return ChangeRejection.UNCHANGED;
         }
-        return state == null && subjects.size() >= MOST_SUBJECTS ? Refusal.FULL : null;
+        return state == null && subjects.size() >= MAX_SUBJECTS ? ChangeRejection.TOO_MANY_SUBJECTS : null;
     }
 
     /** Idempotent: a new leader that didn't see the first force of a change may force it again. */
@@ -167,7 +167,7 @@
     private RuleOutcome notPending(String id) {
         RuleOutcome known = outcomes.get(id);
         return known != null ? known : RuleOutcome.newBuilder().setId(id).setStep(step)
-                .setRefusal(Refusal.NOT_UNDER_WAY.number()).build();
+                .setRefusal(ChangeRejection.NOT_PENDING.number()).build();
     }
 
     /** Remembers an outcome. Outcomes of pending changes are never evicted, as they are not final yet. */
@@ -200,8 +200,8 @@
     }
 
     /** The step at which a change was last prepared, whether or not it is still pending. */
-    public long prepared() {
-        return prepared;
+    public long lastPreparedStep() {
+        return lastPreparedStep;
     }
 
     /** The revision at which a subject was last changed; 0 if never. */
@@ -221,7 +221,7 @@
     }
 
     /** The ids of the pending changes with the steps at which they were prepared, oldest first. */
-    public Map<String, Long> underWay() {
+    public Map<String, Long> pendingChanges() {
         Map<String, Long> pending = new LinkedHashMap<>();
         pendingSubjects.forEach((id, subject) -> pending.put(id, subjects.get(subject).getPendingStep()));
         return pending;
@@ -233,9 +233,9 @@
     }
 
     /** The view of the rules that a router applies. */
-    public View view() {
+    public RulesView view() {
         if (view == null) {
-            view = View.of(step, revision, subjects.values());
+            view = RulesView.of(step, revision, subjects.values());
         }
         return view;
     }
@@ -246,7 +246,7 @@
     public RulesSnapshot snapshot() {
         return RulesSnapshot.newBuilder().setStep(step).setRevision(revision).setChain(chain)
                 .addAllSubjects(subjects.values()).addAllOutcomes(outcomes.values()).addAllHistory(history)
-                .addAllUnread(unknownCommands).setPrepared(prepared).build();
+                .addAllUnread(unknownCommands).setPrepared(lastPreparedStep).build();
     }
 
     /** Replaces the whole state by that of a snapshot. */
@@ -254,7 +254,7 @@
         step = snapshot.getStep();
         revision = snapshot.getRevision();
         chain = snapshot.getChain();
-        prepared = snapshot.getPrepared();
+        lastPreparedStep = snapshot.getPrepared();
         subjects.clear();
         snapshot.getSubjectsList().forEach(state -> subjects.put(state.getSubject(), state));
         pendingSubjects.clear();
@@ -270,8 +270,8 @@
         view = null;
     }
 
-    /** Parses a command as written by {@link Records#bytes}; fields of a newer version are kept. */
-    public static RuleCommand read(byte[] bytes) throws InvalidProtocolBufferException {
+    /** Parses a command as written by {@link ReplicatedRecords#bytes}; fields of a newer version are kept. */
+    public static RuleCommand parseCommand(byte[] bytes) throws InvalidProtocolBufferException {
         return RuleCommand.parseFrom(bytes);
     }
 }
--- a/src/main/java/yewdock/rules/View.java
+++ b/src/main/java/yewdock/rules/RulesView.java
@@ -14,21 +14,21 @@
  *
  * @param step the step of the rules
  * @param revision how many changes had taken effect
- * @param out names of servers that get no new requests
- * @param shares limits in requests per second, by tenant
+ * @param cordonedServers names of servers that get no new requests
+ * @param rateLimits limits in requests per second, by tenant
  * @param settings values of the operators' settings that have to be the same everywhere, by key
  */
-public record View(long step, long revision, Set<String> out, Map<String, Double> shares,
+public record RulesView(long step, long revision, Set<String> cordonedServers, Map<String, Double> rateLimits,
         Map<String, String> settings) {
     /** The view before any rule is set. */
-    public static final View NOTHING = new View(0, 0, Set.of(), Map.of(), Map.of());
+    public static final RulesView EMPTY = new RulesView(0, 0, Set.of(), Map.of(), Map.of());
 
-    static View of(long step, long revision, Collection<SubjectState> subjects) {
+    static RulesView of(long step, long revision, Collection<SubjectState> subjects) {
         Set<String> out = new TreeSet<>();
         Map<String, Double> shares = new TreeMap<>();
         Map<String, String> settings = new TreeMap<>();
         for (SubjectState state : subjects) {
-            Kind kind = Kind.of(state.getSubject());
+            RuleKind kind = RuleKind.of(state.getSubject());
             if (kind == null) {
                 continue;
             }
@@ -36,20 +36,20 @@
             if (value == null) {
                 continue;
             }
-            String name = Kind.name(state.getSubject());
+            String name = RuleKind.name(state.getSubject());
             switch (kind) {
-                case BOX -> out.add(name);
-                case SHARE -> shares.put(name, value.getShare());
+                case SERVER -> out.add(name);
+                case RATE_LIMIT -> shares.put(name, value.getShare());
                 case SETTING -> settings.put(name, value.getText());
                 default -> {
                     // a kind that routers don't apply
                 }
             }
         }
-        return new View(step, revision, Set.copyOf(out), Map.copyOf(shares), Map.copyOf(settings));
+        return new RulesView(step, revision, Set.copyOf(out), Map.copyOf(shares), Map.copyOf(settings));
     }
 
-    private static RuleValue effectiveValue(Kind kind, SubjectState state) {
+    private static RuleValue effectiveValue(RuleKind kind, SubjectState state) {
         RuleValue current = state.hasValue() ? state.getValue() : null;
         if (!state.hasPending()) {
             return current;
--- a/src/main/java/yewdock/settings/Section.java
+++ b/src/main/java/yewdock/settings/Section.java
@@ -27,7 +27,8 @@
     }
 
     /** The whole of a text that came from there. */
-    public static Section read(String where, String text, List<String> mistakes) throws BadSettingsException {
+    public static Section read(String where, String text, List<String> mistakes)
+            throws InvalidSettingsException {
         return read(where, text, Map.of(), mistakes);
     }
 
@@ -36,13 +37,13 @@
      * dots between them.
      */
     public static Section read(String where, String text, Map<String, Object> instead, List<String> mistakes)
-            throws BadSettingsException {
+            throws InvalidSettingsException {
         Map<String, Object> values;
         try {
             values = new HCLParser().parse(text);
         } catch (HCLParserException | IOException | RuntimeException e) {
             String why = String.valueOf(e.getMessage()).lines().findFirst().orElse("").strip();
-            throw new BadSettingsException(List.of(where + ": not HCL: " + why));
+            throw new InvalidSettingsException(List.of(where + ": not HCL: " + why));
         }
         // the parser takes some texts that are no HCL for empty ones
         boolean saysSomething = text.lines().map(String::strip)
@@ -87,9 +88,9 @@
             return new Section(where + key + ".", map, mistakes);
         }
         if (value instanceof List<?>) {
-            wrong(key, "one block, not several");
+            addError(key, "one block, not several");
         } else if (value != null) {
-            wrong(key, "a block, not " + value);
+            addError(key, "a block, not " + value);
         }
         return new Section(where + key + ".", Map.of(), mistakes);
     }
@@ -104,11 +105,11 @@
                     found.put(String.valueOf(label), new Section(where + key + "." + label + ".", inner,
                             mistakes));
                 } else {
-                    wrong(key + "." + label, "one block with a label of its own, not " + block);
+                    addError(key + "." + label, "one block with a label of its own, not " + block);
                 }
             });
         } else if (value != null) {
-            wrong(key, "blocks with labels, not " + value);
+            addError(key, "blocks with labels, not " + value);
         }
         return found;
     }
@@ -125,17 +126,17 @@
                 && b.doubleValue() <= most) {
             return new double[] {a.doubleValue(), b.doubleValue()};
         }
-        wrong(key, "[from, to], from " + plain(least) + " to " + plain(most) + ", not " + list);
+        addError(key, "[from, to], from " + plain(least) + " to " + plain(most) + ", not " + list);
         return new double[] {from, to};
     }
 
     /** True or false. */
-    public boolean flag(String key, boolean byDefault) {
+    public boolean bool(String key, boolean byDefault) {
         Object value = take(key);
         if (value == null || value instanceof Boolean) {
             return value == null ? byDefault : (Boolean) value;
         }
-        wrong(key, "true or false, not " + value);
+        addError(key, "true or false, not " + value);
         return byDefault;
     }
 
@@ -147,13 +148,13 @@
                 && n.doubleValue() >= least && n.doubleValue() <= most)) {
             list.forEach(v -> all.add(((Number) v).doubleValue()));
         } else if (value != null) {
-            wrong(key, "a list of numbers from " + plain(least) + " to " + plain(most) + ", not " + value);
+            addError(key, "a list of numbers from " + plain(least) + " to " + plain(most) + ", not " + value);
         }
         return all;
     }
 
     /** Every key with its value, taken as they are. */
-    public Map<String, Object> everything() {
+    public Map<String, Object> allValues() {
         Map<String, Object> all = new LinkedHashMap<>();
         values.keySet().forEach(k -> all.put(String.valueOf(k), take(String.valueOf(k))));
         return all;
@@ -164,22 +165,22 @@
         return values.containsKey(key);
     }
 
-    public String text(String key, String byDefault) {
+    public String string(String key, String byDefault) {
         Object value = take(key);
         if (value == null) {
             return byDefault;
         }
         if (!(value instanceof String)) {
-            wrong(key, "a text, not " + value);
+            addError(key, "a text, not " + value);
             return byDefault;
         }
         return (String) value;
     }
 
     public String oneOf(String key, String byDefault, List<String> allowed) {
-        String value = text(key, byDefault);
+        String value = string(key, byDefault);
         if (!allowed.contains(value)) {
-            wrong(key, String.join(" or ", allowed) + ", not " + value);
+            addError(key, String.join(" or ", allowed) + ", not " + value);
             return byDefault;
         }
         return value;
@@ -191,28 +192,28 @@
             return byDefault;
         }
         if (!(value instanceof Number n) || !(n.doubleValue() >= least && n.doubleValue() <= most)) {
-            wrong(key, "a number from " + plain(least) + " to " + plain(most) + ", not "
+            addError(key, "a number from " + plain(least) + " to " + plain(most) + ", not "
                     + (value instanceof Number n ? plain(n.doubleValue()) : value));
             return byDefault;
         }
         return n.doubleValue();
     }
 
-    public int whole(String key, int byDefault, int least, int most) {
+    public int integer(String key, int byDefault, int least, int most) {
         double value = number(key, byDefault, least, most);
         if (value != Math.rint(value)) {
-            wrong(key, "a whole number, not " + value);
+            addError(key, "a whole number, not " + value);
             return byDefault;
         }
         return (int) value;
     }
 
     /** Microseconds, given as seconds. */
-    public long seconds(String key, double byDefault, double least, double most) {
+    public long durationMicros(String key, double byDefault, double least, double most) {
         return Math.round(number(key, byDefault, least, most) * 1e6);
     }
 
-    public List<String> texts(String key, List<String> byDefault) {
+    public List<String> strings(String key, List<String> byDefault) {
         Object value = take(key);
         if (value == null) {
             return byDefault;
@@ -222,15 +223,15 @@
             list.forEach(v -> texts.add((String) v));
             return texts;
         }
-        wrong(key, "a list of texts, not " + value);
+        addError(key, "a list of texts, not " + value);
         return byDefault;
     }
 
     /** Every key that was not asked for is a mistake. */
-    public void nothingElse() {
+    public void rejectUnknownKeys() {
         for (Object key : values.keySet()) {
             if (!known.contains(String.valueOf(key))) {
-                wrong(String.valueOf(key), known.isEmpty() ? "nothing here"
+                addError(String.valueOf(key), known.isEmpty() ? "nothing here"
                         : "no such key; there are " + String.join(", ", known));
             }
         }
@@ -242,7 +243,7 @@
     }
 
     /** Notes a mistake: what the key may be, and what it is not. */
-    public void wrong(String key, String allowed) {
+    public void addError(String key, String allowed) {
         mistakes.add(where + key + ": " + allowed);
     }
 
--- a/src/main/java/yewdock/state/Records.java
+++ b/src/main/java/yewdock/state/ReplicatedRecords.java
@@ -24,17 +24,17 @@
  * sort later. So merging is commutative, associative and idempotent, and does not depend on wall clocks. No
  * I/O. Not thread-safe.
  */
-public final class Records {
+public final class ReplicatedRecords {
     /** The number of buckets that keys are hashed to; differences are found by comparing sums per bucket. */
     public static final int BUCKETS = 256;
     /** The largest serialized size of a record, in bytes. */
-    public static final int MOST_BYTES = 256 * 1024;
+    public static final int MAX_RECORD_BYTES = 256 * 1024;
     private static final int MAX_KEY_LENGTH = 300;
 
     private final String instance;
     private final int maxRecords;
     private final TreeMap<String, Entry> entries = new TreeMap<>();
-    private final long[] sums = new long[BUCKETS];
+    private final long[] bucketSums = new long[BUCKETS];
     private long clock;
     private long horizon;
     private long bytes;
@@ -45,7 +45,7 @@
     }
 
     /** The outcome of merging a record: stored, already known, older than the stored one, or refused. */
-    public enum Merged { TAKEN, KNOWN, OLDER, REFUSED }
+    public enum MergeResult { APPLIED, UNCHANGED, OUTDATED, REJECTED }
 
     /**
      * Creates an empty set of records.
@@ -53,7 +53,7 @@
      * @param instance the name of this instance
      * @param maxRecords the maximum number of records, tombstones included
      */
-    public Records(String instance, int maxRecords) {
+    public ReplicatedRecords(String instance, int maxRecords) {
         this.instance = instance;
         this.maxRecords = maxRecords;
     }
@@ -71,42 +71,42 @@
     }
 
     /** Replaces the record of a key by a tombstone and returns that; null if there was no record. */
-    public Kept drop(String key, long wall) {
+    public Kept delete(String key, long wall) {
         Kept before = get(key);
         return before == null ? null : write(key, Kept.newBuilder().setDropped(Dropped.getDefaultInstance()),
                 wall);
     }
 
     /** Merges a record from another instance or from the disk. */
-    public Merged merge(Kept kept) {
-        String flaw = flaw(kept);
+    public MergeResult merge(Kept kept) {
+        String flaw = validate(kept);
         if (flaw != null) {
-            return Merged.REFUSED;
+            return MergeResult.REJECTED;
         }
         Entry before = entries.get(kept.getKey());
         if (before == null && kept.hasDropped() && kept.getStamp() <= horizon) {
-            return Merged.KNOWN;
+            return MergeResult.UNCHANGED;
         }
         if (before == null && entries.size() >= maxRecords) {
-            return Merged.REFUSED;
+            return MergeResult.REJECTED;
         }
         clock = Math.max(clock, kept.getStamp());
         Entry after = entry(kept);
         if (before != null) {
-            int order = order(before, after);
+            int order = compare(before, after);
             if (order >= 0) {
-                return order == 0 ? Merged.KNOWN : Merged.OLDER;
+                return order == 0 ? MergeResult.UNCHANGED : MergeResult.OUTDATED;
             }
         }
         put(after);
-        return Merged.TAKEN;
+        return MergeResult.APPLIED;
     }
 
     /**
      * What is wrong with a record, or null. A stamp near the maximum is refused, as later writes could not
      * get a greater one.
      */
-    public static String flaw(Kept kept) {
+    public static String validate(Kept kept) {
         if (kept.getKey().isEmpty() || kept.getKey().length() > MAX_KEY_LENGTH) {
             return "a key of " + kept.getKey().length() + " characters";
         }
@@ -119,17 +119,18 @@
         if (kept.getWhatCase() == Kept.WhatCase.WHAT_NOT_SET) {
             return "no content that this version knows";
         }
-        return kept.getSerializedSize() > MOST_BYTES ? "a size of " + kept.getSerializedSize() + " bytes"
+        return kept.getSerializedSize() > MAX_RECORD_BYTES ? "a size of " + kept.getSerializedSize()
+                + " bytes"
                 : null;
     }
 
-    private static int order(Entry a, Entry b) {
-        int order = order(a.kept.getStamp(), a.kept.getInstance(), b.kept);
+    private static int compare(Entry a, Entry b) {
+        int order = compare(a.kept.getStamp(), a.kept.getInstance(), b.kept);
         return order != 0 ? order : Arrays.compare(a.bytes, b.bytes);
     }
 
     /** Orders a record with this stamp and instance against another; 0 if their bytes have to decide. */
-    public static int order(long stamp, String instance, Kept other) {
+    public static int compare(long stamp, String instance, Kept other) {
         int order = Long.compare(stamp, other.getStamp());
         return order != 0 ? order : instance.compareTo(other.getInstance());
     }
@@ -137,7 +138,7 @@
     private void put(Entry entry) {
         remove(entry.kept.getKey());
         entries.put(entry.kept.getKey(), entry);
-        sums[entry.bucket] += entry.hash;
+        bucketSums[entry.bucket] += entry.hash;
         bytes += entry.bytes.length;
         tombstones += entry.kept.hasDropped() ? 1 : 0;
     }
@@ -145,7 +146,7 @@
     private void remove(String key) {
         Entry before = entries.remove(key);
         if (before != null) {
-            sums[before.bucket] -= before.hash;
+            bucketSums[before.bucket] -= before.hash;
             bytes -= before.bytes.length;
             tombstones -= before.kept.hasDropped() ? 1 : 0;
         }
@@ -171,7 +172,7 @@
     }
 
     /** Parses a record written by {@link #bytes(Message)}. */
-    public static Kept read(byte[] bytes) throws InvalidProtocolBufferException {
+    public static Kept parse(byte[] bytes) throws InvalidProtocolBufferException {
         return Kept.parseFrom(bytes);
     }
 
@@ -188,13 +189,13 @@
     }
 
     /** The record or tombstone of a key; null if there is neither. */
-    public Kept raw(String key) {
+    public Kept getWithTombstones(String key) {
         Entry entry = entries.get(key);
         return entry == null ? null : entry.kept;
     }
 
     /** The records whose keys have this prefix, without tombstones, in key order. */
-    public List<Kept> prefix(String prefix) {
+    public List<Kept> withPrefix(String prefix) {
         List<Kept> found = new ArrayList<>();
         for (Entry entry : entries.tailMap(prefix, true).values()) {
             if (!entry.kept.getKey().startsWith(prefix)) {
@@ -208,7 +209,7 @@
     }
 
     /** All records after this key, tombstones included, in key order; "" for all. */
-    public Iterable<Kept> after(String key) {
+    public Iterable<Kept> recordsAfter(String key) {
         NavigableMap<String, Entry> tail = entries.tailMap(key, false);
         return () -> tail.values().stream().map(Entry::kept).iterator();
     }
@@ -236,15 +237,15 @@
     // ---- comparing with another instance
 
     /** The sum of the records' hashes in each bucket. */
-    public List<Long> sums() {
-        return Arrays.stream(sums).boxed().toList();
+    public List<Long> bucketSums() {
+        return Arrays.stream(bucketSums).boxed().toList();
     }
 
     /** The buckets whose sums differ from these. */
-    public List<Integer> differing(List<Long> otherSums) {
+    public List<Integer> differingBuckets(List<Long> otherSums) {
         List<Integer> differing = new ArrayList<>();
         for (int i = 0; i < BUCKETS; i++) {
-            if (otherSums.size() != BUCKETS || otherSums.get(i) != sums[i]) {
+            if (otherSums.size() != BUCKETS || otherSums.get(i) != bucketSums[i]) {
                 differing.add(i);
             }
         }
@@ -252,7 +253,7 @@
     }
 
     /** The records in each of these buckets, tombstones included; one pass over all records. */
-    public SortedMap<Integer, List<Kept>> of(Collection<Integer> buckets) {
+    public SortedMap<Integer, List<Kept>> recordsInBuckets(Collection<Integer> buckets) {
         SortedMap<Integer, List<Kept>> byBucket = new TreeMap<>();
         buckets.forEach(bucket -> byBucket.put(bucket, new ArrayList<>()));
         for (Entry entry : entries.values()) {
@@ -281,7 +282,7 @@
      * Purges the tombstones up to this stamp and returns their keys. To be called with a stamp up to which
      * every configured peer is known to have them, or with another instance's horizon.
      */
-    public List<String> forget(long upTo) {
+    public List<String> purgeTombstones(long upTo) {
         if (upTo <= horizon) {
             return List.of();
         }
@@ -304,7 +305,7 @@
      * Removes all records, tombstones included, except those with keys to keep, and returns the removed keys.
      * The Lamport clock is not reset, so that later writes don't count as old.
      */
-    public List<String> clear(Predicate<String> keep) {
+    public List<String> removeExcept(Predicate<String> keep) {
         List<String> keys = entries.keySet().stream().filter(keep.negate()).toList();
         keys.forEach(this::remove);
         return keys;
--- a/src/main/java/yewdock/state/Keeping.java
+++ b/src/main/java/yewdock/state/StateRecorder.java
@@ -21,7 +21,7 @@
  * I/O. Times are microseconds since 1970 on this machine's clock; they are used for ages only, and a negative
  * age, after the clock was set back, counts as zero.
  */
-public final class Keeping {
+public final class StateRecorder {
     /** The age in microseconds after which what the module has learnt is not used any more. */
     static final long MODULE_MEMORY_TTL_MICROS = 3_600_000_000L;
     /**
@@ -30,7 +30,7 @@
      */
     static final long MAX_REMAINING_MICROS = 600_000_000L;
 
-    private final Records records;
+    private final ReplicatedRecords records;
     private final long maxDrainAgeMicros;
 
     /**
@@ -39,7 +39,7 @@
      * @param maxDrainAgeMicros a drain that the endpoint list first told longer ago than this is ignored at a
      *     restart, until a list tells it again
      */
-    public Keeping(Records records, long maxDrainAgeMicros) {
+    public StateRecorder(ReplicatedRecords records, long maxDrainAgeMicros) {
         this.records = records;
         this.maxDrainAgeMicros = maxDrainAgeMicros;
     }
@@ -53,17 +53,17 @@
      * @param wall the current time
      * @return the records that changed
      */
-    public List<Kept> told(Boxes list, long shift, long wall) {
+    public List<Kept> recordEndpointList(Boxes list, long shift, long wall) {
         String instance = records.instance();
         List<Kept> changed = new ArrayList<>();
         Map<String, Box> listed = new LinkedHashMap<>();
         for (Box box : list.getBoxesList()) {
-            listed.put(Keys.box(instance, box.getId()), box);
+            listed.put(RecordKeys.server(instance, box.getId()), box);
         }
         if (list.getFull()) {
-            for (Kept kept : records.prefix(Keys.boxes(instance))) {
+            for (Kept kept : records.withPrefix(RecordKeys.serversPrefix(instance))) {
                 if (!listed.containsKey(kept.getKey())) {
-                    changed.add(records.drop(kept.getKey(), wall));
+                    changed.add(records.delete(kept.getKey(), wall));
                     deleteServerMemory(kept.getBox().getId(), wall, changed);
                 }
             }
@@ -72,7 +72,7 @@
             Kept before = records.get(key);
             if (box.getLifecycle() == Lifecycle.GONE.ordinal()) {
                 if (before != null) {
-                    changed.add(records.drop(key, wall));
+                    changed.add(records.delete(key, wall));
                     deleteServerMemory(box.getId(), wall, changed);
                 }
                 return;
@@ -92,30 +92,31 @@
         });
         ListHead head = ListHead.newBuilder().setAddress(list.getAddress()).setVersion(list.getVersion())
                 .build();
-        Kept before = records.get(Keys.list(instance));
+        Kept before = records.get(RecordKeys.endpointList(instance));
         if (before == null || !before.getList().equals(head)) {
-            changed.add(records.write(Keys.list(instance), Kept.newBuilder().setList(head), wall));
+            changed.add(records.write(RecordKeys.endpointList(instance), Kept.newBuilder().setList(head),
+                    wall));
         }
         return changed;
     }
 
     /** Deletes what the module has learnt about a server. */
     private void deleteServerMemory(long box, long wall, List<Kept> changed) {
-        Kept dropped = records.drop(Keys.node(records.instance(), box), wall);
+        Kept dropped = records.delete(RecordKeys.serverMemory(records.instance(), box), wall);
         if (dropped != null) {
             changed.add(dropped);
         }
     }
 
     /** Records what a generation's module has learnt; shift is added to its times. Returns what changed. */
-    public List<Kept> learnt(Memory module, long shift, long wall) {
+    public List<Kept> recordModuleMemory(Memory module, long shift, long wall) {
         String instance = records.instance();
         List<Kept> changed = new ArrayList<>();
         for (NodeMemory node : module.getNodesList()) {
-            if (records.get(Keys.box(instance, node.getId())) == null) {
+            if (records.get(RecordKeys.server(instance, node.getId())) == null) {
                 continue;
             }
-            String key = Keys.node(instance, node.getId());
+            String key = RecordKeys.serverMemory(instance, node.getId());
             NodeMemory updated = shifted(node, shift).clearLastDelay().build();
             Kept before = records.get(key);
             if (before == null ? worthStoring(updated) : !sameEjections(before.getNode(), updated)) {
@@ -123,10 +124,11 @@
             }
         }
         Memory rest = module.toBuilder().clearNodes().clearKeys().clearTaken().clearFurther().build();
-        Kept before = records.get(Keys.module(instance));
+        Kept before = records.get(RecordKeys.moduleMemory(instance));
         if (before == null || wall - before.getWall() > MODULE_MEMORY_TTL_MICROS / 360
                 || before.getWall() > wall) {
-            changed.add(records.write(Keys.module(instance), Kept.newBuilder().setModule(rest), wall));
+            changed.add(records.write(RecordKeys.moduleMemory(instance), Kept.newBuilder().setModule(rest),
+                    wall));
         }
         return changed;
     }
@@ -157,49 +159,51 @@
     }
 
     /** Records the configuration in use; null if it is the one recorded already. */
-    public Kept applied(String text, long wall) {
-        Kept before = records.get(Keys.settings(records.instance()));
+    public Kept recordSettings(String text, long wall) {
+        Kept before = records.get(RecordKeys.settings(records.instance()));
         if (before != null && before.getApplied().getText().equals(text)) {
             return null;
         }
-        return records.write(Keys.settings(records.instance()), Kept.newBuilder()
+        return records.write(RecordKeys.settings(records.instance()), Kept.newBuilder()
                 .setApplied(Applied.newBuilder().setText(text)), wall);
     }
 
     /** Records an operator override for a server; NONE removes it, and null says that there was none. */
-    public Kept mark(String box, Mark.Kind kind, String by, long wall) {
-        String key = Keys.mark(box);
+    public Kept recordOverride(String box, Mark.Kind kind, String by, long wall) {
+        String key = RecordKeys.override(box);
         if (kind == Mark.Kind.NONE) {
-            return records.drop(key, wall);
+            return records.delete(key, wall);
         }
-        long started = known(box).stream().mapToLong(Box::getStartedAt).max().orElse(0);
+        long started = knownServers(box).stream().mapToLong(Box::getStartedAt).max().orElse(0);
         return records.write(key, Kept.newBuilder().setMark(Mark.newBuilder().setKind(kind)
                 .setStartedAt(started).setBy(by)), wall);
     }
 
     /** The entries for a server of this name in the endpoint lists of all instances. */
-    public List<Box> known(String box) {
-        return records.prefix(Keys.allBoxes()).stream().map(Kept::getBox)
+    public List<Box> knownServers(String box) {
+        return records.withPrefix(RecordKeys.allServersPrefix()).stream().map(Kept::getBox)
                 .filter(b -> b.getName().equals(box)).toList();
     }
 
     /** The current operator overrides, by server name. */
-    public Map<String, Mark> marks() {
+    public Map<String, Mark> overrides() {
         Map<String, Mark> marks = new LinkedHashMap<>();
-        records.prefix(Keys.marks()).forEach(k -> marks.put(Keys.markedBox(k.getKey()), k.getMark()));
+        records.withPrefix(RecordKeys.overridesPrefix()).forEach(k ->
+                marks.put(RecordKeys.overriddenServer(k.getKey()), k.getMark()));
         return marks;
     }
 
     /** Removes overrides of kind GONE for servers that have restarted: they hold for one start only. */
-    public List<Kept> dropOutlived(long wall) {
+    public List<Kept> dropOutdatedOverrides(long wall) {
         List<Kept> dropped = new ArrayList<>();
         Map<String, Long> starts = new HashMap<>();
-        records.prefix(Keys.boxes(records.instance())).forEach(k -> starts.merge(k.getBox().getName(),
+        records.withPrefix(RecordKeys.serversPrefix(records.instance())).forEach(k ->
+                starts.merge(k.getBox().getName(),
                 k.getBox().getStartedAt(), Math::max));
-        marks().forEach((box, mark) -> {
+        overrides().forEach((box, mark) -> {
             if (mark.getKind() == Mark.Kind.GONE
                     && starts.getOrDefault(box, Long.MIN_VALUE) > mark.getStartedAt()) {
-                dropped.add(records.drop(Keys.mark(box), wall));
+                dropped.add(records.delete(RecordKeys.override(box), wall));
             }
         });
         return dropped;
@@ -214,10 +218,10 @@
      * @param wall the current time; the state's times are on this clock
      * @param monoNanos the current time of the monotonic clock in nanoseconds
      */
-    public State state(int version, int leastReader, long wall, long monoNanos) {
+    public State restartState(int version, int leastReader, long wall, long monoNanos) {
         String instance = records.instance();
-        Kept head = records.get(Keys.list(instance));
-        List<Kept> ownServers = records.prefix(Keys.boxes(instance));
+        Kept head = records.get(RecordKeys.endpointList(instance));
+        List<Kept> ownServers = records.withPrefix(RecordKeys.serversPrefix(instance));
         boolean hasOwn = !ownServers.isEmpty();
         List<Kept> servers = hasOwn ? ownServers : newestOfOthers();
         if (servers.isEmpty()) {
@@ -237,7 +241,7 @@
         }
         State.Builder state = State.newBuilder().setVersion(version).setLeastReader(leastReader)
                 .setClock(wall).setMonoNanos(monoNanos).setBoxes(list);
-        Kept module = records.get(Keys.module(instance));
+        Kept module = records.get(RecordKeys.moduleMemory(instance));
         if (module != null && wall - module.getWall() <= MODULE_MEMORY_TTL_MICROS) {
             state.setModule(memory(module.getModule(), wall));
         }
@@ -247,7 +251,7 @@
     /** The module's memory with what was recorded about each server. */
     private Memory memory(Memory module, long wall) {
         Memory.Builder memory = module.toBuilder();
-        for (Kept kept : records.prefix(Keys.nodes(records.instance()))) {
+        for (Kept kept : records.withPrefix(RecordKeys.serverMemoryPrefix(records.instance()))) {
             NodeMemory node = kept.getNode();
             if (node.getEjectedUntil() < wall + MAX_REMAINING_MICROS && node.getColdBudgetAt() < wall
                     + MAX_REMAINING_MICROS) {
@@ -260,7 +264,7 @@
     /** For an empty disk: the servers known to other instances, draining if any of them knew so. */
     private List<Kept> newestOfOthers() {
         Map<String, Kept> byName = new LinkedHashMap<>();
-        for (Kept kept : records.prefix(Keys.allBoxes())) {
+        for (Kept kept : records.withPrefix(RecordKeys.allServersPrefix())) {
             byName.merge(kept.getBox().getName(), kept, (a, b) -> {
                 if (a.getBox().getStartedAt() != b.getBox().getStartedAt()) {
                     return a.getBox().getStartedAt() > b.getBox().getStartedAt() ? a : b;
--- a/src/main/java/yewdock/store/Committer.java
+++ b/src/main/java/yewdock/store/Committer.java
@@ -32,22 +32,22 @@
      * @param failures how many times opening or writing has failed
      * @param waiting how many keys have changes that are not committed yet
      */
-    public record Health(boolean open, StoreException.Kind kind, String why, long commits, long failures,
+    public record StoreHealth(boolean open, StoreException.Kind kind, String why, long commits, long failures,
             long waiting) {
     }
 
     /**
      * The timing of commits, in milliseconds.
      *
-     * @param gather how long changes are collected before a commit
-     * @param retry after how long a failed store is reopened
+     * @param gatherMillis how long changes are collected before a commit
+     * @param retryMillis after how long a failed store is reopened
      */
-    public record Pace(long gather, long retry) {
+    public record CommitTiming(long gatherMillis, long retryMillis) {
     }
 
-    private final Shelf.Opening opener;
-    private final Pace timing;
-    private final Consumer<Health> healthListener;
+    private final KeyValueStore.StoreOpener opener;
+    private final CommitTiming timing;
+    private final Consumer<StoreHealth> healthListener;
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition work = lock.newCondition();
     /** What the store should hold once all changes are committed. */
@@ -62,7 +62,7 @@
     private long failures;
     private StoreException failure;
     private boolean closing;
-    private Shelf store;
+    private KeyValueStore store;
     private final Thread thread;
 
     /**
@@ -70,18 +70,20 @@
      *
      * @param healthListener called on the committer's thread when the store fails or recovers
      */
-    public Committer(Shelf store, Shelf.Opening opener, Pace timing, Consumer<Health> healthListener) {
+    public Committer(KeyValueStore store, KeyValueStore.StoreOpener opener, CommitTiming timing,
+            Consumer<StoreHealth> healthListener) {
         this(store, null, opener, timing, healthListener);
     }
 
     /** A committer for a store that could not be opened; it is opened later. */
-    public Committer(StoreException failure, Shelf.Opening opener, Pace timing,
-            Consumer<Health> healthListener) {
+    public Committer(StoreException failure, KeyValueStore.StoreOpener opener, CommitTiming timing,
+            Consumer<StoreHealth> healthListener) {
         this(null, failure, opener, timing, healthListener);
     }
 
-    private Committer(Shelf store, StoreException failure, Shelf.Opening opener, Pace timing,
-            Consumer<Health> healthListener) {
+    private Committer(KeyValueStore store, StoreException failure, KeyValueStore.StoreOpener opener,
+            CommitTiming timing,
+            Consumer<StoreHealth> healthListener) {
         this.store = store;
         this.failure = failure;
         this.opener = opener;
@@ -129,10 +131,10 @@
     }
 
     /** The current health of the store. */
-    public Health health() {
+    public StoreHealth health() {
         lock.lock();
         try {
-            return new Health(failure == null, failure == null ? null : failure.kind(),
+            return new StoreHealth(failure == null, failure == null ? null : failure.kind(),
                     failure == null ? "" : failure.getMessage(), commits, failures, pending.size());
         } finally {
             lock.unlock();
@@ -145,12 +147,12 @@
             lock.lock();
             try {
                 if (failure != null) {
-                    pause(timing.retry());
+                    pause(timing.retryMillis());
                 } else {
                     while (pending.isEmpty() && lastTicket == durableTicket && !closing) {
                         work.await();
                     }
-                    pause(timing.gather());
+                    pause(timing.gatherMillis());
                 }
                 finalRun = closing;
             } catch (InterruptedException e) {
@@ -202,14 +204,14 @@
             store.write(changes);
             commits++;
             if (commits % COMMITS_PER_COMPACTION == 0) {
-                store.tidy(COMPACTION_MILLIS);
+                store.compactIfLarge(COMPACTION_MILLIS);
             }
         }
         completeUpTo(upTo);
     }
 
     private void reopen() throws StoreException {
-        Shelf next = opener.open();
+        KeyValueStore next = opener.open();
         try {
             Map<String, byte[]> changes = new LinkedHashMap<>();
             long upTo;
--- a/src/main/java/yewdock/store/Shelf.java
+++ b/src/main/java/yewdock/store/KeyValueStore.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 import java.util.SortedMap;
 
-/** A durable key-value store: a {@link Store}, or in tests one that fails on demand. */
-public interface Shelf extends Closeable {
+/** A durable key-value store: a {@link RecordFile}, or in tests one that fails on demand. */
+public interface KeyValueStore extends Closeable {
     /** Opens a store. */
-    interface Opening {
+    interface StoreOpener {
         /** Opens the store; the caller closes it. */
-        Shelf open() throws StoreException;
+        KeyValueStore open() throws StoreException;
     }
 
     /** All entries, in key order. */
@@ -22,7 +22,7 @@
     long write(Map<String, byte[]> changes) throws StoreException;
 
     /** Frees space taken by old commits if it is worth it, for at most this many milliseconds. */
-    void tidy(int maxMillis) throws StoreException;
+    void compactIfLarge(int maxMillis) throws StoreException;
 
     /** The size of the store in bytes. */
     long bytes();
--- a/src/main/java/yewdock/store/Store.java
+++ b/src/main/java/yewdock/store/RecordFile.java
@@ -25,7 +25,7 @@
  * stored with a checksum of its key and bytes, and every commit contains the number of records and the sum of
  * their checksums. A file that doesn't match a committed sum is refused and left unchanged.
  */
-public final class Store implements Shelf {
+public final class RecordFile implements KeyValueStore {
     /** The layout version written. 1: records without checksums; 2: records with checksums and their sum. */
     static final int VERSION = 2;
     private static final String STORE_FILE = "records.mv";
@@ -43,10 +43,10 @@
     private final MVMap<String, Long> head;
     private long count;
     private long sum;
-    private long missing;
-    private volatile long number;
+    private long missingCommits;
+    private volatile long lastCommitNumber;
 
-    private Store(Path file, MVStore store) {
+    private RecordFile(Path file, MVStore store) {
         this.file = file;
         this.store = store;
         this.records = store.openMap(RECORDS_MAP);
@@ -54,8 +54,8 @@
     }
 
     /** Opens the store in this folder, or creates one; upgrades one of an older version in one commit. */
-    public static Store open(Path folder) throws StoreException {
-        Path file = fileIn(folder);
+    public static RecordFile open(Path folder) throws StoreException {
+        Path file = fileInFolder(folder);
         try {
             if (!Files.exists(folder)) {
                 Files.createDirectories(folder, PosixFilePermissions.asFileAttribute(
@@ -81,13 +81,13 @@
         }
         if (Files.exists(file)) {
             // check it read-only first, as a store that is refused must not be modified
-            look(folder).close();
+            openReadOnly(folder).close();
         }
         if (!Files.isWritable(folder) || Files.exists(file) && !Files.isWritable(file)) {
             throw new StoreException(StoreException.Kind.READ_ONLY, file + " is not writable");
         }
         return guarded(file, () -> {
-            Store opened = new Store(file, builder(file).autoCommitDisabled().open());
+            RecordFile opened = new RecordFile(file, builder(file).autoCommitDisabled().open());
             try {
                 opened.check();
                 opened.compareNumber();
@@ -101,13 +101,13 @@
     }
 
     /** Opens the store in this folder read-only and checks all records. */
-    public static Store look(Path folder) throws StoreException {
-        Path file = fileIn(folder);
+    public static RecordFile openReadOnly(Path folder) throws StoreException {
+        Path file = fileInFolder(folder);
         if (!Files.exists(file)) {
             throw new StoreException(StoreException.Kind.UNWRITABLE, "no store found in " + folder);
         }
         return guarded(file, () -> {
-            Store opened = new Store(file, builder(file).readOnly().open());
+            RecordFile opened = new RecordFile(file, builder(file).readOnly().open());
             try {
                 opened.check();
                 opened.compareNumber();
@@ -120,8 +120,8 @@
     }
 
     /** Renames a damaged store, unchanged, so that a new one can be created; returns its new path. */
-    public static Path setAside(Path folder) throws IOException {
-        Path file = fileIn(folder);
+    public static Path moveAside(Path folder) throws IOException {
+        Path file = fileInFolder(folder);
         Path aside = file.resolveSibling(STORE_FILE + ".damaged");
         for (int i = 1; Files.exists(aside); i++) {
             aside = file.resolveSibling(STORE_FILE + ".damaged-" + i);
@@ -131,7 +131,7 @@
     }
 
     /** The path of the store's file in this folder. */
-    public static Path fileIn(Path folder) {
+    public static Path fileInFolder(Path folder) {
         return folder.resolve(STORE_FILE);
     }
 
@@ -175,12 +175,12 @@
     /** Checks the version, every record's checksum, and their sum against the last commit. */
     private void check() throws StoreException {
         long version = head.getOrDefault("version", 0L);
-        number = head.getOrDefault("number", 0L);
+        lastCommitNumber = head.getOrDefault("number", 0L);
         if (version > VERSION) {
             throw new StoreException(StoreException.Kind.NEWER, file + " has version " + version
                     + "; the newest supported version is " + VERSION);
         }
-        if (version == 0 && (!records.isEmpty() || number != 0)) {
+        if (version == 0 && (!records.isEmpty() || lastCommitNumber != 0)) {
             throw damaged("it has records but no version");
         }
         if (version < 2) {
@@ -207,9 +207,9 @@
      * and one without any intact chunk as empty; neither may pass for the last committed state.
      */
     private void compareNumber() throws StoreException {
-        missing = Math.max(0, confirmedNumber(file) - number);
-        if (missing > 0 && number == 0) {
-            throw damaged("none of its " + missing + " commits can be found");
+        missingCommits = Math.max(0, confirmedNumber(file) - lastCommitNumber);
+        if (missingCommits > 0 && lastCommitNumber == 0) {
+            throw damaged("none of its " + missingCommits + " commits can be found");
         }
     }
 
@@ -231,8 +231,8 @@
 
     /** Called only once the commit is on disk. Not synced itself, as a number that is too low is harmless. */
     private void writeNumberFile() {
-        ByteBuffer bytes = ByteBuffer.allocate(2 * Long.BYTES).putLong(number)
-                .putLong(checksumOf(number));
+        ByteBuffer bytes = ByteBuffer.allocate(2 * Long.BYTES).putLong(lastCommitNumber)
+                .putLong(checksumOf(lastCommitNumber));
         try {
             Files.write(file.resolveSibling(NUMBER_FILE), bytes.array());
         } catch (IOException e) {
@@ -263,7 +263,7 @@
 
     /** The checksum of the head. */
     private long headChecksum() {
-        return Hashing.xxh3_64().hashStream().putLong(VERSION).putLong(number).putLong(count).putLong(sum)
+        return Hashing.xxh3_64().hashStream().putLong(VERSION).putLong(lastCommitNumber).putLong(count).putLong(sum)
                 .getAsLong();
     }
 
@@ -302,7 +302,7 @@
             commit(changes);
             store.sync();
             writeNumberFile();
-            return number;
+            return lastCommitNumber;
         });
     }
 
@@ -317,8 +317,8 @@
             sum += (after == null ? 0 : storedChecksum(after))
                     - (before == null ? 0 : storedChecksum(before));
         }
-        number++;
-        head.put("number", number);
+        lastCommitNumber++;
+        head.put("number", lastCommitNumber);
         head.put("count", count);
         head.put("sum", sum);
         head.put("seal", headChecksum());
@@ -326,7 +326,7 @@
     }
 
     @Override
-    public void tidy(int maxMillis) throws StoreException {
+    public void compactIfLarge(int maxMillis) throws StoreException {
         if (bytes() > MIN_BYTES_TO_COMPACT) {
             compact(maxMillis);
         }
@@ -343,13 +343,13 @@
     // ---- queries
 
     /** The number of the last commit; all commits up to it are on disk. */
-    public long number() {
-        return number;
+    public long lastCommitNumber() {
+        return lastCommitNumber;
     }
 
     /** How many of the newest commits were on disk but are lost; the content is as of before them. */
-    public long missing() {
-        return missing;
+    public long missingCommits() {
+        return missingCommits;
     }
 
     /** The layout version of the file. */
--- a/src/main/java/yewdock/upgrade/KeeperEffect.java
+++ b/src/main/java/yewdock/upgrade/SupervisorEffect.java
@@ -5,28 +5,28 @@
 import yewdock.wire.Frame;
 
 /** All that the keeper's reducer can ask for. */
-public sealed interface KeeperEffect {
+public sealed interface SupervisorEffect {
     /** Start a generation's process; the listener is its standard input. */
-    record Start(int generation, List<String> program) implements KeeperEffect {
+    record StartProcess(int generation, List<String> program) implements SupervisorEffect {
     }
 
     /** Tell a generation something. */
-    record Tell(int generation, Frame frame) implements KeeperEffect {
+    record SendFrame(int generation, Frame frame) implements SupervisorEffect {
     }
 
     /** End a generation's process at once. */
-    record Kill(int generation) implements KeeperEffect {
+    record KillProcess(int generation) implements SupervisorEffect {
     }
 
     /** Answer an operator; after the last line the command's process ends with this exit code. */
-    record Reply(long command, String line, boolean last, int exit) implements KeeperEffect {
+    record Reply(long command, String line, boolean last, int exit) implements SupervisorEffect {
     }
 
     /** A line for the log: an event's name and its fields. */
-    record Note(String event, Map<String, Object> fields) implements KeeperEffect {
+    record WriteLog(String event, Map<String, Object> fields) implements SupervisorEffect {
     }
 
     /** Nothing is left to keep: end the keeper with this exit code. */
-    record Stop(int exit) implements KeeperEffect {
+    record ExitSupervisor(int exit) implements SupervisorEffect {
     }
 }
--- a/src/main/java/yewdock/upgrade/KeeperEvent.java
+++ b/src/main/java/yewdock/upgrade/SupervisorEvent.java
@@ -4,40 +4,40 @@
 import yewdock.wire.Frame;
 
 /** All that can happen to the keeper. Generations go by numbers, which never repeat; so do commands. */
-public sealed interface KeeperEvent {
+public sealed interface SupervisorEvent {
     /** The keeper has its listener: the first generation is to start. */
-    record Begun(List<String> program) implements KeeperEvent {
+    record ListenerOpened(List<String> program) implements SupervisorEvent {
     }
 
     /** An operator wants an upgrade to this program, or with an empty list to the one that serves. */
-    record Asked(long command, List<String> program) implements KeeperEvent {
+    record UpgradeRequested(long command, List<String> program) implements SupervisorEvent {
     }
 
     /** An operator wants to know how things stand. */
-    record StatusAsked(long command) implements KeeperEvent {
+    record StatusRequested(long command) implements SupervisorEvent {
     }
 
     /** A generation says something. */
-    record Heard(int generation, Frame frame) implements KeeperEvent {
+    record FrameReceived(int generation, Frame frame) implements SupervisorEvent {
     }
 
     /** A generation's connection is closed, or what came over it makes no sense. */
-    record Lost(int generation, String why) implements KeeperEvent {
+    record ConnectionLost(int generation, String reason) implements SupervisorEvent {
     }
 
     /** A generation's process has ended, or could not be started. */
-    record Ended(int generation, String how) implements KeeperEvent {
+    record ProcessEnded(int generation, String reason) implements SupervisorEvent {
     }
 
     /** SIGHUP. */
-    record HungUp() implements KeeperEvent {
+    record ReloadRequested() implements SupervisorEvent {
     }
 
     /** SIGTERM. */
-    record Leave() implements KeeperEvent {
+    record ShutdownRequested() implements SupervisorEvent {
     }
 
     /** Time has passed. */
-    record Tick() implements KeeperEvent {
+    record Tick() implements SupervisorEvent {
     }
 }
--- a/src/main/java/yewdock/upgrade/Upgrade.java
+++ b/src/main/java/yewdock/upgrade/SupervisorReducer.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import yewdock.log.Fields;
+import yewdock.logging.LogFields;
 import yewdock.wire.Boxes;
 import yewdock.wire.Frame;
 import yewdock.wire.GiveState;
@@ -32,7 +32,7 @@
  * process has died. A new generation that fails in any way at any stage is killed, and the old one told to
  * take back what it had given.
  */
-public final class Upgrade {
+public final class SupervisorReducer {
     /** A serving process that died is replaced after so long, doubled with each death in a row. */
     static final long RESTART_AFTER = 100_000;
     static final int MOST_DOUBLINGS = 6;
@@ -42,13 +42,13 @@
     static final long FINISH_SLACK = 5_000_000;
     private static final double MICROS_A_MILLI = 1000.0;
 
-    private final Limits limits;
-    private final Map<Integer, Generation> generations = new TreeMap<>();
-    private List<KeeperEffect> effects = new ArrayList<>();
+    private final UpgradeLimits limits;
+    private final Map<Integer, SupervisedGeneration> generations = new TreeMap<>();
+    private List<SupervisorEffect> effects = new ArrayList<>();
     private long now;
     private int last;
-    private Generation serving;
-    private Generation next;
+    private SupervisedGeneration servingGeneration;
+    private SupervisedGeneration next;
     private Stage stage;
     private long stageBegan;
     private long upgradeBegan;
@@ -67,7 +67,7 @@
     private long failures;
     private String lastFailure = "";
 
-    private static final class Generation {
+    private static final class SupervisedGeneration {
         private final int number;
         private final List<String> program;
         private final long startedAt;
@@ -76,19 +76,19 @@
         private long servesSince;
         private long killAt = Long.MAX_VALUE;
 
-        Generation(int number, List<String> program, long startedAt) {
+        SupervisedGeneration(int number, List<String> program, long startedAt) {
             this.number = number;
             this.program = program;
             this.startedAt = startedAt;
         }
     }
 
-    public Upgrade(Limits limits) {
+    public SupervisorReducer(UpgradeLimits limits) {
         this.limits = limits;
     }
 
     /** Takes one event and tells what to do about it. */
-    public List<KeeperEffect> reduce(KeeperEvent event, long time) {
+    public List<SupervisorEffect> reduce(SupervisorEvent event, long time) {
         now = Math.max(now, time);
         effects = new ArrayList<>();
         take(event);
@@ -98,75 +98,75 @@
         return effects;
     }
 
-    /** When the next {@link KeeperEvent.Tick} is due. */
-    public long nextDue() {
-        long due = next == null ? restartAt : stageBegan + limits.stages().get(stage);
-        for (Generation g : generations.values()) {
+    /** When the next {@link SupervisorEvent.Tick} is due. */
+    public long nextTimerDue() {
+        long due = next == null ? restartAt : stageBegan + limits.stageTimeoutMicros().get(stage);
+        for (SupervisedGeneration g : generations.values()) {
             due = Math.min(due, g.killAt);
         }
         return due;
     }
 
     /** The generation that serves, or 0. */
-    public int serving() {
-        return serving == null ? 0 : serving.number;
+    public int servingGeneration() {
+        return servingGeneration == null ? 0 : servingGeneration.number;
     }
 
     /** The generation that an upgrade is bringing up, or 0. */
-    public int coming() {
+    public int upcomingGeneration() {
         return next == null ? 0 : next.number;
     }
 
-    private void take(KeeperEvent event) {
-        if (event instanceof KeeperEvent.Heard e) {
+    private void take(SupervisorEvent event) {
+        if (event instanceof SupervisorEvent.FrameReceived e) {
             heard(e.generation(), e.frame());
-        } else if (event instanceof KeeperEvent.Begun e) {
+        } else if (event instanceof SupervisorEvent.ListenerOpened e) {
             program = List.copyOf(e.program());
             begin(program, 0);
-        } else if (event instanceof KeeperEvent.Asked e) {
+        } else if (event instanceof SupervisorEvent.UpgradeRequested e) {
             asked(e);
-        } else if (event instanceof KeeperEvent.StatusAsked e) {
+        } else if (event instanceof SupervisorEvent.StatusRequested e) {
             status(e.command());
-        } else if (event instanceof KeeperEvent.Lost e) {
+        } else if (event instanceof SupervisorEvent.ConnectionLost e) {
             lost(e);
-        } else if (event instanceof KeeperEvent.Ended e) {
-            ended(e.generation(), e.how());
-        } else if (event instanceof KeeperEvent.HungUp) {
+        } else if (event instanceof SupervisorEvent.ProcessEnded e) {
+            ended(e.generation(), e.reason());
+        } else if (event instanceof SupervisorEvent.ReloadRequested) {
             generations.values().stream().filter(g -> g.connected).forEach(g -> tell(g,
                     Frame.newBuilder().setReconfigure(Reconfigure.getDefaultInstance())));
-        } else if (event instanceof KeeperEvent.Leave) {
+        } else if (event instanceof SupervisorEvent.ShutdownRequested) {
             leave();
-        } else if (event instanceof KeeperEvent.Tick) {
+        } else if (event instanceof SupervisorEvent.Tick) {
             tick();
         }
     }
 
     // ---- an upgrade, stage by stage
 
-    private void asked(KeeperEvent.Asked e) {
+    private void asked(SupervisorEvent.UpgradeRequested e) {
         String refusal = null;
         if (leaving) {
             refusal = "the router is leaving";
         } else if (next != null) {
             refusal = "generation " + next.number + " is on its way, at stage " + stage;
-        } else if (serving == null) {
+        } else if (servingGeneration == null) {
             refusal = "no generation serves: one is being started";
-        } else if (finishing() >= limits.mostFinishing()) {
+        } else if (finishing() >= limits.maxFinishing()) {
             refusal = finishing() + " older generations are still finishing what they have";
         }
         if (refusal != null) {
-            effects.add(new KeeperEffect.Reply(e.command(), "not now: " + refusal, true, 1));
+            effects.add(new SupervisorEffect.Reply(e.command(), "not now: " + refusal, true, 1));
             return;
         }
         begin(e.program().isEmpty() ? program : List.copyOf(e.program()), e.command());
     }
 
     private long finishing() {
-        return generations.values().stream().filter(g -> g != serving && !g.failed).count();
+        return generations.values().stream().filter(g -> g != servingGeneration && !g.failed).count();
     }
 
     private void begin(List<String> what, long asker) {
-        next = new Generation(++last, what, now);
+        next = new SupervisedGeneration(++last, what, now);
         generations.put(last, next);
         command = asker;
         restartAt = Long.MAX_VALUE;
@@ -177,7 +177,7 @@
         stage = Stage.START;
         stageBegan = now;
         note("generation.start", "generation", last, "program", String.join(" ", what));
-        effects.add(new KeeperEffect.Start(last, what));
+        effects.add(new SupervisorEffect.StartProcess(last, what));
     }
 
     private void enter(Stage s) {
@@ -188,7 +188,7 @@
     }
 
     private void heard(int number, Frame frame) {
-        Generation g = generations.get(number);
+        SupervisedGeneration g = generations.get(number);
         if (g == null) {
             return;
         }
@@ -198,12 +198,12 @@
             note("generation.says", "generation", number, "line", frame.getSay().getLine());
         } else if (g == next) {
             ofNext(frame);
-        } else if (frame.hasState() && g == serving && stage == Stage.STATE && next != null) {
+        } else if (frame.hasState() && g == servingGeneration && stage == Stage.STATE && next != null) {
             tell(next, Frame.newBuilder().setState(frame.getState()));
             enter(Stage.READY);
         } else if (frame.hasSharing()) {
             sharing(g, frame.getSharing());
-        } else if (frame.hasLetGoDone() && g == serving && next != null && stage == Stage.LET_GO) {
+        } else if (frame.hasLetGoDone() && g == servingGeneration && next != null && stage == Stage.LET_GO) {
             arrived("");
         }
     }
@@ -215,9 +215,9 @@
             next.connected = true;
             enter(Stage.CHECK);
         } else if (frame.hasChecked() && stage == Stage.CHECK) {
-            if (serving != null) {
+            if (servingGeneration != null) {
                 enter(Stage.STATE);
-                tell(serving, Frame.newBuilder().setGiveState(GiveState.getDefaultInstance()));
+                tell(servingGeneration, Frame.newBuilder().setGiveState(GiveState.getDefaultInstance()));
             } else {
                 withoutState();
             }
@@ -243,7 +243,7 @@
 
     private void askToShare() {
         enter(Stage.SHARE);
-        for (Generation g : generations.values()) {
+        for (SupervisedGeneration g : generations.values()) {
             if (g != next && g.connected) {
                 awaited.add(g.number);
                 tell(g, Frame.newBuilder().setShare(Share.getDefaultInstance()));
@@ -253,14 +253,14 @@
     }
 
     /** What a generation holds goes to the one that owns the ids next, and all it says after that, too. */
-    private void sharing(Generation g, Sharing held) {
+    private void sharing(SupervisedGeneration g, Sharing held) {
         Frame.Builder named = Frame.newBuilder().setSharing(held.toBuilder().setGeneration(g.number));
         if (next != null && awaited.remove(g.number)) {
             shared.add(g.number);
             tell(next, named);
             goIfAllShared();
-        } else if (serving != null && g != serving) {
-            tell(serving, named);
+        } else if (servingGeneration != null && g != servingGeneration) {
+            tell(servingGeneration, named);
         }
     }
 
@@ -274,21 +274,21 @@
     private void serves() {
         enter(Stage.LET_GO);
         next.servesSince = now;
-        if (serving == null) {
+        if (servingGeneration == null) {
             arrived("");
         } else {
-            tell(serving, Frame.newBuilder().setLetGo(LetGo.newBuilder().setLimitMicros(limits.finish())));
+            tell(servingGeneration, Frame.newBuilder().setLetGo(LetGo.newBuilder().setLimitMicros(limits.finishTimeoutMicros())));
         }
     }
 
     private void arrived(String remark) {
         took.put(stage, now - stageBegan);
-        Generation old = serving;
+        SupervisedGeneration old = servingGeneration;
         if (old != null) {
-            old.killAt = now + limits.finish() + FINISH_SLACK;
+            old.killAt = now + limits.finishTimeoutMicros() + FINISH_SLACK;
         }
-        serving = next;
-        program = serving.program;
+        servingGeneration = next;
+        program = servingGeneration.program;
         next = null;
         everServed = true;
         StringBuilder stages = new StringBuilder();
@@ -297,16 +297,16 @@
         if (old != null || command != 0) {
             upgrades++;
         }
-        note("upgrade.done", "generation", serving.number, "before", old == null ? 0 : old.number,
+        note("upgrade.done", "generation", servingGeneration.number, "before", old == null ? 0 : old.number,
                 "took_ms", (now - upgradeBegan) / 1000, "stages_ms", stages);
-        reply("generation " + serving.number + " serves"
+        reply("generation " + servingGeneration.number + " serves"
                 + (old == null ? "" : ", generation " + old.number + " finishes what it has") + "; ms: "
                 + stages + remark, 0);
     }
 
     /** The new generation is given up, and everything is again as it was before. */
     private void fail(String why) {
-        Generation failed = next;
+        SupervisedGeneration failed = next;
         Stage at = stage;
         next = null;
         failed.connected = false;
@@ -314,8 +314,8 @@
         failures++;
         lastFailure = "generation " + failed.number + " at stage " + at + ": " + why;
         note("upgrade.failed", "generation", failed.number, "stage", at, "why", why);
-        effects.add(new KeeperEffect.Kill(failed.number));
-        if (serving != null) {
+        effects.add(new SupervisorEffect.KillProcess(failed.number));
+        if (servingGeneration != null) {
             if (at.compareTo(Stage.SHARE) >= 0) {
                 takeBack(failed.number);
             }
@@ -328,16 +328,17 @@
             stop(1);
         }
         reply("upgrade failed at stage " + at + ": " + why
-                + (serving == null ? "" : "; generation " + serving.number + " serves as before"), 1);
+                + (servingGeneration == null ? "" : "; generation " + servingGeneration.number
+                        + " serves as before"), 1);
     }
 
     private void takeBack(int failed) {
-        tell(serving, Frame.newBuilder().setTakeBack(TakeBack.getDefaultInstance()));
-        tell(serving, Frame.newBuilder().setOtherGone(
+        tell(servingGeneration, Frame.newBuilder().setTakeBack(TakeBack.getDefaultInstance()));
+        tell(servingGeneration, Frame.newBuilder().setOtherGone(
                 OtherGone.newBuilder().setGeneration(failed)));
-        for (Generation g : generations.values()) {
+        for (SupervisedGeneration g : generations.values()) {
             // what these have told the failed one since, the one that owns the ids again doesn't know
-            if (g != serving && g.number != failed && g.connected) {
+            if (g != servingGeneration && g.number != failed && g.connected) {
                 tell(g, Frame.newBuilder().setShare(Share.getDefaultInstance()));
             }
         }
@@ -345,19 +346,19 @@
 
     // ---- what generations tell each other
 
-    private void news(Generation from, News told) {
+    private void news(SupervisedGeneration from, News told) {
         News named = told.toBuilder().setGeneration(from.number).build();
         Frame.Builder frame = Frame.newBuilder().setNews(named);
         switch (told.getWhatCase()) {
             case GRANTED, DENIED -> {
-                Generation to = generations.get(told.getOf());
+                SupervisedGeneration to = generations.get(told.getOf());
                 if (to != null) {
                     tell(to, frame);
                 }
             }
             case BOXES -> toAllBut(from, frame, named.getBoxes());
             default -> {
-                Generation owner = ownerFor(from);
+                SupervisedGeneration owner = ownerFor(from);
                 if (owner != null && owner != from) {
                     tell(owner, frame);
                 }
@@ -365,8 +366,8 @@
         }
     }
 
-    private void toAllBut(Generation from, Frame.Builder frame, Boxes boxes) {
-        for (Generation g : generations.values()) {
+    private void toAllBut(SupervisedGeneration from, Frame.Builder frame, Boxes boxes) {
+        for (SupervisedGeneration g : generations.values()) {
             boolean knowsNothingYet = g == next && stage.compareTo(Stage.READY) < 0;
             if (g != from && g.connected && !knowsNothingYet && boxes.getBoxesCount() > 0) {
                 tell(g, frame);
@@ -375,25 +376,25 @@
     }
 
     /** Who owns the ids as far as this generation is concerned. */
-    private Generation ownerFor(Generation from) {
+    private SupervisedGeneration ownerFor(SupervisedGeneration from) {
         if (next != null && (shared.contains(from.number) || stage == Stage.LET_GO)) {
             return next;
         }
-        return serving;
+        return servingGeneration;
     }
 
     // ---- ends
 
-    private void lost(KeeperEvent.Lost e) {
-        Generation g = generations.get(e.generation());
+    private void lost(SupervisorEvent.ConnectionLost e) {
+        SupervisedGeneration g = generations.get(e.generation());
         if (g == null) {
             return;
         }
         g.connected = false;
         if (g == next) {
-            fail(e.why());
+            fail(e.reason());
         } else {
-            note("generation.lost", "generation", g.number, "why", e.why());
+            note("generation.lost", "generation", g.number, "why", e.reason());
             if (next != null && awaited.remove(g.number)) {
                 goIfAllShared();
             }
@@ -401,7 +402,7 @@
     }
 
     private void ended(int number, String how) {
-        Generation g = generations.get(number);
+        SupervisedGeneration g = generations.get(number);
         if (g == null) {
             return;
         }
@@ -414,7 +415,7 @@
         }
         generations.remove(number);
         toldGone(number);
-        if (g == serving) {
+        if (g == servingGeneration) {
             servingDied();
         } else if (next != null && awaited.remove(number)) {
             goIfAllShared();
@@ -422,7 +423,7 @@
     }
 
     private void toldGone(int number) {
-        for (Generation other : generations.values()) {
+        for (SupervisedGeneration other : generations.values()) {
             if (other.connected) {
                 tell(other, Frame.newBuilder().setOtherGone(
                         OtherGone.newBuilder().setGeneration(number)));
@@ -432,9 +433,9 @@
 
     /** The one that serves was killed. One on its way goes on without it; otherwise another is started. */
     private void servingDied() {
-        long servedFor = now - serving.servesSince;
-        int number = serving.number;
-        serving = null;
+        long servedFor = now - servingGeneration.servesSince;
+        int number = servingGeneration.number;
+        servingGeneration = null;
         deaths = servedFor >= SERVED_WELL ? 0 : deaths;
         if (next == null) {
             if (!leaving && !fallBack(number)) {
@@ -451,18 +452,18 @@
 
     /** The newest of those that still finish serves again: it is there at once, and it served well before. */
     private boolean fallBack(int dead) {
-        for (Generation g : generations.values()) {
-            if (g.connected && (serving == null || g.number > serving.number)) {
-                serving = g;
+        for (SupervisedGeneration g : generations.values()) {
+            if (g.connected && (servingGeneration == null || g.number > servingGeneration.number)) {
+                servingGeneration = g;
             }
         }
-        if (serving == null) {
+        if (servingGeneration == null) {
             return false;
         }
-        serving.killAt = Long.MAX_VALUE;
-        serving.servesSince = now;
-        program = serving.program;
-        note("generation.fall_back", "generation", serving.number, "dead", dead);
+        servingGeneration.killAt = Long.MAX_VALUE;
+        servingGeneration.servesSince = now;
+        program = servingGeneration.program;
+        note("generation.fall_back", "generation", servingGeneration.number, "dead", dead);
         takeBack(dead);
         return true;
     }
@@ -473,22 +474,22 @@
     }
 
     private void tick() {
-        if (next != null && now >= stageBegan + limits.stages().get(stage)) {
+        if (next != null && now >= stageBegan + limits.stageTimeoutMicros().get(stage)) {
             if (stage == Stage.LET_GO) {
                 // the new one serves: what hangs is the old one, and its time is limited
-                arrived("; generation " + serving.number + " has not said that it let go");
+                arrived("; generation " + servingGeneration.number + " has not said that it let go");
             } else {
-                fail("nothing came within " + limits.stages().get(stage) / 1000 + " ms");
+                fail("nothing came within " + limits.stageTimeoutMicros().get(stage) / 1000 + " ms");
             }
         }
         if (now >= restartAt) {
             begin(program, 0);
         }
-        for (Generation g : List.copyOf(generations.values())) {
+        for (SupervisedGeneration g : List.copyOf(generations.values())) {
             if (now >= g.killAt) {
                 g.killAt = Long.MAX_VALUE;
                 note("generation.killed", "generation", g.number, "why", "over its limit");
-                effects.add(new KeeperEffect.Kill(g.number));
+                effects.add(new SupervisorEffect.KillProcess(g.number));
             }
         }
     }
@@ -503,8 +504,8 @@
         if (next != null && stage != Stage.LET_GO) {
             fail("the router was told to leave");
         }
-        for (Generation g : generations.values()) {
-            g.killAt = Math.min(g.killAt, now + limits.finish() + FINISH_SLACK);
+        for (SupervisedGeneration g : generations.values()) {
+            g.killAt = Math.min(g.killAt, now + limits.finishTimeoutMicros() + FINISH_SLACK);
             tell(g, Frame.newBuilder().setLeave(Leave.getDefaultInstance()));
         }
     }
@@ -512,37 +513,37 @@
     private void stop(int exit) {
         if (!stopped) {
             stopped = true;
-            effects.add(new KeeperEffect.Stop(exit));
+            effects.add(new SupervisorEffect.ExitSupervisor(exit));
         }
     }
 
     // ---- words
 
     private void status(long asker) {
-        for (Generation g : generations.values()) {
-            String role = g == serving ? "serves" : g == next ? "comes, at stage " + stage
+        for (SupervisedGeneration g : generations.values()) {
+            String role = g == servingGeneration ? "serves" : g == next ? "comes, at stage " + stage
                     : g.failed ? "failed and is being ended" : "finishes";
-            effects.add(new KeeperEffect.Reply(asker, String.format(Locale.ROOT,
+            effects.add(new SupervisorEffect.Reply(asker, String.format(Locale.ROOT,
                     "generation %d %s, started %.1f s ago", g.number, role, (now - g.startedAt) / 1e6),
                     false, 0));
         }
-        effects.add(new KeeperEffect.Reply(asker, "upgrades done " + upgrades + ", failed " + failures
+        effects.add(new SupervisorEffect.Reply(asker, "upgrades done " + upgrades + ", failed " + failures
                 + (lastFailure.isEmpty() ? "" : "; last failure: " + lastFailure), true,
-                serving == null ? 1 : 0));
+                servingGeneration == null ? 1 : 0));
     }
 
     private void reply(String line, int exit) {
         if (command != 0) {
-            effects.add(new KeeperEffect.Reply(command, line, true, exit));
+            effects.add(new SupervisorEffect.Reply(command, line, true, exit));
             command = 0;
         }
     }
 
-    private void tell(Generation g, Frame.Builder frame) {
-        effects.add(new KeeperEffect.Tell(g.number, frame.build()));
+    private void tell(SupervisedGeneration g, Frame.Builder frame) {
+        effects.add(new SupervisorEffect.SendFrame(g.number, frame.build()));
     }
 
     private void note(String event, Object... fields) {
-        effects.add(new KeeperEffect.Note(event, Fields.of(fields)));
+        effects.add(new SupervisorEffect.WriteLog(event, LogFields.of(fields)));
     }
 }
--- a/src/test/java/yewdock/door/DoorTest.java
+++ b/src/test/java/yewdock/admin/DoorTest.java
@@ -1,4 +1,4 @@
-package yewdock.door;
+package yewdock.admin;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,30 +12,31 @@
 import java.util.function.Function;
 import org.junit.jupiter.api.Test;
 import umberspread.GenerationRouter;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Terms;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Reducer;
 import yewdock.platform.Config;
-import yewdock.platform.Front;
-import yewdock.platform.Side;
-import yewdock.platform.Wire;
-import yewdock.platform.Wires;
+import yewdock.platform.Connection;
+import yewdock.platform.ConnectionHandler;
+import yewdock.platform.ConnectionManager;
+import yewdock.platform.Transport;
 
 /** The door against callers that hold it open, and what it prints under load. */
 class DoorTest {
     private long micros = 1_000_000_000_000L;
     private final Counters counters = new Counters();
     private final Config config;
-    private final Front front;
-    private final Door door;
+    private final ConnectionManager front;
+    private final AdminInterface door;
 
     DoorTest() throws Exception {
         config = Config.read(Files.readString(Path.of("src/test/resources/exchanges/config.json")),
                 line -> { });
-        Desk desk = new Desk(Terms.of(config.settings(), config.keepalive()), config.bounds(), counters,
+        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
+                config.bounds(), counters,
                 actions -> new GenerationRouter(config.settings(), 1, actions));
-        front = new Front(config, desk, counters, new NoNetwork(), () -> micros, line -> { });
-        door = new Door(front);
+        front = new ConnectionManager(config, desk, counters, new NoNetwork(), () -> micros, line -> { });
+        door = new AdminInterface(front);
         front.start();
     }
 
@@ -47,11 +48,11 @@
             Heard wire = new Heard();
             wire.side = door.accept(wire);
             if (i % 2 == 0) {
-                wire.side.received(bytes("heal"));
+                wire.side.onReceived(bytes("heal"));
             }
             silent.add(wire);
         }
-        assertEquals(Door.MOST_CALLERS, silent.stream().filter(w -> !w.closed).count());
+        assertEquals(AdminInterface.MAX_CONNECTIONS, silent.stream().filter(w -> !w.closed).count());
         assertEquals("YES ready\n", call("health"));
         assertTrue(silent.stream().allMatch(w -> w.text.isEmpty()));
     }
@@ -62,7 +63,7 @@
         Heard wire = new Heard();
         wire.side = door.accept(wire);
         for (int i = 0; i < 600 && !wire.closed; i++) {
-            wire.side.received(bytes("x"));
+            wire.side.onReceived(bytes("x"));
         }
         assertTrue(wire.text.toString().startsWith("NO the line is too long"), wire.text.toString());
     }
@@ -80,13 +81,14 @@
             if (i % 3 == 0) {
                 client = new Heard();
                 client.side = front.accept(client);
-                client.side.received(bytes("POST /v1/chat/completions HTTP/1.1\r\nX-Correlation-Id: " + i / 2
+                client.side.onReceived(bytes("POST /v1/chat/completions HTTP/1.1\r\nX-Correlation-Id: "
+                        + i / 2
                         + "\r\nX-Service-Class: chat\r\nX-Account: lalitpur-metro\r\nX-Time-Left: 4\r\n"
                         + "X-Facts: prompt_len=1,prefix_len=0,max_out=9\r\nContent-Length: 2\r\n\r\n{}"));
             } else if (i % 5 == 0) {
-                client.side.down();
+                client.side.onClosed();
             } else {
-                front.happened(new yewdock.desk.Event.Tick());
+                front.dispatch(new yewdock.core.Event.Tick());
             }
             long sum = 0;
             for (String line : call("counters").split("\n")) {
@@ -106,8 +108,8 @@
     private String call(String line) {
         Heard wire = new Heard();
         wire.side = door.accept(wire);
-        wire.side.received(bytes(line + "\n"));
-        wire.side.down();
+        wire.side.onReceived(bytes(line + "\n"));
+        wire.side.onClosed();
         return wire.text.toString();
     }
 
@@ -115,9 +117,9 @@
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private static final class Heard implements Wire {
+    private static final class Heard implements Connection {
         private final StringBuilder text = new StringBuilder();
-        private Side side;
+        private ConnectionHandler side;
         private boolean closed;
 
         @Override
@@ -136,31 +138,31 @@
         }
 
         @Override
-        public boolean hasUnheard() {
+        public boolean hasUndelivered() {
             return false;
         }
 
         @Override
-        public boolean closeUnlessUnheard() {
+        public boolean closeUnlessUndelivered() {
             closed = true;
             return true;
         }
 
         @Override
-        public void linger() {
+        public void closeLingering() {
             closed = true;
         }
 
         @Override
-        public void hold(boolean held) {
+        public void setReadingPaused(boolean held) {
             // nothing comes by itself
         }
     }
 
     /** Connections that never come up. */
-    private static final class NoNetwork implements Wires {
+    private static final class NoNetwork implements Transport {
         @Override
-        public <S extends Side> S connect(String address, Function<Wire, S> makeSide) {
+        public <S extends ConnectionHandler> S connect(String address, Function<Connection, S> makeSide) {
             return makeSide.apply(new Heard());
         }
 
--- a/src/test/java/yewdock/council/RaftDiskTest.java
+++ b/src/test/java/yewdock/consensus/RaftDiskTest.java
@@ -1,4 +1,4 @@
-package yewdock.council;
+package yewdock.consensus;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,8 +11,8 @@
 import java.util.SortedMap;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import yewdock.store.Shelf;
-import yewdock.store.Store;
+import yewdock.store.KeyValueStore;
+import yewdock.store.RecordFile;
 import yewdock.store.StoreException;
 
 class RaftDiskTest {
@@ -21,11 +21,11 @@
     /** A folder can be open only once: a failed attempt that kept it open would make every later one fail. */
     @Test
     void reopeningIsRetriedUntilTheDiskWorks(@TempDir Path folder) throws Exception {
-        RaftDisk first = new RaftDisk(() -> {
+        DurableRaftStore first = new DurableRaftStore(() -> {
             if (failing) {
                 throw new StoreException(StoreException.Kind.UNWRITABLE, "no room");
             }
-            return Store.open(folder);
+            return RecordFile.open(folder);
         });
         String number = first.number("a");
         failing = true;
@@ -33,10 +33,10 @@
         assertTrue(first.failed(), "a member without a disk must not pass for a new one");
         assertThrows(IOException.class, first::reopen);
         failing = false;
-        RaftDisk second = first.reopen();
+        DurableRaftStore second = first.reopen();
         assertFalse(second.failed());
         assertEquals(number, second.number("b"));
-        RaftDisk third = second.reopen();
+        DurableRaftStore third = second.reopen();
         assertEquals(number, third.number("c"));
         third.close();
     }
@@ -45,7 +45,8 @@
     @Test
     void anAttemptWhoseWriteFailsLeavesNothingOpen(@TempDir Path folder) throws Exception {
         int[] openStores = {0};
-        RaftDisk first = new RaftDisk(() -> new CountingStore(Store.open(folder), openStores));
+        DurableRaftStore first = new DurableRaftStore(() -> new CountingStore(RecordFile.open(folder),
+                openStores));
         failing = true;
         assertThrows(IOException.class, first::reopen);
         assertEquals(0, openStores[0]);
@@ -55,12 +56,12 @@
     }
 
     /** A store that counts open stores and fails every write while {@link #failing}. */
-    private final class CountingStore implements Shelf {
-        private final Shelf store;
+    private final class CountingStore implements KeyValueStore {
+        private final KeyValueStore store;
         private final int[] openStores;
         private boolean isOpen = true;
 
-        CountingStore(Shelf store, int[] openStores) {
+        CountingStore(KeyValueStore store, int[] openStores) {
             this.store = store;
             this.openStores = openStores;
             openStores[0]++;
@@ -80,8 +81,8 @@
         }
 
         @Override
-        public void tidy(int mostMillis) throws StoreException {
-            store.tidy(mostMillis);
+        public void compactIfLarge(int mostMillis) throws StoreException {
+            store.compactIfLarge(mostMillis);
         }
 
         @Override
--- a/src/test/java/yewdock/daemon/GenerationsSimTest.java
+++ b/src/test/java/yewdock/daemon/GenerationsSimTest.java
@@ -19,21 +19,21 @@
 import umberspread.GenerationRouter;
 import umberspread.Routing.Lifecycle;
 import umberspread.Routing.Outcome;
-import umberspread.Routing.Replica;
-import yewdock.desk.Bounds;
-import yewdock.desk.EndpointList;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Effect;
-import yewdock.desk.Event;
-import yewdock.desk.ModelServer;
-import yewdock.desk.ModelRequest;
-import yewdock.desk.Terms;
+import umberspread.Routing.ServerState;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Effect;
+import yewdock.core.EndpointList;
+import yewdock.core.Event;
+import yewdock.core.ModelRequest;
+import yewdock.core.ModelServer;
+import yewdock.core.Reducer;
+import yewdock.core.ResourceLimits;
 import yewdock.platform.Config;
-import yewdock.upgrade.KeeperEffect;
-import yewdock.upgrade.KeeperEvent;
-import yewdock.upgrade.Limits;
-import yewdock.upgrade.Upgrade;
+import yewdock.upgrade.SupervisorEffect;
+import yewdock.upgrade.SupervisorEvent;
+import yewdock.upgrade.SupervisorReducer;
+import yewdock.upgrade.UpgradeLimits;
 import yewdock.wire.Checked;
 import yewdock.wire.Frame;
 import yewdock.wire.Hello;
@@ -48,7 +48,8 @@
  * seed, one run.
  */
 class GenerationsSimTest {
-    private static final Terms TERMS = new Terms(250_000, 5_000_000, false, 1_000_000, 10_000_000, false, 4,
+    private static final CoreSettings TERMS = new CoreSettings(250_000, 5_000_000, false, 1_000_000,
+            10_000_000, false, 4,
             List.of(), List.of("chat"), 0);
     private static final int SEEDS = Integer.getInteger("sim.seeds", 60);
     private static final int IDS = 25;
@@ -102,7 +103,8 @@
         private final Config config;
         private final PriorityQueue<Due> queue =
                 new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
-        private final Upgrade keeper = new Upgrade(Limits.even(700_000, 4_000_000, 3));
+        private final SupervisorReducer keeper =
+                new SupervisorReducer(UpgradeLimits.uniform(700_000, 4_000_000, 3));
         private final Map<Integer, Gen> gens = new TreeMap<>();
         private final Map<Long, String> boxStates = new HashMap<>();
         private final Map<Long, Long> drainTold = new HashMap<>();
@@ -130,7 +132,7 @@
         }
 
         void run() {
-            keeper(new KeeperEvent.Begun(List.of("p")));
+            keeper(new SupervisorEvent.ListenerOpened(List.of("p")));
             for (int c = 0; c < CLIENTS; c++) {
                 Client client = new Client();
                 client.goIn(random.nextLong(500_000));
@@ -165,10 +167,10 @@
 
         private void askUpgrade() {
             if (!ending) {
-                keeper(new KeeperEvent.Asked(order, List.of()));
+                keeper(new SupervisorEvent.UpgradeRequested(order, List.of()));
                 at(500_000 + random.nextLong(2_000_000), this::askUpgrade);
                 if (random.nextInt(12) == 0) {
-                    Gen serving = gens.get(keeper.serving());
+                    Gen serving = gens.get(keeper.servingGeneration());
                     if (serving != null) {
                         at(random.nextLong(300_000), serving::die);
                     }
@@ -186,36 +188,36 @@
             at(300_000 + random.nextLong(2_500_000), this::drainOne);
         }
 
-        private void keeper(KeeperEvent event) {
-            for (KeeperEffect effect : keeper.reduce(event, now)) {
-                if (effect instanceof KeeperEffect.Start e) {
+        private void keeper(SupervisorEvent event) {
+            for (SupervisorEffect effect : keeper.reduce(event, now)) {
+                if (effect instanceof SupervisorEffect.StartProcess e) {
                     Gen g = new Gen(e.generation());
                     gens.put(e.generation(), g);
                     at(50_000, g::begin);
-                } else if (effect instanceof KeeperEffect.Tell e) {
+                } else if (effect instanceof SupervisorEffect.SendFrame e) {
                     gens.get(e.generation()).deliver(e.frame());
-                } else if (effect instanceof KeeperEffect.Kill e) {
+                } else if (effect instanceof SupervisorEffect.KillProcess e) {
                     gens.get(e.generation()).die();
-                } else if (effect instanceof KeeperEffect.Note e) {
+                } else if (effect instanceof SupervisorEffect.WriteLog e) {
                     upgraded += e.event().equals("upgrade.done") ? 1 : 0;
                     failed += e.event().equals("upgrade.failed") ? 1 : 0;
-                } else if (effect instanceof KeeperEffect.Stop) {
+                } else if (effect instanceof SupervisorEffect.ExitSupervisor) {
                     broken.add("the keeper stopped");
                 }
             }
             // one generation at least accepts, unless the one that served has died
-            Gen serving = gens.get(keeper.serving());
+            Gen serving = gens.get(keeper.servingGeneration());
             if (serving != null && serving.alive && !serving.accepting && !serving.stopping
-                    && keeper.coming() == 0 && !serving.awaitsBack) {
+                    && keeper.upcomingGeneration() == 0 && !serving.awaitsBack) {
                 broken.add("generation " + serving.number + " serves and does not accept");
             }
-            if (keeper.nextDue() < keeperTick) {
-                keeperTick = keeper.nextDue();
+            if (keeper.nextTimerDue() < keeperTick) {
+                keeperTick = keeper.nextTimerDue();
                 long mine = keeperTick;
                 at(Math.max(0, mine - now), () -> {
                     if (keeperTick == mine) {
                         keeperTick = Long.MAX_VALUE;
-                        keeper(new KeeperEvent.Tick());
+                        keeper(new SupervisorEvent.Tick());
                     }
                 });
             }
@@ -224,7 +226,7 @@
         private EndpointList list(long since) {
             List<ModelServer> boxes = new ArrayList<>();
             boxStates.forEach((id, state) -> boxes.add(new ModelServer("s-" + id, "127.0.0.1:" + (9000 + id),
-                    new Replica(id, 0, 0, 0, 1, state.equals("up") ? Lifecycle.READY : Lifecycle.DRAINING,
+                    new ServerState(id, 0, 0, 0, 1, state.equals("up") ? Lifecycle.READY : Lifecycle.DRAINING,
                             0))));
             return new EndpointList(version, since < 0, boxes);
         }
@@ -236,7 +238,7 @@
             if (version > since || force) {
                 told();
                 EndpointList list = list(since);
-                at(random.nextLong(1_000), () -> g.happened(new Event.ListCame(list)));
+                at(random.nextLong(1_000), () -> g.happened(new Event.EndpointListReceived(list)));
                 return;
             }
             watchers.add(() -> answer(g, since, wait, call, false));
@@ -279,12 +281,13 @@
                     gen = open.get(random.nextInt(open.size()));
                     connection = ++lastConnection;
                     gen.clients.put(connection, this);
-                    gen.happened(new Event.ClientCame(connection));
+                    gen.happened(new Event.ClientConnected(connection));
                 }
                 String id = "id" + random.nextInt(IDS);
-                gen.happened(new Event.ClientBegan(connection));
+                gen.happened(new Event.ClientRequestStarted(connection));
                 gen.owing.put(connection, id);
-                gen.happened(new Event.Asked(connection, new ModelRequest(id, 0, 0, false, random.nextInt(9),
+                gen.happened(new Event.RequestReceived(connection, new ModelRequest(id, 0, 0, false,
+                        random.nextInt(9),
                         random.nextInt(5), 10, 5, 9, 3_000_000, 100)));
             }
 
@@ -295,10 +298,10 @@
 
             void done() {
                 answered++;
-                if (gen.desk.lettingGo() || gen.desk.leaving()) {
+                if (gen.desk.isHandedOver() || gen.desk.isShuttingDown()) {
                     gen.leaves(connection);
                 } else {
-                    gen.happened(new Event.ClientQuiet(connection));
+                    gen.happened(new Event.ClientIdle(connection));
                     goIn(random.nextLong(250_000));
                 }
             }
@@ -313,7 +316,7 @@
             private final Map<Long, Long> boxOfLine = new HashMap<>();
             private final Map<Long, String> tryOnLine = new HashMap<>();
             private final int fails;
-            private Desk desk;
+            private Reducer desk;
             private GenerationRouter router;
             private boolean alive = true;
             private boolean hung;
@@ -342,7 +345,7 @@
             private void tell(Frame.Builder frame) {
                 Frame built = frame.build();
                 linkFree = Math.max(linkFree, now + 50 + random.nextLong(2_000));
-                at(linkFree - now, () -> keeper(new KeeperEvent.Heard(number, built)));
+                at(linkFree - now, () -> keeper(new SupervisorEvent.FrameReceived(number, built)));
             }
 
             private long inFree;
@@ -377,21 +380,21 @@
                 owing.clear();
                 List.copyOf(clients.values()).forEach(Client::closed);
                 clients.clear();
-                at(100, () -> keeper(new KeeperEvent.Lost(number, "closed")));
-                at(2_000, () -> keeper(new KeeperEvent.Ended(number, "died")));
+                at(100, () -> keeper(new SupervisorEvent.ConnectionLost(number, "closed")));
+                at(2_000, () -> keeper(new SupervisorEvent.ProcessEnded(number, "died")));
             }
 
             private void handle(Frame frame) {
                 switch (frame.getWhatCase()) {
                     case STATE -> build(frame);
-                    case GIVE_STATE -> tell(Frame.newBuilder().setState(States.write(desk.holdings(),
-                            router.memory(), counters.all(), now, now * 1000)));
+                    case GIVE_STATE -> tell(Frame.newBuilder().setState(StateCodec.write(desk.generationState(),
+                            router.learnedState(), counters.all(), now, now * 1000)));
                     case TAKE -> tell(Frame.newBuilder().setTook(Took.getDefaultInstance()));
-                    case SHARE -> happened(new Event.Share());
+                    case SHARE -> happened(new Event.HandoverStarted());
                     case SHARING -> {
                         if (!deaf) {
-                            happened(new Event.Adopt(frame.getSharing().getGeneration(),
-                                    States.holdings(frame.getSharing())));
+                            happened(new Event.GenerationStateReceived(frame.getSharing().getGeneration(),
+                                    StateCodec.holdings(frame.getSharing())));
                         }
                     }
                     case GO -> {
@@ -401,40 +404,40 @@
                     case LET_GO -> {
                         accepting = false;
                         tell(Frame.newBuilder().setLetGoDone(LetGoDone.getDefaultInstance()));
-                        happened(new Event.LetGo(frame.getLetGo().getLimitMicros()));
+                        happened(new Event.HandedOver(frame.getLetGo().getLimitMicros()));
                     }
                     case TAKE_BACK -> {
                         // one that has just stopped is gone before it hears this
                         accepting = !stopping;
                         awaitsBack = false;
-                        happened(new Event.TakeBack());
+                        happened(new Event.HandoverAborted());
                     }
-                    case OTHER_GONE -> happened(new Event.OtherGone(frame.getOtherGone().getGeneration()));
-                    case NEWS -> happened(new Event.FromOther(frame.getNews().getGeneration(),
-                            States.news(frame.getNews())));
+                    case OTHER_GONE -> happened(new Event.GenerationGone(frame.getOtherGone().getGeneration()));
+                    case NEWS -> happened(new Event.GenerationMessageReceived(frame.getNews().getGeneration(),
+                            StateCodec.news(frame.getNews())));
                     default -> broken.add("told " + frame.getWhatCase());
                 }
             }
 
             private void build(Frame frame) {
-                States.Left left;
+                StateCodec.InheritedState left;
                 try {
-                    left = States.read(frame.getState(), now, now * 1000);
+                    left = StateCodec.read(frame.getState(), now, now * 1000);
                 } catch (UnreadableStateException e) {
                     broken.add(e.getMessage());
                     return;
                 }
-                desk = new Desk(TERMS, new Bounds(60, 60, 60, 1 << 20), counters, actions -> {
+                desk = new Reducer(TERMS, new ResourceLimits(60, 60, 60, 1 << 20), counters, actions -> {
                     router = left == null ? new GenerationRouter(config.settings(), number, actions)
                             : new GenerationRouter(config.settings(), number, actions, left.memory(),
-                                    left.shift());
+                                    left.clockShiftMicros());
                     return router;
                 });
                 if (left == null) {
                     // as after a restart: its configuration tells it the list
                     told();
                 }
-                happened(new Event.Started(left == null ? list(-1) : left.boxes(), "list"));
+                happened(new Event.Started(left == null ? list(-1) : left.endpointList(), "list"));
                 tell(Frame.newBuilder().setReady(Ready.getDefaultInstance()));
             }
 
@@ -445,8 +448,8 @@
                 for (Effect effect : desk.reduce(event, now)) {
                     perform(effect);
                 }
-                if (desk.nextDue() < tickAt) {
-                    tickAt = desk.nextDue();
+                if (desk.nextTimerDue() < tickAt) {
+                    tickAt = desk.nextTimerDue();
                     long mine = tickAt;
                     at(Math.max(0, mine - now), () -> {
                         if (tickAt == mine) {
@@ -458,38 +461,38 @@
             }
 
             private void perform(Effect effect) {
-                if (effect instanceof Effect.OpenLine e) {
-                    boxOfLine.put(e.line(), Long.parseLong(e.address().split(":")[1]) - 9000);
-                    at(100 + random.nextLong(900), () -> happened(new Event.LineUp(e.line())));
-                } else if (effect instanceof Effect.SendTry e) {
+                if (effect instanceof Effect.OpenServerConnection e) {
+                    boxOfLine.put(e.connection(), Long.parseLong(e.address().split(":")[1]) - 9000);
+                    at(100 + random.nextLong(900), () -> happened(new Event.ServerConnected(e.connection())));
+                } else if (effect instanceof Effect.SendAttempt e) {
                     sent(e);
-                } else if (effect instanceof Effect.CloseLine e) {
-                    at(random.nextLong(500), () -> down(e.line()));
-                } else if (effect instanceof Effect.EndAnswer e) {
+                } else if (effect instanceof Effect.CloseServerConnection e) {
+                    at(random.nextLong(500), () -> down(e.connection()));
+                } else if (effect instanceof Effect.EndResponse e) {
                     final Client c = over(e.client());
                     at(0, c::done);
                 } else if (effect instanceof Effect.Refuse e) {
                     at(0, over(e.client())::done);
                 } else if (effect instanceof Effect.Fail e) {
                     at(0, over(e.client())::done);
-                } else if (effect instanceof Effect.TurnDownTwin e) {
+                } else if (effect instanceof Effect.RejectDuplicate e) {
                     over(e.client());
                     at(0, () -> leaves(e.client()));
-                } else if (effect instanceof Effect.CutOff e) {
+                } else if (effect instanceof Effect.AbortResponse e) {
                     over(e.client());
                     at(0, () -> leaves(e.client()));
                 } else if (effect instanceof Effect.CloseClient e) {
                     at(0, () -> leaves(e.client()));
-                } else if (effect instanceof Effect.AskList e) {
+                } else if (effect instanceof Effect.CallDiscovery e) {
                     long call = ++listCall;
-                    at(random.nextLong(2_000), () -> answer(this, e.since(), e.longest(), call,
-                            e.longest() == 0));
-                } else if (effect instanceof Effect.HangUpList) {
+                    at(random.nextLong(2_000), () -> answer(this, e.sinceVersion(), e.maxWaitMicros(), call,
+                            e.maxWaitMicros() == 0));
+                } else if (effect instanceof Effect.CancelDiscoveryCall) {
                     listCall++;
-                } else if (effect instanceof Effect.TellOthers e) {
-                    tell(Frame.newBuilder().setNews(States.news(e.news())));
-                } else if (effect instanceof Effect.ShareOut e) {
-                    tell(Frame.newBuilder().setSharing(States.sharing(e.held())));
+                } else if (effect instanceof Effect.SendToGenerations e) {
+                    tell(Frame.newBuilder().setNews(StateCodec.news(e.message())));
+                } else if (effect instanceof Effect.SendGenerationState e) {
+                    tell(Frame.newBuilder().setSharing(StateCodec.sharing(e.state())));
                 } else if (effect instanceof Effect.Stop) {
                     stopping = true;
                     listCall++;
@@ -508,35 +511,36 @@
                 Client client = clients.remove(connection);
                 if (client != null) {
                     owing.remove(connection);
-                    happened(new Event.ClientLeft(connection));
+                    happened(new Event.ClientDisconnected(connection));
                     client.closed();
                 }
             }
 
-            private void sent(Effect.SendTry e) {
+            private void sent(Effect.SendAttempt e) {
                 String id = owing.get(e.client());
-                long box = boxOfLine.get(e.line());
+                long box = boxOfLine.get(e.connection());
                 if (out.putIfAbsent(id, number + "") != null) {
                     broken.add("id " + id + " is out twice, from " + out.get(id) + " and " + number);
                 }
-                tryOnLine.put(e.line(), id);
+                tryOnLine.put(e.connection(), id);
                 if (now > drainTold.getOrDefault(box, Long.MAX_VALUE - GRACE) + GRACE) {
                     broken.add("sent to box " + box + " " + (now - drainTold.get(box))
                             + " us after its drain");
                 }
-                happened(new Event.TrySent(e.line()));
+                happened(new Event.AttemptWritten(e.connection()));
                 long first = random.nextLong(150_000);
                 long whole = first + random.nextLong(random.nextInt(10) == 0 ? 3_000_000 : 200_000);
                 boolean breaks = random.nextInt(30) == 0;
                 String mine = id;
-                at(first, () -> onLine(e.line(), mine, new Event.Piece(e.line(), ByteBuffer.allocate(9))));
+                at(first, () -> onLine(e.connection(), mine, new Event.ResponseChunk(e.connection(),
+                        ByteBuffer.allocate(9))));
                 at(whole, () -> {
                     if (breaks) {
-                        down(e.line());
-                    } else if (mine.equals(tryOnLine.get(e.line()))) {
-                        tryOnLine.remove(e.line());
+                        down(e.connection());
+                    } else if (mine.equals(tryOnLine.get(e.connection()))) {
+                        tryOnLine.remove(e.connection());
                         out.remove(mine, number + "");
-                        happened(new Event.Answered(e.line(), Outcome.OK, true, 0, null));
+                        happened(new Event.ResponseCompleted(e.connection(), Outcome.OK, true, 0, null));
                     }
                 });
             }
@@ -553,7 +557,7 @@
                     out.remove(id, number + "");
                 }
                 if (boxOfLine.remove(line) != null) {
-                    happened(new Event.LineDown(line));
+                    happened(new Event.ServerDisconnected(line));
                 }
             }
         }
--- a/src/test/java/yewdock/daemon/RehearsalTest.java
+++ b/src/test/java/yewdock/daemon/RehearsalTest.java
@@ -11,7 +11,7 @@
 class RehearsalTest {
     @Test
     void everyRequestIsServed() throws Exception {
-        assertEquals(50, Rehearsal.play(Config.read(Files.readString(
+        assertEquals(50, JvmWarmUp.play(Config.read(Files.readString(
                 Path.of("src/test/resources/exchanges/config.json")), line -> { }), 50));
     }
 }
--- a/src/test/java/yewdock/lease/GrantsTest.java
+++ b/src/test/java/yewdock/lease/GrantsTest.java
@@ -10,92 +10,93 @@
 
 class GrantsTest {
     private static final long SECOND_MICROS = 1_000_000;
-    private static final LeaseTerms TIMING = new LeaseTerms(2 * SECOND_MICROS, 0.001);
-    private final Grants grants = new Grants(TIMING);
+    private static final LeaseTiming TIMING = new LeaseTiming(2 * SECOND_MICROS, 0.001);
+    private final LeaseGrantor grants = new LeaseGrantor(TIMING);
 
-    private static Grants.Ask request(String router, long step) {
-        return new Grants.Ask(router, 1, 1, step);
+    private static LeaseGrantor.LeaseRequest request(String router, long step) {
+        return new LeaseGrantor.LeaseRequest(router, 1, 1, step);
     }
 
-    private List<Grants.Ask> granted(long lastPrepared, long now, Grants.Ask... requests) {
-        for (Grants.Ask request : requests) {
-            grants.asked(request);
+    private List<LeaseGrantor.LeaseRequest> granted(long lastPrepared, long now,
+            LeaseGrantor.LeaseRequest... requests) {
+        for (LeaseGrantor.LeaseRequest request : requests) {
+            grants.request(request);
         }
-        assertTrue(grants.beginRound());
-        return grants.confirmed(lastPrepared, now);
+        assertTrue(grants.beginConfirmation());
+        return grants.confirm(lastPrepared, now);
     }
 
     @Test
     void aLeaseRunsFromTheSendingOfItsRequest() {
         Lease lease = new Lease(TIMING);
-        long number = lease.asks(5 * SECOND_MICROS);
-        assertFalse(lease.holds(5 * SECOND_MICROS));
+        long number = lease.beginRenewal(5 * SECOND_MICROS);
+        assertFalse(lease.isValid(5 * SECOND_MICROS));
         lease.granted(number);
-        assertTrue(lease.holds(7 * SECOND_MICROS - 1));
-        assertFalse(lease.holds(7 * SECOND_MICROS));
+        assertTrue(lease.isValid(7 * SECOND_MICROS - 1));
+        assertFalse(lease.isValid(7 * SECOND_MICROS));
         lease.granted(number);
         lease.granted(99);
-        assertEquals(7 * SECOND_MICROS, lease.until());
-        long second = lease.asks(6 * SECOND_MICROS);
-        lease.asks(9 * SECOND_MICROS);
+        assertEquals(7 * SECOND_MICROS, lease.expiresAt());
+        long second = lease.beginRenewal(6 * SECOND_MICROS);
+        lease.beginRenewal(9 * SECOND_MICROS);
         lease.granted(second);
-        assertEquals(7 * SECOND_MICROS, lease.until(),
+        assertEquals(7 * SECOND_MICROS, lease.expiresAt(),
                 "an answer that arrives later than one lease length has no effect");
     }
 
     @Test
     void aRouterWithoutTheLastChangeGetsNoLease() {
-        grants.leads(0);
+        grants.becomeLeader(0);
         assertEquals(List.of(request("b", 7)), granted(7, SECOND_MICROS, request("a", 6), request("b", 7)));
     }
 
     /** A leader that was replaced could otherwise grant on responses sent before its replacement. */
     @Test
     void aRequestDuringARoundWaitsForTheNext() {
-        grants.leads(0);
-        grants.asked(request("a", 0));
-        assertTrue(grants.beginRound());
-        grants.asked(request("b", 0));
-        assertFalse(grants.beginRound());
-        assertEquals(List.of(request("a", 0)), grants.confirmed(0, 1));
-        assertTrue(grants.beginRound());
-        assertEquals(List.of(request("b", 0)), grants.confirmed(0, 2));
+        grants.becomeLeader(0);
+        grants.request(request("a", 0));
+        assertTrue(grants.beginConfirmation());
+        grants.request(request("b", 0));
+        assertFalse(grants.beginConfirmation());
+        assertEquals(List.of(request("a", 0)), grants.confirm(0, 1));
+        assertTrue(grants.beginConfirmation());
+        assertEquals(List.of(request("b", 0)), grants.confirm(0, 2));
     }
 
     @Test
     void aChangeTakesEffectOnceAllLeasesKnowItOrExpired() {
-        grants.leads(0);
-        long now = TIMING.runOut();
+        grants.becomeLeader(0);
+        long now = TIMING.expiryMicros();
         granted(0, now, request("a", 0), request("b", 0));
         Map<String, Long> pending = Map.of("c", 1L);
-        assertEquals(List.of(), grants.due(pending, now));
+        assertEquals(List.of(), grants.changesToApply(pending, now));
         granted(1, now + 1, request("a", 1));
-        assertEquals(List.of(), grants.due(pending, now + 1));
-        assertEquals(List.of("c"), grants.due(pending, now + TIMING.runOut()));
-        grants.due(Map.of(), now);
+        assertEquals(List.of(), grants.changesToApply(pending, now + 1));
+        assertEquals(List.of("c"), grants.changesToApply(pending, now + TIMING.expiryMicros()));
+        grants.changesToApply(Map.of(), now);
         granted(1, now + SECOND_MICROS, request("b", 1));
-        assertEquals(List.of("c"), grants.due(pending, now + SECOND_MICROS));
+        assertEquals(List.of("c"), grants.changesToApply(pending, now + SECOND_MICROS));
     }
 
     /** An older process of the router may be suspended and still have its lease. */
     @Test
     void eachProcessOfARouterHasALeaseOfItsOwn() {
-        grants.leads(0);
-        long now = TIMING.runOut();
-        granted(0, now, new Grants.Ask("a", 1, 1, 0));
-        granted(1, now, new Grants.Ask("a", 2, 1, 1));
-        assertEquals(List.of(), grants.due(Map.of("c", 1L), now));
+        grants.becomeLeader(0);
+        long now = TIMING.expiryMicros();
+        granted(0, now, new LeaseGrantor.LeaseRequest("a", 1, 1, 0));
+        granted(1, now, new LeaseGrantor.LeaseRequest("a", 2, 1, 1));
+        assertEquals(List.of(), grants.changesToApply(Map.of("c", 1L), now));
     }
 
     @Test
     void aNewLeaderWaitsForOneLeaseLength() {
-        assertEquals(List.of(), grants.due(Map.of("c", 1L), 0));
-        grants.leads(TIMING.runOut() - 1);
-        assertEquals(List.of(), grants.due(Map.of("c", 1L), TIMING.runOut() - 1));
-        assertEquals(List.of("c"), grants.due(Map.of("c", 1L), TIMING.runOut()));
-        grants.follows();
-        assertEquals(List.of(), grants.due(Map.of("c", 1L), TIMING.runOut()));
-        grants.asked(request("a", 1));
-        assertFalse(grants.beginRound());
+        assertEquals(List.of(), grants.changesToApply(Map.of("c", 1L), 0));
+        grants.becomeLeader(TIMING.expiryMicros() - 1);
+        assertEquals(List.of(), grants.changesToApply(Map.of("c", 1L), TIMING.expiryMicros() - 1));
+        assertEquals(List.of("c"), grants.changesToApply(Map.of("c", 1L), TIMING.expiryMicros()));
+        grants.stepDown();
+        assertEquals(List.of(), grants.changesToApply(Map.of("c", 1L), TIMING.expiryMicros()));
+        grants.request(request("a", 1));
+        assertFalse(grants.beginConfirmation());
     }
 }
--- a/src/test/java/yewdock/rules/RulesTest.java
+++ b/src/test/java/yewdock/rules/RulesTest.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
-import yewdock.state.Records;
+import yewdock.state.ReplicatedRecords;
 import yewdock.wire.RuleChange;
 import yewdock.wire.RuleCommand;
 import yewdock.wire.RuleOutcome;
@@ -24,7 +24,7 @@
 import yewdock.wire.Withdrawal;
 
 class RulesTest {
-    private final Rules rules = new Rules();
+    private final RuleStateMachine rules = new RuleStateMachine();
 
     private static RuleChange.Builder change(String id, String subject, long base) {
         return RuleChange.newBuilder().setId(id).setWho("staff").setSubject(subject).setBase(base);
@@ -50,55 +50,58 @@
         return RuleCommand.newBuilder().setWithdraw(Withdrawal.newBuilder().setId(id)).build();
     }
 
-    private Refusal rejectionOf(RuleCommand command) {
-        return Refusal.of(rules.take(command).getRefusal());
+    private ChangeRejection rejectionOf(RuleCommand command) {
+        return ChangeRejection.of(rules.apply(command).getRefusal());
     }
 
     @Test
     void aChangeIsPreparedAndThenTakesEffect() {
         assertEquals(null, rejectionOf(prepare(change("a", "box/s-1", 0).setValue(noNewRequests()))));
-        assertEquals(Set.of("s-1"), rules.view().out());
+        assertEquals(Set.of("s-1"), rules.view().cordonedServers());
         assertEquals(0, rules.revision());
-        rules.take(force("a"));
+        rules.apply(force("a"));
         assertEquals(1, rules.revision("box/s-1"));
-        rules.take(prepare(change("b", "box/s-1", 1)));
-        assertEquals(Set.of("s-1"), rules.view().out(),
+        rules.apply(prepare(change("b", "box/s-1", 1)));
+        assertEquals(Set.of("s-1"), rules.view().cordonedServers(),
                 "the server must get no requests until the change has taken effect");
-        rules.take(force("b"));
-        assertEquals(Set.of(), rules.view().out());
+        rules.apply(force("b"));
+        assertEquals(Set.of(), rules.view().cordonedServers());
         assertEquals(List.of("a", "b"), rules.history().stream().map(h -> h.getChange().getId()).toList());
     }
 
     @Test
     void invalidCommandsAreRejectedAndChangeNothing() {
-        rules.take(prepare(change("a", "share/birgunj", 0).setValue(rateLimit(5))));
-        assertEquals(Refusal.UNDER_WAY, rejectionOf(prepare(change("b", "share/birgunj", 0)
+        rules.apply(prepare(change("a", "share/birgunj", 0).setValue(rateLimit(5))));
+        assertEquals(ChangeRejection.ALREADY_PENDING, rejectionOf(prepare(change("b", "share/birgunj", 0)
                 .setValue(rateLimit(6)))));
-        rules.take(force("a"));
-        assertEquals(Refusal.STALE, rejectionOf(prepare(change("c", "share/birgunj", 0)
+        rules.apply(force("a"));
+        assertEquals(ChangeRejection.STALE, rejectionOf(prepare(change("c", "share/birgunj", 0)
                 .setValue(rateLimit(6)))));
-        assertEquals(Refusal.SAME, rejectionOf(prepare(change("d", "share/birgunj", 1)
+        assertEquals(ChangeRejection.UNCHANGED, rejectionOf(prepare(change("d", "share/birgunj", 1)
                 .setValue(rateLimit(5)))));
-        assertEquals(Refusal.NOT_UNDER_WAY, rejectionOf(force("never")));
-        assertEquals(Refusal.TOO_LARGE, rejectionOf(prepare(change("e", "share/birgunj", 1)
-                .setWhy("x".repeat(Rules.MOST_BYTES)))));
-        assertEquals(5, rules.view().shares().get("birgunj"));
-        for (int i = rules.subjects().size(); i < Rules.MOST_SUBJECTS; i++) {
-            rules.take(prepare(change("f" + i, "box/" + i, 0).setValue(noNewRequests())));
+        assertEquals(ChangeRejection.NOT_PENDING, rejectionOf(force("never")));
+        assertEquals(ChangeRejection.TOO_LARGE, rejectionOf(prepare(change("e", "share/birgunj", 1)
+                .setWhy("x".repeat(RuleStateMachine.MAX_CHANGE_BYTES)))));
+        assertEquals(5, rules.view().rateLimits().get("birgunj"));
+        for (int i = rules.subjects().size(); i < RuleStateMachine.MAX_SUBJECTS; i++) {
+            rules.apply(prepare(change("f" + i, "box/" + i, 0).setValue(noNewRequests())));
         }
-        assertEquals(Refusal.FULL, rejectionOf(prepare(change("g", "box/last", 0)
+        assertEquals(ChangeRejection.TOO_MANY_SUBJECTS, rejectionOf(prepare(change("g", "box/last", 0)
                 .setValue(noNewRequests()))));
     }
 
     @Test
     void invalidChangesAreFoundBeforeTheyAreProposed() {
-        assertEquals(Refusal.UNFIT, Rules.flaw(change("a", "moon/1", 0).build()));
-        assertEquals(Refusal.UNFIT, Rules.flaw(change("a", "box/", 0).setValue(noNewRequests()).build()));
-        assertEquals(Refusal.UNFIT, Rules.flaw(change("a", "share/x", 0).setValue(rateLimit(-1)).build()));
-        assertEquals(Refusal.UNFIT,
-                Rules.flaw(change("a", "share/x", 0).setValue(rateLimit(Double.NaN)).build()));
-        assertEquals(Refusal.UNFIT, Rules.flaw(change("", "box/x", 0).setValue(noNewRequests()).build()));
-        assertEquals(null, Rules.flaw(change("a", "setting/k", 0)
+        assertEquals(ChangeRejection.INVALID, RuleStateMachine.validate(change("a", "moon/1", 0).build()));
+        assertEquals(ChangeRejection.INVALID,
+                RuleStateMachine.validate(change("a", "box/", 0).setValue(noNewRequests()).build()));
+        assertEquals(ChangeRejection.INVALID,
+                RuleStateMachine.validate(change("a", "share/x", 0).setValue(rateLimit(-1)).build()));
+        assertEquals(ChangeRejection.INVALID,
+                RuleStateMachine.validate(change("a", "share/x", 0).setValue(rateLimit(Double.NaN)).build()));
+        assertEquals(ChangeRejection.INVALID,
+                RuleStateMachine.validate(change("", "box/x", 0).setValue(noNewRequests()).build()));
+        assertEquals(null, RuleStateMachine.validate(change("a", "setting/k", 0)
                 .setValue(RuleValue.newBuilder().setText("v")).build()));
     }
 
@@ -106,16 +109,16 @@
     @Test
     void theSameChangeIsAppliedOnce() {
         RuleCommand command = prepare(change("a", "box/s-1", 0).setValue(noNewRequests()));
-        RuleOutcome first = rules.take(command);
-        assertEquals(first, rules.take(command));
-        rules.take(force("a"));
-        assertEquals(1, rules.take(command).getRevision());
-        assertEquals(1, rules.take(force("a")).getRevision());
+        RuleOutcome first = rules.apply(command);
+        assertEquals(first, rules.apply(command));
+        rules.apply(force("a"));
+        assertEquals(1, rules.apply(command).getRevision());
+        assertEquals(1, rules.apply(force("a")).getRevision());
         assertEquals(1, rules.revision());
-        rules.take(prepare(change("b", "box/s-2", 0).setValue(noNewRequests())));
-        assertTrue(rules.take(withdraw("b")).getWithdrawn());
-        assertTrue(rules.take(force("b")).getWithdrawn());
-        assertEquals(Set.of("s-1"), rules.view().out());
+        rules.apply(prepare(change("b", "box/s-2", 0).setValue(noNewRequests())));
+        assertTrue(rules.apply(withdraw("b")).getWithdrawn());
+        assertTrue(rules.apply(force("b")).getWithdrawn());
+        assertEquals(Set.of("s-1"), rules.view().cordonedServers());
     }
 
     /** Kinds of rules that only newer versions know are replicated and kept, but not applied. */
@@ -123,28 +126,29 @@
     void rulesOfNewerVersionsAreKeptAndNotApplied() throws InvalidProtocolBufferException {
         RuleValue later = RuleValue.newBuilder().setUnknownFields(UnknownFieldSet.newBuilder().addField(99,
                 UnknownFieldSet.Field.newBuilder().addVarint(7).build()).build()).build();
-        rules.take(prepare(change("a", "moon/1", 0).setValue(later)));
-        rules.take(force("a"));
-        RuleCommand unknown = Rules.read(new byte[] {(byte) 0x82, 0x08, 0x01, 0x41});
-        rules.take(unknown);
-        Rules next = new Rules();
+        rules.apply(prepare(change("a", "moon/1", 0).setValue(later)));
+        rules.apply(force("a"));
+        RuleCommand unknown = RuleStateMachine.parseCommand(new byte[] {(byte) 0x82, 0x08, 0x01, 0x41});
+        rules.apply(unknown);
+        RuleStateMachine next = new RuleStateMachine();
         next.install(rules.snapshot());
         assertEquals(later, next.subjects().get(0).getValue());
-        assertEquals(List.of(ByteString.copyFrom(Records.bytes(unknown))), next.snapshot().getUnreadList());
+        assertEquals(List.of(ByteString.copyFrom(ReplicatedRecords.bytes(unknown))),
+                next.snapshot().getUnreadList());
         assertEquals(3, next.view().step());
-        assertEquals(Set.of(), next.view().out());
+        assertEquals(Set.of(), next.view().cordonedServers());
     }
 
     /** Any commands give the same bytes and chain whether or not a snapshot is installed in between. */
     @Property(tries = 300)
     void aSnapshotAtAnyPointChangesNothing(@ForAll @Size(max = 60) List<@IntRange(max = 719) Integer> draws,
             @ForAll @IntRange(max = 60) int snapshotAt) {
-        Rules direct = new Rules();
-        Rules viaSnapshot = new Rules();
+        RuleStateMachine direct = new RuleStateMachine();
+        RuleStateMachine viaSnapshot = new RuleStateMachine();
         int i = 0;
         for (int draw : draws) {
             String id = "c" + draw % 12;
-            String subject = Kind.values()[draw / 12 % 3].subject("x" + draw / 36 % 2);
+            String subject = RuleKind.values()[draw / 12 % 3].subject("x" + draw / 36 % 2);
             RuleCommand command = switch (draw / 72 % 4) {
                 case 0, 1 -> prepare(change(id, subject, direct.revision(subject)).setValue(
                         subject.startsWith("box") ? noNewRequests() : rateLimit(draw % 7)));
@@ -152,42 +156,43 @@
                 default -> withdraw(id);
             };
             if (i++ == snapshotAt) {
-                Rules next = new Rules();
+                RuleStateMachine next = new RuleStateMachine();
                 next.install(viaSnapshot.snapshot());
                 viaSnapshot = next;
             }
-            assertEquals(direct.take(command), viaSnapshot.take(command));
+            assertEquals(direct.apply(command), viaSnapshot.apply(command));
         }
-        assertArrayEquals(Records.bytes(direct.snapshot()), Records.bytes(viaSnapshot.snapshot()));
+        assertArrayEquals(ReplicatedRecords.bytes(direct.snapshot()),
+                ReplicatedRecords.bytes(viaSnapshot.snapshot()));
         assertEquals(direct.chain(), viaSnapshot.chain());
         assertEquals(direct.view(), viaSnapshot.view());
     }
 
     @Test
     void differentHistoriesHaveDifferentChains() {
-        Rules other = new Rules();
-        rules.take(prepare(change("a", "box/s-1", 0).setValue(noNewRequests())));
-        other.take(prepare(change("a", "box/s-2", 0).setValue(noNewRequests())));
+        RuleStateMachine other = new RuleStateMachine();
+        rules.apply(prepare(change("a", "box/s-1", 0).setValue(noNewRequests())));
+        other.apply(prepare(change("a", "box/s-2", 0).setValue(noNewRequests())));
         assertFalse(rules.chain() == other.chain());
     }
 
     @Test
     void thePendingValueContradictsNeitherOldNorNew() {
-        assertEquals(noNewRequests(), Kind.BOX.between(noNewRequests(), null));
-        assertEquals(noNewRequests(), Kind.BOX.between(null, noNewRequests()));
-        assertEquals(rateLimit(3), Kind.SHARE.between(rateLimit(3), rateLimit(8)));
-        assertEquals(rateLimit(3), Kind.SHARE.between(rateLimit(8), rateLimit(3)));
-        assertEquals(rateLimit(3), Kind.SHARE.between(null, rateLimit(3)));
+        assertEquals(noNewRequests(), RuleKind.SERVER.between(noNewRequests(), null));
+        assertEquals(noNewRequests(), RuleKind.SERVER.between(null, noNewRequests()));
+        assertEquals(rateLimit(3), RuleKind.RATE_LIMIT.between(rateLimit(3), rateLimit(8)));
+        assertEquals(rateLimit(3), RuleKind.RATE_LIMIT.between(rateLimit(8), rateLimit(3)));
+        assertEquals(rateLimit(3), RuleKind.RATE_LIMIT.between(null, rateLimit(3)));
     }
 
     @Test
     void everyRejectionSaysWhatToDo() {
         Set<String> texts = new HashSet<>();
-        for (Refusal rejection : Refusal.values()) {
-            assertEquals(rejection, Refusal.of(rejection.number()));
-            assertTrue(rejection.text().contains("; "), rejection.text());
-            assertTrue(texts.add(rejection.text()));
+        for (ChangeRejection rejection : ChangeRejection.values()) {
+            assertEquals(rejection, ChangeRejection.of(rejection.number()));
+            assertTrue(rejection.message().contains("; "), rejection.message());
+            assertTrue(texts.add(rejection.message()));
         }
-        assertEquals(null, Refusal.of(0));
+        assertEquals(null, ChangeRejection.of(0));
     }
 }
--- a/src/test/java/yewdock/state/KeepingTest.java
+++ b/src/test/java/yewdock/state/KeepingTest.java
@@ -21,8 +21,8 @@
     private static final long NOW_MICROS = 1_700_000_000 * SECOND_MICROS;
     private static final long MAX_DRAIN_AGE_MICROS = 3600 * SECOND_MICROS;
 
-    private final Records records = new Records("here", 1000);
-    private final Keeping recorder = new Keeping(records, MAX_DRAIN_AGE_MICROS);
+    private final ReplicatedRecords records = new ReplicatedRecords("here", 1000);
+    private final StateRecorder recorder = new StateRecorder(records, MAX_DRAIN_AGE_MICROS);
 
     private static Box server(long id, Lifecycle lifecycle, long startedAt) {
         return Box.newBuilder().setId(id).setName("s-" + id).setAddress("10.0.0.1:" + (8000 + id))
@@ -35,7 +35,7 @@
     }
 
     private State state(long wall) {
-        return recorder.state(1, 1, wall, 0);
+        return recorder.restartState(1, 1, wall, 0);
     }
 
     private Box serverIn(State state, long id) {
@@ -45,10 +45,12 @@
 
     @Test
     void aDrainSurvivesARestartWithTheTimeItWasFirstTold() {
-        recorder.told(list(3, true, server(1, Lifecycle.READY, 5), server(2, Lifecycle.READY, 5)), 0,
+        recorder.recordEndpointList(list(3, true, server(1, Lifecycle.READY, 5), server(2, Lifecycle.READY,
+                5)), 0,
                 NOW_MICROS);
-        recorder.told(list(4, false, server(1, Lifecycle.DRAINING, 5)), 0, NOW_MICROS + SECOND_MICROS);
-        assertEquals(2, recorder.told(list(5, false, server(1, Lifecycle.DRAINING, 5),
+        recorder.recordEndpointList(list(4, false, server(1, Lifecycle.DRAINING, 5)), 0, NOW_MICROS
+                + SECOND_MICROS);
+        assertEquals(2, recorder.recordEndpointList(list(5, false, server(1, Lifecycle.DRAINING, 5),
                 server(2, Lifecycle.DRAINING, 5)), 0, NOW_MICROS + 9 * SECOND_MICROS).size(),
                 "only changed records are written");
         State state = state(NOW_MICROS + 20 * SECOND_MICROS);
@@ -60,7 +62,7 @@
 
     @Test
     void anOldDrainIsIgnoredAtARestartUnlessTheClockWasSetBack() {
-        recorder.told(list(3, true, server(1, Lifecycle.DRAINING, 5)), 0, NOW_MICROS);
+        recorder.recordEndpointList(list(3, true, server(1, Lifecycle.DRAINING, 5)), 0, NOW_MICROS);
         assertEquals(Lifecycle.DRAINING.ordinal(), serverIn(state(NOW_MICROS + MAX_DRAIN_AGE_MICROS), 1)
                 .getLifecycle());
         assertEquals(Lifecycle.READY.ordinal(), serverIn(state(NOW_MICROS + MAX_DRAIN_AGE_MICROS + 1), 1)
@@ -74,72 +76,78 @@
 
     @Test
     void aFullListRemovesServersThatItDoesNotContain() {
-        recorder.told(list(3, true, server(1, Lifecycle.READY, 5), server(2, Lifecycle.READY, 5)), 0,
+        recorder.recordEndpointList(list(3, true, server(1, Lifecycle.READY, 5), server(2, Lifecycle.READY,
+                5)), 0,
                 NOW_MICROS);
-        recorder.learnt(Memory.newBuilder().addNodes(NodeMemory.newBuilder().setId(2).setEjections(3)
+        recorder.recordModuleMemory(Memory.newBuilder().addNodes(NodeMemory.newBuilder().setId(2).setEjections(3)
                 .setEjectedUntil(NOW_MICROS + SECOND_MICROS)).build(), 0, NOW_MICROS);
         assertEquals(1, state(NOW_MICROS).getModule().getNodesCount());
-        recorder.told(list(4, true, server(1, Lifecycle.READY, 5)), 0, NOW_MICROS);
+        recorder.recordEndpointList(list(4, true, server(1, Lifecycle.READY, 5)), 0, NOW_MICROS);
         assertEquals(1, state(NOW_MICROS).getBoxes().getBoxesCount());
         assertEquals(0, state(NOW_MICROS).getModule().getNodesCount());
     }
 
     @Test
     void aRestartedServerDoesNotInheritEjections() {
-        recorder.told(list(3, true, server(1, Lifecycle.READY, 5)), 0, NOW_MICROS);
-        recorder.learnt(Memory.newBuilder().addNodes(NodeMemory.newBuilder().setId(1).setEjections(3)
+        recorder.recordEndpointList(list(3, true, server(1, Lifecycle.READY, 5)), 0, NOW_MICROS);
+        recorder.recordModuleMemory(Memory.newBuilder().addNodes(NodeMemory.newBuilder().setId(1).setEjections(3)
                 .setEjectedUntil(NOW_MICROS + SECOND_MICROS).setBudgetedStart(5)).build(), 0, NOW_MICROS);
-        recorder.told(list(4, false, server(1, Lifecycle.READY, 9)), 0, NOW_MICROS);
-        assertNull(records.get(Keys.node("here", 1)));
+        recorder.recordEndpointList(list(4, false, server(1, Lifecycle.READY, 9)), 0, NOW_MICROS);
+        assertNull(records.get(RecordKeys.serverMemory("here", 1)));
     }
 
     @Test
     void timesOfAGenerationAreConvertedToTheDaemonsClock() {
-        recorder.told(list(3, true, server(1, Lifecycle.READY, 5)), 0, NOW_MICROS);
+        recorder.recordEndpointList(list(3, true, server(1, Lifecycle.READY, 5)), 0, NOW_MICROS);
         Memory learnt = Memory.newBuilder().addNodes(NodeMemory.newBuilder().setId(1).setEjections(1)
                 .setEjectedUntil(700)).build();
-        recorder.learnt(learnt, 50, NOW_MICROS);
-        assertEquals(750, records.get(Keys.node("here", 1)).getNode().getEjectedUntil());
-        assertTrue(recorder.learnt(learnt, 50, NOW_MICROS + SECOND_MICROS).isEmpty(),
+        recorder.recordModuleMemory(learnt, 50, NOW_MICROS);
+        assertEquals(750, records.get(RecordKeys.serverMemory("here", 1)).getNode().getEjectedUntil());
+        assertTrue(recorder.recordModuleMemory(learnt, 50, NOW_MICROS + SECOND_MICROS).isEmpty(),
                 "an unchanged record is not written again");
         // an ejection that lasts for hours comes from a clock that was changed
-        recorder.learnt(learnt, NOW_MICROS + 7200 * SECOND_MICROS, NOW_MICROS + 2 * SECOND_MICROS);
+        recorder.recordModuleMemory(learnt, NOW_MICROS + 7200 * SECOND_MICROS, NOW_MICROS
+                + 2 * SECOND_MICROS);
         assertEquals(0, state(NOW_MICROS + 2 * SECOND_MICROS).getModule().getNodesCount());
     }
 
     @Test
     void moduleMemoryExpiresAfterAnHour() {
-        recorder.told(list(3, true, server(1, Lifecycle.READY, 5)), 0, NOW_MICROS);
-        recorder.learnt(Memory.newBuilder().setReadRate(7).build(), 0, NOW_MICROS);
+        recorder.recordEndpointList(list(3, true, server(1, Lifecycle.READY, 5)), 0, NOW_MICROS);
+        recorder.recordModuleMemory(Memory.newBuilder().setReadRate(7).build(), 0, NOW_MICROS);
         assertEquals(7, state(NOW_MICROS + 60 * SECOND_MICROS).getModule().getReadRate());
         assertFalse(state(NOW_MICROS + 2 * MAX_DRAIN_AGE_MICROS).hasModule());
     }
 
     @Test
     void aGoneOverrideEndsWithARestartOfTheServerAndADrainDoesNot() {
-        recorder.told(list(3, true, server(1, Lifecycle.READY, 5), server(2, Lifecycle.READY, 5)), 0,
+        recorder.recordEndpointList(list(3, true, server(1, Lifecycle.READY, 5), server(2, Lifecycle.READY,
+                5)), 0,
                 NOW_MICROS);
-        recorder.mark("s-1", Mark.Kind.GONE, "here", NOW_MICROS);
-        recorder.mark("s-2", Mark.Kind.DRAIN, "here", NOW_MICROS);
-        assertTrue(recorder.dropOutlived(NOW_MICROS).isEmpty());
-        recorder.told(list(4, false, server(1, Lifecycle.READY, 6), server(2, Lifecycle.READY, 6)), 0,
+        recorder.recordOverride("s-1", Mark.Kind.GONE, "here", NOW_MICROS);
+        recorder.recordOverride("s-2", Mark.Kind.DRAIN, "here", NOW_MICROS);
+        assertTrue(recorder.dropOutdatedOverrides(NOW_MICROS).isEmpty());
+        recorder.recordEndpointList(list(4, false, server(1, Lifecycle.READY, 6), server(2, Lifecycle.READY,
+                6)), 0,
                 NOW_MICROS);
-        assertEquals(1, recorder.dropOutlived(NOW_MICROS).size());
-        assertEquals(List.of("s-2"), List.copyOf(recorder.marks().keySet()));
-        recorder.mark("s-2", Mark.Kind.NONE, "here", NOW_MICROS);
-        assertTrue(recorder.marks().isEmpty());
+        assertEquals(1, recorder.dropOutdatedOverrides(NOW_MICROS).size());
+        assertEquals(List.of("s-2"), List.copyOf(recorder.overrides().keySet()));
+        recorder.recordOverride("s-2", Mark.Kind.NONE, "here", NOW_MICROS);
+        assertTrue(recorder.overrides().isEmpty());
     }
 
     @Test
     void withAnEmptyDiskDrainsKnownToOtherInstancesApply() {
-        Records north = new Records("north", 100);
-        Records south = new Records("south", 100);
-        new Keeping(north, MAX_DRAIN_AGE_MICROS).told(list(3, true, server(1, Lifecycle.READY, 5),
+        ReplicatedRecords north = new ReplicatedRecords("north", 100);
+        ReplicatedRecords south = new ReplicatedRecords("south", 100);
+        new StateRecorder(north, MAX_DRAIN_AGE_MICROS).recordEndpointList(list(3, true, server(1,
+                Lifecycle.READY, 5),
                 server(2, Lifecycle.READY, 9)), 0, NOW_MICROS);
-        new Keeping(south, MAX_DRAIN_AGE_MICROS).told(list(4, true, server(1, Lifecycle.DRAINING, 5),
+        new StateRecorder(south, MAX_DRAIN_AGE_MICROS).recordEndpointList(list(4, true, server(1,
+                Lifecycle.DRAINING, 5),
                 server(2, Lifecycle.DRAINING, 5)), 0, NOW_MICROS);
-        for (Records other : List.of(north, south)) {
-            for (Kept kept : other.after("")) {
+        for (ReplicatedRecords other : List.of(north, south)) {
+            for (Kept kept : other.recordsAfter("")) {
                 records.merge(kept);
             }
         }
--- a/src/test/java/yewdock/state/RecordsPropertiesTest.java
+++ b/src/test/java/yewdock/state/RecordsPropertiesTest.java
@@ -37,30 +37,30 @@
         return records().list().ofMaxSize(12);
     }
 
-    private static Records of(List<Kept> first, List<Kept> second) {
-        Records records = new Records("here", 100);
+    private static ReplicatedRecords of(List<Kept> first, List<Kept> second) {
+        ReplicatedRecords records = new ReplicatedRecords("here", 100);
         first.forEach(records::merge);
         second.forEach(records::merge);
         return records;
     }
 
-    private static List<Kept> all(Records records) {
+    private static List<Kept> all(ReplicatedRecords records) {
         List<Kept> all = new ArrayList<>();
-        records.after("").forEach(all::add);
+        records.recordsAfter("").forEach(all::add);
         return all;
     }
 
     @Property(seed = SEED)
     void mergingIsCommutative(@ForAll("sets") List<Kept> a, @ForAll("sets") List<Kept> b,
             @ForAll Random random) {
-        Records one = of(a, b);
+        ReplicatedRecords one = of(a, b);
         assertEquals(all(one), all(of(b, a)));
         List<Kept> shuffled = new ArrayList<>(a);
         shuffled.addAll(b);
         Collections.shuffle(shuffled, random);
-        Records other = of(shuffled, List.of());
+        ReplicatedRecords other = of(shuffled, List.of());
         assertEquals(all(one), all(other));
-        assertEquals(one.sums(), other.sums());
+        assertEquals(one.bucketSums(), other.bucketSums());
     }
 
     @Property(seed = SEED)
@@ -71,29 +71,29 @@
 
     @Property(seed = SEED)
     void mergingIsIdempotent(@ForAll("sets") List<Kept> a) {
-        Records once = of(a, List.of());
+        ReplicatedRecords once = of(a, List.of());
         assertEquals(all(once), all(of(a, a)));
-        assertEquals(once.sums(), of(a, a).sums());
+        assertEquals(once.bucketSums(), of(a, a).bucketSums());
     }
 
     @Property(seed = SEED)
     void aLocalWriteWinsOverAllRecordsSeenBefore(@ForAll("sets") List<Kept> a,
             @ForAll("sets") List<Kept> unseen) {
-        Records here = of(a, List.of());
+        ReplicatedRecords here = of(a, List.of());
         Kept local = here.write("a", Kept.newBuilder().setMark(Mark.newBuilder().setKindValue(2)), -5);
         a.forEach(here::merge);
         assertEquals(local, here.get("a"));
-        Records there = of(unseen, a);
+        ReplicatedRecords there = of(unseen, a);
         there.merge(local);
         all(here).forEach(there::merge);
-        assertEquals(there.sums(), of(all(there), all(here)).sums());
+        assertEquals(there.bucketSums(), of(all(there), all(here)).bucketSums());
     }
 
     @Property(seed = SEED)
     void sumsMatchTheRecords(@ForAll("sets") List<Kept> a, @ForAll("sets") List<Kept> b) {
-        Records merged = of(a, b);
-        assertEquals(of(all(merged), List.of()).sums(), merged.sums());
+        ReplicatedRecords merged = of(a, b);
+        assertEquals(of(all(merged), List.of()).bucketSums(), merged.bucketSums());
         assertEquals(all(merged).equals(all(of(a, List.of()))),
-                merged.differing(of(a, List.of()).sums()).isEmpty());
+                merged.differingBuckets(of(a, List.of()).bucketSums()).isEmpty());
     }
 }
--- a/src/test/java/yewdock/store/CommitterTest.java
+++ b/src/test/java/yewdock/store/CommitterTest.java
@@ -14,20 +14,20 @@
 import org.junit.jupiter.api.Test;
 
 class CommitterTest {
-    private static final Committer.Pace TIMING = new Committer.Pace(1, 5);
+    private static final Committer.CommitTiming TIMING = new Committer.CommitTiming(1, 5);
 
     /** A store in memory that fails on demand. */
-    private static final class Disk implements Shelf.Opening {
+    private static final class Disk implements KeyValueStore.StoreOpener {
         private final TreeMap<String, byte[]> kept = new TreeMap<>();
         private volatile boolean full;
         private int writes;
 
         @Override
-        public synchronized Shelf open() throws StoreException {
+        public synchronized KeyValueStore open() throws StoreException {
             if (full) {
                 throw new StoreException(StoreException.Kind.UNWRITABLE, "no room");
             }
-            return new Shelf() {
+            return new KeyValueStore() {
                 @Override
                 public SortedMap<String, byte[]> all() {
                     return new TreeMap<>(kept);
@@ -51,7 +51,7 @@
                 }
 
                 @Override
-                public void tidy(int maxMillis) {
+                public void compactIfLarge(int maxMillis) {
                     // nothing to compact
                 }
 
@@ -71,7 +71,7 @@
     @Test
     void changesOfOneKeyAreCommittedTogether() throws Exception {
         Disk disk = new Disk();
-        try (Committer committer = new Committer(disk.open(), disk, new Committer.Pace(50, 5),
+        try (Committer committer = new Committer(disk.open(), disk, new Committer.CommitTiming(50, 5),
                 health -> { })) {
             long ticket = 0;
             for (int i = 0; i <= 1000; i++) {
@@ -87,11 +87,11 @@
     void changesWhileTheDiskIsFullAreWrittenLater() throws Exception {
         Disk disk = new Disk();
         disk.kept.put("old", new byte[] {1});
-        BlockingQueue<Committer.Health> healthChanges = new LinkedBlockingQueue<>();
+        BlockingQueue<Committer.StoreHealth> healthChanges = new LinkedBlockingQueue<>();
         try (Committer committer = new Committer(disk.open(), disk, TIMING, healthChanges::add)) {
             disk.full = true;
             long first = committer.put(Map.of("a", new byte[] {1}));
-            Committer.Health failed = healthChanges.poll(10, TimeUnit.SECONDS);
+            Committer.StoreHealth failed = healthChanges.poll(10, TimeUnit.SECONDS);
             assertFalse(failed.open());
             assertEquals(StoreException.Kind.UNWRITABLE, failed.kind());
             Map<String, byte[]> removal = new TreeMap<>();
@@ -121,7 +121,8 @@
     @Test
     void closingCommitsPendingChanges() throws Exception {
         Disk disk = new Disk();
-        Committer committer = new Committer(disk.open(), disk, new Committer.Pace(60_000, 5), health -> { });
+        Committer committer = new Committer(disk.open(), disk, new Committer.CommitTiming(60_000, 5), health ->
+                { });
         committer.put(Map.of("a", new byte[] {1}));
         committer.close();
         assertTrue(disk.kept.containsKey("a"));
--- a/src/test/java/yewdock/upgrade/UpgradeTest.java
+++ b/src/test/java/yewdock/upgrade/UpgradeTest.java
@@ -22,29 +22,30 @@
 /** The keeper's decisions, stage by stage. */
 class UpgradeTest {
     private static final long STAGE = 1_000_000;
-    private final Upgrade keeper = new Upgrade(Limits.even(STAGE, 10 * STAGE, 2));
+    private final SupervisorReducer keeper =
+            new SupervisorReducer(UpgradeLimits.uniform(STAGE, 10 * STAGE, 2));
     private final List<String> seen = new ArrayList<>();
     private long now = 1;
     private int exit = -1;
 
-    private void happens(KeeperEvent event) {
-        for (KeeperEffect effect : keeper.reduce(event, now)) {
-            if (effect instanceof KeeperEffect.Tell e) {
+    private void happens(SupervisorEvent event) {
+        for (SupervisorEffect effect : keeper.reduce(event, now)) {
+            if (effect instanceof SupervisorEffect.SendFrame e) {
                 seen.add(e.generation() + " " + e.frame().getWhatCase());
-            } else if (effect instanceof KeeperEffect.Start e) {
+            } else if (effect instanceof SupervisorEffect.StartProcess e) {
                 seen.add("start " + e.generation());
-            } else if (effect instanceof KeeperEffect.Kill e) {
+            } else if (effect instanceof SupervisorEffect.KillProcess e) {
                 seen.add("kill " + e.generation());
-            } else if (effect instanceof KeeperEffect.Reply e) {
+            } else if (effect instanceof SupervisorEffect.Reply e) {
                 seen.add("reply " + e.exit() + " " + e.line());
-            } else if (effect instanceof KeeperEffect.Stop e) {
+            } else if (effect instanceof SupervisorEffect.ExitSupervisor e) {
                 exit = e.exit();
             }
         }
     }
 
     private void says(int generation, Frame.Builder frame) {
-        happens(new KeeperEvent.Heard(generation, frame.build()));
+        happens(new SupervisorEvent.FrameReceived(generation, frame.build()));
     }
 
     private List<String> taken() {
@@ -77,18 +78,18 @@
     }
 
     private void firstServes() {
-        happens(new KeeperEvent.Begun(List.of("p")));
+        happens(new SupervisorEvent.ListenerOpened(List.of("p")));
         upTo(null, 0, 1);
-        assertEquals(1, keeper.serving());
+        assertEquals(1, keeper.servingGeneration());
         taken();
     }
 
     @Test
     void goesThroughItsStages() {
         firstServes();
-        happens(new KeeperEvent.Asked(7, List.of()));
+        happens(new SupervisorEvent.UpgradeRequested(7, List.of()));
         upTo(null, 1, 2);
-        assertEquals(2, keeper.serving());
+        assertEquals(2, keeper.servingGeneration());
         List<String> all = taken();
         assertEquals(List.of("start 2", "1 GIVE_STATE", "2 STATE", "2 TAKE", "1 SHARE", "2 SHARING", "2 GO",
                 "1 LET_GO"), all.subList(0, 8));
@@ -108,54 +109,54 @@
 
     private void failAt(Stage stage, String way) {
         firstServes();
-        happens(new KeeperEvent.Asked(7, List.of()));
+        happens(new SupervisorEvent.UpgradeRequested(7, List.of()));
         upTo(stage, 1, 2);
         taken();
         String at = stage + " " + way;
         switch (way) {
             case "late" -> {
                 now += STAGE;
-                happens(new KeeperEvent.Tick());
+                happens(new SupervisorEvent.Tick());
             }
-            case "exits" -> happens(new KeeperEvent.Ended(2, "it ended with 3"));
-            case "lost" -> happens(new KeeperEvent.Lost(2, "its connection broke"));
+            case "exits" -> happens(new SupervisorEvent.ProcessEnded(2, "it ended with 3"));
+            case "lost" -> happens(new SupervisorEvent.ConnectionLost(2, "its connection broke"));
             case "fails" -> says(2, Frame.newBuilder().setFailed(Failed.newBuilder().setWhy("no")));
             default -> says(2, Frame.newBuilder().setLetGoDone(LetGoDone.getDefaultInstance()));
         }
         List<String> all = taken();
         if (stage == Stage.LET_GO && way.equals("late")) {
             // the new one serves: what is late is the old one
-            assertEquals(2, keeper.serving(), at);
+            assertEquals(2, keeper.servingGeneration(), at);
             return;
         }
-        assertEquals(1, keeper.serving(), at);
-        assertEquals(0, keeper.coming(), at);
+        assertEquals(1, keeper.servingGeneration(), at);
+        assertEquals(0, keeper.upcomingGeneration(), at);
         assertTrue(all.contains("kill 2"), at + all);
         assertEquals(stage.compareTo(Stage.SHARE) >= 0, all.contains("1 TAKE_BACK"), at + all);
         assertTrue(all.stream().anyMatch(l -> l.startsWith("reply 1 upgrade failed at stage " + stage)
                 && l.endsWith("generation 1 serves as before")), at + all);
-        happens(new KeeperEvent.Ended(2, "killed"));
-        happens(new KeeperEvent.Asked(8, List.of()));
+        happens(new SupervisorEvent.ProcessEnded(2, "killed"));
+        happens(new SupervisorEvent.UpgradeRequested(8, List.of()));
         upTo(null, 1, 3);
-        assertEquals(3, keeper.serving(), at);
+        assertEquals(3, keeper.servingGeneration(), at);
     }
 
     @Test
     void oneUpgradeAtATimeAndNotTooManyFinishing() {
         firstServes();
-        happens(new KeeperEvent.Asked(7, List.of()));
-        happens(new KeeperEvent.Asked(8, List.of()));
+        happens(new SupervisorEvent.UpgradeRequested(7, List.of()));
+        happens(new SupervisorEvent.UpgradeRequested(8, List.of()));
         assertTrue(taken().contains("reply 1 not now: generation 2 is on its way, at stage start"));
         upTo(null, 1, 2);
-        happens(new KeeperEvent.Asked(9, List.of()));
+        happens(new SupervisorEvent.UpgradeRequested(9, List.of()));
         upTo(Stage.SHARE, 2, 3);
         says(1, Frame.newBuilder().setSharing(Sharing.getDefaultInstance()));
         says(2, Frame.newBuilder().setSharing(Sharing.getDefaultInstance()));
         says(3, Frame.newBuilder().setServing(Serving.getDefaultInstance()));
         says(2, Frame.newBuilder().setLetGoDone(LetGoDone.getDefaultInstance()));
-        assertEquals(3, keeper.serving());
+        assertEquals(3, keeper.servingGeneration());
         taken();
-        happens(new KeeperEvent.Asked(10, List.of()));
+        happens(new SupervisorEvent.UpgradeRequested(10, List.of()));
         assertEquals(List.of("reply 1 not now: 2 older generations are still finishing what they have"),
                 taken());
     }
@@ -166,16 +167,16 @@
         for (Stage stage : Stage.values()) {
             UpgradeTest t = new UpgradeTest();
             t.firstServes();
-            t.happens(new KeeperEvent.Asked(7, List.of()));
+            t.happens(new SupervisorEvent.UpgradeRequested(7, List.of()));
             t.upTo(stage, 1, 2);
-            t.happens(new KeeperEvent.Lost(1, "killed"));
-            t.happens(new KeeperEvent.Ended(1, "killed"));
+            t.happens(new SupervisorEvent.ConnectionLost(1, "killed"));
+            t.happens(new SupervisorEvent.ProcessEnded(1, "killed"));
             for (Stage rest : Stage.values()) {
                 if (rest.compareTo(stage) >= 0) {
                     t.upToFrom(rest);
                 }
             }
-            assertEquals(2, t.keeper.serving(), stage.toString());
+            assertEquals(2, t.keeper.servingGeneration(), stage.toString());
         }
     }
 
@@ -195,15 +196,15 @@
     @Test
     void aServingOneThatDiesIsReplacedAndAFirstOneThatFailsEndsTheKeeper() {
         firstServes();
-        happens(new KeeperEvent.Ended(1, "killed"));
+        happens(new SupervisorEvent.ProcessEnded(1, "killed"));
         assertEquals(List.of(), taken());
-        now = keeper.nextDue();
-        happens(new KeeperEvent.Tick());
+        now = keeper.nextTimerDue();
+        happens(new SupervisorEvent.Tick());
         assertEquals(List.of("start 2"), taken());
-        Upgrade other = new Upgrade(Limits.even(STAGE, STAGE, 2));
-        other.reduce(new KeeperEvent.Begun(List.of("p")), 1);
-        assertTrue(other.reduce(new KeeperEvent.Ended(1, "it ended with 1"), 2)
-                .contains(new KeeperEffect.Stop(1)));
+        SupervisorReducer other = new SupervisorReducer(UpgradeLimits.uniform(STAGE, STAGE, 2));
+        other.reduce(new SupervisorEvent.ListenerOpened(List.of("p")), 1);
+        assertTrue(other.reduce(new SupervisorEvent.ProcessEnded(1, "it ended with 1"), 2)
+                .contains(new SupervisorEffect.ExitSupervisor(1)));
     }
 
     /**
@@ -212,26 +213,26 @@
     @Test
     void anOldOneThatStillFinishesServesAgain() {
         firstServes();
-        happens(new KeeperEvent.Asked(7, List.of("q")));
+        happens(new SupervisorEvent.UpgradeRequested(7, List.of("q")));
         upTo(null, 1, 2);
         taken();
-        happens(new KeeperEvent.Lost(2, "closed"));
-        happens(new KeeperEvent.Ended(2, "killed"));
+        happens(new SupervisorEvent.ConnectionLost(2, "closed"));
+        happens(new SupervisorEvent.ProcessEnded(2, "killed"));
         assertEquals(List.of("1 OTHER_GONE", "1 TAKE_BACK", "1 OTHER_GONE"), taken());
-        assertEquals(1, keeper.serving());
+        assertEquals(1, keeper.servingGeneration());
     }
 
     @Test
     void leavingEndsAnUpgradeAndWaitsForAll() {
         firstServes();
-        happens(new KeeperEvent.Asked(7, List.of()));
+        happens(new SupervisorEvent.UpgradeRequested(7, List.of()));
         upTo(Stage.READY, 1, 2);
-        happens(new KeeperEvent.Leave());
+        happens(new SupervisorEvent.ShutdownRequested());
         List<String> all = taken();
         assertTrue(all.contains("kill 2") && all.contains("1 LEAVE"), all.toString());
-        happens(new KeeperEvent.Ended(2, "killed"));
+        happens(new SupervisorEvent.ProcessEnded(2, "killed"));
         assertEquals(-1, exit);
-        happens(new KeeperEvent.Ended(1, "it ended with 0"));
+        happens(new SupervisorEvent.ProcessEnded(1, "it ended with 0"));
         assertEquals(0, exit);
     }
 }
