--- a/src/main/java/yewdock/baseline/Textbook.java
+++ b/src/main/java/yewdock/baseline/Textbook.java
@@ -120,7 +120,8 @@
         if (box == null) {
             open.remove(o.request.id());
             boolean mayRefuse = !o.mayHaveRun
-                    || settings.classes().get(o.request.requestClass()).retrySafety() == Routing.RetrySafety.RETRYABLE;
+                    || settings.classes().get(o.request.requestClass()).retrySafety()
+                            == Routing.RetrySafety.RETRYABLE;
             if (mayRefuse) {
                 actions.refuse(o.request.id(), 0);
             } else {
--- a/src/main/java/yewdock/core/GenerationState.java
+++ b/src/main/java/yewdock/core/GenerationState.java
@@ -8,7 +8,8 @@
  * the box list as it knows it, with the times at which it was told of each box's state.
  */
 public record GenerationState(List<String> requestIds, List<GenerationMessage.AttemptSent> attemptsInFlight,
-        EndpointList endpointList, String discoveryAddress,
+        EndpointList endpointList,
+        String discoveryAddress,
         Map<Long, Long> toldAt) {
     public GenerationState {
         requestIds = List.copyOf(requestIds);
--- a/src/main/java/yewdock/core/Others.java
+++ b/src/main/java/yewdock/core/Others.java
@@ -149,7 +149,8 @@
             if (c.asked.client() == client) {
                 left.add(c.asked);
                 claims.remove(c.asked.request().id());
-                effects.accept(new Effect.SendToGenerations(new GenerationMessage.RequestReleased(c.asked.request().id())));
+                effects.accept(new Effect.SendToGenerations(
+                        new GenerationMessage.RequestReleased(c.asked.request().id())));
             }
         }
         return left;
--- a/src/main/java/yewdock/core/RouterStatistics.java
+++ b/src/main/java/yewdock/core/RouterStatistics.java
@@ -10,7 +10,7 @@
  * @param pending requests taken and not ended
  * @param servers model boxes on the list
  * @param unavailableServers those of them that get nothing new now, by an operator's word, the list's or by
- * choice
+ *     choice
  */
 public record RouterStatistics(List<ClassStatistics> classes, long attempts, int pending, int servers,
         int unavailableServers) {
--- a/src/main/java/yewdock/daemon/ConsensusService.java
+++ b/src/main/java/yewdock/daemon/ConsensusService.java
@@ -115,9 +115,10 @@
         long seed = random.nextLong() >>> 1;
         schedule(0, () -> {
             try {
-                council = new ConsensusNode(new ConsensusNode.ConsensusConfig(settings.replication().cluster(), self, a.members(),
-                        LeaseTiming.forMaxDelay(a.agreedWithinMicros(), a.clockDrift())), this, this, mine,
-                                seed);
+                council = new ConsensusNode(
+                        new ConsensusNode.ConsensusConfig(settings.replication().cluster(), self, a.members(),
+                                LeaseTiming.forMaxDelay(a.agreedWithinMicros(), a.clockDrift())),
+                        this, this, mine, seed);
             } catch (IOException e) {
                 EventLog.warn("agreement.broken", "why", e.getMessage());
             }
--- a/src/main/java/yewdock/daemon/StandaloneRouter.java
+++ b/src/main/java/yewdock/daemon/StandaloneRouter.java
@@ -52,7 +52,8 @@
             succession.fetchPredecessorState();
         }
         Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
-                config.bounds(), counters,
+                config.bounds(),
+                counters,
                 actions -> succession == null
                         ? new BoundedLoadRouter(config.settings(), config.seed(), actions)
                         : succession.router(actions));
@@ -75,7 +76,8 @@
             if (succession != null) {
                 AdminInterface door = new AdminInterface(front);
                 sockets.listenForOperators(operator, AdminInterface.MAX_ACCEPTED_CONNECTIONS,
-                        AdminInterface.IDLE_TIMEOUT_SECONDS, door::accept);
+                        AdminInterface.IDLE_TIMEOUT_SECONDS,
+                        door::accept);
             }
         } catch (IOException | IllegalArgumentException e) {
             Logger.error("can't listen for operators on {}: {}", operator, e.getMessage());
--- a/src/main/java/yewdock/platform/Config.java
+++ b/src/main/java/yewdock/platform/Config.java
@@ -43,7 +43,8 @@
         for (JSONObject org : objects(s.optJSONArray("orgs"))) {
             tenants.add(new Routing.Tenant(org.getString("name"), org.getDouble("quota_rps")));
         }
-        NameIndexes names = new NameIndexes(NameIndexes.places(classes.stream().map(Routing.RequestClass::name).toList()),
+        NameIndexes names = new NameIndexes(
+                NameIndexes.places(classes.stream().map(Routing.RequestClass::name).toList()),
                 NameIndexes.places(tenants.stream().map(Routing.Tenant::name).toList()),
                 NameIndexes.places(strings(s.optJSONArray("zones"))),
                 NameIndexes.places(strings(s.optJSONArray("shapes"))));
--- a/src/main/java/yewdock/upgrade/SupervisorReducer.java
+++ b/src/main/java/yewdock/upgrade/SupervisorReducer.java
@@ -277,7 +277,8 @@
         if (servingGeneration == null) {
             arrived("");
         } else {
-            tell(servingGeneration, Frame.newBuilder().setLetGo(LetGo.newBuilder().setLimitMicros(limits.finishTimeoutMicros())));
+            tell(servingGeneration, Frame.newBuilder().setLetGo(
+                    LetGo.newBuilder().setLimitMicros(limits.finishTimeoutMicros())));
         }
     }
 
--- a/src/test/java/yewdock/HedgingTest.java
+++ b/src/test/java/yewdock/HedgingTest.java
@@ -128,12 +128,12 @@
     void theFirstEventWinsAndTheOtherIsClosed() {
         twoOut();
         piece(2);
-        assertEquals(List.of("PassOn", "close 1"), done);
+        assertEquals(List.of("ForwardChunk", "close 1"), done);
         assertEquals(List.of("first 1"), told);
         happens(new Event.ServerDisconnected(1));
         happens(new Event.ResponseCompleted(2, Outcome.OK, true, 0, null));
         assertEquals(List.of("first 1", "0 CANCELLED", "1 OK over"), told);
-        assertEquals(List.of("PassOn", "close 1", "EndAnswer"), done);
+        assertEquals(List.of("ForwardChunk", "close 1", "EndResponse"), done);
         assertEquals(1, counters.get("answers.served"));
     }
 
@@ -146,7 +146,7 @@
         happens(new Event.ResponseCompleted(2, Outcome.OK, true, 0, null));
         piece(1);
         happens(new Event.ResponseCompleted(1, Outcome.OK, true, 0, null));
-        assertEquals(List.of("PassOn", "close 2", "PassOn", "EndAnswer"), done);
+        assertEquals(List.of("ForwardChunk", "close 2", "ForwardChunk", "EndResponse"), done);
         happens(new Event.ServerDisconnected(2));
         assertEquals(List.of("first 0", "0 OK over", "1 CANCELLED over"), told);
     }
@@ -170,7 +170,7 @@
         happens(new Event.ResponseMalformed(2));
         happens(new Event.ServerDisconnected(2));
         piece(1);
-        assertEquals(List.of("PassOn", "close 2", "PassOn"), done);
+        assertEquals(List.of("ForwardChunk", "close 2", "ForwardChunk"), done);
         assertEquals(List.of("first 0", "1 CANCELLED"), told);
     }
 
@@ -180,7 +180,7 @@
         happens(new Event.ResponseMalformed(1));
         happens(new Event.ServerDisconnected(1));
         piece(2);
-        assertEquals(List.of("close 1", "PassOn"), done);
+        assertEquals(List.of("close 1", "ForwardChunk"), done);
         assertEquals(List.of("0 ERROR", "first 1"), told);
     }
 
@@ -218,7 +218,7 @@
                 List.of(box(1, Lifecycle.DRAINING)))));
         piece(1);
         happens(new Event.ResponseCompleted(1, Outcome.OK, true, 0, null));
-        assertEquals(List.of("PassOn", "close 2", "PassOn", "close 1", "EndAnswer"), done);
+        assertEquals(List.of("ForwardChunk", "close 2", "ForwardChunk", "close 1", "EndResponse"), done);
     }
 
     /** The second waits for the line of the first to be closed, or does not go out at all. */
--- a/src/test/java/yewdock/sockets/Listening.java
+++ b/src/test/java/yewdock/sockets/Listening.java
@@ -33,7 +33,8 @@
         Config config = Config.read(text, line -> { });
         Counters counters = new Counters();
         Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
-                config.bounds(), counters,
+                config.bounds(),
+                counters,
                 actions -> new GenerationRouter(config.settings(), 1, actions));
         return start(sockets, new ConnectionManager(config, desk, counters, sockets, sockets.clock(), line ->
                 { }), desk);
