--- a/src/main/java/yewdock/consensus/ConsensusNode.java
+++ b/src/main/java/yewdock/consensus/ConsensusNode.java
@@ -32,7 +32,7 @@
  * Takes part in consensus on the rules for one router instance. It keeps a copy of the committed rules and
  * the lease that allows this router to act on them; a voting member also votes on changes and, while it is
  * the leader, grants leases. Everything runs on the scheduler's thread, and routing a request never waits
- * for any of it.
+ * for any of it. Times are microseconds of the scheduler's clock.
  */
 public final class ConsensusNode {
     private static final long SECOND_MICROS = 1_000_000;
@@ -66,9 +66,8 @@
         boolean isReachable(String instance);
 
         /**
-         * Applies this view of the rules from now on. The implementation calls {@link
-         * ConsensusNode#rulesApplied} once
-         * every part of this instance does.
+         * Applies this view of the rules from now on. The implementation calls
+         * {@link ConsensusNode#rulesApplied} once every part of this instance does.
          */
         void applyRules(RulesView view);
 
@@ -87,7 +86,7 @@
     private final ConsensusHost host;
     private DurableRaftStore raftStore;
     private final RaftMemberId selfId;
-    /** Drawn at random at each start; tells this process apart from earlier ones of the same instance. */
+    /** Drawn at random at each start; distinguishes this process from earlier ones of the same instance. */
     private final long incarnation;
     private final RuleStateMachine localRules = new RuleStateMachine();
     private final Lease lease;
@@ -136,8 +135,7 @@
      * @throws IOException if the disk can't be read or written
      */
     public ConsensusNode(ConsensusConfig config, TaskScheduler scheduler, ConsensusHost host,
-            DurableRaftStore raftStore, long seed)
-            throws IOException {
+            DurableRaftStore raftStore, long seed) throws IOException {
         this.config = config;
         this.scheduler = scheduler;
         this.host = host;
@@ -146,8 +144,8 @@
         this.lease = new Lease(config.lease());
         this.leaseGrantor = new LeaseGrantor(config.lease());
         this.selfId = raftStore == null ? null : RaftMemberId.of(config.self(),
-                raftStore.number(Long.toHexString(seed)));
-        if (raftStore != null && raftStore.restored() != null) {
+                raftStore.diskNumber(Long.toHexString(seed)));
+        if (raftStore != null && raftStore.restoredState() != null) {
             startMember(List.of());
         }
         tick();
@@ -206,7 +204,7 @@
         }
         try {
             raftStore = raftStore.reopen();
-            if (raftStore.restored() != null) {
+            if (raftStore.restoredState() != null) {
                 startMember(List.of());
             }
         } catch (IOException e) {
@@ -266,7 +264,8 @@
     }
 
     private void renewLease() {
-        Renew.Builder request = Renew.newBuilder().setNumber(lease.beginRenewal(scheduler.nowMicros())).setStep(appliedStep)
+        Renew.Builder request = Renew.newBuilder().setNumber(lease.beginRenewal(scheduler.nowMicros()))
+                .setStep(appliedStep)
                 .setChain(appliedChain).setIncarnation(incarnation).setListAddress(listAddress)
                 .setListVersion(listVersion);
         if (++unansweredRenewals > MAX_UNANSWERED_RENEWALS) {
@@ -445,8 +444,7 @@
         }
         sendFeed(from, request.getStep());
         leaseGrantor.request(new LeaseGrantor.LeaseRequest(from, request.getIncarnation(),
-                request.getNumber(),
-                request.getStep()));
+                request.getNumber(), request.getStep()));
         confirmLeadership();
     }
 
--- a/src/main/java/yewdock/consensus/DurableRaftStore.java
+++ b/src/main/java/yewdock/consensus/DurableRaftStore.java
@@ -43,11 +43,11 @@
     private final KeyValueStore.StoreOpener opener;
     private final KeyValueStore store;
     private boolean failed;
-    private String number;
+    private String diskNumber;
     private Map<String, byte[]> pending = new HashMap<>();
     private long firstIndex = 1;
     private long lastIndex;
-    private RestoredRaftState restored;
+    private RestoredRaftState restoredState;
 
     /** Opens the store and reads the state in it. */
     public DurableRaftStore(KeyValueStore.StoreOpener opener) throws IOException {
@@ -100,7 +100,7 @@
     private void restore() throws IOException {
         SortedMap<String, byte[]> all = store.all();
         if (all.containsKey(DISK_NUMBER_KEY)) {
-            number = new String(all.get(DISK_NUMBER_KEY), StandardCharsets.UTF_8);
+            diskNumber = new String(all.get(DISK_NUMBER_KEY), StandardCharsets.UTF_8);
         }
         if (!all.containsKey(SELF_KEY) || !all.containsKey(FOUNDERS_KEY)) {
             return;
@@ -127,7 +127,7 @@
             firstIndex = entries.get(0).getIndex();
             lastIndex = entries.get(entries.size() - 1).getIndex();
         }
-        restored = new RestoredRaftState(RaftCodec.MODEL.createRaftEndpointPersistentStateBuilder()
+        restoredState = new RestoredRaftState(RaftCodec.MODEL.createRaftEndpointPersistentStateBuilder()
                 .setLocalEndpoint(new RaftMemberId(self.getName())).setVoting(self.getVoting()).build(),
                 RaftCodec.members(founders), RaftCodec.MODEL.createRaftTermPersistentStateBuilder()
                         .setTerm(term.getTerm()).setVotedFor(term.getVotedFor().isEmpty() ? null
@@ -148,18 +148,18 @@
     }
 
     /** The state that an earlier process of this member has left; null if there is none. */
-    RestoredRaftState restored() {
-        return restored;
+    RestoredRaftState restoredState() {
+        return restoredState;
     }
 
     /** The number that identifies this disk; if it has none yet, the given one is stored and returned. */
-    String number(String fresh) throws IOException {
-        if (number == null) {
-            number = fresh;
+    String diskNumber(String fresh) throws IOException {
+        if (diskNumber == null) {
+            diskNumber = fresh;
             pending.put(DISK_NUMBER_KEY, fresh.getBytes(StandardCharsets.UTF_8));
             flush();
         }
-        return number;
+        return diskNumber;
     }
 
     // ---- RaftStore: called by the library
--- a/src/main/java/yewdock/consensus/RaftMember.java
+++ b/src/main/java/yewdock/consensus/RaftMember.java
@@ -36,7 +36,7 @@
 
 /**
  * A voting member: the MicroRaft library run on this program's scheduler, clock, storage and transport. All
- * calls are on the scheduler's thread.
+ * calls are on the scheduler's thread. Times are microseconds of the scheduler's clock.
  */
 final class RaftMember {
     /** The library's timeouts are whole seconds; its clock runs this many times faster to shorten them. */
@@ -89,8 +89,8 @@
         this.scheduler = scheduler;
         this.raftStore = raftStore;
         this.listener = listener;
-        this.founders = raftStore.restored() == null ? founders
-                : raftStore.restored().getInitialGroupMembers().getMembers().stream()
+        this.founders = raftStore.restoredState() == null ? founders
+                : raftStore.restoredState().getInitialGroupMembers().getMembers().stream()
                         .map(e -> String.valueOf(e.getId())).sorted().toList();
         this.group = cluster + "/" + String.join(",", this.founders);
         RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder().setGroupId(group)
@@ -105,8 +105,8 @@
                 .setStore(raftStore).setStateMachine(new RulesApplier()).setModelFactory(RaftCodec.MODEL)
                 .setRandom(new Random(seed)).setClock(new SpedUpClock())
                 .setRaftNodeReportListener(this::onReport);
-        if (raftStore.restored() != null) {
-            builder.setRestoredState(raftStore.restored());
+        if (raftStore.restoredState() != null) {
+            builder.setRestoredState(raftStore.restoredState());
         } else {
             builder.setLocalEndpoint(self).setInitialGroupMembers(RaftCodec.endpoints(founders));
         }
--- a/src/main/java/yewdock/lease/Lease.java
+++ b/src/main/java/yewdock/lease/Lease.java
@@ -8,7 +8,7 @@
  * monotonic clock.
  */
 public final class Lease {
-    private final LeaseTiming terms;
+    private final LeaseTiming timing;
     private final ArrayDeque<SentRequest> sentRequests = new ArrayDeque<>();
     private long lastNumber;
     private long expiresAt = Long.MIN_VALUE;
@@ -18,13 +18,13 @@
     }
 
     /** A lease that has not been granted yet. */
-    public Lease(LeaseTiming terms) {
-        this.terms = terms;
+    public Lease(LeaseTiming timing) {
+        this.timing = timing;
     }
 
     /** Records that a lease request is sent now; returns its number. */
     public long beginRenewal(long now) {
-        sentRequests.removeIf(request -> now - request.sentAt >= terms.lengthMicros());
+        sentRequests.removeIf(request -> now - request.sentAt >= timing.lengthMicros());
         sentRequests.add(new SentRequest(++lastNumber, now));
         return lastNumber;
     }
@@ -33,7 +33,7 @@
     public void granted(long number) {
         for (SentRequest request : sentRequests) {
             if (request.number == number) {
-                expiresAt = Math.max(expiresAt, request.sentAt + terms.lengthMicros());
+                expiresAt = Math.max(expiresAt, request.sentAt + timing.lengthMicros());
             }
         }
         sentRequests.removeIf(request -> request.number <= number);
--- a/src/main/java/yewdock/lease/LeaseGrantor.java
+++ b/src/main/java/yewdock/lease/LeaseGrantor.java
@@ -16,16 +16,16 @@
  * new leader doesn't know who holds leases, so it waits for one lease length first.
  */
 public final class LeaseGrantor {
-    private final LeaseTiming terms;
-    private final Map<String, LeaseHolder> leases = new HashMap<>();
+    private final LeaseTiming timing;
+    private final Map<String, GrantedLease> leases = new HashMap<>();
     private final Map<String, Long> pendingSince = new HashMap<>();
-    private List<LeaseRequest> waiting = new ArrayList<>();
+    private List<LeaseRequest> queued = new ArrayList<>();
     private List<LeaseRequest> inConfirmation = List.of();
     private boolean leading;
     private long leaderSince;
 
     /** The lease of one process of a router; another process of the same router has a lease of its own. */
-    private record LeaseHolder(long step, long expiresAt) {
+    private record GrantedLease(long step, long expiresAt) {
     }
 
     /**
@@ -43,8 +43,8 @@
     }
 
     /** A grantor that does not lead yet. */
-    public LeaseGrantor(LeaseTiming terms) {
-        this.terms = terms;
+    public LeaseGrantor(LeaseTiming timing) {
+        this.timing = timing;
     }
 
     /** This instance has become the leader. */
@@ -63,24 +63,24 @@
     }
 
     private void dropRequests() {
-        waiting.clear();
+        queued.clear();
         inConfirmation = List.of();
     }
 
     /** Queues a request, to be granted after a confirmation round that begins later than now. */
     public void request(LeaseRequest request) {
         if (leading) {
-            waiting.add(request);
+            queued.add(request);
         }
     }
 
     /** Begins a confirmation round for all queued requests; false if there are none or one is in progress. */
     public boolean beginConfirmation() {
-        if (!leading || !inConfirmation.isEmpty() || waiting.isEmpty()) {
+        if (!leading || !inConfirmation.isEmpty() || queued.isEmpty()) {
             return false;
         }
-        inConfirmation = waiting;
-        waiting = new ArrayList<>();
+        inConfirmation = queued;
+        queued = new ArrayList<>();
         return true;
     }
 
@@ -100,8 +100,8 @@
         if (leading) {
             for (LeaseRequest request : inConfirmation) {
                 if (request.step >= lastPrepared) {
-                    leases.put(request.processId(), new LeaseHolder(request.step, now
-                            + terms.expiryMicros()));
+                    leases.put(request.processId(), new GrantedLease(request.step,
+                            now + timing.expiryMicros()));
                     granted.add(request);
                 }
             }
@@ -125,11 +125,11 @@
         if (!leading) {
             return due;
         }
-        boolean knowsAllLeases = now - leaderSince >= terms.expiryMicros();
+        boolean knowsAllLeases = now - leaderSince >= timing.expiryMicros();
         pendingSteps.forEach((id, step) -> {
             boolean allKnow = knowsAllLeases && leases.values().stream()
                     .allMatch(lease -> lease.step >= step);
-            if (allKnow || now - pendingSince.get(id) >= terms.expiryMicros()) {
+            if (allKnow || now - pendingSince.get(id) >= timing.expiryMicros()) {
                 due.add(id);
             }
         });
--- a/src/main/java/yewdock/lease/LeaseTiming.java
+++ b/src/main/java/yewdock/lease/LeaseTiming.java
@@ -22,19 +22,19 @@
     /**
      * Timing with which a change takes effect, or a partitioned router stops acting, within the stated time.
      *
-     * @param agreedWithin the stated time in microseconds
-     * @param drift the bound on clock drift
+     * @param maxDelayMicros the stated time in microseconds
+     * @param maxDrift the bound on clock drift
      */
-    public static LeaseTiming forMaxDelay(long agreedWithin, double drift) {
-        return new LeaseTiming((long) (agreedWithin * LEASE_FRACTION), drift);
+    public static LeaseTiming forMaxDelay(long maxDelayMicros, double maxDrift) {
+        return new LeaseTiming((long) (maxDelayMicros * LEASE_FRACTION), maxDrift);
     }
 
-    /** How long to wait on one clock until a lease measured by another clock has surely expired. */
+    /** How long to wait on one clock, in microseconds, until a lease on another clock must have expired. */
     public long expiryMicros() {
         return (long) Math.ceil(lengthMicros * (1 + maxDrift) / (1 - maxDrift)) + 1;
     }
 
-    /** The interval between renewals. */
+    /** The interval between renewals, in microseconds. */
     public long renewalIntervalMicros() {
         return lengthMicros / RENEWALS_PER_LEASE;
     }
--- a/src/main/java/yewdock/replication/Replicator.java
+++ b/src/main/java/yewdock/replication/Replicator.java
@@ -29,7 +29,7 @@
 /**
  * Replicates records between the instances of an installation. Changes are pushed to every peer; once a
  * second, peers compare the sums of their buckets of keys and repair differences; an instance without records
- * requests a snapshot. A pure reducer: one event in, a list of effects out.
+ * requests a snapshot. A pure reducer: one event in, a list of effects out. Times are in microseconds.
  *
  * <p>Only keys are queued for a peer, never records, and at most one batch is unacknowledged. So a peer that
  * is slow, silent or stale costs no more memory than one key per record.
@@ -378,13 +378,13 @@
                 want.add(e.getKey());
             }
         }
-        records.recordsInBuckets(buckets.getIndexesList()).values().forEach(bucket -> bucket.forEach(local ->
-                {
-            Buckets.Entry e = remote.get(local.getKey());
-            if (e == null || e.getHash() != records.hash(local.getKey()) && order(e, local) <= 0) {
-                peer.dirtyKeys.add(local.getKey());
-            }
-        }));
+        records.recordsInBuckets(buckets.getIndexesList()).values().forEach(bucket ->
+                bucket.forEach(local -> {
+                    Buckets.Entry e = remote.get(local.getKey());
+                    if (e == null || e.getHash() != records.hash(local.getKey()) && order(e, local) <= 0) {
+                        peer.dirtyKeys.add(local.getKey());
+                    }
+                }));
         if (!want.isEmpty()) {
             send(peer, PeerFrame.newBuilder().setWant(Want.newBuilder().addAllKeys(want)));
         }
--- a/src/main/java/yewdock/rules/ChangeRejection.java
+++ b/src/main/java/yewdock/rules/ChangeRejection.java
@@ -3,8 +3,7 @@
 /** Reasons for rejecting a change of a rule, each with advice for the operator who proposed it. */
 public enum ChangeRejection {
     /** The proposal was based on an older revision of the subject. */
-    STALE(1, "the subject has changed since it was read",
-            "read it again and propose the change from there"),
+    STALE(1, "the subject has changed since it was read", "read it again and propose the change from there"),
     /** Another change of the same subject has not taken effect yet. */
     ALREADY_PENDING(2, "another change of the same subject is pending",
             "wait until that one has taken effect and try again"),
@@ -43,9 +42,9 @@
 
     /** The reason with this number; null if this version doesn't know it. */
     public static ChangeRejection of(int number) {
-        for (ChangeRejection refusal : values()) {
-            if (refusal.number == number) {
-                return refusal;
+        for (ChangeRejection rejection : values()) {
+            if (rejection.number == number) {
+                return rejection;
             }
         }
         return null;
--- a/src/main/java/yewdock/rules/RuleKind.java
+++ b/src/main/java/yewdock/rules/RuleKind.java
@@ -6,7 +6,7 @@
  * The kinds of rules: which values a rule of each kind may have, which value is applied while a change is
  * pending, and whether a router without a valid lease may go on by the last known value.
  *
- * <p>From the time a change is prepared until it takes effect, a router applies {@link #between}, which
+ * <p>From the time a change is prepared until it takes effect, a router applies {@link #pendingValue}, which
  * contradicts neither the old nor the new value.
  */
 public enum RuleKind {
@@ -18,7 +18,7 @@
         }
 
         @Override
-        RuleValue between(RuleValue before, RuleValue after) {
+        RuleValue pendingValue(RuleValue before, RuleValue after) {
             return NO_NEW_REQUESTS;
         }
     },
@@ -30,7 +30,7 @@
         }
 
         @Override
-        RuleValue between(RuleValue before, RuleValue after) {
+        RuleValue pendingValue(RuleValue before, RuleValue after) {
             if (before == null || after == null) {
                 return before == null ? after : before;
             }
@@ -48,7 +48,7 @@
         }
 
         @Override
-        RuleValue between(RuleValue before, RuleValue after) {
+        RuleValue pendingValue(RuleValue before, RuleValue after) {
             return before;
         }
     };
@@ -60,9 +60,9 @@
     private final String prefix;
     private final boolean requiresLease;
 
-    RuleKind(String word, boolean hard) {
-        this.prefix = word;
-        this.requiresLease = hard;
+    RuleKind(String prefix, boolean requiresLease) {
+        this.prefix = prefix;
+        this.requiresLease = requiresLease;
     }
 
     /** The part of a subject before the slash. */
@@ -70,7 +70,7 @@
         return prefix;
     }
 
-    /** Whether a router without a valid lease refuses new requests under such a rule; else it goes on. */
+    /** Whether a router without a valid lease refuses new requests under such a rule. */
     public boolean requiresLease() {
         return requiresLease;
     }
@@ -107,5 +107,5 @@
     abstract boolean isValid(RuleValue value);
 
     /** The value that applies while a change between these two is pending; null stands for no value. */
-    abstract RuleValue between(RuleValue before, RuleValue after);
+    abstract RuleValue pendingValue(RuleValue before, RuleValue after);
 }
--- a/src/main/java/yewdock/rules/RuleStateMachine.java
+++ b/src/main/java/yewdock/rules/RuleStateMachine.java
@@ -54,7 +54,7 @@
 
     /**
      * Validates a change before it is proposed; null if it is valid. Only the proposer checks the kind of
-     * subject.
+     * subject and its value.
      */
     public static ChangeRejection validate(RuleChange change) {
         if (change.getSerializedSize() > MAX_CHANGE_BYTES) {
@@ -101,8 +101,8 @@
             return known;
         }
         SubjectState state = subjects.get(change.getSubject());
-        ChangeRejection refusal = refusal(change, state);
-        if (refusal == null) {
+        ChangeRejection rejection = rejection(change, state);
+        if (rejection == null) {
             SubjectState.Builder next = state == null
                     ? SubjectState.newBuilder().setSubject(change.getSubject()) : state.toBuilder();
             subjects.put(change.getSubject(), next.setPending(change).setPendingStep(step).build());
@@ -110,11 +110,14 @@
             lastPreparedStep = step;
         }
         return remember(RuleOutcome.newBuilder().setId(change.getId()).setStep(step)
-                .setRefusal(refusal == null ? 0 : refusal.number()).build());
+                .setRefusal(rejection == null ? 0 : rejection.number()).build());
     }
 
-    /** Must not depend on the kinds of subjects that this version knows, or versions would diverge. */
-    private ChangeRejection refusal(RuleChange change, SubjectState state) {
+    /**
+     * Why a change is rejected; null if it is accepted. Must not depend on the kinds of subjects that this
+     * version knows, or versions would diverge.
+     */
+    private ChangeRejection rejection(RuleChange change, SubjectState state) {
         if (change.getSerializedSize() > MAX_CHANGE_BYTES) {
             return ChangeRejection.TOO_LARGE;
         }
@@ -164,6 +167,7 @@
         return remember(outcomes.get(id).toBuilder().setWithdrawn(true).build());
     }
 
+    /** The known outcome of a change that is not pending, or a rejection. */
     private RuleOutcome notPending(String id) {
         RuleOutcome known = outcomes.get(id);
         return known != null ? known : RuleOutcome.newBuilder().setId(id).setStep(step)
--- a/src/main/java/yewdock/rules/RulesView.java
+++ b/src/main/java/yewdock/rules/RulesView.java
@@ -24,8 +24,8 @@
     public static final RulesView EMPTY = new RulesView(0, 0, Set.of(), Map.of(), Map.of());
 
     static RulesView of(long step, long revision, Collection<SubjectState> subjects) {
-        Set<String> out = new TreeSet<>();
-        Map<String, Double> shares = new TreeMap<>();
+        Set<String> cordonedServers = new TreeSet<>();
+        Map<String, Double> rateLimits = new TreeMap<>();
         Map<String, String> settings = new TreeMap<>();
         for (SubjectState state : subjects) {
             RuleKind kind = RuleKind.of(state.getSubject());
@@ -38,15 +38,16 @@
             }
             String name = RuleKind.name(state.getSubject());
             switch (kind) {
-                case SERVER -> out.add(name);
-                case RATE_LIMIT -> shares.put(name, value.getShare());
+                case SERVER -> cordonedServers.add(name);
+                case RATE_LIMIT -> rateLimits.put(name, value.getShare());
                 case SETTING -> settings.put(name, value.getText());
                 default -> {
                     // a kind that routers don't apply
                 }
             }
         }
-        return new RulesView(step, revision, Set.copyOf(out), Map.copyOf(shares), Map.copyOf(settings));
+        return new RulesView(step, revision, Set.copyOf(cordonedServers), Map.copyOf(rateLimits),
+                Map.copyOf(settings));
     }
 
     private static RuleValue effectiveValue(RuleKind kind, SubjectState state) {
@@ -54,7 +55,7 @@
         if (!state.hasPending()) {
             return current;
         }
-        return kind.between(current,
-                state.getPending().hasValue() ? state.getPending().getValue() : null);
+        return kind.pendingValue(current, state.getPending().hasValue() ? state.getPending().getValue()
+                : null);
     }
 }
--- a/src/main/java/yewdock/state/ReplicatedRecords.java
+++ b/src/main/java/yewdock/state/ReplicatedRecords.java
@@ -108,20 +108,19 @@
      */
     public static String validate(Kept kept) {
         if (kept.getKey().isEmpty() || kept.getKey().length() > MAX_KEY_LENGTH) {
-            return "a key of " + kept.getKey().length() + " characters";
+            return "key length " + kept.getKey().length() + " is out of range";
         }
         if (kept.getStamp() <= 0 || kept.getStamp() > Long.MAX_VALUE / 4) {
-            return "the stamp " + kept.getStamp();
+            return "invalid stamp " + kept.getStamp();
         }
         if (kept.getInstance().isEmpty() || kept.getInstance().length() > MAX_KEY_LENGTH) {
-            return "an instance's name of " + kept.getInstance().length() + " characters";
+            return "instance name length " + kept.getInstance().length() + " is out of range";
         }
         if (kept.getWhatCase() == Kept.WhatCase.WHAT_NOT_SET) {
             return "no content that this version knows";
         }
-        return kept.getSerializedSize() > MAX_RECORD_BYTES ? "a size of " + kept.getSerializedSize()
-                + " bytes"
-                : null;
+        return kept.getSerializedSize() > MAX_RECORD_BYTES ? "size of "
+                + kept.getSerializedSize() + " bytes is too large" : null;
     }
 
     private static int compare(Entry a, Entry b) {
--- a/src/main/java/yewdock/state/StateRecorder.java
+++ b/src/main/java/yewdock/state/StateRecorder.java
@@ -36,8 +36,8 @@
     /**
      * Records the state in these records.
      *
-     * @param maxDrainAgeMicros a drain that the endpoint list first told longer ago than this is ignored at a
-     *     restart, until a list tells it again
+     * @param maxDrainAgeMicros a drain first received longer ago than this is ignored at a restart, until an
+     *     endpoint list contains it again
      */
     public StateRecorder(ReplicatedRecords records, long maxDrainAgeMicros) {
         this.records = records;
@@ -101,8 +101,8 @@
     }
 
     /** Deletes what the module has learnt about a server. */
-    private void deleteServerMemory(long box, long wall, List<Kept> changed) {
-        Kept dropped = records.delete(RecordKeys.serverMemory(records.instance(), box), wall);
+    private void deleteServerMemory(long serverId, long wall, List<Kept> changed) {
+        Kept dropped = records.delete(RecordKeys.serverMemory(records.instance(), serverId), wall);
         if (dropped != null) {
             changed.add(dropped);
         }
@@ -140,12 +140,13 @@
                 && Math.abs(a.getColdBudgetAt() - b.getColdBudgetAt()) < 100_000;
     }
 
-    /** Whether there is anything worth storing. */
+    /** Whether there is an ejection or a slow start to remember. */
     private static boolean worthStoring(NodeMemory node) {
         return node.getEjectedUntil() != 0 || node.getEjections() != 0 || node.getColdBudgetAt() != 0
                 || node.getBudgetedStart() != 0;
     }
 
+    /** A server's memory with all times converted to this clock. */
     private static NodeMemory.Builder shifted(NodeMemory node, long shift) {
         NodeMemory.Builder shifted = node.toBuilder().setEjectedUntil(shifted(node.getEjectedUntil(), shift))
                 .setSlowUntil(shifted(node.getSlowUntil(), shift))
@@ -154,6 +155,7 @@
         return shifted;
     }
 
+    /** A time converted to this clock; 0 stands for none. */
     private static long shifted(long time, long shift) {
         return time == 0 ? 0 : time + shift;
     }
@@ -169,41 +171,40 @@
     }
 
     /** Records an operator override for a server; NONE removes it, and null says that there was none. */
-    public Kept recordOverride(String box, Mark.Kind kind, String by, long wall) {
-        String key = RecordKeys.override(box);
+    public Kept recordOverride(String server, Mark.Kind kind, String by, long wall) {
+        String key = RecordKeys.override(server);
         if (kind == Mark.Kind.NONE) {
             return records.delete(key, wall);
         }
-        long started = knownServers(box).stream().mapToLong(Box::getStartedAt).max().orElse(0);
+        long started = knownServers(server).stream().mapToLong(Box::getStartedAt).max().orElse(0);
         return records.write(key, Kept.newBuilder().setMark(Mark.newBuilder().setKind(kind)
                 .setStartedAt(started).setBy(by)), wall);
     }
 
     /** The entries for a server of this name in the endpoint lists of all instances. */
-    public List<Box> knownServers(String box) {
+    public List<Box> knownServers(String server) {
         return records.withPrefix(RecordKeys.allServersPrefix()).stream().map(Kept::getBox)
-                .filter(b -> b.getName().equals(box)).toList();
+                .filter(box -> box.getName().equals(server)).toList();
     }
 
     /** The current operator overrides, by server name. */
     public Map<String, Mark> overrides() {
-        Map<String, Mark> marks = new LinkedHashMap<>();
-        records.withPrefix(RecordKeys.overridesPrefix()).forEach(k ->
-                marks.put(RecordKeys.overriddenServer(k.getKey()), k.getMark()));
-        return marks;
+        Map<String, Mark> overrides = new LinkedHashMap<>();
+        records.withPrefix(RecordKeys.overridesPrefix()).forEach(kept ->
+                overrides.put(RecordKeys.overriddenServer(kept.getKey()), kept.getMark()));
+        return overrides;
     }
 
-    /** Removes overrides of kind GONE for servers that have restarted: they hold for one start only. */
+    /** Removes overrides of kind GONE for servers that have restarted: they apply to one start only. */
     public List<Kept> dropOutdatedOverrides(long wall) {
         List<Kept> dropped = new ArrayList<>();
         Map<String, Long> starts = new HashMap<>();
-        records.withPrefix(RecordKeys.serversPrefix(records.instance())).forEach(k ->
-                starts.merge(k.getBox().getName(),
-                k.getBox().getStartedAt(), Math::max));
-        overrides().forEach((box, mark) -> {
-            if (mark.getKind() == Mark.Kind.GONE
-                    && starts.getOrDefault(box, Long.MIN_VALUE) > mark.getStartedAt()) {
-                dropped.add(records.delete(RecordKeys.override(box), wall));
+        records.withPrefix(RecordKeys.serversPrefix(records.instance())).forEach(kept ->
+                starts.merge(kept.getBox().getName(), kept.getBox().getStartedAt(), Math::max));
+        overrides().forEach((server, override) -> {
+            if (override.getKind() == Mark.Kind.GONE
+                    && starts.getOrDefault(server, Long.MIN_VALUE) > override.getStartedAt()) {
+                dropped.add(records.delete(RecordKeys.override(server), wall));
             }
         });
         return dropped;
@@ -236,8 +237,7 @@
             boolean outdatedDrain = box.getLifecycle() == Lifecycle.DRAINING.ordinal()
                     && wall - toldAt > maxDrainAgeMicros;
             list.addBoxes(box.toBuilder().setToldAt(toldAt).setLifecycle(outdatedDrain
-                    ? Lifecycle.READY.ordinal()
-                    : box.getLifecycle()));
+                    ? Lifecycle.READY.ordinal() : box.getLifecycle()));
         }
         State.Builder state = State.newBuilder().setVersion(version).setLeastReader(leastReader)
                 .setClock(wall).setMonoNanos(monoNanos).setBoxes(list);
--- a/src/main/java/yewdock/store/Committer.java
+++ b/src/main/java/yewdock/store/Committer.java
@@ -82,8 +82,7 @@
     }
 
     private Committer(KeyValueStore store, StoreException failure, KeyValueStore.StoreOpener opener,
-            CommitTiming timing,
-            Consumer<StoreHealth> healthListener) {
+            CommitTiming timing, Consumer<StoreHealth> healthListener) {
         this.store = store;
         this.failure = failure;
         this.opener = opener;
@@ -210,6 +209,7 @@
         completeUpTo(upTo);
     }
 
+    /** Opens the store again and writes what differs from the target. */
     private void reopen() throws StoreException {
         KeyValueStore next = opener.open();
         try {
@@ -218,8 +218,8 @@
             lock.lock();
             try {
                 Map<String, byte[]> stored = next.all();
-                stored.keySet().stream().filter(k -> !target.containsKey(k)).forEach(k -> changes.put(k,
-                        null));
+                stored.keySet().stream().filter(k -> !target.containsKey(k)).forEach(
+                        k -> changes.put(k, null));
                 target.forEach((key, value) -> {
                     if (!Arrays.equals(value, stored.get(key))) {
                         changes.put(key, value);
@@ -263,6 +263,7 @@
         }
     }
 
+    /** Marks all changes up to this ticket as durable and completes their futures. */
     private void completeUpTo(long upTo) {
         Map<Long, CompletableFuture<Void>> completed = new HashMap<>();
         lock.lock();
--- a/src/main/java/yewdock/store/RecordFile.java
+++ b/src/main/java/yewdock/store/RecordFile.java
@@ -263,8 +263,8 @@
 
     /** The checksum of the head. */
     private long headChecksum() {
-        return Hashing.xxh3_64().hashStream().putLong(VERSION).putLong(lastCommitNumber).putLong(count).putLong(sum)
-                .getAsLong();
+        return Hashing.xxh3_64().hashStream().putLong(VERSION).putLong(lastCommitNumber).putLong(count)
+                .putLong(sum).getAsLong();
     }
 
     /** The checksum of a record's key and bytes; the first bytes, which hold the checksum, are left out. */
--- a/src/test/java/yewdock/consensus/CouncilSimTest.java
+++ b/src/test/java/yewdock/consensus/ConsensusSimTest.java
@@ -16,7 +16,7 @@
 import yewdock.wire.Appended;
 import yewdock.wire.RaftFrame;
 
-class CouncilSimTest {
+class ConsensusSimTest {
     private static final long SECOND_MICROS = 1_000_000;
 
     @Test
@@ -141,20 +141,20 @@
     /** A member with a full disk doesn't vote; the others go on, and it rejoins once there is space again. */
     @Test
     void aMemberWithAFullDiskRecoversByItself() {
-        for (int one = 0; one < 3; one++) {
-            CouncilSim sim = new CouncilSim(3, 1, one + 1, Plant.NONE);
+        for (int index = 0; index < 3; index++) {
+            CouncilSim sim = new CouncilSim(3, 1, index + 1, Plant.NONE);
             sim.run(5 * SECOND_MICROS);
-            sim.host(one).full(true);
+            sim.host(index).full(true);
             sim.propose(sim.host(3));
             sim.run(8 * SECOND_MICROS);
             sim.propose(sim.host(3));
             sim.run(4 * SECOND_MICROS);
-            assertTrue(sim.judge().forced() >= 1, "the others did not go on without " + one);
+            assertTrue(sim.judge().forced() >= 1, "the others did not go on without " + index);
             assertTrue(sim.host(3).council().holdsLease());
-            sim.host(one).full(false);
+            sim.host(index).full(false);
             sim.run(8 * SECOND_MICROS);
             assertEquals(sim.leader().council().committedRules().chain(),
-                    sim.host(one).council().committedRules().chain());
+                    sim.host(index).council().committedRules().chain());
             assertEquals(List.of(), sim.judge().broken());
         }
     }
@@ -166,14 +166,14 @@
             CouncilSim sim = new CouncilSim(3, 1, seed, Plant.NONE);
             sim.run(5 * SECOND_MICROS);
             for (int i = 0; i < 6; i++) {
-                CouncilSim.Host one = sim.host((seed + i) % 3);
-                one.wipe();
+                CouncilSim.Host host = sim.host((seed + i) % 3);
+                host.wipe();
                 sim.propose(sim.host(3));
                 sim.run(SECOND_MICROS / 2);
-                one.start();
+                host.start();
                 sim.propose(sim.host(3));
                 sim.run(8 * SECOND_MICROS);
-                assertTrue(one.council().isVotingMember(), "seed " + seed + " round " + i + " "
+                assertTrue(host.council().isVotingMember(), "seed " + seed + " round " + i + " "
                         + sim.judge().notes());
             }
             sim.judge().nothingLost(sim.leader().council().committedRules());
--- a/src/test/java/yewdock/consensus/RaftDiskTest.java
+++ b/src/test/java/yewdock/consensus/DurableRaftStoreTest.java
@@ -15,7 +15,7 @@
 import yewdock.store.RecordFile;
 import yewdock.store.StoreException;
 
-class RaftDiskTest {
+class DurableRaftStoreTest {
     private boolean failing;
 
     /** A folder can be open only once: a failed attempt that kept it open would make every later one fail. */
@@ -27,7 +27,7 @@
             }
             return RecordFile.open(folder);
         });
-        String number = first.number("a");
+        String number = first.diskNumber("a");
         failing = true;
         assertThrows(IOException.class, first::reopen);
         assertTrue(first.failed(), "a member without a disk must not pass for a new one");
@@ -35,9 +35,9 @@
         failing = false;
         DurableRaftStore second = first.reopen();
         assertFalse(second.failed());
-        assertEquals(number, second.number("b"));
+        assertEquals(number, second.diskNumber("b"));
         DurableRaftStore third = second.reopen();
-        assertEquals(number, third.number("c"));
+        assertEquals(number, third.diskNumber("c"));
         third.close();
     }
 
--- a/src/test/java/yewdock/lease/GrantsTest.java
+++ b/src/test/java/yewdock/lease/LeaseGrantorTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class GrantsTest {
+class LeaseGrantorTest {
     private static final long SECOND_MICROS = 1_000_000;
     private static final LeaseTiming TIMING = new LeaseTiming(2 * SECOND_MICROS, 0.001);
     private final LeaseGrantor grants = new LeaseGrantor(TIMING);
--- a/src/test/java/yewdock/replication/ReplicaSimTest.java
+++ b/src/test/java/yewdock/replication/ReplicationSimTest.java
@@ -22,7 +22,7 @@
 import yewdock.wire.Part;
 import yewdock.wire.PeerFrame;
 
-class ReplicaSimTest {
+class ReplicationSimTest {
     private static final long SECOND_MICROS = 1_000_000;
 
     private static Kept.Builder mark(int kind) {
--- a/src/test/java/yewdock/rules/RulesTest.java
+++ b/src/test/java/yewdock/rules/RuleStateMachineTest.java
@@ -23,7 +23,7 @@
 import yewdock.wire.RuleValue;
 import yewdock.wire.Withdrawal;
 
-class RulesTest {
+class RuleStateMachineTest {
     private final RuleStateMachine rules = new RuleStateMachine();
 
     private static RuleChange.Builder change(String id, String subject, long base) {
@@ -178,11 +178,11 @@
 
     @Test
     void thePendingValueContradictsNeitherOldNorNew() {
-        assertEquals(noNewRequests(), RuleKind.SERVER.between(noNewRequests(), null));
-        assertEquals(noNewRequests(), RuleKind.SERVER.between(null, noNewRequests()));
-        assertEquals(rateLimit(3), RuleKind.RATE_LIMIT.between(rateLimit(3), rateLimit(8)));
-        assertEquals(rateLimit(3), RuleKind.RATE_LIMIT.between(rateLimit(8), rateLimit(3)));
-        assertEquals(rateLimit(3), RuleKind.RATE_LIMIT.between(null, rateLimit(3)));
+        assertEquals(noNewRequests(), RuleKind.SERVER.pendingValue(noNewRequests(), null));
+        assertEquals(noNewRequests(), RuleKind.SERVER.pendingValue(null, noNewRequests()));
+        assertEquals(rateLimit(3), RuleKind.RATE_LIMIT.pendingValue(rateLimit(3), rateLimit(8)));
+        assertEquals(rateLimit(3), RuleKind.RATE_LIMIT.pendingValue(rateLimit(8), rateLimit(3)));
+        assertEquals(rateLimit(3), RuleKind.RATE_LIMIT.pendingValue(null, rateLimit(3)));
     }
 
     @Test
--- a/src/test/java/yewdock/state/RecordsPropertiesTest.java
+++ b/src/test/java/yewdock/state/ReplicatedRecordsPropertiesTest.java
@@ -17,7 +17,7 @@
 import yewdock.wire.Mark;
 
 /** Merging is commutative, associative and idempotent, and does not depend on wall clocks. */
-class RecordsPropertiesTest {
+class ReplicatedRecordsPropertiesTest {
     private static final String SEED = "42";
 
     @Provide
@@ -53,14 +53,14 @@
     @Property(seed = SEED)
     void mergingIsCommutative(@ForAll("sets") List<Kept> a, @ForAll("sets") List<Kept> b,
             @ForAll Random random) {
-        ReplicatedRecords one = of(a, b);
-        assertEquals(all(one), all(of(b, a)));
+        ReplicatedRecords merged = of(a, b);
+        assertEquals(all(merged), all(of(b, a)));
         List<Kept> shuffled = new ArrayList<>(a);
         shuffled.addAll(b);
         Collections.shuffle(shuffled, random);
         ReplicatedRecords other = of(shuffled, List.of());
-        assertEquals(all(one), all(other));
-        assertEquals(one.bucketSums(), other.bucketSums());
+        assertEquals(all(merged), all(other));
+        assertEquals(merged.bucketSums(), other.bucketSums());
     }
 
     @Property(seed = SEED)
@@ -79,14 +79,15 @@
     @Property(seed = SEED)
     void aLocalWriteWinsOverAllRecordsSeenBefore(@ForAll("sets") List<Kept> a,
             @ForAll("sets") List<Kept> unseen) {
-        ReplicatedRecords here = of(a, List.of());
-        Kept local = here.write("a", Kept.newBuilder().setMark(Mark.newBuilder().setKindValue(2)), -5);
-        a.forEach(here::merge);
-        assertEquals(local, here.get("a"));
-        ReplicatedRecords there = of(unseen, a);
-        there.merge(local);
-        all(here).forEach(there::merge);
-        assertEquals(there.bucketSums(), of(all(there), all(here)).bucketSums());
+        ReplicatedRecords localRecords = of(a, List.of());
+        Kept local = localRecords.write("a", Kept.newBuilder().setMark(Mark.newBuilder().setKindValue(2)),
+                -5);
+        a.forEach(localRecords::merge);
+        assertEquals(local, localRecords.get("a"));
+        ReplicatedRecords remote = of(unseen, a);
+        remote.merge(local);
+        all(localRecords).forEach(remote::merge);
+        assertEquals(remote.bucketSums(), of(all(remote), all(localRecords)).bucketSums());
     }
 
     @Property(seed = SEED)
--- a/src/test/java/yewdock/state/KeepingTest.java
+++ b/src/test/java/yewdock/state/StateRecorderTest.java
@@ -16,7 +16,7 @@
 import yewdock.wire.NodeMemory;
 import yewdock.wire.State;
 
-class KeepingTest {
+class StateRecorderTest {
     private static final long SECOND_MICROS = 1_000_000;
     private static final long NOW_MICROS = 1_700_000_000 * SECOND_MICROS;
     private static final long MAX_DRAIN_AGE_MICROS = 3600 * SECOND_MICROS;
@@ -45,9 +45,8 @@
 
     @Test
     void aDrainSurvivesARestartWithTheTimeItWasFirstTold() {
-        recorder.recordEndpointList(list(3, true, server(1, Lifecycle.READY, 5), server(2, Lifecycle.READY,
-                5)), 0,
-                NOW_MICROS);
+        recorder.recordEndpointList(list(3, true, server(1, Lifecycle.READY, 5),
+                server(2, Lifecycle.READY, 5)), 0, NOW_MICROS);
         recorder.recordEndpointList(list(4, false, server(1, Lifecycle.DRAINING, 5)), 0, NOW_MICROS
                 + SECOND_MICROS);
         assertEquals(2, recorder.recordEndpointList(list(5, false, server(1, Lifecycle.DRAINING, 5),
@@ -76,11 +75,10 @@
 
     @Test
     void aFullListRemovesServersThatItDoesNotContain() {
-        recorder.recordEndpointList(list(3, true, server(1, Lifecycle.READY, 5), server(2, Lifecycle.READY,
-                5)), 0,
-                NOW_MICROS);
-        recorder.recordModuleMemory(Memory.newBuilder().addNodes(NodeMemory.newBuilder().setId(2).setEjections(3)
-                .setEjectedUntil(NOW_MICROS + SECOND_MICROS)).build(), 0, NOW_MICROS);
+        recorder.recordEndpointList(list(3, true, server(1, Lifecycle.READY, 5),
+                server(2, Lifecycle.READY, 5)), 0, NOW_MICROS);
+        recorder.recordModuleMemory(Memory.newBuilder().addNodes(NodeMemory.newBuilder().setId(2)
+                .setEjections(3).setEjectedUntil(NOW_MICROS + SECOND_MICROS)).build(), 0, NOW_MICROS);
         assertEquals(1, state(NOW_MICROS).getModule().getNodesCount());
         recorder.recordEndpointList(list(4, true, server(1, Lifecycle.READY, 5)), 0, NOW_MICROS);
         assertEquals(1, state(NOW_MICROS).getBoxes().getBoxesCount());
@@ -90,7 +88,8 @@
     @Test
     void aRestartedServerDoesNotInheritEjections() {
         recorder.recordEndpointList(list(3, true, server(1, Lifecycle.READY, 5)), 0, NOW_MICROS);
-        recorder.recordModuleMemory(Memory.newBuilder().addNodes(NodeMemory.newBuilder().setId(1).setEjections(3)
+        recorder.recordModuleMemory(Memory.newBuilder().addNodes(NodeMemory.newBuilder().setId(1)
+                .setEjections(3)
                 .setEjectedUntil(NOW_MICROS + SECOND_MICROS).setBudgetedStart(5)).build(), 0, NOW_MICROS);
         recorder.recordEndpointList(list(4, false, server(1, Lifecycle.READY, 9)), 0, NOW_MICROS);
         assertNull(records.get(RecordKeys.serverMemory("here", 1)));
@@ -121,15 +120,13 @@
 
     @Test
     void aGoneOverrideEndsWithARestartOfTheServerAndADrainDoesNot() {
-        recorder.recordEndpointList(list(3, true, server(1, Lifecycle.READY, 5), server(2, Lifecycle.READY,
-                5)), 0,
-                NOW_MICROS);
+        recorder.recordEndpointList(list(3, true, server(1, Lifecycle.READY, 5),
+                server(2, Lifecycle.READY, 5)), 0, NOW_MICROS);
         recorder.recordOverride("s-1", Mark.Kind.GONE, "here", NOW_MICROS);
         recorder.recordOverride("s-2", Mark.Kind.DRAIN, "here", NOW_MICROS);
         assertTrue(recorder.dropOutdatedOverrides(NOW_MICROS).isEmpty());
-        recorder.recordEndpointList(list(4, false, server(1, Lifecycle.READY, 6), server(2, Lifecycle.READY,
-                6)), 0,
-                NOW_MICROS);
+        recorder.recordEndpointList(list(4, false, server(1, Lifecycle.READY, 6),
+                server(2, Lifecycle.READY, 6)), 0, NOW_MICROS);
         assertEquals(1, recorder.dropOutdatedOverrides(NOW_MICROS).size());
         assertEquals(List.of("s-2"), List.copyOf(recorder.overrides().keySet()));
         recorder.recordOverride("s-2", Mark.Kind.NONE, "here", NOW_MICROS);
@@ -141,11 +138,9 @@
         ReplicatedRecords north = new ReplicatedRecords("north", 100);
         ReplicatedRecords south = new ReplicatedRecords("south", 100);
         new StateRecorder(north, MAX_DRAIN_AGE_MICROS).recordEndpointList(list(3, true, server(1,
-                Lifecycle.READY, 5),
-                server(2, Lifecycle.READY, 9)), 0, NOW_MICROS);
+                Lifecycle.READY, 5), server(2, Lifecycle.READY, 9)), 0, NOW_MICROS);
         new StateRecorder(south, MAX_DRAIN_AGE_MICROS).recordEndpointList(list(4, true, server(1,
-                Lifecycle.DRAINING, 5),
-                server(2, Lifecycle.DRAINING, 5)), 0, NOW_MICROS);
+                Lifecycle.DRAINING, 5), server(2, Lifecycle.DRAINING, 5)), 0, NOW_MICROS);
         for (ReplicatedRecords other : List.of(north, south)) {
             for (Kept kept : other.recordsAfter("")) {
                 records.merge(kept);
--- a/src/test/java/yewdock/store/CommitterTest.java
+++ b/src/test/java/yewdock/store/CommitterTest.java
@@ -121,8 +121,8 @@
     @Test
     void closingCommitsPendingChanges() throws Exception {
         Disk disk = new Disk();
-        Committer committer = new Committer(disk.open(), disk, new Committer.CommitTiming(60_000, 5), health ->
-                { });
+        Committer committer = new Committer(disk.open(), disk, new Committer.CommitTiming(60_000, 5),
+                health -> { });
         committer.put(Map.of("a", new byte[] {1}));
         committer.close();
         assertTrue(disk.kept.containsKey("a"));
--- a/src/test/java/yewdock/store/StoreFullTest.java
+++ b/src/test/java/yewdock/store/FullDiskTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Runs a store in a process whose file size is limited first, and then is not. */
-class StoreFullTest {
+class FullDiskTest {
     private static final int RECORD = 3_000;
 
     @TempDir
@@ -26,9 +26,9 @@
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
                 System.getProperty("java.class.path"), Full.class.getName(), folder.toString())
                 .redirectErrorStream(true).start();
-        String said = new String(process.getInputStream().readAllBytes());
-        assertEquals(0, process.waitFor(), said);
-        assertEquals(List.of("full UNWRITABLE", "room", "all there"), said.lines().toList());
+        String output = new String(process.getInputStream().readAllBytes());
+        assertEquals(0, process.waitFor(), output);
+        assertEquals(List.of("full UNWRITABLE", "room", "all there"), output.lines().toList());
         try (RecordFile store = RecordFile.open(folder)) {
             assertEquals(0, store.missingCommits());
         }
@@ -41,16 +41,16 @@
 
         public static void main(String[] args) throws Exception {
             Path folder = Path.of(args[0]);
-            BlockingQueue<Committer.StoreHealth> said = new LinkedBlockingQueue<>();
+            BlockingQueue<Committer.StoreHealth> healthChanges = new LinkedBlockingQueue<>();
             Map<String, byte[]> all = new TreeMap<>();
             try (Committer committer = new Committer(RecordFile.open(folder), () -> RecordFile.open(folder),
-                    new Committer.CommitTiming(1, 20), said::add)) {
+                    new Committer.CommitTiming(1, 20), healthChanges::add)) {
                 Committer.StoreHealth health = null;
                 for (int i = 0; health == null && i < 1_000; i++) {
-                    Map<String, byte[]> one = Map.of("k" + i, new byte[RECORD]);
-                    all.putAll(one);
-                    committer.put(one);
-                    health = said.poll(10, TimeUnit.MILLISECONDS);
+                    Map<String, byte[]> change = Map.of("k" + i, new byte[RECORD]);
+                    all.putAll(change);
+                    committer.put(change);
+                    health = healthChanges.poll(10, TimeUnit.MILLISECONDS);
                 }
                 System.out.println("full " + (health == null ? "never" : health.kind()));
                 long ticket = committer.put(Map.of("last", new byte[RECORD]));
--- a/src/test/java/yewdock/store/StoreTest.java
+++ b/src/test/java/yewdock/store/RecordFileTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class StoreTest {
+class RecordFileTest {
     /** How many offsets the corruption tests try; -Dstore.offsets=all tries every one. */
     private static final String OFFSET_COUNT = System.getProperty("store.offsets", "250");
     private static final Duration TIMEOUT = Duration.ofSeconds(20);
