--- a/src/main/java/yewdock/consensus/ConsensusNode.java
+++ b/src/main/java/yewdock/consensus/ConsensusNode.java
@@ -448,6 +448,7 @@
         confirmLeadership();
     }
 
+    /** Sends a router the commands after this step, if there are any. */
     private void sendFeed(String to, long step) {
         Feed feed = backlog.feedAfter(step, member.rules());
         if (feed != null) {
@@ -544,8 +545,8 @@
             }
         };
         member = new RaftMember(scheduler, config.cluster(), selfId, founders, raftStore, incarnation,
-                listener,
-                (to, frame) -> send(to, CouncilFrame.newBuilder().setRaft(frame).build()), host::isReachable);
+                listener, (to, frame) -> send(to, CouncilFrame.newBuilder().setRaft(frame).build()),
+                host::isReachable);
         host.logEvent("agreement.member", "council", member.group());
     }
 
--- a/src/main/java/yewdock/replication/Replicator.java
+++ b/src/main/java/yewdock/replication/Replicator.java
@@ -81,6 +81,7 @@
         private long digestStamp;
         private boolean hasRecords;
         private long equalAt;
+        /** How many records were sent to the peer, and how many from it were stored. */
         private long sent;
         private long got;
         private String trouble = "never connected";
@@ -113,7 +114,7 @@
      * @param peerNames the names of the peers
      * @param records the records of this instance
      * @param lastSyncedStamp the value of {@link #lastSyncedStamp()} when the records were stored; 0 for an
-     * empty disk
+     *     empty disk
      * @param maxTombstones tombstones are purged only once there are more than this
      */
     public Replicator(String cluster, Set<String> peerNames, ReplicatedRecords records, long lastSyncedStamp,
@@ -187,6 +188,7 @@
         send(peer, PeerFrame.newBuilder().setHello(hello(peer, false)));
     }
 
+    /** A hello; again is set for one that is sent after a snapshot has replaced all records. */
     private PeerHello.Builder hello(Peer peer, boolean again) {
         return PeerHello.newBuilder().setVersion(VERSION).setLeastReader(VERSION).setCluster(cluster)
                 .setInstance(records.instance()).setTo(peer.name).setJoined(lastSyncedStamp)
@@ -378,13 +380,12 @@
                 want.add(e.getKey());
             }
         }
-        records.recordsInBuckets(buckets.getIndexesList()).values().forEach(bucket ->
-                bucket.forEach(local -> {
-                    Buckets.Entry e = remote.get(local.getKey());
-                    if (e == null || e.getHash() != records.hash(local.getKey()) && order(e, local) <= 0) {
-                        peer.dirtyKeys.add(local.getKey());
-                    }
-                }));
+        records.recordsInBuckets(buckets.getIndexesList()).values().forEach(kept -> kept.forEach(local -> {
+            Buckets.Entry e = remote.get(local.getKey());
+            if (e == null || e.getHash() != records.hash(local.getKey()) && order(e, local) <= 0) {
+                peer.dirtyKeys.add(local.getKey());
+            }
+        }));
         if (!want.isEmpty()) {
             send(peer, PeerFrame.newBuilder().setWant(Want.newBuilder().addAllKeys(want)));
         }
--- a/src/test/java/yewdock/consensus/DurableRaftStoreTest.java
+++ b/src/test/java/yewdock/consensus/DurableRaftStoreTest.java
@@ -81,8 +81,8 @@
         }
 
         @Override
-        public void compactIfLarge(int mostMillis) throws StoreException {
-            store.compactIfLarge(mostMillis);
+        public void compactIfLarge(int maxMillis) throws StoreException {
+            store.compactIfLarge(maxMillis);
         }
 
         @Override
--- a/src/test/java/yewdock/lease/LeaseGrantorTest.java
+++ b/src/test/java/yewdock/lease/LeaseGrantorTest.java
@@ -11,7 +11,7 @@
 class LeaseGrantorTest {
     private static final long SECOND_MICROS = 1_000_000;
     private static final LeaseTiming TIMING = new LeaseTiming(2 * SECOND_MICROS, 0.001);
-    private final LeaseGrantor grants = new LeaseGrantor(TIMING);
+    private final LeaseGrantor grantor = new LeaseGrantor(TIMING);
 
     private static LeaseGrantor.LeaseRequest request(String router, long step) {
         return new LeaseGrantor.LeaseRequest(router, 1, 1, step);
@@ -20,10 +20,10 @@
     private List<LeaseGrantor.LeaseRequest> granted(long lastPrepared, long now,
             LeaseGrantor.LeaseRequest... requests) {
         for (LeaseGrantor.LeaseRequest request : requests) {
-            grants.request(request);
+            grantor.request(request);
         }
-        assertTrue(grants.beginConfirmation());
-        return grants.confirm(lastPrepared, now);
+        assertTrue(grantor.beginConfirmation());
+        return grantor.confirm(lastPrepared, now);
     }
 
     @Test
@@ -46,57 +46,57 @@
 
     @Test
     void aRouterWithoutTheLastChangeGetsNoLease() {
-        grants.becomeLeader(0);
+        grantor.becomeLeader(0);
         assertEquals(List.of(request("b", 7)), granted(7, SECOND_MICROS, request("a", 6), request("b", 7)));
     }
 
     /** A leader that was replaced could otherwise grant on responses sent before its replacement. */
     @Test
     void aRequestDuringARoundWaitsForTheNext() {
-        grants.becomeLeader(0);
-        grants.request(request("a", 0));
-        assertTrue(grants.beginConfirmation());
-        grants.request(request("b", 0));
-        assertFalse(grants.beginConfirmation());
-        assertEquals(List.of(request("a", 0)), grants.confirm(0, 1));
-        assertTrue(grants.beginConfirmation());
-        assertEquals(List.of(request("b", 0)), grants.confirm(0, 2));
+        grantor.becomeLeader(0);
+        grantor.request(request("a", 0));
+        assertTrue(grantor.beginConfirmation());
+        grantor.request(request("b", 0));
+        assertFalse(grantor.beginConfirmation());
+        assertEquals(List.of(request("a", 0)), grantor.confirm(0, 1));
+        assertTrue(grantor.beginConfirmation());
+        assertEquals(List.of(request("b", 0)), grantor.confirm(0, 2));
     }
 
     @Test
     void aChangeTakesEffectOnceAllLeasesKnowItOrExpired() {
-        grants.becomeLeader(0);
+        grantor.becomeLeader(0);
         long now = TIMING.expiryMicros();
         granted(0, now, request("a", 0), request("b", 0));
         Map<String, Long> pending = Map.of("c", 1L);
-        assertEquals(List.of(), grants.changesToApply(pending, now));
+        assertEquals(List.of(), grantor.changesToApply(pending, now));
         granted(1, now + 1, request("a", 1));
-        assertEquals(List.of(), grants.changesToApply(pending, now + 1));
-        assertEquals(List.of("c"), grants.changesToApply(pending, now + TIMING.expiryMicros()));
-        grants.changesToApply(Map.of(), now);
+        assertEquals(List.of(), grantor.changesToApply(pending, now + 1));
+        assertEquals(List.of("c"), grantor.changesToApply(pending, now + TIMING.expiryMicros()));
+        grantor.changesToApply(Map.of(), now);
         granted(1, now + SECOND_MICROS, request("b", 1));
-        assertEquals(List.of("c"), grants.changesToApply(pending, now + SECOND_MICROS));
+        assertEquals(List.of("c"), grantor.changesToApply(pending, now + SECOND_MICROS));
     }
 
     /** An older process of the router may be suspended and still have its lease. */
     @Test
     void eachProcessOfARouterHasALeaseOfItsOwn() {
-        grants.becomeLeader(0);
+        grantor.becomeLeader(0);
         long now = TIMING.expiryMicros();
         granted(0, now, new LeaseGrantor.LeaseRequest("a", 1, 1, 0));
         granted(1, now, new LeaseGrantor.LeaseRequest("a", 2, 1, 1));
-        assertEquals(List.of(), grants.changesToApply(Map.of("c", 1L), now));
+        assertEquals(List.of(), grantor.changesToApply(Map.of("c", 1L), now));
     }
 
     @Test
     void aNewLeaderWaitsForOneLeaseLength() {
-        assertEquals(List.of(), grants.changesToApply(Map.of("c", 1L), 0));
-        grants.becomeLeader(TIMING.expiryMicros() - 1);
-        assertEquals(List.of(), grants.changesToApply(Map.of("c", 1L), TIMING.expiryMicros() - 1));
-        assertEquals(List.of("c"), grants.changesToApply(Map.of("c", 1L), TIMING.expiryMicros()));
-        grants.stepDown();
-        assertEquals(List.of(), grants.changesToApply(Map.of("c", 1L), TIMING.expiryMicros()));
-        grants.request(request("a", 1));
-        assertFalse(grants.beginConfirmation());
+        assertEquals(List.of(), grantor.changesToApply(Map.of("c", 1L), 0));
+        grantor.becomeLeader(TIMING.expiryMicros() - 1);
+        assertEquals(List.of(), grantor.changesToApply(Map.of("c", 1L), TIMING.expiryMicros() - 1));
+        assertEquals(List.of("c"), grantor.changesToApply(Map.of("c", 1L), TIMING.expiryMicros()));
+        grantor.stepDown();
+        assertEquals(List.of(), grantor.changesToApply(Map.of("c", 1L), TIMING.expiryMicros()));
+        grantor.request(request("a", 1));
+        assertFalse(grantor.beginConfirmation());
     }
 }
--- a/src/test/java/yewdock/replication/ReplicationSimTest.java
+++ b/src/test/java/yewdock/replication/ReplicationSimTest.java
@@ -143,21 +143,21 @@
     @Test
     void onlyKeysAreQueuedForASilentPeer() {
         ReplicatedRecords records = new ReplicatedRecords("a", 100_000);
-        Replicator replica = new Replicator("c", Set.of("b"), records, 1, 1000);
-        replica.reduce(new ReplicationEvent.PeerConnected("b"), 0);
-        replica.reduce(new ReplicationEvent.PeerFrameReceived("b", CopiesSim.hello("c", "b", "a")), 0);
+        Replicator replicator = new Replicator("c", Set.of("b"), records, 1, 1000);
+        replicator.reduce(new ReplicationEvent.PeerConnected("b"), 0);
+        replicator.reduce(new ReplicationEvent.PeerFrameReceived("b", CopiesSim.hello("c", "b", "a")), 0);
         int sent = 0;
         for (int i = 0; i < 50_000; i++) {
             records.write(RecordKeys.override("s-" + i % 500), mark(1 + i % 2), 0);
-            sent += replica.reduce(new ReplicationEvent.RecordsChanged(List.of(RecordKeys.override("s-"
+            sent += replicator.reduce(new ReplicationEvent.RecordsChanged(List.of(RecordKeys.override("s-"
                     + i % 500))), 1).size();
         }
         assertTrue(sent <= 2, sent + " frames to a peer that acknowledges none");
-        assertTrue(replica.peerStatuses().get(0).waiting() <= 500);
-        List<ReplicationEffect> timeoutEffects = replica.reduce(new ReplicationEvent.Tick(),
+        assertTrue(replicator.peerStatuses().get(0).waiting() <= 500);
+        List<ReplicationEffect> timeoutEffects = replicator.reduce(new ReplicationEvent.Tick(),
                 6 * SECOND_MICROS);
         assertTrue(timeoutEffects.stream().anyMatch(e -> e instanceof ReplicationEffect.ClosePeer));
-        assertEquals(0, replica.peerStatuses().get(0).waiting());
+        assertEquals(0, replicator.peerStatuses().get(0).waiting());
     }
 
     @Test
@@ -174,11 +174,11 @@
         invalidFrames.add(PeerFrame.getDefaultInstance());
         for (PeerFrame frame : invalidFrames) {
             ReplicatedRecords records = new ReplicatedRecords("a", 100);
-            Replicator replica = new Replicator("c", Set.of("b"), records, 1, 1000);
-            replica.reduce(new ReplicationEvent.PeerConnected("b"), 0);
-            replica.reduce(new ReplicationEvent.PeerFrameReceived("b", CopiesSim.hello("c", "b", "a")), 0);
+            Replicator replicator = new Replicator("c", Set.of("b"), records, 1, 1000);
+            replicator.reduce(new ReplicationEvent.PeerConnected("b"), 0);
+            replicator.reduce(new ReplicationEvent.PeerFrameReceived("b", CopiesSim.hello("c", "b", "a")), 0);
             List<ReplicationEffect> effects =
-                    replica.reduce(new ReplicationEvent.PeerFrameReceived("b", frame), 1);
+                    replicator.reduce(new ReplicationEvent.PeerFrameReceived("b", frame), 1);
             assertTrue(effects.stream().anyMatch(e -> e instanceof ReplicationEffect.ClosePeer),
                     frame.toString());
             assertEquals(0, records.size());
@@ -189,13 +189,13 @@
     void unknownPeersAreRefused() {
         Stream.of(CopiesSim.hello("other", "b", "a"), CopiesSim.hello("c", "d", "a"),
                 CopiesSim.hello("c", "b", "z")).forEach(hello -> {
-                    Replicator replica = new Replicator("c", Set.of("b"), new ReplicatedRecords("a", 100), 1,
-                            1000);
-                    replica.reduce(new ReplicationEvent.PeerConnected("b"), 0);
+                    Replicator replicator = new Replicator("c", Set.of("b"),
+                            new ReplicatedRecords("a", 100), 1, 1000);
+                    replicator.reduce(new ReplicationEvent.PeerConnected("b"), 0);
                     List<ReplicationEffect> effects =
-                            replica.reduce(new ReplicationEvent.PeerFrameReceived("b", hello), 0);
+                            replicator.reduce(new ReplicationEvent.PeerFrameReceived("b", hello), 0);
                     assertTrue(effects.stream().anyMatch(e -> e instanceof ReplicationEffect.ClosePeer));
-                    assertFalse(replica.peerStatuses().get(0).up());
+                    assertFalse(replicator.peerStatuses().get(0).up());
                 });
     }
 }
