--- a/src/main/java/yewdock/lease/LeaseTiming.java
+++ b/src/main/java/yewdock/lease/LeaseTiming.java
@@ -1,36 +1,41 @@
 package yewdock.lease;
 
 /**
- * How long a lease is, and how far clocks may drift. Times are microseconds.
+ * The length of leases and the assumed bound on clock drift. Times are in microseconds.
  *
- * @param lengthMicros a router acts by what it holds for so long after it asked, on its own monotonic clock
- * @param maxDrift no clock gains or loses more than this part of the time that passes
+ * @param lengthMicros how long after it sent its request a router may act, on its own monotonic clock
+ * @param maxDrift the largest rate at which a clock may gain or lose time, as a fraction of the elapsed time
  */
 public record LeaseTiming(long lengthMicros, double maxDrift) {
-    /** Of the stated time this part is the lease; the rest is for clocks that drift and for looking late. */
-    private static final double PART = 0.8;
-    /** A lease is renewed so many times in its length. */
-    private static final int RENEWALS = 6;
+    /** The part of the stated time that leases last; the rest allows for clock drift and late checks. */
+    private static final double LEASE_FRACTION = 0.8;
+    /** How many renewals are sent per lease length. */
+    private static final int RENEWALS_PER_LEASE = 6;
 
     public LeaseTiming {
         if (lengthMicros <= 0 || maxDrift < 0 || maxDrift > 0.01) {
-            throw new IllegalArgumentException("a lease of " + lengthMicros + " us, clocks that drift by "
+            throw new IllegalArgumentException("invalid lease length " + lengthMicros + " us or clock drift "
                     + maxDrift);
         }
     }
 
-    /** The terms that keep a stated time. */
-    public static LeaseTiming forMaxDelay(long agreedWithin, double drift) {
-        return new LeaseTiming((long) (agreedWithin * PART), drift);
+    /**
+     * Timing with which a change takes effect, or a partitioned router stops acting, within the stated time.
+     *
+     * @param maxDelayMicros the stated time in microseconds
+     * @param maxDrift the bound on clock drift
+     */
+    public static LeaseTiming forMaxDelay(long maxDelayMicros, double maxDrift) {
+        return new LeaseTiming((long) (maxDelayMicros * LEASE_FRACTION), maxDrift);
     }
 
-    /** So long on one clock, and a lease that another clock measures is surely over. */
+    /** How long to wait on one clock, in microseconds, until a lease on another clock must have expired. */
     public long expiryMicros() {
         return (long) Math.ceil(lengthMicros * (1 + maxDrift) / (1 - maxDrift)) + 1;
     }
 
-    /** How often a router asks. */
+    /** The interval between renewals, in microseconds. */
     public long renewalIntervalMicros() {
-        return lengthMicros / RENEWALS;
+        return lengthMicros / RENEWALS_PER_LEASE;
     }
 }
--- a/src/main/java/yewdock/replication/ReplicationEffect.java
+++ b/src/main/java/yewdock/replication/ReplicationEffect.java
@@ -4,21 +4,21 @@
 import java.util.Map;
 import yewdock.wire.PeerFrame;
 
-/** All that an instance's copying can ask for. */
+/** The effects that replication asks for. */
 public sealed interface ReplicationEffect {
-    /** Send a peer something. */
+    /** Send a frame to a peer. */
     record SendToPeer(String peer, PeerFrame frame) implements ReplicationEffect {
     }
 
-    /** Close the connection to a peer, once what was sent is written. */
+    /** Close the connection to a peer once all frames sent before are written. */
     record ClosePeer(String peer, String why) implements ReplicationEffect {
     }
 
-    /** These keys have changed here, by what a peer sent or by forgetting: they are to be stored. */
+    /** Store the records of these keys, changed by a peer's frames or by purging tombstones. */
     record StoreRecords(List<String> keys) implements ReplicationEffect {
     }
 
-    /** A line for the log: an event's name and its fields. */
+    /** Log an event with its fields. */
     record LogEvent(String event, Map<String, Object> fields) implements ReplicationEffect {
     }
 }
--- a/src/main/java/yewdock/replication/ReplicationEvent.java
+++ b/src/main/java/yewdock/replication/ReplicationEvent.java
@@ -3,25 +3,25 @@
 import java.util.List;
 import yewdock.wire.PeerFrame;
 
-/** All that can happen to an instance's copying. Peers go by their names in the operator's file. */
+/** The events of replication. Peers are identified by their names in the operator's configuration. */
 public sealed interface ReplicationEvent {
-    /** A connection to a peer stands, made by either side. */
+    /** A connection with a peer was established, by either side. */
     record PeerConnected(String peer) implements ReplicationEvent {
     }
 
-    /** A peer says something. */
+    /** A frame from a peer was received. */
     record PeerFrameReceived(String peer, PeerFrame frame) implements ReplicationEvent {
     }
 
-    /** The connection to a peer is gone. */
+    /** The connection with a peer was closed. */
     record PeerDisconnected(String peer, String why) implements ReplicationEvent {
     }
 
-    /** These keys have been written here. */
+    /** Records of these keys were written by this instance. */
     record RecordsChanged(List<String> keys) implements ReplicationEvent {
     }
 
-    /** Time has passed. */
+    /** The timer is due, see {@link Replicator#nextTickDue}. */
     record Tick() implements ReplicationEvent {
     }
 }
--- a/src/main/java/yewdock/rules/RuleKind.java
+++ b/src/main/java/yewdock/rules/RuleKind.java
@@ -3,14 +3,14 @@
 import yewdock.wire.RuleValue;
 
 /**
- * The kinds of rules, in one table: what a value may be, which value every other one is compatible with,
- * and whether a router that is in doubt may go on.
+ * The kinds of rules: which values a rule of each kind may have, which value is applied while a change is
+ * pending, and whether a router without a valid lease may go on by the last known value.
  *
- * <p>Between a change's preparing and its force a router acts by {@link #between}: by nothing that the old
- * or the new value would contradict.
+ * <p>From the time a change is prepared until it takes effect, a router applies {@link #pendingValue}, which
+ * contradicts neither the old nor the new value.
  */
 public enum RuleKind {
-    /** A box that gets no new work by agreement. Compatible: to send it nothing. */
+    /** A server that gets no new requests. While a change is pending it gets none either. */
     SERVER("box", true) {
         @Override
         boolean isValid(RuleValue value) {
@@ -18,19 +18,19 @@
         }
 
         @Override
-        RuleValue between(RuleValue before, RuleValue after) {
-            return OUT;
+        RuleValue pendingValue(RuleValue before, RuleValue after) {
+            return NO_NEW_REQUESTS;
         }
     },
-    /** A municipality's requests a second, of all routers together. Compatible: the smaller of the two. */
+    /** A tenant's requests per second over all routers. While a change is pending the lower limit applies. */
     RATE_LIMIT("share", true) {
         @Override
         boolean isValid(RuleValue value) {
-            return value.hasShare() && value.getShare() >= 0 && value.getShare() <= MOST_SHARE;
+            return value.hasShare() && value.getShare() >= 0 && value.getShare() <= MAX_REQUESTS_PER_SECOND;
         }
 
         @Override
-        RuleValue between(RuleValue before, RuleValue after) {
+        RuleValue pendingValue(RuleValue before, RuleValue after) {
             if (before == null || after == null) {
                 return before == null ? after : before;
             }
@@ -38,7 +38,8 @@
         }
     },
     /**
-     * A key of the operators' files that has to be the same everywhere. What holds is kept until the force.
+     * A key of the operators' settings that has to be the same everywhere. While a change is pending the old
+     * value applies.
      */
     SETTING("setting", false) {
         @Override
@@ -47,66 +48,64 @@
         }
 
         @Override
-        RuleValue between(RuleValue before, RuleValue after) {
+        RuleValue pendingValue(RuleValue before, RuleValue after) {
             return before;
         }
     };
 
-    private static final double MOST_SHARE = 1e6;
-    private static final RuleValue OUT = RuleValue.newBuilder().setOut(true).build();
-    private static final int LONGEST_NAME = 200;
+    private static final double MAX_REQUESTS_PER_SECOND = 1e6;
+    private static final RuleValue NO_NEW_REQUESTS = RuleValue.newBuilder().setOut(true).build();
+    private static final int MAX_SUBJECT_LENGTH = 200;
 
     private final String prefix;
     private final boolean requiresLease;
 
-    RuleKind(String word, boolean hard) {
-        this.prefix = word;
-        this.requiresLease = hard;
+    RuleKind(String prefix, boolean requiresLease) {
+        this.prefix = prefix;
+        this.requiresLease = requiresLease;
     }
 
-    /** What its subjects begin with. */
+    /** The part of a subject before the slash. */
     public String prefix() {
         return prefix;
     }
 
-    /** Whether a router in doubt takes no new work on its subjects; else what holds is kept. */
+    /** Whether a router without a valid lease refuses new requests under such a rule. */
     public boolean requiresLease() {
         return requiresLease;
     }
 
-    /** The subject of a name. */
+    /** The subject of this kind with the given name. */
     public String subject(String name) {
         return prefix + "/" + name;
     }
 
-    /** The kind of a subject, or null where this program knows none such. */
+    /** The kind of a subject, or null if this version doesn't know it or the subject is malformed. */
     public static RuleKind of(String subject) {
-        int end = subject.indexOf('/');
-        for (RuleKind k : values()) {
-            if (end > 0 && end < subject.length() - 1 && subject.length() <= LONGEST_NAME
-                    && k.prefix.equals(subject.substring(0, end))) {
-                return k;
+        int slash = subject.indexOf('/');
+        for (RuleKind kind : values()) {
+            if (slash > 0 && slash < subject.length() - 1 && subject.length() <= MAX_SUBJECT_LENGTH
+                    && kind.prefix.equals(subject.substring(0, slash))) {
+                return kind;
             }
         }
         return null;
     }
 
-    /** The name within its kind. */
+    /** The part of a subject after the slash. */
     public static String name(String subject) {
         return subject.substring(subject.indexOf('/') + 1);
     }
 
-    /**
-     * Whether the subject is of a kind that is known, and the value one that it may have; null is always
-     * one.
-     */
+    /** Whether the subject is of a known kind and may have this value; null (no value) is always valid. */
     public static boolean isValid(String subject, RuleValue value) {
         RuleKind kind = of(subject);
         return kind != null && (value == null || kind.isValid(value));
     }
 
+    /** Whether a rule of this kind may have the value, which is not null. */
     abstract boolean isValid(RuleValue value);
 
-    /** What a router acts by between the two; null: as where nothing is agreed. */
-    abstract RuleValue between(RuleValue before, RuleValue after);
+    /** The value that applies while a change between these two is pending; null stands for no value. */
+    abstract RuleValue pendingValue(RuleValue before, RuleValue after);
 }
--- a/src/main/java/yewdock/rules/RulesView.java
+++ b/src/main/java/yewdock/rules/RulesView.java
@@ -9,51 +9,53 @@
 import yewdock.wire.SubjectState;
 
 /**
- * What a router acts by, at one step of the rules. A subject with a change under way has the value between
- * the two.
+ * The rules that a router applies, as of one step. A subject with a pending change has the value that is
+ * compatible with both the old and the new one.
  *
  * @param step the step of the rules
- * @param revision how many changes were in force
- * @param cordonedServers boxes that get no new work
- * @param rateLimits requests a second, by municipality
- * @param settings the texts that keys of the operators' files have to have
+ * @param revision how many changes had taken effect
+ * @param cordonedServers names of servers that get no new requests
+ * @param rateLimits limits in requests per second, by tenant
+ * @param settings values of the operators' settings that have to be the same everywhere, by key
  */
 public record RulesView(long step, long revision, Set<String> cordonedServers, Map<String, Double> rateLimits,
         Map<String, String> settings) {
-    /** Before anything is agreed. */
+    /** The view before any rule is set. */
     public static final RulesView EMPTY = new RulesView(0, 0, Set.of(), Map.of(), Map.of());
 
     static RulesView of(long step, long revision, Collection<SubjectState> subjects) {
-        Set<String> out = new TreeSet<>();
-        Map<String, Double> shares = new TreeMap<>();
+        Set<String> cordonedServers = new TreeSet<>();
+        Map<String, Double> rateLimits = new TreeMap<>();
         Map<String, String> settings = new TreeMap<>();
-        for (SubjectState s : subjects) {
-            RuleKind kind = RuleKind.of(s.getSubject());
+        for (SubjectState state : subjects) {
+            RuleKind kind = RuleKind.of(state.getSubject());
             if (kind == null) {
                 continue;
             }
-            RuleValue value = acted(kind, s);
+            RuleValue value = effectiveValue(kind, state);
             if (value == null) {
                 continue;
             }
-            String name = RuleKind.name(s.getSubject());
+            String name = RuleKind.name(state.getSubject());
             switch (kind) {
-                case SERVER -> out.add(name);
-                case RATE_LIMIT -> shares.put(name, value.getShare());
+                case SERVER -> cordonedServers.add(name);
+                case RATE_LIMIT -> rateLimits.put(name, value.getShare());
                 case SETTING -> settings.put(name, value.getText());
                 default -> {
-                    // of a kind that routers don't act by
+                    // a kind that routers don't apply
                 }
             }
         }
-        return new RulesView(step, revision, Set.copyOf(out), Map.copyOf(shares), Map.copyOf(settings));
+        return new RulesView(step, revision, Set.copyOf(cordonedServers), Map.copyOf(rateLimits),
+                Map.copyOf(settings));
     }
 
-    private static RuleValue acted(RuleKind kind, SubjectState s) {
-        RuleValue now = s.hasValue() ? s.getValue() : null;
-        if (!s.hasPending()) {
-            return now;
+    private static RuleValue effectiveValue(RuleKind kind, SubjectState state) {
+        RuleValue current = state.hasValue() ? state.getValue() : null;
+        if (!state.hasPending()) {
+            return current;
         }
-        return kind.between(now, s.getPending().hasValue() ? s.getPending().getValue() : null);
+        return kind.pendingValue(current, state.getPending().hasValue() ? state.getPending().getValue()
+                : null);
     }
 }
--- a/src/test/java/yewdock/rules/RulesTest.java
+++ b/src/test/java/yewdock/rules/RuleStateMachineTest.java
@@ -23,18 +23,18 @@
 import yewdock.wire.RuleValue;
 import yewdock.wire.Withdrawal;
 
-class RulesTest {
+class RuleStateMachineTest {
     private final RuleStateMachine rules = new RuleStateMachine();
 
     private static RuleChange.Builder change(String id, String subject, long base) {
         return RuleChange.newBuilder().setId(id).setWho("staff").setSubject(subject).setBase(base);
     }
 
-    private static RuleValue out() {
+    private static RuleValue noNewRequests() {
         return RuleValue.newBuilder().setOut(true).build();
     }
 
-    private static RuleValue share(double share) {
+    private static RuleValue rateLimit(double share) {
         return RuleValue.newBuilder().setShare(share).build();
     }
 
@@ -50,81 +50,80 @@
         return RuleCommand.newBuilder().setWithdraw(Withdrawal.newBuilder().setId(id)).build();
     }
 
-    private ChangeRejection refused(RuleCommand command) {
+    private ChangeRejection rejectionOf(RuleCommand command) {
         return ChangeRejection.of(rules.apply(command).getRefusal());
     }
 
     @Test
-    void aChangeIsPreparedAndThenTakesForce() {
-        assertEquals(null, refused(prepare(change("a", "box/s-1", 0).setValue(out()))));
+    void aChangeIsPreparedAndThenTakesEffect() {
+        assertEquals(null, rejectionOf(prepare(change("a", "box/s-1", 0).setValue(noNewRequests()))));
         assertEquals(Set.of("s-1"), rules.view().cordonedServers());
         assertEquals(0, rules.revision());
         rules.apply(force("a"));
         assertEquals(1, rules.revision("box/s-1"));
         rules.apply(prepare(change("b", "box/s-1", 1)));
-        assertEquals(Set.of("s-1"), rules.view().cordonedServers(), "not back before all know");
+        assertEquals(Set.of("s-1"), rules.view().cordonedServers(),
+                "the server must get no requests until the change has taken effect");
         rules.apply(force("b"));
         assertEquals(Set.of(), rules.view().cordonedServers());
         assertEquals(List.of("a", "b"), rules.history().stream().map(h -> h.getChange().getId()).toList());
     }
 
     @Test
-    void whatCannotBeIsRefusedAndChangesNothing() {
-        rules.apply(prepare(change("a", "share/birgunj", 0).setValue(share(5))));
-        assertEquals(ChangeRejection.ALREADY_PENDING,
-                refused(prepare(change("b", "share/birgunj", 0).setValue(share(6)))));
+    void invalidCommandsAreRejectedAndChangeNothing() {
+        rules.apply(prepare(change("a", "share/birgunj", 0).setValue(rateLimit(5))));
+        assertEquals(ChangeRejection.ALREADY_PENDING, rejectionOf(prepare(change("b", "share/birgunj", 0)
+                .setValue(rateLimit(6)))));
         rules.apply(force("a"));
-        assertEquals(ChangeRejection.STALE,
-                refused(prepare(change("c", "share/birgunj", 0).setValue(share(6)))));
-        assertEquals(ChangeRejection.UNCHANGED,
-                refused(prepare(change("d", "share/birgunj", 1).setValue(share(5)))));
-        assertEquals(ChangeRejection.NOT_PENDING, refused(force("never")));
-        assertEquals(ChangeRejection.TOO_LARGE, refused(prepare(change("e", "share/birgunj", 1)
+        assertEquals(ChangeRejection.STALE, rejectionOf(prepare(change("c", "share/birgunj", 0)
+                .setValue(rateLimit(6)))));
+        assertEquals(ChangeRejection.UNCHANGED, rejectionOf(prepare(change("d", "share/birgunj", 1)
+                .setValue(rateLimit(5)))));
+        assertEquals(ChangeRejection.NOT_PENDING, rejectionOf(force("never")));
+        assertEquals(ChangeRejection.TOO_LARGE, rejectionOf(prepare(change("e", "share/birgunj", 1)
                 .setWhy("x".repeat(RuleStateMachine.MAX_CHANGE_BYTES)))));
         assertEquals(5, rules.view().rateLimits().get("birgunj"));
         for (int i = rules.subjects().size(); i < RuleStateMachine.MAX_SUBJECTS; i++) {
-            rules.apply(prepare(change("f" + i, "box/" + i, 0).setValue(out())));
+            rules.apply(prepare(change("f" + i, "box/" + i, 0).setValue(noNewRequests())));
         }
-        assertEquals(ChangeRejection.TOO_MANY_SUBJECTS,
-                refused(prepare(change("g", "box/last", 0).setValue(out()))));
+        assertEquals(ChangeRejection.TOO_MANY_SUBJECTS, rejectionOf(prepare(change("g", "box/last", 0)
+                .setValue(noNewRequests()))));
     }
 
     @Test
-    void flawsAreFoundBeforeAnybodyIsAsked() {
+    void invalidChangesAreFoundBeforeTheyAreProposed() {
         assertEquals(ChangeRejection.INVALID, RuleStateMachine.validate(change("a", "moon/1", 0).build()));
         assertEquals(ChangeRejection.INVALID,
-                RuleStateMachine.validate(change("a", "box/", 0).setValue(out()).build()));
+                RuleStateMachine.validate(change("a", "box/", 0).setValue(noNewRequests()).build()));
         assertEquals(ChangeRejection.INVALID,
-                RuleStateMachine.validate(change("a", "share/x", 0).setValue(share(-1)).build()));
+                RuleStateMachine.validate(change("a", "share/x", 0).setValue(rateLimit(-1)).build()));
         assertEquals(ChangeRejection.INVALID,
-                RuleStateMachine.validate(change("a", "share/x", 0).setValue(share(Double.NaN)).build()));
+                RuleStateMachine.validate(change("a", "share/x", 0).setValue(rateLimit(Double.NaN)).build()));
         assertEquals(ChangeRejection.INVALID,
-                RuleStateMachine.validate(change("", "box/x", 0).setValue(out()).build()));
+                RuleStateMachine.validate(change("", "box/x", 0).setValue(noNewRequests()).build()));
         assertEquals(null, RuleStateMachine.validate(change("a", "setting/k", 0)
                 .setValue(RuleValue.newBuilder().setText("v")).build()));
     }
 
-    /**
-     * A retry whose first answer was lost gets that answer, also once the change is in force or withdrawn.
-     */
+    /** A retry after a lost answer gets the same outcome, also once the change is in effect or withdrawn. */
     @Test
     void theSameChangeIsAppliedOnce() {
-        RuleCommand ask = prepare(change("a", "box/s-1", 0).setValue(out()));
-        RuleOutcome first = rules.apply(ask);
-        assertEquals(first, rules.apply(ask));
+        RuleCommand command = prepare(change("a", "box/s-1", 0).setValue(noNewRequests()));
+        RuleOutcome first = rules.apply(command);
+        assertEquals(first, rules.apply(command));
         rules.apply(force("a"));
-        assertEquals(1, rules.apply(ask).getRevision());
+        assertEquals(1, rules.apply(command).getRevision());
         assertEquals(1, rules.apply(force("a")).getRevision());
         assertEquals(1, rules.revision());
-        rules.apply(prepare(change("b", "box/s-2", 0).setValue(out())));
+        rules.apply(prepare(change("b", "box/s-2", 0).setValue(noNewRequests())));
         assertTrue(rules.apply(withdraw("b")).getWithdrawn());
         assertTrue(rules.apply(force("b")).getWithdrawn());
         assertEquals(Set.of("s-1"), rules.view().cordonedServers());
     }
 
-    /** Kinds of a later program take force and are kept; this program's routers don't act by them. */
+    /** Kinds of rules that only newer versions know are replicated and kept, but not applied. */
     @Test
-    void whatALaterProgramKnowsIsKeptAndNotActedOn() throws InvalidProtocolBufferException {
+    void rulesOfNewerVersionsAreKeptAndNotApplied() throws InvalidProtocolBufferException {
         RuleValue later = RuleValue.newBuilder().setUnknownFields(UnknownFieldSet.newBuilder().addField(99,
                 UnknownFieldSet.Field.newBuilder().addVarint(7).build()).build()).build();
         rules.apply(prepare(change("a", "moon/1", 0).setValue(later)));
@@ -140,59 +139,59 @@
         assertEquals(Set.of(), next.view().cordonedServers());
     }
 
-    /** Any commands, taken through a snapshot at any point or not, make the same bytes and the same chain. */
+    /** Any commands give the same bytes and chain whether or not a snapshot is installed in between. */
     @Property(tries = 300)
-    void aSnapshotAtAnyPointGoesOnTheSame(@ForAll @Size(max = 60) List<@IntRange(max = 719) Integer> draws,
-            @ForAll @IntRange(max = 60) int at) {
-        RuleStateMachine whole = new RuleStateMachine();
-        RuleStateMachine through = new RuleStateMachine();
+    void aSnapshotAtAnyPointChangesNothing(@ForAll @Size(max = 60) List<@IntRange(max = 719) Integer> draws,
+            @ForAll @IntRange(max = 60) int snapshotAt) {
+        RuleStateMachine direct = new RuleStateMachine();
+        RuleStateMachine viaSnapshot = new RuleStateMachine();
         int i = 0;
         for (int draw : draws) {
             String id = "c" + draw % 12;
             String subject = RuleKind.values()[draw / 12 % 3].subject("x" + draw / 36 % 2);
             RuleCommand command = switch (draw / 72 % 4) {
-                case 0, 1 -> prepare(change(id, subject, whole.revision(subject)).setValue(
-                        subject.startsWith("box") ? out() : share(draw % 7)));
+                case 0, 1 -> prepare(change(id, subject, direct.revision(subject)).setValue(
+                        subject.startsWith("box") ? noNewRequests() : rateLimit(draw % 7)));
                 case 2 -> force(id);
                 default -> withdraw(id);
             };
-            if (i++ == at) {
+            if (i++ == snapshotAt) {
                 RuleStateMachine next = new RuleStateMachine();
-                next.install(through.snapshot());
-                through = next;
+                next.install(viaSnapshot.snapshot());
+                viaSnapshot = next;
             }
-            assertEquals(whole.apply(command), through.apply(command));
+            assertEquals(direct.apply(command), viaSnapshot.apply(command));
         }
-        assertArrayEquals(ReplicatedRecords.bytes(whole.snapshot()),
-                ReplicatedRecords.bytes(through.snapshot()));
-        assertEquals(whole.chain(), through.chain());
-        assertEquals(whole.view(), through.view());
+        assertArrayEquals(ReplicatedRecords.bytes(direct.snapshot()),
+                ReplicatedRecords.bytes(viaSnapshot.snapshot()));
+        assertEquals(direct.chain(), viaSnapshot.chain());
+        assertEquals(direct.view(), viaSnapshot.view());
     }
 
     @Test
     void differentHistoriesHaveDifferentChains() {
         RuleStateMachine other = new RuleStateMachine();
-        rules.apply(prepare(change("a", "box/s-1", 0).setValue(out())));
-        other.apply(prepare(change("a", "box/s-2", 0).setValue(out())));
+        rules.apply(prepare(change("a", "box/s-1", 0).setValue(noNewRequests())));
+        other.apply(prepare(change("a", "box/s-2", 0).setValue(noNewRequests())));
         assertFalse(rules.chain() == other.chain());
     }
 
     @Test
-    void betweenTwoValuesNothingThatEitherContradicts() {
-        assertEquals(out(), RuleKind.SERVER.between(out(), null));
-        assertEquals(out(), RuleKind.SERVER.between(null, out()));
-        assertEquals(share(3), RuleKind.RATE_LIMIT.between(share(3), share(8)));
-        assertEquals(share(3), RuleKind.RATE_LIMIT.between(share(8), share(3)));
-        assertEquals(share(3), RuleKind.RATE_LIMIT.between(null, share(3)));
+    void thePendingValueContradictsNeitherOldNorNew() {
+        assertEquals(noNewRequests(), RuleKind.SERVER.pendingValue(noNewRequests(), null));
+        assertEquals(noNewRequests(), RuleKind.SERVER.pendingValue(null, noNewRequests()));
+        assertEquals(rateLimit(3), RuleKind.RATE_LIMIT.pendingValue(rateLimit(3), rateLimit(8)));
+        assertEquals(rateLimit(3), RuleKind.RATE_LIMIT.pendingValue(rateLimit(8), rateLimit(3)));
+        assertEquals(rateLimit(3), RuleKind.RATE_LIMIT.pendingValue(null, rateLimit(3)));
     }
 
     @Test
-    void everyRefusalSaysWhatToDo() {
+    void everyRejectionSaysWhatToDo() {
         Set<String> texts = new HashSet<>();
-        for (ChangeRejection r : ChangeRejection.values()) {
-            assertEquals(r, ChangeRejection.of(r.number()));
-            assertTrue(r.message().contains("; "), r.message());
-            assertTrue(texts.add(r.message()));
+        for (ChangeRejection rejection : ChangeRejection.values()) {
+            assertEquals(rejection, ChangeRejection.of(rejection.number()));
+            assertTrue(rejection.message().contains("; "), rejection.message());
+            assertTrue(texts.add(rejection.message()));
         }
         assertEquals(null, ChangeRejection.of(0));
     }
--- a/src/test/java/yewdock/state/RecordsPropertiesTest.java
+++ b/src/test/java/yewdock/state/ReplicatedRecordsPropertiesTest.java
@@ -16,8 +16,8 @@
 import yewdock.wire.Kept;
 import yewdock.wire.Mark;
 
-/** Merging gives the same whatever the order and however often; wall clocks have no say. */
-class RecordsPropertiesTest {
+/** Merging is commutative, associative and idempotent, and does not depend on wall clocks. */
+class ReplicatedRecordsPropertiesTest {
     private static final String SEED = "42";
 
     @Provide
@@ -51,49 +51,50 @@
     }
 
     @Property(seed = SEED)
-    void theOrderIsNothing(@ForAll("sets") List<Kept> a, @ForAll("sets") List<Kept> b,
+    void mergingIsCommutative(@ForAll("sets") List<Kept> a, @ForAll("sets") List<Kept> b,
             @ForAll Random random) {
-        ReplicatedRecords one = of(a, b);
-        assertEquals(all(one), all(of(b, a)));
-        List<Kept> mixed = new ArrayList<>(a);
-        mixed.addAll(b);
-        Collections.shuffle(mixed, random);
-        ReplicatedRecords other = of(mixed, List.of());
-        assertEquals(all(one), all(other));
-        assertEquals(one.bucketSums(), other.bucketSums());
+        ReplicatedRecords merged = of(a, b);
+        assertEquals(all(merged), all(of(b, a)));
+        List<Kept> shuffled = new ArrayList<>(a);
+        shuffled.addAll(b);
+        Collections.shuffle(shuffled, random);
+        ReplicatedRecords other = of(shuffled, List.of());
+        assertEquals(all(merged), all(other));
+        assertEquals(merged.bucketSums(), other.bucketSums());
     }
 
     @Property(seed = SEED)
-    void groupsAreNothing(@ForAll("sets") List<Kept> a, @ForAll("sets") List<Kept> b,
+    void mergingIsAssociative(@ForAll("sets") List<Kept> a, @ForAll("sets") List<Kept> b,
             @ForAll("sets") List<Kept> c) {
         assertEquals(all(of(all(of(a, b)), c)), all(of(a, all(of(b, c)))));
     }
 
     @Property(seed = SEED)
-    void twiceIsOnce(@ForAll("sets") List<Kept> a) {
+    void mergingIsIdempotent(@ForAll("sets") List<Kept> a) {
         ReplicatedRecords once = of(a, List.of());
         assertEquals(all(once), all(of(a, a)));
         assertEquals(once.bucketSums(), of(a, a).bucketSums());
     }
 
     @Property(seed = SEED)
-    void aRecordWrittenHereHoldsOverAllSeen(@ForAll("sets") List<Kept> a,
-            @ForAll("sets") List<Kept> late) {
-        ReplicatedRecords here = of(a, List.of());
-        Kept mine = here.write("a", Kept.newBuilder().setMark(Mark.newBuilder().setKindValue(2)), -5);
-        a.forEach(here::merge);
-        assertEquals(mine, here.get("a"));
-        ReplicatedRecords there = of(late, a);
-        there.merge(mine);
-        all(here).forEach(there::merge);
-        assertEquals(there.bucketSums(), of(all(there), all(here)).bucketSums());
+    void aLocalWriteWinsOverAllRecordsSeenBefore(@ForAll("sets") List<Kept> a,
+            @ForAll("sets") List<Kept> unseen) {
+        ReplicatedRecords localRecords = of(a, List.of());
+        Kept local = localRecords.write("a", Kept.newBuilder().setMark(Mark.newBuilder().setKindValue(2)),
+                -5);
+        a.forEach(localRecords::merge);
+        assertEquals(local, localRecords.get("a"));
+        ReplicatedRecords remote = of(unseen, a);
+        remote.merge(local);
+        all(localRecords).forEach(remote::merge);
+        assertEquals(remote.bucketSums(), of(all(remote), all(localRecords)).bucketSums());
     }
 
     @Property(seed = SEED)
-    void theSumsAreOfWhatIsThere(@ForAll("sets") List<Kept> a, @ForAll("sets") List<Kept> b) {
-        ReplicatedRecords grown = of(a, b);
-        assertEquals(of(all(grown), List.of()).bucketSums(), grown.bucketSums());
-        assertEquals(all(grown).equals(all(of(a, List.of()))),
-                grown.differingBuckets(of(a, List.of()).bucketSums()).isEmpty());
+    void sumsMatchTheRecords(@ForAll("sets") List<Kept> a, @ForAll("sets") List<Kept> b) {
+        ReplicatedRecords merged = of(a, b);
+        assertEquals(of(all(merged), List.of()).bucketSums(), merged.bucketSums());
+        assertEquals(all(merged).equals(all(of(a, List.of()))),
+                merged.differingBuckets(of(a, List.of()).bucketSums()).isEmpty());
     }
 }
