--- a/src/main/java/yewdock/daemon/Agreement.java
+++ b/src/main/java/yewdock/daemon/Agreement.java
@@ -43,50 +43,50 @@
 import yewdock.wire.SubjectState;
 
 /**
- * A daemon's part in an agreement: one loop on one thread, beside the keeper's, that outlives upgrades. The
- * generations are told by which rules and until when they may act, and say when they do; a generation that
- * hangs holds the lease up, for nobody knows by what it acts.
+ * Runs this daemon's consensus instance on a single-threaded loop of its own, which outlives upgrades.
+ * Sends the agreed rules and the end of the lease to the generations and collects their acknowledgements. A
+ * generation that hangs blocks the lease, because the rules that it still applies are unknown.
  */
 final class Agreement implements Council.Instance, Loop, Closeable {
-    /** An operator's word for a mark of this instance's own, without asking the others. */
-    static final String HERE = "--here";
-    private static final String LOG = "council";
-    private static final long TRY_AGAIN = 200_000;
-    private static final long FORCE_PATIENCE = 15_000_000;
-    private static final long STATUS_MILLIS = 1_000;
+    /** Command-line flag of an operator override that applies to this instance only, without consensus. */
+    static final String LOCAL_ONLY = "--here";
+    private static final String LOG_FOLDER = "council";
+    private static final long RETRY_MICROS = 200_000;
+    private static final long APPLY_TIMEOUT_MICROS = 15_000_000;
+    private static final long STATUS_TIMEOUT_MILLIS = 1_000;
     private static final int ID_BYTES = 8;
-    private static final int SHOWN = 20;
+    private static final int HISTORY_LINES_SHOWN = 20;
 
     private final OperatorSettings settings;
-    private final Consumer<Set<String>> boxesOut;
+    private final Consumer<Set<String>> drainedServersListener;
     private final ScheduledThreadPoolExecutor loop;
     private final SecureRandom random = new SecureRandom();
-    private final Map<Integer, Told> generations = new HashMap<>();
-    private final List<Asked> waiting = new ArrayList<>();
+    private final Map<Integer, GenerationProgress> generations = new HashMap<>();
+    private final List<PendingChange> pendingChanges = new ArrayList<>();
     private Peers peers;
     private Council council;
     private View view = View.NOTHING;
     private long chain;
-    private long until = Long.MIN_VALUE;
+    private long leaseEndMicros = Long.MIN_VALUE;
 
-    /** A generation that acts by what it is told, and the step that it has said it acts by. */
-    private static final class Told {
-        private final Link link;
-        private long step;
+    /** A connected generation and the last step that it has acknowledged as applied. */
+    private static final class GenerationProgress {
+        private final Link connection;
+        private long appliedStep;
 
-        Told(Link link) {
-            this.link = link;
+        GenerationProgress(Link connection) {
+            this.connection = connection;
         }
     }
 
-    /** An operator's change, until it is in force. */
-    private record Asked(RuleChange change, long patience, Consumer<Answer> answer) {
+    /** An operator's change that is not in force yet; the deadline is on the loop's clock. */
+    private record PendingChange(RuleChange change, long deadlineMicros, Consumer<Answer> replyTo) {
     }
 
-    /** For this operator's file; boxes that get nothing new go to boxesOut. */
-    Agreement(OperatorSettings settings, Consumer<Set<String>> boxesOut) {
+    /** Creates the service; the consumer receives the names of the servers that are drained by consensus. */
+    Agreement(OperatorSettings settings, Consumer<Set<String>> drainedServersListener) {
         this.settings = settings;
-        this.boxesOut = boxesOut;
+        this.drainedServersListener = drainedServersListener;
         this.loop = new ScheduledThreadPoolExecutor(1, task -> {
             Thread thread = new Thread(task, "agreement");
             thread.setDaemon(true);
@@ -96,27 +96,28 @@
         after(0, Say::onlyEvents);
     }
 
-    /** Begins to take part, over these connections. */
-    void begin(Peers over) throws IOException {
-        peers = over;
-        OperatorSettings.Agreement a = settings.agreement();
+    /** Joins the consensus group over these connections. */
+    void start(Peers connections) throws IOException {
+        peers = connections;
+        OperatorSettings.Agreement consensusSettings = settings.agreement();
         String self = settings.copies().instance();
         RaftDisk disk = null;
-        if (a.members().contains(self)) {
-            Path folder = settings.store().folder().resolve(LOG);
+        if (consensusSettings.members().contains(self)) {
+            Path folder = settings.store().folder().resolve(LOG_FOLDER);
             try {
                 disk = new RaftDisk(() -> Store.open(folder));
             } catch (IOException e) {
                 throw new IOException(e.getMessage() + ", in " + folder
-                        + "; an instance that has lost it is put in anew with an empty folder", e);
+                        + "; an instance that lost its log must rejoin with an empty folder", e);
             }
         }
-        RaftDisk mine = disk;
+        RaftDisk openedDisk = disk;
         long seed = random.nextLong() >>> 1;
         after(0, () -> {
             try {
-                council = new Council(new Council.Terms(settings.copies().cluster(), self, a.members(),
-                        LeaseTerms.within(a.agreedWithin(), a.drift())), this, this, mine, seed);
+                council = new Council(new Council.Terms(settings.copies().cluster(), self,
+                        consensusSettings.members(), LeaseTerms.within(consensusSettings.agreedWithin(),
+                        consensusSettings.drift())), this, this, openedDisk, seed);
             } catch (IOException e) {
                 Say.warn("agreement.broken", "why", e.getMessage());
             }
@@ -142,14 +143,14 @@
                 }
             }, micros, TimeUnit.MICROSECONDS);
         } catch (RejectedExecutionException e) {
-            // it has ended
+            // the loop was shut down
         }
     }
 
     // ---- other instances
 
-    /** A frame of another instance's. */
-    void heard(String peer, CouncilFrame frame) {
+    /** Handles a consensus frame from a peer. */
+    void handleFrame(String peer, CouncilFrame frame) {
         after(0, () -> {
             if (council != null) {
                 council.heard(peer, frame);
@@ -164,11 +165,11 @@
 
     @Override
     public boolean reaches(String instance) {
-        return peers.up(instance);
+        return peers.isConnected(instance);
     }
 
-    /** The generation that serves acts on this version of the box list. */
-    void actsOn(String address, long version) {
+    /** Records the version of the endpoint list that the serving generation applies. */
+    void applyingListVersion(String address, long version) {
         after(0, () -> {
             if (council != null) {
                 council.actsOn(address, version);
@@ -179,7 +180,7 @@
     @Override
     public void listBehind(long newest) {
         Say.info("list.behind", "newest", newest);
-        generations.values().forEach(t -> t.link.send(Frame.newBuilder().setAskListAnew(
+        generations.values().forEach(t -> t.connection.send(Frame.newBuilder().setAskListAnew(
                 AskListAnew.getDefaultInstance()).build()));
     }
 
@@ -190,36 +191,39 @@
 
     // ---- generations
 
-    /** A generation that is ready is told; one that says what it acts by is believed. */
-    void heard(int generation, Link link, Frame frame) {
+    /**
+     * Handles a frame from a generation: sends the agreed state to one that is ready, and records the step
+     * that one acknowledges.
+     */
+    void handleFrame(int generation, Link link, Frame frame) {
         if (frame.hasReady()) {
             after(0, () -> {
-                Told told = new Told(link);
-                generations.put(generation, told);
-                // the marks of this view were sent to it before: with its state, or as they changed
-                tell(told);
+                GenerationProgress progress = new GenerationProgress(link);
+                generations.put(generation, progress);
+                // the operator overrides of this view were sent earlier: with its state or on change
+                sendAgreed(progress);
             });
         } else if (frame.hasTakenUp()) {
             after(0, () -> {
-                Told told = generations.get(generation);
-                if (told != null) {
-                    told.step = Math.max(told.step, frame.getTakenUp().getStep());
-                    takenUp();
+                GenerationProgress progress = generations.get(generation);
+                if (progress != null) {
+                    progress.appliedStep = Math.max(progress.appliedStep, frame.getTakenUp().getStep());
+                    acknowledgeIfAllApplied();
                 }
             });
         }
     }
 
-    /** A generation is no more, and acts by nothing. */
-    void gone(int generation) {
+    /** Forgets a generation whose connection is closed. */
+    void generationGone(int generation) {
         after(0, () -> {
             generations.remove(generation);
-            takenUp();
+            acknowledgeIfAllApplied();
         });
     }
 
-    private void takenUp() {
-        if (council != null && generations.values().stream().allMatch(t -> t.step >= view.step())) {
+    private void acknowledgeIfAllApplied() {
+        if (council != null && generations.values().stream().allMatch(t -> t.appliedStep >= view.step())) {
             council.takenUp(view.step(), chain);
         }
     }
@@ -228,128 +232,135 @@
     public void actBy(View next) {
         view = next;
         chain = council.held().chain();
-        // the marks first, on the same connections: who has heard of the step acts by it
-        boxesOut.accept(next.out());
-        generations.values().forEach(this::tell);
-        takenUp();
-        settle();
+        // overrides go first on the same connections, so a generation that gets the step has applied them
+        drainedServersListener.accept(next.out());
+        generations.values().forEach(this::sendAgreed);
+        acknowledgeIfAllApplied();
+        answerSettledChanges();
     }
 
     @Override
     public void leaseUntil(long end) {
-        until = end;
-        generations.values().forEach(this::tell);
+        leaseEndMicros = end;
+        generations.values().forEach(this::sendAgreed);
     }
 
-    private void tell(Told told) {
-        told.link.send(Frame.newBuilder().setAgreed(Agreed.newBuilder().setStep(view.step()).setChain(chain)
-                .setUntil(settings.agreement().serveInDoubt() ? Long.MAX_VALUE : until)).build());
+    private void sendAgreed(GenerationProgress progress) {
+        progress.connection.send(Frame.newBuilder().setAgreed(Agreed.newBuilder().setStep(view.step())
+                .setChain(chain).setUntil(settings.agreement().serveInDoubt() ? Long.MAX_VALUE
+                        : leaseEndMicros)).build());
     }
 
     // ---- operators
 
-    /** An operator's command; false if it is none that goes through the agreement. Answers may come later. */
-    boolean asked(String command, List<String> words, Predicate<String> known, Consumer<Answer> answer) {
+    /** Handles an operator's command; false if it does not need consensus. Answers may come later. */
+    boolean handleCommand(String command, List<String> arguments, Predicate<String> isKnown,
+            Consumer<Answer> answer) {
         boolean drain = command.equals("drain");
         if (command.equals("rules")) {
-            after(0, () -> show(answer));
+            after(0, () -> showRules(answer));
             return true;
         }
         if (!drain && !command.equals("undrain")) {
             return false;
         }
-        if (words.size() == 2 && words.get(1).equals(HERE)) {
-            Say.warn("mark.without_agreement", "box", words.get(0), "command", command);
+        if (arguments.size() == 2 && arguments.get(1).equals(LOCAL_ONLY)) {
+            Say.warn("mark.without_agreement", "box", arguments.get(0), "command", command);
             return false;
         }
-        if (words.isEmpty()) {
-            answer.accept(last("one box is to be named", 1));
+        if (arguments.isEmpty()) {
+            answer.accept(lastAnswerLine("exactly one server must be named", 1));
             return true;
         }
-        String box = words.get(0);
-        if (drain && !known.test(box)) {
-            answer.accept(last("no box of the name " + box + " is known", 1));
+        String box = arguments.get(0);
+        if (drain && !isKnown.test(box)) {
+            answer.accept(lastAnswerLine("no server named " + box + " is known", 1));
             return true;
         }
         byte[] id = new byte[ID_BYTES];
         random.nextBytes(id);
         RuleChange.Builder change = RuleChange.newBuilder().setId(HexFormat.of().formatHex(id))
                 .setWho(settings.copies().instance()).setWall(System.currentTimeMillis() * 1000)
-                .setWhy(words.size() > 1 ? words.get(1) : "").setSubject(Kind.BOX.subject(box));
+                .setWhy(arguments.size() > 1 ? arguments.get(1) : "").setSubject(Kind.BOX.subject(box));
         if (drain) {
             change.setValue(RuleValue.newBuilder().setOut(true));
         }
         after(0, () -> {
             if (council == null) {
-                answer.accept(last("this instance takes no part: see agreement.broken in its log", 1));
+                answer.accept(lastAnswerLine("consensus is not running here: see agreement.broken in the log",
+                        1));
                 return;
             }
             change.setBase(council.held().revision(change.getSubject()));
-            propose(new Asked(change.build(), now() + FORCE_PATIENCE, answer));
+            propose(new PendingChange(change.build(), now() + APPLY_TIMEOUT_MICROS, answer));
         });
         return true;
     }
 
-    /** Asked for again, with the same id, until somebody takes it. */
-    private void propose(Asked asked) {
-        council.propose(asked.change, (Proposed said) -> {
-            RuleOutcome outcome = said.getOutcome();
-            if (!said.hasOutcome() && now() < asked.patience) {
-                after(TRY_AGAIN, () -> propose(asked));
-            } else if (!said.hasOutcome()) {
-                asked.answer.accept(last("not known to be agreed: " + said.getNobody()
-                        + "; see the council in status, or mark the box at each instance with " + HERE, 1));
+    /** Proposes the change, and retries with the same id until it is accepted, refused or timed out. */
+    private void propose(PendingChange pending) {
+        council.propose(pending.change, (Proposed answer) -> {
+            RuleOutcome outcome = answer.getOutcome();
+            if (!answer.hasOutcome() && now() < pending.deadlineMicros) {
+                after(RETRY_MICROS, () -> propose(pending));
+            } else if (!answer.hasOutcome()) {
+                pending.replyTo.accept(lastAnswerLine("outcome unknown: " + answer.getNobody()
+                        + "; check status, or override the server at each instance with " + LOCAL_ONLY, 1));
             } else if (outcome.getRefusal() != 0) {
                 Refusal refusal = Refusal.of(outcome.getRefusal());
-                asked.answer.accept(last("not agreed: " + (refusal == null ? "refused by a later program"
-                        : refusal.text()), refusal == Refusal.SAME ? 0 : 1));
+                pending.replyTo.accept(lastAnswerLine("not agreed: " + (refusal == null
+                        ? "refused by a newer version" : refusal.text()), refusal == Refusal.SAME ? 0 : 1));
             } else {
-                waiting.add(asked);
-                settle();
-                after(Math.max(0, asked.patience - now()), this::settle);
+                pendingChanges.add(pending);
+                answerSettledChanges();
+                after(Math.max(0, pending.deadlineMicros - now()), this::answerSettledChanges);
             }
         });
     }
 
-    /** Tells operators whose changes are in force here. */
-    private void settle() {
-        waiting.removeIf(asked -> {
-            RuleOutcome outcome = council.held().outcome(asked.change.getId());
+    /** Answers the operators whose changes are in force here or have passed their deadline. */
+    private void answerSettledChanges() {
+        pendingChanges.removeIf(pending -> {
+            RuleOutcome outcome = council.held().outcome(pending.change.getId());
             if (outcome != null && outcome.getRevision() > 0) {
-                asked.answer.accept(last(Kind.name(asked.change.getSubject())
-                        + (asked.change.hasValue() ? " drains" : " has no mark any more")
+                pending.replyTo.accept(lastAnswerLine(Kind.name(pending.change.getSubject())
+                        + (pending.change.hasValue() ? " is draining" : " has no mark any more")
                         + " by agreement, revision " + outcome.getRevision(), 0));
                 return true;
             }
-            if (now() >= asked.patience) {
-                asked.answer.accept(last("agreed, and not in force yet: it takes force by itself", 1));
+            if (now() >= pending.deadlineMicros) {
+                pending.replyTo.accept(lastAnswerLine(
+                        "agreed but not in force yet: it will be applied on its own", 1));
                 return true;
             }
             return false;
         });
     }
 
-    private void show(Consumer<Answer> answer) {
+    private void showRules(Consumer<Answer> answer) {
         if (council != null) {
-            Rules held = council.held();
-            for (SubjectState s : held.subjects()) {
-                answer.accept(line(s.getSubject() + " = " + text(s.hasValue() ? s.getValue() : null)
-                        + ", revision " + s.getRevision() + (s.hasPending() ? ", under way: "
-                        + text(s.getPending().hasValue() ? s.getPending().getValue() : null) + " by "
-                        + s.getPending().getWho() : "")));
+            Rules rules = council.held();
+            for (SubjectState subject : rules.subjects()) {
+                answer.accept(answerLine(subject.getSubject() + " = " + format(subject.hasValue()
+                        ? subject.getValue() : null)
+                        + ", revision " + subject.getRevision() + (subject.hasPending() ? ", under way: "
+                        + format(subject.getPending().hasValue() ? subject.getPending().getValue() : null)
+                        + " by " + subject.getPending().getWho() : "")));
             }
-            List<HistoryLine> history = held.history();
-            for (HistoryLine h : history.subList(Math.max(0, history.size() - SHOWN), history.size())) {
-                answer.accept(line("revision " + h.getRevision() + ": " + h.getChange().getSubject() + " = "
-                        + text(h.getChange().hasValue() ? h.getChange().getValue() : null) + " by "
-                        + h.getChange().getWho() + (h.getChange().getWhy().isEmpty() ? ""
-                        : ": " + h.getChange().getWhy())));
+            List<HistoryLine> history = rules.history();
+            for (HistoryLine entry : history.subList(Math.max(0, history.size() - HISTORY_LINES_SHOWN),
+                    history.size())) {
+                answer.accept(answerLine("revision " + entry.getRevision() + ": "
+                        + entry.getChange().getSubject() + " = "
+                        + format(entry.getChange().hasValue() ? entry.getChange().getValue() : null) + " by "
+                        + entry.getChange().getWho() + (entry.getChange().getWhy().isEmpty() ? ""
+                        : ": " + entry.getChange().getWhy())));
             }
         }
-        answer.accept(last("step " + view.step() + ", chain " + Long.toHexString(chain), 0));
+        answer.accept(lastAnswerLine("step " + view.step() + ", chain " + Long.toHexString(chain), 0));
     }
 
-    private static String text(RuleValue value) {
+    private static String format(RuleValue value) {
         if (value == null) {
             return "as listed";
         }
@@ -357,25 +368,26 @@
                 : value.hasText() ? value.getText() : "of a later program";
     }
 
-    /** Lines for an operator: who leads, what holds here, and until when. */
+    /** Status lines for an operator: the leader, the rules in force here, and the end of the lease. */
     List<String> status() {
         try {
-            return loop.submit(this::lines).get(STATUS_MILLIS, TimeUnit.MILLISECONDS);
+            return loop.submit(this::statusLines).get(STATUS_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return List.of();
         } catch (ExecutionException | TimeoutException | RejectedExecutionException e) {
-            return List.of("agreement: its loop does not answer (" + e + "); the lease runs out by itself");
+            return List.of("agreement: its loop does not respond (" + e + "); the lease will expire");
         }
     }
 
-    private List<String> lines() {
+    private List<String> statusLines() {
         if (council == null) {
             return List.of("agreement: not begun");
         }
-        // before the first lease there is none: its end is the least number, from which nothing may be taken
+        // until the first lease its end is Long.MIN_VALUE, and subtracting from that would overflow
         long now = now();
-        String lease = until > now ? String.format(Locale.ROOT, "lease for %.1f s", (until - now) / 1e6)
+        String lease = leaseEndMicros > now ? String.format(Locale.ROOT, "lease for %.1f s",
+                (leaseEndMicros - now) / 1e6)
                 : settings.agreement().serveInDoubt() ? "in doubt, serving on" : "in doubt, refusing";
         return List.of("agreement: " + lease + ", step " + view.step() + ", revision " + view.revision()
                 + ", leader " + (council.leads() ? "this instance" : council.leader() == null ? "unknown"
@@ -383,11 +395,11 @@
                 settings.copies().instance()) ? council.votes() ? "votes" : "does not vote yet" : "follows"));
     }
 
-    private static Answer line(String text) {
+    private static Answer answerLine(String text) {
         return Answer.newBuilder().setLine(text).build();
     }
 
-    private static Answer last(String text, int exit) {
+    private static Answer lastAnswerLine(String text, int exit) {
         return Answer.newBuilder().setLine(text).setLast(true).setExit(exit).build();
     }
 
@@ -400,7 +412,7 @@
             loop.shutdown();
         });
         try {
-            if (!loop.awaitTermination(STATUS_MILLIS, TimeUnit.MILLISECONDS)) {
+            if (!loop.awaitTermination(STATUS_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
                 loop.shutdownNow();
             }
         } catch (InterruptedException e) {
--- a/src/main/java/yewdock/daemon/Archive.java
+++ b/src/main/java/yewdock/daemon/Archive.java
@@ -38,16 +38,16 @@
 import yewdock.wire.State;
 
 /**
- * What a daemon keeps: its records in memory, their store on the disk, the copies at other instances. It
- * belongs to the keeper, which no upgrade replaces: so there is one writer, whatever generation serves.
- * Everything here is done under one lock, and nothing under it waits for a disk or a peer.
+ * Holds the daemon's persistent state: its records in memory, their store on disk, and their replicas at
+ * other instances. It lives in the supervisor, which upgrades don't replace, so there is a single writer
+ * whichever generation serves. All methods run under one lock and never wait for a disk or a peer under it.
  */
 final class Archive implements Closeable, Peers.Hearer {
-    private static final String JOINED = "joined";
-    private static final String HORIZON = "horizon";
+    private static final String JOINED_KEY = "joined";
+    private static final String HORIZON_KEY = "horizon";
     private static final long TICK_MILLIS = 100;
-    private static final long DURABLE_MILLIS = 5_000;
-    private static final double MICROS = 1e6;
+    private static final long DURABLE_TIMEOUT_MILLIS = 5_000;
+    private static final double MICROS_PER_SECOND = 1e6;
 
     private final OperatorSettings.Store settings;
     private final Clock clock = new Clock();
@@ -55,20 +55,20 @@
     private final Keeping keeping;
     private final Replica replica;
     private final Committer committer;
-    private final Consumer<Frame> toAll;
-    private Set<String> agreedOut = Set.of();
-    private final Map<String, Long> metaKept = new HashMap<>();
+    private final Consumer<Frame> broadcast;
+    private Set<String> drainedByConsensus = Set.of();
+    private final Map<String, Long> storedMetadata = new HashMap<>();
     private Peers peers;
-    /** Null where nothing is agreed. */
-    private Agreement agreement;
+    /** Null if consensus is not configured. */
+    private Agreement consensus;
 
     /**
-     * Opens the store, which another process must not have open, and begins to copy. What goes to all
-     * generations goes to toAll.
+     * Opens the store, which no other process may have open, and starts replication. Broadcast takes frames
+     * for all generations.
      */
-    Archive(OperatorSettings all, Consumer<Frame> toAll) throws IOException {
+    Archive(OperatorSettings all, Consumer<Frame> broadcast) throws IOException {
         this.settings = all.store();
-        this.toAll = toAll;
+        this.broadcast = broadcast;
         String instance = all.copies().instance();
         records = new Records(instance, settings.mostRecords());
         Shelf.Opening opening = () -> open(settings.folder());
@@ -86,33 +86,33 @@
                 throw new IOException(e.getMessage(), e);
             }
             Say.warn("store.unusable", "kind", e.kind(), "why", e.getMessage(), "now",
-                    "serving on from memory");
+                    "continuing from memory");
             made = new Committer(e, opening, pace, this::health);
         }
         committer = made;
         keeping = new Keeping(records, settings.doubt());
         replica = new Replica(all.copies().cluster(), all.copies().peers().keySet(), records,
-                metaKept.getOrDefault(JOINED, 0L), all.copies().mostRemovals());
+                storedMetadata.getOrDefault(JOINED_KEY, 0L), all.copies().mostRemovals());
         if (!all.copies().peers().isEmpty()) {
             if (all.agreement().on()) {
-                agreement = new Agreement(all, this::agreed);
+                consensus = new Agreement(all, this::setDrainedByConsensus);
             }
             peers = new Peers(all.copies(), this);
-            if (agreement != null) {
-                agreement.begin(peers);
+            if (consensus != null) {
+                consensus.start(peers);
             }
-            Thread ticks = new Thread(this::tick, "copies");
-            ticks.setDaemon(true);
-            ticks.start();
+            Thread timer = new Thread(this::runTimer, "copies");
+            timer.setDaemon(true);
+            timer.start();
         }
     }
 
-    /** A damaged store is put out of the way, whole; what it held comes back from memory or from peers. */
+    /** Opens the store; a damaged one is moved aside whole, and its records return from memory or peers. */
     private static Shelf open(Path folder) throws StoreException {
         try {
             Store store = Store.open(folder);
             if (store.missing() > 0) {
-                Say.warn("store.rolled_back", "missing", store.missing(), "now", "as of commit "
+                Say.warn("store.rolled_back", "missing", store.missing(), "now", "state of commit "
                         + store.number());
             }
             return store;
@@ -133,11 +133,11 @@
         Map<String, byte[]> all = shelf.all();
         all.forEach((key, bytes) -> {
             if (!key.startsWith(Keys.STORED)) {
-                metaKept.put(key, ByteBuffer.wrap(bytes).getLong());
+                storedMetadata.put(key, ByteBuffer.wrap(bytes).getLong());
             }
         });
-        // before the records: the tombstones up to there are not missed
-        records.forget(metaKept.getOrDefault(HORIZON, 0L));
+        // set before the records are merged: tombstones up to the horizon are no longer needed
+        records.forget(storedMetadata.getOrDefault(HORIZON_KEY, 0L));
         all.forEach((key, bytes) -> {
             if (key.startsWith(Keys.STORED)) {
                 try {
@@ -154,54 +154,54 @@
             Say.info("store.recovered", "commits", health.commits());
         } else {
             Say.warn("store.failed", "kind", health.kind(), "why", health.why(), "now",
-                    "serving on from memory");
+                    "continuing from memory");
         }
     }
 
-    private long wall() {
+    private long wallMicros() {
         return clock.getAsLong();
     }
 
-    // ---- what is told
+    // ---- input from generations
 
-    /** A generation tells something; what is to be kept of it is. */
-    synchronized void heard(Frame frame) {
+    /** Stores what a generation reports: endpoint lists and the module's learned state. */
+    synchronized void frameReceived(Frame frame) {
         if (frame.hasNews() && frame.getNews().hasBoxes()) {
-            told(frame.getNews().getBoxes());
+            endpointListReported(frame.getNews().getBoxes());
         } else if (frame.hasKeep()) {
             Keep keep = frame.getKeep();
-            keep(keeping.learnt(keep.getModule(), wall() - keep.getClock(), wall()));
+            storeAndReplicate(keeping.learnt(keep.getModule(), wallMicros() - keep.getClock(), wallMicros()));
         }
     }
 
-    private void told(Boxes news) {
-        Kept head = records.get(Keys.list(records.instance()));
-        boolean older = head != null && head.getList().getAddress().equals(news.getAddress())
-                && news.getVersion() < head.getList().getVersion();
-        if (older && !news.getFull()) {
-            // of a generation that finishes, and hears of the list later than the one that serves
+    private void endpointListReported(Boxes reported) {
+        Kept stored = records.get(Keys.list(records.instance()));
+        boolean older = stored != null && stored.getList().getAddress().equals(reported.getAddress())
+                && reported.getVersion() < stored.getList().getVersion();
+        if (older && !reported.getFull()) {
+            // from a finishing generation, which receives the list later than the serving one
             return;
         }
-        keep(keeping.told(news, 0, wall()));
-        if (agreement != null) {
-            agreement.actsOn(news.getAddress(), news.getVersion());
+        storeAndReplicate(keeping.told(reported, 0, wallMicros()));
+        if (consensus != null) {
+            consensus.applyingListVersion(reported.getAddress(), reported.getVersion());
         }
-        List<Kept> outlived = keeping.dropOutlived(wall());
-        if (!outlived.isEmpty()) {
-            keep(outlived);
-            tellMarks();
+        List<Kept> expired = keeping.dropOutlived(wallMicros());
+        if (!expired.isEmpty()) {
+            storeAndReplicate(expired);
+            sendOverrides();
         }
     }
 
-    /** The configuration that is in force. */
-    synchronized void applied(String text) {
-        Kept kept = keeping.applied(text, wall());
+    /** Records the configuration text that is in force. */
+    synchronized void configurationApplied(String text) {
+        Kept kept = keeping.applied(text, wallMicros());
         if (kept != null) {
-            keep(List.of(kept));
+            storeAndReplicate(List.of(kept));
         }
     }
 
-    private long keep(List<Kept> changed) {
+    private long storeAndReplicate(List<Kept> changed) {
         if (changed.isEmpty()) {
             return store(List.of());
         }
@@ -217,145 +217,149 @@
             Kept kept = records.raw(key);
             changes.put(Keys.STORED + key, kept == null ? null : Records.bytes(kept));
         }
-        meta(JOINED, replica.joined(), changes);
-        meta(HORIZON, records.horizon(), changes);
+        putMetadata(JOINED_KEY, replica.joined(), changes);
+        putMetadata(HORIZON_KEY, records.horizon(), changes);
         return committer.put(changes);
     }
 
-    private void meta(String key, long value, Map<String, byte[]> changes) {
-        if (metaKept.getOrDefault(key, 0L) != value) {
-            metaKept.put(key, value);
+    private void putMetadata(String key, long value, Map<String, byte[]> changes) {
+        if (storedMetadata.getOrDefault(key, 0L) != value) {
+            storedMetadata.put(key, value);
             changes.put(key, ByteBuffer.allocate(Long.BYTES).putLong(value).array());
         }
     }
 
-    // ---- what a generation begins with
+    // ---- initial state of a generation
 
-    /** What a generation goes on with when none before it can tell; null if nothing is kept. */
-    synchronized State state() {
-        State state = keeping.state(States.VERSION, States.LEAST_READER, wall(), System.nanoTime());
+    /** The state for a generation that has no predecessor to take it from; null if nothing is stored. */
+    synchronized State initialState() {
+        State state = keeping.state(States.VERSION, States.MIN_READER_VERSION, wallMicros(),
+                System.nanoTime());
         return state == null ? null : state.toBuilder().setAfterRestart(true).build();
     }
 
-    /** Calls with the marks that hold; none that come later are sent before it returns. */
-    synchronized void withMarks(Consumer<Frame> then) {
-        then.accept(marks());
+    /** Passes the current operator overrides on; later ones are not sent before it returns. */
+    synchronized void withOverrides(Consumer<Frame> then) {
+        then.accept(overridesFrame());
     }
 
-    /** Those of operators here, and over them what is agreed. */
-    private Frame marks() {
+    /** The local operator overrides, with those decided by consensus taking precedence. */
+    private Frame overridesFrame() {
         Map<String, Mark> all = new HashMap<>(keeping.marks());
-        agreedOut.forEach(box -> all.put(box, Mark.newBuilder().setKind(Mark.Kind.DRAIN).setBy("agreement")
-                .build()));
+        drainedByConsensus.forEach(server -> all.put(server,
+                Mark.newBuilder().setKind(Mark.Kind.DRAIN).setBy("agreement").build()));
         return Frame.newBuilder().setMarks(Marks.newBuilder().putAllByBox(all)).build();
     }
 
-    /** The boxes that get nothing new by agreement; all generations are told before this returns. */
-    private synchronized void agreed(Set<String> out) {
-        agreedOut = out;
-        tellMarks();
+    /** Sets the servers drained by consensus; all generations are sent the overrides before this returns. */
+    private synchronized void setDrainedByConsensus(Set<String> servers) {
+        drainedByConsensus = servers;
+        sendOverrides();
     }
 
-    /** A generation has said something that may concern the agreement. */
-    void agreement(int generation, Link link, Frame frame) {
-        if (agreement != null) {
-            agreement.heard(generation, link, frame);
+    /** Passes a frame from a generation to consensus, if that is configured. */
+    void consensus(int generation, Link link, Frame frame) {
+        if (consensus != null) {
+            consensus.handleFrame(generation, link, frame);
         }
     }
 
-    /** A generation is no more. */
-    void gone(int generation) {
-        if (agreement != null) {
-            agreement.gone(generation);
+    /** Tells consensus that a generation's connection is closed. */
+    void generationGone(int generation) {
+        if (consensus != null) {
+            consensus.generationGone(generation);
         }
     }
 
-    private void tellMarks() {
-        toAll.accept(marks());
+    private void sendOverrides() {
+        broadcast.accept(overridesFrame());
     }
 
     // ---- operators
 
-    /** An operator's command; false if it is none of this class's. Answers may come later. */
-    boolean asked(String command, List<String> words, Consumer<Answer> answer) {
+    /** Handles an operator's command; false if this class does not know it. Answers may come later. */
+    boolean handleCommand(String command, List<String> arguments, Consumer<Answer> answer) {
         Mark.Kind kind = switch (command) {
             case "drain" -> Mark.Kind.DRAIN;
             case "undrain" -> Mark.Kind.NONE;
             case "mark-gone" -> Mark.Kind.GONE;
             default -> null;
         };
-        if (agreement != null && agreement.asked(command, words, this::isKnown, answer)) {
+        if (consensus != null && consensus.handleCommand(command, arguments, this::isKnown, answer)) {
             return true;
         }
         if (kind == null) {
             return false;
         }
-        boolean here = agreement != null && words.size() == 2 && words.get(1).equals(Agreement.HERE);
-        if (words.size() != 1 && !here) {
-            answer.accept(last("one box is to be named" + (agreement == null
-                    ? ", and nothing else: nothing is agreed here" : ""), 1));
+        boolean localOnly = consensus != null && arguments.size() == 2
+                && arguments.get(1).equals(Agreement.LOCAL_ONLY);
+        if (arguments.size() != 1 && !localOnly) {
+            answer.accept(lastAnswerLine("exactly one server must be named" + (consensus == null
+                    ? ", and nothing else: consensus is not configured here" : ""), 1));
             return true;
         }
-        mark(words.get(0), kind, answer);
+        setOverride(arguments.get(0), kind, answer);
         return true;
     }
 
-    private synchronized boolean isKnown(String box) {
-        return !keeping.known(box).isEmpty();
+    private synchronized boolean isKnown(String server) {
+        return !keeping.known(server).isEmpty();
     }
 
-    private synchronized void mark(String box, Mark.Kind kind, Consumer<Answer> answer) {
-        Mark before = keeping.marks().get(box);
-        if (kind == Mark.Kind.NONE && before == null) {
-            answer.accept(last(box + " has no mark", 1));
+    private synchronized void setOverride(String server, Mark.Kind kind, Consumer<Answer> answer) {
+        Mark previous = keeping.marks().get(server);
+        if (kind == Mark.Kind.NONE && previous == null) {
+            answer.accept(lastAnswerLine(server + " has no mark", 1));
             return;
         }
-        if (kind != Mark.Kind.NONE && !isKnown(box)) {
-            answer.accept(last("no box of the name " + box + " is known", 1));
+        if (kind != Mark.Kind.NONE && !isKnown(server)) {
+            answer.accept(lastAnswerLine("no server named " + server + " is known", 1));
             return;
         }
-        long ticket = keep(List.of(keeping.mark(box, kind, records.instance(), wall())));
-        tellMarks();
-        String what = switch (kind) {
-            case DRAIN -> "drains";
-            case GONE -> "is gone";
+        long ticket = storeAndReplicate(List.of(keeping.mark(server, kind, records.instance(),
+                wallMicros())));
+        sendOverrides();
+        String result = switch (kind) {
+            case DRAIN -> "is draining";
+            case GONE -> "is marked gone";
             default -> "has no mark any more";
         };
-        Say.info("box.marked", "box", box, "mark", kind);
-        committer.durable(ticket).orTimeout(DURABLE_MILLIS, TimeUnit.MILLISECONDS)
-                .whenComplete((done, failed) -> answer.accept(failed == null ? last(box + " " + what, 0)
-                        : last(box + " " + what + ", but this is not on the disk: "
+        Say.info("box.marked", "box", server, "mark", kind);
+        committer.durable(ticket).orTimeout(DURABLE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+                .whenComplete((done, failed) -> answer.accept(failed == null
+                        ? lastAnswerLine(server + " " + result, 0)
+                        : lastAnswerLine(server + " " + result + ", but this was not written to disk: "
                                 + committer.health().why(), 1)));
     }
 
-    private static Answer last(String line, int exit) {
+    private static Answer lastAnswerLine(String line, int exit) {
         return Answer.newBuilder().setLine(line).setLast(true).setExit(exit).build();
     }
 
-    /** Lines for an operator: what is kept here, how old, from whom, and how the copies stand. */
+    /** Status lines for an operator: stored records, their age and origin, and the state of replication. */
     synchronized List<String> status() {
-        List<String> lines = new ArrayList<>(agreement == null ? List.of() : agreement.status());
+        List<String> lines = new ArrayList<>(consensus == null ? List.of() : consensus.status());
         Committer.Health health = committer.health();
         lines.add("store: " + (health.open() ? "open" : "failed (" + health.kind() + "): " + health.why())
                 + "; records " + (records.size() - records.tombstones()) + ", removed "
                 + records.tombstones() + ", bytes " + records.bytes() + "; commits " + health.commits()
                 + ", failures " + health.failures() + ", waiting " + health.waiting());
-        Kept head = records.get(Keys.list(records.instance()));
-        if (head != null) {
-            lines.add("list: version " + head.getList().getVersion() + " of " + head.getList().getAddress()
-                    + ", told " + ago(head.getWall()));
+        Kept list = records.get(Keys.list(records.instance()));
+        if (list != null) {
+            lines.add("list: version " + list.getList().getVersion() + " of " + list.getList().getAddress()
+                    + ", told " + formatAge(list.getWall()));
         }
-        keeping.marks().forEach((box, mark) -> {
-            Kept kept = records.raw(Keys.mark(box));
-            lines.add("mark: " + box + " " + mark.getKind().name().toLowerCase(Locale.ROOT) + ", by "
-                    + mark.getBy() + " " + ago(kept.getWall()));
+        keeping.marks().forEach((server, mark) -> {
+            Kept kept = records.raw(Keys.mark(server));
+            lines.add("mark: " + server + " " + mark.getKind().name().toLowerCase(Locale.ROOT) + ", by "
+                    + mark.getBy() + " " + formatAge(kept.getWall()));
         });
         for (String instance : instances()) {
             lines.add("boxes told to " + instance + ": " + records.prefix(Keys.boxes(instance)).size());
         }
         for (Replica.Standing s : replica.standings()) {
             lines.add("peer " + s.peer() + ": " + (s.up() ? "up" : "down (" + s.trouble() + ")")
-                    + ", equal " + (s.equalAt() == 0 ? "never" : ago(s.equalAt())) + ", waiting "
+                    + ", equal " + (s.equalAt() == 0 ? "never" : formatAge(s.equalAt())) + ", waiting "
                     + s.waiting() + ", sent " + s.sent() + ", got " + s.got());
         }
         return lines;
@@ -367,41 +371,42 @@
         return found;
     }
 
-    private String ago(long wall) {
-        return String.format(Locale.ROOT, "%.1f s ago", Math.max(0, wall() - wall) / MICROS);
+    private String formatAge(long sinceMicros) {
+        return String.format(Locale.ROOT, "%.1f s ago",
+                Math.max(0, wallMicros() - sinceMicros) / MICROS_PER_SECOND);
     }
 
-    // ---- copies
+    // ---- replication
 
     @Override
-    public synchronized void up(String peer) {
+    public synchronized void connected(String peer) {
         reduce(new ReplicaEvent.Up(peer));
     }
 
     @Override
-    public void heard(String peer, PeerFrame frame) {
+    public void frameReceived(String peer, PeerFrame frame) {
         if (!frame.hasCouncil()) {
-            copied(peer, frame);
-        } else if (agreement != null) {
-            agreement.heard(peer, frame.getCouncil());
+            replicate(peer, frame);
+        } else if (consensus != null) {
+            consensus.handleFrame(peer, frame.getCouncil());
         }
     }
 
-    private synchronized void copied(String peer, PeerFrame frame) {
+    private synchronized void replicate(String peer, PeerFrame frame) {
         reduce(new ReplicaEvent.Heard(peer, frame));
     }
 
     @Override
-    public synchronized void down(String peer, String why) {
+    public synchronized void disconnected(String peer, String why) {
         reduce(new ReplicaEvent.Down(peer, why));
     }
 
-    private void tick() {
+    private void runTimer() {
         try {
             while (true) {
                 TimeUnit.MILLISECONDS.sleep(TICK_MILLIS);
                 synchronized (this) {
-                    if (wall() >= replica.nextDue()) {
+                    if (wallMicros() >= replica.nextDue()) {
                         reduce(new ReplicaEvent.Tick());
                         store(List.of());
                     }
@@ -413,7 +418,7 @@
     }
 
     private void reduce(ReplicaEvent event) {
-        for (ReplicaEffect effect : replica.reduce(event, wall())) {
+        for (ReplicaEffect effect : replica.reduce(event, wallMicros())) {
             if (effect instanceof ReplicaEffect.Send e) {
                 peers.send(e.peer(), e.frame());
             } else if (effect instanceof ReplicaEffect.Close e) {
@@ -421,7 +426,7 @@
             } else if (effect instanceof ReplicaEffect.Store e) {
                 store(e.keys());
                 if (e.keys().stream().anyMatch(k -> k.startsWith(Keys.marks()))) {
-                    tellMarks();
+                    sendOverrides();
                 }
             } else if (effect instanceof ReplicaEffect.Note e) {
                 Say.info(e.event(), e.fields());
@@ -429,11 +434,11 @@
         }
     }
 
-    /** Writes what waits and closes all. */
+    /** Writes pending changes and closes the store and all connections. */
     @Override
     public void close() {
-        if (agreement != null) {
-            agreement.close();
+        if (consensus != null) {
+            consensus.close();
         }
         if (peers != null) {
             peers.close();
--- a/src/main/java/yewdock/daemon/ConfigurationFile.java
+++ b/src/main/java/yewdock/daemon/ConfigurationFile.java
@@ -9,107 +9,106 @@
 import yewdock.sockets.Signals;
 
 /**
- * The configuration's file, which is read again at SIGHUP. A process that was started with SIGHUP ignored
- * can't take it, and would follow a list that has moved away for ever: it looks at the file instead. So does
- * one that could not read the file when it was told to, until it is read: whoever wrote it may not have been
- * done.
+ * The configuration file, which is reloaded on SIGHUP. A process that was started with SIGHUP ignored can't
+ * receive it and would poll a discovery address that has moved for ever, so it polls the file instead. So
+ * does a process whose reload failed, until the file can be read: its writer may not have finished.
  */
 final class ConfigurationFile {
-    private static final long LOOK_MILLIS = 250;
+    private static final long POLL_MILLIS = 250;
 
     private final Path file;
-    private final boolean takesSignal;
-    /** Reads the file and tells whether that could be done; null until there is something to reconfigure. */
+    private final boolean handlesSignal;
+    /** Reloads the file and returns whether it could be read; null until {@link #setReader}. */
     private BooleanSupplier reader;
-    private boolean due;
-    private boolean looking;
+    private boolean reloadPending;
+    private boolean polling;
 
-    /** What tells one writing of the file from another. */
-    private record Look(FileTime written, long size, Object key) {
-        static final Look NOTHING = new Look(FileTime.fromMillis(0), -1, null);
+    /** The attributes that change when the file is written or replaced. */
+    private record FileAttributes(FileTime modified, long size, Object key) {
+        static final FileAttributes MISSING = new FileAttributes(FileTime.fromMillis(0), -1, null);
 
-        static Look at(Path file) {
+        static FileAttributes at(Path file) {
             try {
                 BasicFileAttributes found = Files.readAttributes(file, BasicFileAttributes.class);
-                return new Look(found.lastModifiedTime(), found.size(), found.fileKey());
+                return new FileAttributes(found.lastModifiedTime(), found.size(), found.fileKey());
             } catch (IOException e) {
-                return NOTHING;
+                return MISSING;
             }
         }
     }
 
     private ConfigurationFile(Path file) {
         this.file = file;
-        takesSignal = Signals.onHangUp(this::readAgain);
+        handlesSignal = Signals.onHangUp(this::reload);
     }
 
-    /** This file; SIGHUP is taken from now on, and remembered until there is a reader. */
+    /** Handles SIGHUP for this file from now on; one that arrives before {@link #setReader} is remembered. */
     static ConfigurationFile at(Path file) {
         return new ConfigurationFile(file);
     }
 
-    /** Whether SIGHUP tells when the file is to be read, or the file is looked at. */
-    boolean takesSignal() {
-        return takesSignal;
+    /** Whether SIGHUP triggers reloads; otherwise the file is polled. */
+    boolean handlesSignal() {
+        return handlesSignal;
     }
 
-    /** Has the file read by this from now on, each time it is to be read, by one thread at a time. */
-    synchronized void readBy(BooleanSupplier newReader) {
+    /** Sets the function that reloads the file; it is called by one thread at a time. */
+    synchronized void setReader(BooleanSupplier newReader) {
         reader = newReader;
-        if (due) {
-            readAgain();
+        if (reloadPending) {
+            reload();
         }
-        if (!takesSignal) {
-            lookFrom(Look.at(file));
+        if (!handlesSignal) {
+            startPolling(FileAttributes.at(file));
         }
     }
 
-    /** The file is to be read again. */
-    synchronized void readAgain() {
-        due = reader == null;
-        if (due) {
+    /** Reloads the file, and starts to poll it if it can't be read. */
+    synchronized void reload() {
+        reloadPending = reader == null;
+        if (reloadPending) {
             return;
         }
-        Look before = Look.at(file);
+        FileAttributes before = FileAttributes.at(file);
         if (!reader.getAsBoolean()) {
-            lookFrom(before);
+            startPolling(before);
         }
     }
 
-    private synchronized void lookFrom(Look taken) {
-        if (looking) {
+    private synchronized void startPolling(FileAttributes loaded) {
+        if (polling) {
             return;
         }
-        looking = true;
-        Thread looks = new Thread(() -> look(taken), "configuration");
-        looks.setDaemon(true);
-        looks.start();
+        polling = true;
+        Thread poller = new Thread(() -> poll(loaded), "configuration");
+        poller.setDaemon(true);
+        poller.start();
     }
 
-    /** A file that two looks in a row find alike is no longer being written. */
-    private void look(Look first) {
-        Look taken = first;
-        Look last = first;
+    /** Polls the file; it counts as fully written when two polls in a row find the same attributes. */
+    private void poll(FileAttributes initial) {
+        FileAttributes loaded = initial;
+        FileAttributes last = initial;
         try {
             while (true) {
-                Thread.sleep(LOOK_MILLIS);
-                Look now = Look.at(file);
-                if (now.equals(last) && !now.equals(taken)) {
-                    taken = now;
-                    if (readChanged()) {
+                Thread.sleep(POLL_MILLIS);
+                FileAttributes current = FileAttributes.at(file);
+                if (current.equals(last) && !current.equals(loaded)) {
+                    loaded = current;
+                    if (reloadChanged()) {
                         return;
                     }
                 }
-                last = now;
+                last = current;
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Tells whether the file needs no more looks. */
-    private synchronized boolean readChanged() {
-        looking = !(reader.getAsBoolean() && takesSignal);
-        return !looking;
+    /** Reloads the changed file; returns whether polling can end. */
+    private synchronized boolean reloadChanged() {
+        polling = !(reader.getAsBoolean() && handlesSignal);
+        return !polling;
     }
 }
--- a/src/main/java/yewdock/daemon/Framed.java
+++ b/src/main/java/yewdock/daemon/Framed.java
@@ -11,85 +11,89 @@
 import java.util.function.Consumer;
 
 /**
- * A connection with frames both ways, each behind its length. Sending never blocks: a peer that stops reading
- * fills a bounded queue and is then cut off, so that one that hangs holds nobody up. Reading goes no faster
- * than it is allowed to, and what is not read waits at the sender.
+ * A bidirectional connection with length-prefixed protobuf frames. Sending never blocks: a peer that stops
+ * reading fills a bounded queue and is then disconnected, so a hanging peer delays nobody. Reading can be
+ * rate limited, and unread data stays with the sender.
  */
 class Framed<F extends Message> {
-    private static final double NANOS = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
     private static final ByteBuffer END = ByteBuffer.allocate(0);
 
     private final SocketChannel channel;
     private final Parser<F> parser;
-    private final int mostFrame;
-    private final double mostASecond;
-    private final BlockingQueue<ByteBuffer> waiting;
+    private final int maxFrameBytes;
+    private final double maxBytesPerSecond;
+    private final BlockingQueue<ByteBuffer> sendQueue;
     private volatile boolean closed;
     private Thread writer;
 
-    /** Frames of so many bytes; so many may wait to be sent; read so fast at most, 0: as they come. */
-    Framed(SocketChannel channel, Parser<F> parser, int mostFrame, int mostWaiting, double mostASecond) {
+    /**
+     * Wraps a connected channel. Limits the size of a received frame in bytes, the number of queued frames,
+     * and the bytes read per second (0: no limit).
+     */
+    Framed(SocketChannel channel, Parser<F> parser, int maxFrameBytes, int maxQueuedFrames,
+            double maxBytesPerSecond) {
         this.channel = channel;
         this.parser = parser;
-        this.mostFrame = mostFrame;
-        this.mostASecond = mostASecond;
-        this.waiting = new LinkedBlockingQueue<>(mostWaiting);
+        this.maxFrameBytes = maxFrameBytes;
+        this.maxBytesPerSecond = maxBytesPerSecond;
+        this.sendQueue = new LinkedBlockingQueue<>(maxQueuedFrames);
     }
 
-    /** Begins to read and write; both consumers are called on the reader's thread, the second once. */
-    public final void start(String name, Consumer<F> heard, Consumer<String> lost) {
-        writer = daemon(name + "-out", this::write);
+    /** Starts reading and writing; both consumers run on the reader's thread, the second exactly once. */
+    public final void start(String name, Consumer<F> onFrame, Consumer<String> onClosed) {
+        writer = daemonThread(name + "-out", this::write);
         writer.start();
-        daemon(name + "-in", () -> {
-            String why = "its connection was closed";
+        daemonThread(name + "-in", () -> {
+            String reason = "the connection was closed";
             try {
-                long began = System.nanoTime();
+                long budgetUsedUntil = System.nanoTime();
                 while (true) {
                     F frame = read();
-                    heard.accept(frame);
-                    began = hold(began, frame.getSerializedSize());
+                    onFrame.accept(frame);
+                    budgetUsedUntil = limitRate(budgetUsedUntil, frame.getSerializedSize());
                 }
             } catch (EOFException e) {
-                // the other side has closed
+                // the peer has closed the connection
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             } catch (IOException | RuntimeException e) {
-                why = "its connection broke: " + e.getMessage();
+                reason = "the connection failed: " + e.getMessage();
             }
             close();
-            lost.accept(why);
+            onClosed.accept(reason);
         }).start();
     }
 
-    private static Thread daemon(String name, Runnable work) {
+    private static Thread daemonThread(String name, Runnable work) {
         Thread thread = new Thread(work, name);
         thread.setDaemon(true);
         return thread;
     }
 
-    /** Sends a frame behind those sent before; false if the peer is gone or has been cut off. */
+    /** Queues a frame; false if the connection is closed, or is closed now because its queue is full. */
     public final boolean send(F frame) {
         byte[] bytes = frame.toByteArray();
-        ByteBuffer all = ByteBuffer.allocate(Integer.BYTES + bytes.length);
-        all.putInt(bytes.length).put(bytes).flip();
+        ByteBuffer message = ByteBuffer.allocate(Integer.BYTES + bytes.length);
+        message.putInt(bytes.length).put(bytes).flip();
         if (closed) {
             return false;
         }
-        if (!waiting.offer(all)) {
+        if (!sendQueue.offer(message)) {
             close();
             return false;
         }
         return true;
     }
 
-    /** For stand-ins that talk nonsense. */
+    /** Queues bytes that need not be a frame; for fault injection. */
     public final void sendRaw(byte[] bytes) {
-        waiting.add(ByteBuffer.wrap(bytes));
+        sendQueue.add(ByteBuffer.wrap(bytes));
     }
 
-    /** Writes out what was sent, waiting so long at most, and closes. */
+    /** Writes the queued frames, waiting so many milliseconds at most, and closes. */
     public final void finish(long millis) {
-        if (writer != null && waiting.offer(END)) {
+        if (writer != null && sendQueue.offer(END)) {
             try {
                 writer.join(millis);
             } catch (InterruptedException e) {
@@ -105,14 +109,14 @@
         try {
             channel.close();
         } catch (IOException e) {
-            // closed all the same
+            // the channel counts as closed anyway
         }
-        waiting.offer(END);
+        sendQueue.offer(END);
     }
 
     private void write() {
         try {
-            for (ByteBuffer next = waiting.take(); next != END; next = waiting.take()) {
+            for (ByteBuffer next = sendQueue.take(); next != END; next = sendQueue.take()) {
                 while (next.hasRemaining()) {
                     channel.write(next);
                 }
@@ -124,12 +128,16 @@
         }
     }
 
-    /** Waits until so many bytes more are due; a second's worth may come at once. */
-    private long hold(long began, int bytes) throws InterruptedException {
-        if (mostASecond <= 0) {
-            return began;
+    /**
+     * Sleeps as long as the rate limit requires after so many bytes. Takes and returns the time in
+     * nanoseconds up to which the limit is used; one second's worth may arrive in a burst.
+     */
+    private long limitRate(long budgetUsedUntil, int bytes) throws InterruptedException {
+        if (maxBytesPerSecond <= 0) {
+            return budgetUsedUntil;
         }
-        long due = Math.max(began, System.nanoTime() - (long) NANOS) + (long) (bytes / mostASecond * NANOS);
+        long due = Math.max(budgetUsedUntil, System.nanoTime() - (long) NANOS_PER_SECOND)
+                + (long) (bytes / maxBytesPerSecond * NANOS_PER_SECOND);
         long wait = (due - System.nanoTime()) / 1_000_000;
         if (wait > 0) {
             Thread.sleep(wait);
@@ -137,15 +145,15 @@
         return due;
     }
 
-    /** The first frame, before {@link #start}. */
+    /** Reads the first frame; to be called before {@link #start}. */
     final F first() throws IOException {
         return read();
     }
 
     private F read() throws IOException {
         int length = readFully(ByteBuffer.allocate(Integer.BYTES)).getInt();
-        if (length < 0 || length > mostFrame) {
-            throw new IOException("a frame of " + length + " bytes");
+        if (length < 0 || length > maxFrameBytes) {
+            throw new IOException("frame length out of range: " + length + " bytes");
         }
         return parser.parseFrom(readFully(ByteBuffer.allocate(length)));
     }
--- a/src/main/java/yewdock/daemon/Generation.java
+++ b/src/main/java/yewdock/daemon/Generation.java
@@ -11,10 +11,10 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import umberspread.GenerationRouter;
 import umberspread.Routing;
-import yewdock.desk.EndpointList;
 import yewdock.desk.Counters;
 import yewdock.desk.Desk;
 import yewdock.desk.Effect;
+import yewdock.desk.EndpointList;
 import yewdock.desk.Event;
 import yewdock.desk.OtherNews;
 import yewdock.desk.Terms;
@@ -40,28 +40,28 @@
 import yewdock.wire.Took;
 
 /**
- * One generation of a router: a process that takes its state from the one before it, serves, and gives what
- * it knows to the next. The keeper tells it when; everything it does for that is done on the desk's thread.
+ * One generation of a router: a process that takes over the state of its predecessor, serves, and hands its
+ * own state to its successor. The supervisor directs it; its commands run on the reducer's thread.
  */
 public class Generation {
-    private static final long LAST_WORDS_MILLIS = 500;
-    private static final int REHEARSED = 500;
-    private static final long KEEP_MILLIS = 1_000;
-    private static final long LIST_PATIENCE_MILLIS = 500;
-    /** A client that is refused in doubt: a lease comes back within a second of a majority. */
-    private static final long COME_BACK_MICROS = 1_000_000;
+    private static final long FLUSH_TIMEOUT_MILLIS = 500;
+    private static final int WARM_UP_REQUESTS = 500;
+    private static final long STORE_INTERVAL_MILLIS = 1_000;
+    private static final long LIST_TIMEOUT_MILLIS = 500;
+    /** Longest Retry-After without a lease: a lease is renewed within a second of a majority returning. */
+    private static final long MAX_RETRY_AFTER_MICROS = 1_000_000;
 
     private final int number;
-    private final Path control;
+    private final Path controlFolder;
     private final String secret;
-    private final String file;
-    /** Whether the keeper keeps what the list and the module tell. */
-    private final boolean keeping = System.getenv(Keeper.KEEPS) != null;
-    /** Whether it may act only by what is agreed, and while a lease holds. */
-    private final boolean agreeing = System.getenv(Keeper.AGREES) != null;
-    private Runnable whenListed;
-    private final BlockingQueue<Frame> early = new LinkedBlockingQueue<>();
-    private volatile boolean up;
+    private final String configFile;
+    /** Whether the supervisor stores endpoint lists and the module's learned state. */
+    private final boolean stateIsStored = System.getenv(Keeper.STORE_VARIABLE) != null;
+    /** Whether it may serve only by rules decided by consensus, and only while a lease is valid. */
+    private final boolean needsLease = System.getenv(Keeper.CONSENSUS_VARIABLE) != null;
+    private Runnable onListReceived;
+    private final BlockingQueue<Frame> queuedFrames = new LinkedBlockingQueue<>();
+    private volatile boolean started;
     private Link link;
     private Config config;
     private Counters counters;
@@ -71,59 +71,65 @@
     private GenerationRouter router;
     private ServerSocketChannel listener;
     private boolean accepting;
-    private Map<String, Long> countedBefore = Map.of();
-
-    /** A generation with this number, whose keeper is to be found there. */
+    private Map<String, Long> inheritedCounts = Map.of();
+
+    /**
+     * Creates a generation.
+     *
+     * @param control folder of the supervisor's control socket
+     * @param secret the secret that authenticates this generation to the supervisor
+     * @param file path of the configuration file; null if none was named
+     */
     public Generation(int number, Path control, String secret, String file) {
         this.number = number;
-        this.control = control;
+        this.controlFolder = control;
         this.secret = secret;
-        this.file = file;
+        this.configFile = file;
     }
 
-    /** Runs the generation that the environment describes, to its end; returns the exit code. */
+    /** Runs the generation that the environment variables describe until it ends; returns the exit code. */
     public static int run(Map<String, String> environment) {
         return of(environment, Generation::new).run();
     }
 
-    /** Makes a generation, as {@link #Generation} does. */
+    /** Creates a generation from the arguments of {@link #Generation}. */
     public interface Maker<G> {
         G make(int number, Path control, String secret, String file);
     }
 
-    /** The generation that the environment describes. */
+    /** Creates the generation that the environment variables describe. */
     public static <G> G of(Map<String, String> environment, Maker<G> maker) {
-        String number = environment.get(Keeper.GENERATION);
-        String control = environment.get(Keeper.CONTROL);
+        String number = environment.get(Keeper.GENERATION_VARIABLE);
+        String control = environment.get(Keeper.CONTROL_VARIABLE);
         if (number == null || control == null) {
-            throw new IllegalArgumentException("a generation is started by its daemon, not by hand");
+            throw new IllegalArgumentException("a generation can only be started by its daemon");
         }
         return maker.make(Integer.parseInt(number), Path.of(control),
-                environment.getOrDefault(Keeper.SECRET, ""), environment.get("PROXY_CONFIG"));
+                environment.getOrDefault(Keeper.SECRET_VARIABLE, ""), environment.get("PROXY_CONFIG"));
     }
 
-    /** Called as each stage is reached, on whichever thread gets there; stand-ins make it fail. */
+    /** Called when a stage is reached, on the thread that reaches it; overridden for fault injection. */
     protected void reached(Stage stage) {
-        // nothing fails here
+        // no fault here
     }
 
-    /** The connection to the keeper. */
+    /** The connection to the supervisor. */
     protected final Link link() {
         return link;
     }
 
-    /** Serves to the end; returns the exit code. */
+    /** Takes over, serves and ends; returns the exit code. */
     public final int run() {
         try {
-            link = Link.to(control);
+            link = Link.to(controlFolder);
         } catch (IOException e) {
             Say.warn("generation.alone", "generation", number, "why", e.getMessage());
             return 1;
         }
-        link.start("keeper", this::heard, this::lost);
-        // the keeper passes SIGHUP on; one that comes here straight must not end the process
+        link.start("keeper", this::frameReceived, this::supervisorLost);
+        // the supervisor forwards SIGHUP; one sent directly to this process must not end it
         Signals.onHangUp(() -> {
-            if (up) {
+            if (started) {
                 reconfigure();
             }
         });
@@ -136,36 +142,36 @@
         } catch (IOException | IllegalArgumentException e) {
             link.send(Frame.newBuilder().setFailed(Failed.newBuilder()
                     .setWhy("the configuration can't be read: " + e.getMessage())).build());
-            link.finish(LAST_WORDS_MILLIS);
+            link.finish(FLUSH_TIMEOUT_MILLIS);
             return 1;
         }
         link.send(Frame.newBuilder().setChecked(Checked.getDefaultInstance()).build());
-        States.Left left = awaitState();
+        States.Left inherited = awaitPredecessorState();
         reached(Stage.READY);
-        Rehearsal.play(config, REHEARSED);
-        build(left);
-        sockets.serveLater(() -> begin(left), front, desk);
+        Rehearsal.run(config, WARM_UP_REQUESTS);
+        build(inherited);
+        sockets.serveLater(() -> startReducer(inherited), front, desk);
         link.send(Frame.newBuilder().setNews(News.newBuilder().setCounts(
-                Counts.newBuilder().putAllByName(countedSince()))).build());
+                Counts.newBuilder().putAllByName(countsSinceStart()))).build());
         Say.info("generation.ends", "generation", number, "counters", counters.toString().strip()
                 .replace('\n', ';'));
-        link.finish(LAST_WORDS_MILLIS);
+        link.finish(FLUSH_TIMEOUT_MILLIS);
         return 0;
     }
 
     private Config read() throws IOException {
-        return Serve.read(file, this::log);
+        return Serve.read(configFile, this::log);
     }
 
     private void log(String line) {
         Say.info("router", "generation", number, "line", line);
     }
 
-    /** Waits for the state; one that can't be read leaves this generation as after a restart. */
-    private States.Left awaitState() {
+    /** Waits for the predecessor's state; null if it is empty or unreadable, as after a restart. */
+    private States.Left awaitPredecessorState() {
         while (true) {
             try {
-                Frame frame = early.take();
+                Frame frame = queuedFrames.take();
                 if (!frame.hasState()) {
                     continue;
                 }
@@ -182,34 +188,35 @@
         }
     }
 
-    private void build(States.Left left) {
+    private void build(States.Left inherited) {
         counters = new Counters();
-        if (left != null) {
-            left.counters().forEach(counters::add);
+        if (inherited != null) {
+            inherited.counters().forEach(counters::add);
         }
-        countedBefore = counters.all();
+        inheritedCounts = counters.all();
         desk = new Desk(Terms.of(config.settings(), config.keepalive()), config.bounds(),
                 counters, actions -> {
-                    router = router(config, seed(), actions, left);
+                    router = router(config, seed(), actions, inherited);
                     return router;
                 });
         sockets = new Sockets(config.bounds().clients(),
                 config.settings().contract().drainGrace());
         front = new Front(config, desk, counters, sockets, sockets.clock(), this::log);
-        front.tellOthersBy(this::tellOthers);
+        front.tellOthersBy(this::sendToOthers);
         Runtime.getRuntime().addShutdownHook(new Thread(() -> sockets.leave(), "leave"));
-        if (keeping) {
-            every(KEEP_MILLIS, () -> link.send(Frame.newBuilder().setKeep(States.keep(router.memory(false),
+        if (stateIsStored) {
+            runPeriodically(STORE_INTERVAL_MILLIS, () ->
+                    link.send(Frame.newBuilder().setKeep(States.encodeLearnedState(router.memory(false),
                     sockets.clock().getAsLong())).build()));
         }
     }
 
-    /** Does this on the desk's thread each time that so long has passed. */
-    private void every(long millis, Runnable work) {
+    /** Runs the work on the reducer's thread at this interval while the generation accepts connections. */
+    private void runPeriodically(long intervalMillis, Runnable work) {
         Thread timer = new Thread(() -> {
             try {
                 while (true) {
-                    Thread.sleep(millis);
+                    Thread.sleep(intervalMillis);
                     sockets.post(() -> {
                         if (accepting) {
                             work.run();
@@ -224,83 +231,86 @@
         timer.start();
     }
 
-    /** Generations of one router must not draw the same numbers. */
+    /** The seed of the module's random numbers, different in every generation of a router. */
     private long seed() {
         return config.seed() + number * 0x9e3779b97f4a7c15L;
     }
 
-    /** On the desk's thread, first of all. */
-    private void begin(States.Left left) {
-        begin(front, desk, config, left);
-        if (keeping) {
+    /** Starts the reducer; the first task on its thread. */
+    private void startReducer(States.Left inherited) {
+        startReducer(front, desk, config, inherited);
+        if (stateIsStored) {
             front.happened(new Event.Keeping());
         }
-        if (agreeing) {
+        if (needsLease) {
             front.happened(new Event.Leased(0, 0));
         }
-        synchronized (early) {
-            for (Frame frame = early.poll(); frame != null; frame = early.poll()) {
+        synchronized (queuedFrames) {
+            for (Frame frame = queuedFrames.poll(); frame != null; frame = queuedFrames.poll()) {
                 handleSafely(frame);
             }
-            up = true;
+            started = true;
         }
-        Runnable ready = () -> ready(left);
-        if (keeping && (left == null || left.afterRestart())) {
-            // a drain told in the last moment before a kill is in no record: the list knows it
-            whenListed = ready;
-            sockets.postAfter(LIST_PATIENCE_MILLIS, this::listed);
+        Runnable ready = () -> reportReady(inherited);
+        if (stateIsStored && (inherited == null || inherited.afterRestart())) {
+            // a drain reported just before a kill may not be stored: wait for the endpoint list, which has it
+            onListReceived = ready;
+            sockets.postAfter(LIST_TIMEOUT_MILLIS, this::listReceived);
         } else {
             ready.run();
         }
     }
 
-    /** The module, with what another process has learnt, if there is such. */
-    static GenerationRouter router(Config config, long seed, Routing.Actions actions, States.Left left) {
-        return left == null || left.memory() == null
+    /** Creates the module, with the learned state of the previous process if there is any. */
+    static GenerationRouter router(Config config, long seed, Routing.Actions actions, States.Left inherited) {
+        return inherited == null || inherited.memory() == null
                 ? new GenerationRouter(config.settings(), seed, actions)
-                : new GenerationRouter(config.settings(), seed, actions, left.memory(), left.shift());
+                : new GenerationRouter(config.settings(), seed, actions, inherited.memory(),
+                        inherited.shift());
     }
 
-    /** The first event of a process that goes on with what another left it, if there is such. */
-    static void begin(Front front, Desk desk, Config config, States.Left left) {
-        boolean sameList = left != null && left.listAddress().equals(config.discovery());
-        if (left == null || left.boxes().boxes().isEmpty() && config.known().version() >= 0) {
+    /** Sends the reducer its first event, with the endpoint list of the previous process if there is one. */
+    static void startReducer(Front front, Desk desk, Config config, States.Left inherited) {
+        boolean sameList = inherited != null && inherited.listAddress().equals(config.discovery());
+        if (inherited == null || inherited.boxes().boxes().isEmpty() && config.known().version() >= 0) {
             front.start();
         } else {
-            // the versions of one list mean nothing to another: then the whole of it is asked for
-            front.start(new EndpointList(sameList ? left.boxes().version() : -1, true, left.boxes().boxes()));
-            desk.recallTold(left.toldAt());
+            // list versions of another discovery address don't compare: -1 requests the full list
+            front.start(new EndpointList(sameList ? inherited.boxes().version() : -1, true,
+                    inherited.boxes().boxes()));
+            desk.recallTold(inherited.toldAt());
         }
     }
 
-    private void listed() {
-        Runnable then = whenListed;
-        whenListed = null;
+    private void listReceived() {
+        Runnable then = onListReceived;
+        onListReceived = null;
         if (then != null) {
             then.run();
         }
     }
 
-    private void ready(States.Left left) {
-        link.send(Frame.newBuilder().setReady(Ready.newBuilder().setNote(left == null ? "starts afresh"
-                : "goes on with " + left.boxes().boxes().size() + " boxes, list version "
-                + left.boxes().version())).build());
+    private void reportReady(States.Left inherited) {
+        link.send(Frame.newBuilder().setReady(Ready.newBuilder().setNote(inherited == null
+                ? "starts without state"
+                : "continues with " + inherited.boxes().boxes().size() + " servers, list version "
+                + inherited.boxes().version())).build());
     }
 
-    private void heard(Frame frame) {
-        synchronized (early) {
-            if (!up) {
-                early.add(frame);
+    private void frameReceived(Frame frame) {
+        synchronized (queuedFrames) {
+            if (!started) {
+                queuedFrames.add(frame);
                 return;
             }
         }
         sockets.post(() -> handleSafely(frame));
     }
 
-    private void lost(String why) {
-        Say.warn("keeper.lost", "generation", number, "why", why, "now", "serving on without upgrades");
-        if (!up) {
-            // nobody will ever tell it to serve
+    private void supervisorLost(String reason) {
+        Say.warn("keeper.lost", "generation", number, "why", reason, "now", "serving without upgrades");
+        if (!started) {
+            // without the supervisor it will never be told to serve
             Runtime.getRuntime().halt(1);
         }
     }
@@ -325,66 +335,69 @@
             case SHARING -> {
                 reached(Stage.SHARE);
                 front.happened(new Event.Adopt(frame.getSharing().getGeneration(),
-                        States.holdings(frame.getSharing())));
+                        States.decodeGenerationState(frame.getSharing())));
             }
-            case NEWS -> news(frame.getNews());
+            case NEWS -> messageReceived(frame.getNews());
             case OTHER_GONE -> front.happened(new Event.OtherGone(frame.getOtherGone().getGeneration()));
-            case MARKS -> front.happened(new Event.Marked(States.marks(frame.getMarks())));
-            case AGREED -> agreed(frame.getAgreed());
+            case MARKS -> front.happened(new Event.Marked(States.overrides(frame.getMarks())));
+            case AGREED -> applyAgreed(frame.getAgreed());
             case ASK_LIST_ANEW -> front.happened(new Event.ListBehind());
-            case TAKE -> take();
-            case GO -> go();
-            case LET_GO -> letGo(frame.getLetGo().getLimitMicros());
-            case TAKE_BACK -> takeBack();
+            case TAKE -> takeListener();
+            case GO -> startServing();
+            case LET_GO -> stopServing(frame.getLetGo().getLimitMicros());
+            case TAKE_BACK -> resumeServing();
             case LEAVE -> front.happened(new Event.Leave());
             case RECONFIGURE -> reconfigure();
             default -> Say.warn("frame.unknown", "generation", number, "frame", frame.getWhatCase());
         }
     }
 
-    /** The marks that came before it are in force here by now: the keeper may say so. */
-    private void agreed(Agreed agreed) {
+    /**
+     * Applies the end of the lease and acknowledges the step. The overrides of the step came earlier on the
+     * same connection and are in force by now.
+     */
+    private void applyAgreed(Agreed agreed) {
         long until = agreed.getUntil() == Long.MAX_VALUE ? Long.MAX_VALUE
                 : agreed.getUntil() + sockets.clock().getAsLong() - System.nanoTime() / 1000;
         front.happened(new Event.Leased(until,
-                Math.min(COME_BACK_MICROS, config.settings().limits().retryAfterMax())));
+                Math.min(MAX_RETRY_AFTER_MICROS, config.settings().limits().retryAfterMax())));
         link.send(Frame.newBuilder().setTakenUp(TakenUp.newBuilder().setStep(agreed.getStep())
                 .setChain(agreed.getChain())).build());
     }
 
-    private void news(News told) {
-        if (told.hasCounts()) {
-            told.getCounts().getByNameMap().forEach(counters::add);
+    private void messageReceived(News encoded) {
+        if (encoded.hasCounts()) {
+            encoded.getCounts().getByNameMap().forEach(counters::add);
             return;
         }
-        OtherNews news = States.news(told);
-        if (news != null) {
-            front.happened(new Event.FromOther(told.getGeneration(), news));
+        OtherNews message = States.message(encoded);
+        if (message != null) {
+            front.happened(new Event.FromOther(encoded.getGeneration(), message));
         }
     }
 
-    private void tellOthers(Effect effect) {
+    private void sendToOthers(Effect effect) {
         if (effect instanceof Effect.ShareOut e) {
-            link.send(Frame.newBuilder().setSharing(States.sharing(e.held())).build());
+            link.send(Frame.newBuilder().setSharing(States.encodeGenerationState(e.held())).build());
         } else if (effect instanceof Effect.TellOthers e) {
-            link.send(Frame.newBuilder().setNews(States.news(e.news())).build());
+            link.send(Frame.newBuilder().setNews(States.message(e.news())).build());
             if (e.news() instanceof OtherNews.Told) {
-                sockets.post(this::listed);
+                sockets.post(this::listReceived);
             }
         }
     }
 
-    private void take() throws IOException {
+    private void takeListener() throws IOException {
         listener = Listener.inherited();
-        String answer = tryOut();
+        String answer = selfTest();
         if (!answer.startsWith("HTTP/1.1 200 ") && !answer.startsWith("HTTP/1.1 503 ")) {
-            throw new IOException("the try-out brought " + answer.lines().findFirst().orElse("nothing"));
+            throw new IOException("the self-test returned " + answer.lines().findFirst().orElse("nothing"));
         }
         reached(Stage.TAKE);
         link.send(Frame.newBuilder().setTook(Took.getDefaultInstance()).build());
     }
 
-    private void go() throws IOException {
+    private void startServing() throws IOException {
         reached(Stage.GO);
         sockets.accept(listener);
         accepting = true;
@@ -394,31 +407,33 @@
         reached(Stage.LET_GO);
     }
 
-    /** One request through the front and the desk, over a connection that is none. */
-    private String tryOut() {
+    /**
+     * Sends a readiness request through the platform and the reducer without a socket; returns the answer.
+     */
+    private String selfTest() {
         StringBuilder answer = new StringBuilder();
-        Side side = front.accept(new NoWire() {
+        Side handler = front.accept(new NoWire() {
             @Override
             public void write(ByteBuffer bytes) {
                 answer.append(StandardCharsets.ISO_8859_1.decode(bytes));
             }
         });
-        side.received(ByteBuffer.wrap("GET /ready HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
-        side.down();
+        handler.received(ByteBuffer.wrap("GET /ready HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
+        handler.down();
         return answer.toString();
     }
 
-    private void letGo(long limit) {
+    private void stopServing(long limitMicros) {
         if (accepting) {
             sockets.stopAccepting();
             accepting = false;
         }
         Say.info("generation.lets_go", "generation", number, "open", desk.holdings().ids().size());
         link.send(Frame.newBuilder().setLetGoDone(LetGoDone.getDefaultInstance()).build());
-        front.happened(new Event.LetGo(limit));
+        front.happened(new Event.LetGo(limitMicros));
     }
 
-    private void takeBack() throws IOException {
+    private void resumeServing() throws IOException {
         if (!accepting) {
             sockets.accept(listener);
             accepting = true;
@@ -427,7 +442,7 @@
         front.happened(new Event.TakeBack());
     }
 
-    /** Read on a thread of its own: a slow disk must not hold requests up. */
+    /** Reloads the configuration on a separate thread, because a slow disk must not delay requests. */
     private void reconfigure() {
         Thread reader = new Thread(() -> {
             try {
@@ -441,10 +456,10 @@
         reader.start();
     }
 
-    private Map<String, Long> countedSince() {
+    private Map<String, Long> countsSinceStart() {
         Map<String, Long> since = new HashMap<>();
         counters.all().forEach((name, count) -> {
-            long more = count - countedBefore.getOrDefault(name, 0L);
+            long more = count - inheritedCounts.getOrDefault(name, 0L);
             if (more != 0) {
                 since.put(name, more);
             }
--- a/src/main/java/yewdock/daemon/Keeper.java
+++ b/src/main/java/yewdock/daemon/Keeper.java
@@ -38,58 +38,64 @@
 import yewdock.wire.State;
 
 /**
- * The small parent: it holds the listener, starts generations that have it as their standard input, and
- * carries out what {@link Upgrade} decides. It never accepts a client's connection and never reads one.
+ * The daemon's parent process. It holds the listener, starts generations that inherit it as standard input,
+ * and executes the effects of {@link Upgrade}. It never accepts or reads a client connection.
  */
 public final class Keeper {
-    static final String GENERATION = "YEWDOCK_GENERATION";
-    static final String CONTROL = "YEWDOCK_CONTROL";
-    static final String SECRET = "YEWDOCK_SECRET";
-    static final String KEEPS = "YEWDOCK_KEEPS";
-    static final String AGREES = "YEWDOCK_AGREES";
-    private static final long LONGEST_SLEEP = 1_000_000;
+    static final String GENERATION_VARIABLE = "YEWDOCK_GENERATION";
+    static final String CONTROL_VARIABLE = "YEWDOCK_CONTROL";
+    static final String SECRET_VARIABLE = "YEWDOCK_SECRET";
+    static final String STORE_VARIABLE = "YEWDOCK_KEEPS";
+    static final String CONSENSUS_VARIABLE = "YEWDOCK_AGREES";
+    private static final long MAX_SLEEP_MICROS = 1_000_000;
     private static final int SECRET_BYTES = 16;
-    private static final long LAST_WORDS_MILLIS = 500;
-    private static final Set<String> MARKING = Set.of("drain", "undrain", "mark-gone");
+    private static final long FLUSH_TIMEOUT_MILLIS = 500;
+    private static final Set<String> OVERRIDE_COMMANDS = Set.of("drain", "undrain", "mark-gone");
 
     private final OperatorSettings settings;
     private final List<String> usual;
-    private final Upgrade upgrade;
+    private final Upgrade reducer;
     private final Clock clock = new Clock();
     private final BlockingQueue<KeeperEvent> events = new LinkedBlockingQueue<>();
-    private final Map<Integer, Link> links = new ConcurrentHashMap<>();
+    private final Map<Integer, Link> generationConnections = new ConcurrentHashMap<>();
     private final Map<Integer, String> secrets = new ConcurrentHashMap<>();
     private final Map<Integer, Process> processes = new HashMap<>();
-    private final Map<Long, Link> operators = new ConcurrentHashMap<>();
-    private final AtomicLong lastCommand = new AtomicLong();
+    private final Map<Long, Link> operatorConnections = new ConcurrentHashMap<>();
+    private final AtomicLong lastCommandId = new AtomicLong();
     private final SecureRandom random = new SecureRandom();
     private final CountDownLatch ended = new CountDownLatch(1);
     private ServerSocketChannel listener;
-    private ServerSocketChannel control;
-    /** Null where nothing is kept. */
-    private Archive archive;
-    private int exit = -1;
+    private ServerSocketChannel controlListener;
+    /** Null if no store is configured. */
+    private Archive stateService;
+    private int exitCode = -1;
 
-    /** A keeper whose generations run this main class with these words, where an upgrade names no other. */
+    /**
+     * Creates a supervisor.
+     *
+     * @param usual main class and arguments of a generation, unless an upgrade names others
+     */
     public Keeper(OperatorSettings settings, List<String> usual) {
         this.settings = settings;
         this.usual = List.copyOf(usual);
-        OperatorSettings.Upgrade u = settings.upgrade();
-        Limits limits = new Limits(Map.of(Stage.START, u.start(),
-                Stage.CHECK, u.check(), Stage.STATE, u.state(),
-                Stage.READY, u.ready(), Stage.SHARE, u.share(),
-                Stage.TAKE, u.take(), Stage.GO, u.go(), Stage.LET_GO, u.letGo()),
-                u.finish(), u.mostFinishing());
-        this.upgrade = new Upgrade(limits);
+        OperatorSettings.Upgrade upgradeSettings = settings.upgrade();
+        Limits limits = new Limits(Map.of(Stage.START, upgradeSettings.start(),
+                Stage.CHECK, upgradeSettings.check(), Stage.STATE, upgradeSettings.state(),
+                Stage.READY, upgradeSettings.ready(), Stage.SHARE, upgradeSettings.share(),
+                Stage.TAKE, upgradeSettings.take(), Stage.GO, upgradeSettings.go(), Stage.LET_GO,
+                        upgradeSettings.letGo()),
+                upgradeSettings.finish(), upgradeSettings.mostFinishing());
+        this.reducer = new Upgrade(limits);
     }
 
-    /** Listens, starts the first generation and keeps until the last has ended; returns the exit code. */
+    /** Listens, starts the first generation and runs until the last has ended; returns the exit code. */
     public int run() throws IOException {
         Config config = Config.read(Files.readString(settings.daemon().config()), line -> { });
         openControl();
         if (settings.store().on()) {
-            archive = new Archive(settings, frame -> links.values().forEach(link -> link.send(frame)));
-            archive.applied(Files.readString(settings.daemon().config()));
+            stateService = new Archive(settings, frame -> generationConnections.values().forEach(link ->
+                    link.send(frame)));
+            stateService.configurationApplied(Files.readString(settings.daemon().config()));
         }
         listener = Listener.asStandardInput(Addresses.of(config.listen()));
         Say.info("keeper.listens", "address", listener.getLocalAddress(), "control",
@@ -98,11 +104,11 @@
         accepting.setDaemon(true);
         accepting.start();
         ConfigurationFile configurationFile = ConfigurationFile.at(settings.daemon().config());
-        configurationFile.readBy(() -> {
+        configurationFile.setReader(() -> {
             events.add(new KeeperEvent.HungUp());
             return Serve.isReadable(settings.daemon().config());
         });
-        if (!configurationFile.takesSignal()) {
+        if (!configurationFile.handlesSignal()) {
             Say.warn("configuration.looked_at", "why", "SIGHUP was ignored when this process was started",
                     "file", settings.daemon().config());
         }
@@ -116,57 +122,57 @@
         }, "leave");
         Runtime.getRuntime().addShutdownHook(leave);
         String program = settings.daemon().program();
-        events.add(new KeeperEvent.Begun(List.of(program.isEmpty() ? ownProgram() : program)));
-        while (exit < 0) {
-            keepOn();
+        events.add(new KeeperEvent.Begun(List.of(program.isEmpty() ? ownClassPath() : program)));
+        while (exitCode < 0) {
+            runOnce();
         }
-        control.close();
+        controlListener.close();
         Files.deleteIfExists(Link.socketIn(settings.daemon().control()));
-        if (archive != null) {
-            archive.close();
+        if (stateService != null) {
+            stateService.close();
         }
-        Say.info("keeper.ends", "exit", exit);
+        Say.info("keeper.ends", "exit", exitCode);
         ended.countDown();
-        return exit;
+        return exitCode;
     }
 
-    private void keepOn() {
+    private void runOnce() {
         try {
-            long wait = Math.max(0, Math.min(upgrade.nextDue() - clock.getAsLong(), LONGEST_SLEEP));
-            KeeperEvent event = events.poll(wait, TimeUnit.MICROSECONDS);
-            if (event instanceof KeeperEvent.Ended gone) {
-                processes.remove(gone.generation());
-                secrets.remove(gone.generation());
+            long waitMicros = Math.max(0, Math.min(reducer.nextDue() - clock.getAsLong(), MAX_SLEEP_MICROS));
+            KeeperEvent event = events.poll(waitMicros, TimeUnit.MICROSECONDS);
+            if (event instanceof KeeperEvent.Ended ended) {
+                processes.remove(ended.generation());
+                secrets.remove(ended.generation());
             }
             if (event instanceof KeeperEvent.HungUp) {
-                applied();
+                configurationReloaded();
             }
             if (event != null) {
-                upgrade.reduce(event, clock.getAsLong()).forEach(this::perform);
+                reducer.reduce(event, clock.getAsLong()).forEach(this::execute);
             }
-            if (upgrade.nextDue() <= clock.getAsLong()) {
-                upgrade.reduce(new KeeperEvent.Tick(), clock.getAsLong()).forEach(this::perform);
+            if (reducer.nextDue() <= clock.getAsLong()) {
+                reducer.reduce(new KeeperEvent.Tick(), clock.getAsLong()).forEach(this::execute);
             }
         } catch (InterruptedException e) {
             Say.warn("keeper.interrupted");
         }
     }
 
-    /** What can't be read is refused by the generations too, and the old one stays. */
-    private void applied() {
-        if (archive != null) {
+    /** Stores the reloaded configuration; an invalid one is refused here and by the generations. */
+    private void configurationReloaded() {
+        if (stateService != null) {
             try {
                 String text = Files.readString(settings.daemon().config());
                 Config.read(text, line -> { });
-                archive.applied(text);
+                stateService.configurationApplied(text);
             } catch (IOException | IllegalArgumentException e) {
                 Say.warn("configuration.not_kept", "why", e.getMessage());
             }
         }
     }
 
-    /** What this process was started from. */
-    private static String ownProgram() {
+    /** The class path of this process, with absolute paths. */
+    private static String ownClassPath() {
         StringBuilder all = new StringBuilder();
         for (String part : System.getProperty("java.class.path").split(File.pathSeparator)) {
             all.append(all.length() == 0 ? "" : File.pathSeparator).append(Path.of(part).toAbsolutePath());
@@ -182,7 +188,7 @@
         Files.setPosixFilePermissions(folder, PosixFilePermissions.fromString("rwx------"));
         Path socket = Link.socketIn(folder);
         if (Files.exists(socket)) {
-            // left by a daemon that was killed, or held by one that lives
+            // left over from a daemon that was killed, or in use by a running one
             try {
                 Link.to(folder).close();
                 throw new IOException("a daemon runs already, its control socket is " + socket);
@@ -193,115 +199,117 @@
                 Files.delete(socket);
             }
         }
-        control = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
-        control.bind(UnixDomainSocketAddress.of(socket));
+        controlListener = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
+        controlListener.bind(UnixDomainSocketAddress.of(socket));
         Files.setPosixFilePermissions(socket, PosixFilePermissions.fromString("rw-------"));
     }
 
     private void acceptControl() {
-        while (control.isOpen()) {
+        while (controlListener.isOpen()) {
             try {
-                new Peer(control.accept()).start();
+                new ControlClient(controlListener.accept()).start();
             } catch (IOException e) {
-                if (control.isOpen()) {
+                if (controlListener.isOpen()) {
                     Say.warn("control.broken", "why", e.getMessage());
                 }
             }
         }
     }
 
-    /** A connection of the control socket: its first frame tells whose it is. */
-    private final class Peer {
-        private final Link link;
+    /**
+     * A connection of the control socket; the first frame tells whether a generation or operator opened it.
+     */
+    private final class ControlClient {
+        private final Link connection;
         private int generation;
-        private long command;
+        private long commandId;
 
-        Peer(SocketChannel channel) {
-            link = new Link(channel);
+        ControlClient(SocketChannel channel) {
+            connection = new Link(channel);
         }
 
         void start() {
-            link.start("peer", this::heard, this::lost);
+            connection.start("peer", this::frameReceived, this::connectionLost);
         }
 
-        private void heard(Frame frame) {
+        private void frameReceived(Frame frame) {
             if (generation != 0) {
-                if (archive != null) {
-                    archive.heard(frame);
-                    archive.agreement(generation, link, frame);
+                if (stateService != null) {
+                    stateService.frameReceived(frame);
+                    stateService.consensus(generation, connection, frame);
                 }
                 if (!frame.hasKeep() && !frame.hasTakenUp()) {
                     events.add(new KeeperEvent.Heard(generation, frame));
                 }
-            } else if (command != 0) {
-                link.close();
+            } else if (commandId != 0) {
+                connection.close();
             } else if (frame.hasHello()) {
                 hello(frame);
             } else if (frame.hasAsk()) {
-                command = lastCommand.incrementAndGet();
-                if (archive != null && archive.asked(frame.getAsk().getCommand(),
+                commandId = lastCommandId.incrementAndGet();
+                if (stateService != null && stateService.handleCommand(frame.getAsk().getCommand(),
                         frame.getAsk().getWordsList(), this::answer)) {
                     return;
                 }
-                if (MARKING.contains(frame.getAsk().getCommand())) {
-                    answer(Answer.newBuilder().setLine("nothing is kept here: store.folder is not set")
+                if (OVERRIDE_COMMANDS.contains(frame.getAsk().getCommand())) {
+                    answer(Answer.newBuilder().setLine("no store is configured: store.folder is not set")
                             .setLast(true).setExit(1).build());
                     return;
                 }
                 if (frame.getAsk().getCommand().equals("rules")) {
-                    answer(Answer.newBuilder().setLine("nothing is agreed here: agreement.members is not set")
+                    answer(Answer.newBuilder().setLine("consensus is off: agreement.members is not set")
                             .setLast(true).setExit(1).build());
                     return;
                 }
-                operators.put(command, link);
-                if (archive != null && frame.getAsk().getCommand().equals("status")) {
-                    archive.status().forEach(l -> answer(Answer.newBuilder().setLine(l).build()));
+                operatorConnections.put(commandId, connection);
+                if (stateService != null && frame.getAsk().getCommand().equals("status")) {
+                    stateService.status().forEach(l -> answer(Answer.newBuilder().setLine(l).build()));
                 }
                 events.add(frame.getAsk().getCommand().equals("upgrade")
-                        ? new KeeperEvent.Asked(command, frame.getAsk().getWordsList())
-                        : new KeeperEvent.StatusAsked(command));
+                        ? new KeeperEvent.Asked(commandId, frame.getAsk().getWordsList())
+                        : new KeeperEvent.StatusAsked(commandId));
             } else {
-                link.close();
+                connection.close();
             }
         }
 
         private void answer(Answer answer) {
-            link.send(Frame.newBuilder().setAnswer(answer).build());
+            connection.send(Frame.newBuilder().setAnswer(answer).build());
         }
 
         private void hello(Frame frame) {
             Hello hello = frame.getHello();
             if (!hello.getSecret().equals(secrets.get(hello.getGeneration()))) {
-                link.close();
+                connection.close();
                 return;
             }
             generation = hello.getGeneration();
-            links.put(generation, link);
+            generationConnections.put(generation, connection);
             events.add(new KeeperEvent.Heard(generation, frame));
         }
 
-        private void lost(String why) {
+        private void connectionLost(String why) {
             if (generation != 0) {
-                links.remove(generation, link);
-                if (archive != null) {
-                    archive.gone(generation);
+                generationConnections.remove(generation, connection);
+                if (stateService != null) {
+                    stateService.generationGone(generation);
                 }
                 events.add(new KeeperEvent.Lost(generation, why));
-            } else if (command != 0) {
-                operators.remove(command);
+            } else if (commandId != 0) {
+                operatorConnections.remove(commandId);
             }
         }
     }
 
     // ---- effects
 
-    private void perform(KeeperEffect effect) {
+    private void execute(KeeperEffect effect) {
         if (effect instanceof KeeperEffect.Tell e) {
-            Link link = links.get(e.generation());
-            if (link != null && e.frame().hasState() && archive != null) {
-                stateWithMarks(link, e.frame());
-            } else if (link != null) {
-                link.send(e.frame());
+            Link connection = generationConnections.get(e.generation());
+            if (connection != null && e.frame().hasState() && stateService != null) {
+                sendStateAndOverrides(connection, e.frame());
+            } else if (connection != null) {
+                connection.send(e.frame());
             }
         } else if (effect instanceof KeeperEffect.Start e) {
             start(e.generation(), e.program());
@@ -311,28 +319,28 @@
                 process.destroyForcibly();
             }
         } else if (effect instanceof KeeperEffect.Reply e) {
-            Link link = operators.get(e.command());
-            if (link != null) {
-                link.send(Frame.newBuilder().setAnswer(Answer.newBuilder().setLine(e.line())
+            Link connection = operatorConnections.get(e.command());
+            if (connection != null) {
+                connection.send(Frame.newBuilder().setAnswer(Answer.newBuilder().setLine(e.line())
                         .setLast(e.last()).setExit(e.exit())).build());
             }
         } else if (effect instanceof KeeperEffect.Note e) {
             Say.info(e.event(), e.fields());
         } else if (effect instanceof KeeperEffect.Stop e) {
-            exit = e.exit();
-            operators.values().forEach(link -> link.finish(LAST_WORDS_MILLIS));
+            exitCode = e.exit();
+            operatorConnections.values().forEach(connection -> connection.finish(FLUSH_TIMEOUT_MILLIS));
         }
     }
 
-    /** Where no generation before it can tell what it knew, what is kept stands in; marks follow at once. */
-    private void stateWithMarks(Link link, Frame frame) {
-        State kept = frame.getState().hasModule() ? null : archive.state();
-        link.send(kept == null ? frame : Frame.newBuilder().setState(kept).build());
-        archive.withMarks(link::send);
+    /** Sends a generation its state, or the stored one if no predecessor gave any, then the overrides. */
+    private void sendStateAndOverrides(Link connection, Frame frame) {
+        State stored = frame.getState().hasModule() ? null : stateService.initialState();
+        connection.send(stored == null ? frame : Frame.newBuilder().setState(stored).build());
+        stateService.withOverrides(connection::send);
     }
 
     /**
-     * The program is a class path, and after it the main class and its words where they are not the usual.
+     * Starts a generation; program is a class path, followed by main class and arguments if not the default.
      */
     private void start(int number, List<String> program) {
         List<String> command = new ArrayList<>();
@@ -341,18 +349,18 @@
         command.addAll(List.of("-cp", program.get(0)));
         command.addAll(program.size() > 1 ? program.subList(1, program.size())
                 : usual);
-        byte[] bytes = new byte[SECRET_BYTES];
-        random.nextBytes(bytes);
-        secrets.put(number, HexFormat.of().formatHex(bytes));
+        byte[] secret = new byte[SECRET_BYTES];
+        random.nextBytes(secret);
+        secrets.put(number, HexFormat.of().formatHex(secret));
         ProcessBuilder builder = new ProcessBuilder(command).inheritIO();
-        builder.environment().put(GENERATION, Integer.toString(number));
-        builder.environment().put(SECRET, secrets.get(number));
-        builder.environment().put(CONTROL, settings.daemon().control().toAbsolutePath().toString());
-        if (archive != null) {
-            builder.environment().put(KEEPS, "1");
+        builder.environment().put(GENERATION_VARIABLE, Integer.toString(number));
+        builder.environment().put(SECRET_VARIABLE, secrets.get(number));
+        builder.environment().put(CONTROL_VARIABLE, settings.daemon().control().toAbsolutePath().toString());
+        if (stateService != null) {
+            builder.environment().put(STORE_VARIABLE, "1");
         }
         if (settings.agreement().on()) {
-            builder.environment().put(AGREES, "1");
+            builder.environment().put(CONSENSUS_VARIABLE, "1");
         }
         builder.environment().put("PROXY_CONFIG", settings.daemon().config().toString());
         builder.environment().put("YEWDOCK_LOG", settings.log().form());
@@ -360,9 +368,9 @@
             Process process = builder.start();
             processes.put(number, process);
             process.onExit().thenAccept(done -> events.add(new KeeperEvent.Ended(number,
-                    "its process ended with " + done.exitValue())));
+                    "the process exited with " + done.exitValue())));
         } catch (IOException e) {
-            events.add(new KeeperEvent.Ended(number, "it can't be started: " + e.getMessage()));
+            events.add(new KeeperEvent.Ended(number, "the process can't be started: " + e.getMessage()));
         }
     }
 }
--- a/src/main/java/yewdock/daemon/Link.java
+++ b/src/main/java/yewdock/daemon/Link.java
@@ -7,26 +7,28 @@
 import java.nio.file.Path;
 import yewdock.wire.Frame;
 
-/** A connection of the control socket. */
+/**
+ * A connection over a Unix control socket: between supervisor and generation, or with an operator's command.
+ */
 public final class Link extends Framed<Frame> {
-    /** The largest frame: a state with thousands of boxes takes under 1 MiB. */
-    private static final int MOST_FRAME = 32 << 20;
-    private static final int MOST_WAITING = 20_000;
+    /** Largest frame in bytes; a state with thousands of servers takes under 1 MiB. */
+    private static final int MAX_FRAME_BYTES = 32 << 20;
+    private static final int MAX_QUEUED_FRAMES = 20_000;
 
     Link(SocketChannel channel) {
-        super(channel, Frame.parser(), MOST_FRAME, MOST_WAITING, 0);
+        super(channel, Frame.parser(), MAX_FRAME_BYTES, MAX_QUEUED_FRAMES, 0);
     }
 
     /** Connects to the control socket in this folder. */
-    public static Link to(Path control) throws IOException {
+    public static Link to(Path folder) throws IOException {
         try {
-            return at(socketIn(control));
+            return at(socketIn(folder));
         } catch (IOException e) {
-            throw new IOException("no daemon answers at " + socketIn(control) + ": " + e.getMessage(), e);
+            throw new IOException("no daemon listens at " + socketIn(folder) + ": " + e.getMessage(), e);
         }
     }
 
-    /** Connects to the socket at this path; throws IOException where nobody listens. */
+    /** Connects to the socket at this path; throws IOException if nobody listens there. */
     static Link at(Path socket) throws IOException {
         SocketChannel channel = SocketChannel.open(StandardProtocolFamily.UNIX);
         try {
@@ -38,7 +40,8 @@
         return new Link(channel);
     }
 
-    static Path socketIn(Path control) {
-        return control.resolve("control.sock");
+    /** The path of the control socket in this folder. */
+    static Path socketIn(Path folder) {
+        return folder.resolve("control.sock");
     }
 }
--- a/src/main/java/yewdock/daemon/MarksFile.java
+++ b/src/main/java/yewdock/daemon/MarksFile.java
@@ -10,12 +10,12 @@
 import yewdock.desk.BoxMark;
 
 /**
- * Operators' marks in a file that outlives a process killed outright: whoever takes its place must not send
- * work to a box that is out of use. Written aside and moved into place, so that it is whole or not there.
+ * Stores operator overrides in a file, so that the successor of a killed process does not send requests to a
+ * server that an operator took out of use. The file is replaced atomically by a rename.
  */
 final class MarksFile {
-    private static final String FIRST = "yewdock marks 1";
-    private static final String LAST = "end ";
+    private static final String HEADER = "yewdock marks 1";
+    private static final String TRAILER = "end ";
 
     private final Path file;
 
@@ -23,42 +23,48 @@
         this.file = file;
     }
 
-    void write(Map<String, BoxMark> marks) throws IOException {
-        Path aside = file.resolveSibling(file.getFileName() + "." + ProcessHandle.current().pid());
-        Files.writeString(aside, text(marks));
-        Files.move(aside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    /** Replaces the file's content by these overrides, by server name. */
+    void write(Map<String, BoxMark> overrides) throws IOException {
+        Path temporary = file.resolveSibling(file.getFileName() + "." + ProcessHandle.current().pid());
+        Files.writeString(temporary, format(overrides));
+        Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /** The marks that were kept; none where there is no file. Throws IOException on one that is not whole. */
+    /** Reads the stored overrides; none if there is no file. Throws IOException if the file is incomplete. */
     Map<String, BoxMark> read() throws IOException {
-        return Files.exists(file) ? marks(Files.readString(file)) : Map.of();
+        return Files.exists(file) ? parse(Files.readString(file)) : Map.of();
     }
 
-    static String text(Map<String, BoxMark> marks) {
-        StringBuilder text = new StringBuilder(FIRST).append('\n');
-        new TreeMap<>(marks).forEach((box, mark) -> text.append(mark.kind().name().toLowerCase(Locale.ROOT))
+    /**
+     * Formats overrides in the file's format: a header, a line for each, and a last line with their number.
+     */
+    static String format(Map<String, BoxMark> overrides) {
+        StringBuilder text = new StringBuilder(HEADER).append('\n');
+        new TreeMap<>(overrides).forEach((box, mark) ->
+                text.append(mark.kind().name().toLowerCase(Locale.ROOT))
                 .append(' ').append(mark.at()).append(' ').append(box).append('\n'));
-        return text.append(LAST).append(marks.size()).append('\n').toString();
+        return text.append(TRAILER).append(overrides.size()).append('\n').toString();
     }
 
-    static Map<String, BoxMark> marks(String text) throws IOException {
+    /** Parses the file's format. */
+    static Map<String, BoxMark> parse(String text) throws IOException {
         String[] lines = text.split("\n", -1);
-        if (!lines[0].equals(FIRST)) {
-            throw new IOException("its first line is not \"" + FIRST + "\"");
+        if (!lines[0].equals(HEADER)) {
+            throw new IOException("the first line is not \"" + HEADER + "\"");
         }
-        if (lines.length < 3 || !lines[lines.length - 2].equals(LAST + (lines.length - 3))) {
-            throw new IOException("its end is missing");
+        if (lines.length < 3 || !lines[lines.length - 2].equals(TRAILER + (lines.length - 3))) {
+            throw new IOException("the last line with the number of entries is missing or wrong");
         }
-        Map<String, BoxMark> marks = new TreeMap<>();
+        Map<String, BoxMark> overrides = new TreeMap<>();
         for (int i = 1; i < lines.length - 2; i++) {
             String[] words = lines[i].split(" ", 3);
             try {
-                marks.put(words[2], new BoxMark(BoxMark.Kind.valueOf(words[0].toUpperCase(Locale.ROOT)),
+                overrides.put(words[2], new BoxMark(BoxMark.Kind.valueOf(words[0].toUpperCase(Locale.ROOT)),
                         Long.parseLong(words[1])));
             } catch (IllegalArgumentException | ArrayIndexOutOfBoundsException e) {
-                throw new IOException("line " + (i + 1) + " is no mark");
+                throw new IOException("line " + (i + 1) + " is not a valid override");
             }
         }
-        return marks;
+        return overrides;
     }
 }
--- a/src/main/java/yewdock/daemon/NoWire.java
+++ b/src/main/java/yewdock/daemon/NoWire.java
@@ -3,16 +3,16 @@
 import java.nio.ByteBuffer;
 import yewdock.platform.Wire;
 
-/** A connection that is none: what is written to it goes nowhere, and closing it closes nothing. */
+/** A {@link Wire} without a socket: it discards what is written to it, and closing it has no effect. */
 class NoWire implements Wire {
     @Override
     public void write(ByteBuffer bytes) {
-        // nobody reads it
+        // discarded
     }
 
     @Override
     public void close() {
-        // there is nothing to close
+        // no socket to close
     }
 
     @Override
@@ -38,6 +38,6 @@
 
     @Override
     public void hold(boolean held) {
-        // never full
+        // nothing is received, so there is nothing to hold back
     }
 }
--- a/src/main/java/yewdock/daemon/Operator.java
+++ b/src/main/java/yewdock/daemon/Operator.java
@@ -11,30 +11,32 @@
 import yewdock.wire.Ask;
 import yewdock.wire.Frame;
 
-/** An operator's side of the control socket. */
+/** Sends operator commands to a daemon over its control socket. */
 public final class Operator {
     private Operator() {
     }
 
     /**
-     * Asks the daemon whose control socket is in this folder; the lines of its answer go to out. Returns the
-     * exit code that the daemon gives; throws IOException if there is no daemon, or none that answers in
-     * time.
+     * Sends a command to the daemon whose control socket is in this folder, and passes the lines of the
+     * answer to out. Returns the daemon's exit code for the command; throws IOException if no daemon listens
+     * or no line comes within this many milliseconds.
      */
-    public static int ask(Path control, String command, List<String> words, long millis, Consumer<String> out)
+    public static int ask(Path control, String command, List<String> arguments, long timeoutMillis,
+            Consumer<String> out)
             throws IOException {
-        Link link = Link.to(control);
+        Link connection = Link.to(control);
         BlockingQueue<Frame> answers = new LinkedBlockingQueue<>();
-        link.start("daemon", answers::add, why -> answers.add(Frame.getDefaultInstance()));
-        link.send(Frame.newBuilder().setAsk(Ask.newBuilder().setCommand(command).addAllWords(words)).build());
+        connection.start("daemon", answers::add, why -> answers.add(Frame.getDefaultInstance()));
+        connection.send(Frame.newBuilder().setAsk(Ask.newBuilder().setCommand(command)
+                .addAllWords(arguments)).build());
         try {
             while (true) {
-                Frame frame = answers.poll(millis, TimeUnit.MILLISECONDS);
+                Frame frame = answers.poll(timeoutMillis, TimeUnit.MILLISECONDS);
                 if (frame == null) {
-                    throw new IOException("the daemon did not answer within " + millis + " ms");
+                    throw new IOException("the daemon did not answer within " + timeoutMillis + " ms");
                 }
                 if (!frame.hasAnswer()) {
-                    throw new IOException("the daemon went away before it answered");
+                    throw new IOException("the daemon closed the connection before it answered");
                 }
                 Answer answer = frame.getAnswer();
                 out.accept(answer.getLine());
@@ -44,9 +46,9 @@
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted", e);
+            throw new IOException("interrupted while waiting for the daemon's answer", e);
         } finally {
-            link.close();
+            connection.close();
         }
     }
 }
--- a/src/main/java/yewdock/daemon/Peers.java
+++ b/src/main/java/yewdock/daemon/Peers.java
@@ -16,40 +16,43 @@
 import yewdock.wire.PeerFrame;
 
 /**
- * The connections to the other instances. Of two the one whose name comes first calls the other. Each has
- * threads of its own and is read no faster than the settings allow, so that a peer that sends without end
- * costs what it is allowed to and no request waits for it.
+ * The connections to the other instances. Of two instances the one whose name sorts first connects to the
+ * other. Each connection has its own threads and a read rate limit from the settings, so a peer that floods
+ * this instance uses bounded resources and delays no request.
  */
 final class Peers implements Closeable {
-    /** What is done with what comes; called on the connections' threads. */
+    /** Receives the events of the connections, on their threads. */
     interface Hearer {
-        void up(String peer);
+        /** A connection to the peer is established. */
+        void connected(String peer);
 
-        void heard(String peer, PeerFrame frame);
+        /** The peer has sent a frame. */
+        void frameReceived(String peer, PeerFrame frame);
 
-        void down(String peer, String why);
+        /** The connection to the peer is lost, for this reason. */
+        void disconnected(String peer, String why);
     }
 
-    private static final int MOST_FRAME = 4 << 20;
-    private static final int MOST_WAITING = 1_000;
-    private static final int MOST_STRANGERS = 16;
-    private static final int FIRST_MILLIS = 2_000;
-    private static final int CONNECT_MILLIS = 2_000;
-    private static final long REDIAL_MILLIS = 500;
-    private static final long LAST_WORDS_MILLIS = 200;
-    private static final double MEGA = 1e6;
+    private static final int MAX_FRAME_BYTES = 4 << 20;
+    private static final int MAX_QUEUED_FRAMES = 1_000;
+    private static final int MAX_UNIDENTIFIED = 16;
+    private static final int HELLO_TIMEOUT_MILLIS = 2_000;
+    private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
+    private static final long RECONNECT_MILLIS = 500;
+    private static final long FLUSH_TIMEOUT_MILLIS = 200;
+    private static final double BYTES_PER_MEGABYTE = 1e6;
 
     private final OperatorSettings.Copies settings;
-    private final Hearer hearer;
-    private final Map<String, Framed<PeerFrame>> links = new ConcurrentHashMap<>();
-    private final Semaphore strangers = new Semaphore(MOST_STRANGERS);
+    private final Hearer handler;
+    private final Map<String, Framed<PeerFrame>> connections = new ConcurrentHashMap<>();
+    private final Semaphore unidentified = new Semaphore(MAX_UNIDENTIFIED);
     private final ServerSocketChannel listener;
     private volatile boolean closed;
 
-    /** Listens, and begins to call. */
-    Peers(OperatorSettings.Copies settings, Hearer hearer) throws IOException {
+    /** Listens, and starts connecting to peers. */
+    Peers(OperatorSettings.Copies settings, Hearer handler) throws IOException {
         this.settings = settings;
-        this.hearer = hearer;
+        this.handler = handler;
         listener = ServerSocketChannel.open();
         listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
         try {
@@ -58,34 +61,34 @@
             listener.close();
             throw new IOException("copies.listen: " + settings.listen() + ": " + e.getMessage(), e);
         }
-        begin("peers", this::accept);
+        startThread("peers", this::accept);
         settings.peers().forEach((name, address) -> {
             if (settings.instance().compareTo(name) < 0) {
-                begin("call " + name, () -> call(name, Addresses.of(address)));
+                startThread("call " + name, () -> keepConnected(name, Addresses.of(address)));
             }
         });
     }
 
-    private static void begin(String name, Runnable work) {
+    private static void startThread(String name, Runnable work) {
         Thread thread = new Thread(work, name);
         thread.setDaemon(true);
         thread.start();
     }
 
-    private Framed<PeerFrame> framed(SocketChannel channel) throws IOException {
+    private Framed<PeerFrame> frame(SocketChannel channel) throws IOException {
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-        return new Framed<>(channel, PeerFrame.parser(), MOST_FRAME, MOST_WAITING,
-                settings.readMegabytes() * MEGA);
+        return new Framed<>(channel, PeerFrame.parser(), MAX_FRAME_BYTES, MAX_QUEUED_FRAMES,
+                settings.readMegabytes() * BYTES_PER_MEGABYTE);
     }
 
-    private void call(String name, InetSocketAddress address) {
+    private void keepConnected(String name, InetSocketAddress address) {
         while (!closed) {
-            if (!links.containsKey(name)) {
+            if (!connections.containsKey(name)) {
                 try {
                     SocketChannel channel = SocketChannel.open();
                     try {
-                        channel.socket().connect(address, CONNECT_MILLIS);
-                        take(name, framed(channel));
+                        channel.socket().connect(address, CONNECT_TIMEOUT_MILLIS);
+                        register(name, frame(channel));
                     } catch (IOException e) {
                         channel.close();
                     }
@@ -94,7 +97,7 @@
                 }
             }
             try {
-                TimeUnit.MILLISECONDS.sleep(REDIAL_MILLIS);
+                TimeUnit.MILLISECONDS.sleep(RECONNECT_MILLIS);
             } catch (InterruptedException e) {
                 return;
             }
@@ -105,8 +108,8 @@
         while (!closed) {
             try {
                 SocketChannel channel = listener.accept();
-                if (strangers.tryAcquire()) {
-                    begin("stranger", () -> greet(channel));
+                if (unidentified.tryAcquire()) {
+                    startThread("stranger", () -> identify(channel));
                 } else {
                     channel.close();
                 }
@@ -119,42 +122,42 @@
         }
     }
 
-    /** The first frame tells whose connection it is; one that doesn't come in time ends it. */
-    private void greet(SocketChannel channel) {
-        Thread patience = new Thread(() -> {
+    /** Identifies the peer by its first frame; closes the connection if that does not come in time. */
+    private void identify(SocketChannel channel) {
+        Thread timeout = new Thread(() -> {
             try {
-                TimeUnit.MILLISECONDS.sleep(FIRST_MILLIS);
+                TimeUnit.MILLISECONDS.sleep(HELLO_TIMEOUT_MILLIS);
                 channel.close();
             } catch (InterruptedException | IOException e) {
-                // it has come, or is closed anyway
+                // the first frame has come, or the channel is closed anyway
             }
         }, "patience");
-        patience.setDaemon(true);
-        patience.start();
+        timeout.setDaemon(true);
+        timeout.start();
         try {
-            Framed<PeerFrame> link = framed(channel);
-            PeerFrame first = link.first();
-            patience.interrupt();
+            Framed<PeerFrame> connection = frame(channel);
+            PeerFrame first = connection.first();
+            timeout.interrupt();
             String name = first.getHello().getInstance();
             if (!settings.peers().containsKey(name) || settings.instance().compareTo(name) < 0) {
                 Say.warn("peer.stranger", "instance", name, "from", channel.getRemoteAddress());
-                link.close();
+                connection.close();
             } else {
-                Framed<PeerFrame> before = links.get(name);
-                if (before != null) {
-                    // it calls anew, so it has lost the connection that seems to stand here
-                    before.close();
-                    links.remove(name, before);
-                    hearer.down(name, "it has called anew");
+                Framed<PeerFrame> previous = connections.get(name);
+                if (previous != null) {
+                    // the peer reconnects, so the connection that still seems open here is dead
+                    previous.close();
+                    connections.remove(name, previous);
+                    handler.disconnected(name, "the peer has reconnected");
                 }
-                take(name, link);
-                hearer.heard(name, first);
+                register(name, connection);
+                handler.frameReceived(name, first);
             }
         } catch (IOException | RuntimeException e) {
-            patience.interrupt();
+            timeout.interrupt();
             close(channel);
         } finally {
-            strangers.release();
+            unidentified.release();
         }
     }
 
@@ -162,41 +165,44 @@
         try {
             channel.close();
         } catch (IOException e) {
-            // closed all the same
+            // the channel counts as closed anyway
         }
     }
 
-    private void take(String name, Framed<PeerFrame> link) {
-        links.put(name, link);
-        hearer.up(name);
-        link.start("peer " + name, frame -> {
-            if (links.get(name) == link) {
-                hearer.heard(name, frame);
+    private void register(String name, Framed<PeerFrame> connection) {
+        connections.put(name, connection);
+        handler.connected(name);
+        connection.start("peer " + name, frame -> {
+            if (connections.get(name) == connection) {
+                handler.frameReceived(name, frame);
             }
         }, why -> {
-            if (links.remove(name, link)) {
-                hearer.down(name, why);
+            if (connections.remove(name, connection)) {
+                handler.disconnected(name, why);
             }
         });
     }
 
-    /** Whether a connection to it stands. */
-    boolean up(String peer) {
-        return links.containsKey(peer);
+    /** Whether a connection to the peer is open. */
+    boolean isConnected(String peer) {
+        return connections.containsKey(peer);
     }
 
+    /** Sends a frame to the peer; drops it if there is no connection. */
     void send(String peer, PeerFrame frame) {
-        Framed<PeerFrame> link = links.get(peer);
-        if (link != null) {
-            link.send(frame);
+        Framed<PeerFrame> connection = connections.get(peer);
+        if (connection != null) {
+            connection.send(frame);
         }
     }
 
-    /** Closes a connection once what was sent over it is written; the caller knows that it is down. */
+    /**
+     * Closes a connection after writing its queued frames; {@link Hearer#disconnected} is not called for it.
+     */
     void close(String peer) {
-        Framed<PeerFrame> link = links.remove(peer);
-        if (link != null) {
-            begin("last words", () -> link.finish(LAST_WORDS_MILLIS));
+        Framed<PeerFrame> connection = connections.remove(peer);
+        if (connection != null) {
+            startThread("last words", () -> connection.finish(FLUSH_TIMEOUT_MILLIS));
         }
     }
 
@@ -206,8 +212,8 @@
         try {
             listener.close();
         } catch (IOException e) {
-            // closed all the same
+            // the channel counts as closed anyway
         }
-        links.values().forEach(Framed::close);
+        connections.values().forEach(Framed::close);
     }
 }
--- a/src/main/java/yewdock/daemon/Rehearsal.java
+++ b/src/main/java/yewdock/daemon/Rehearsal.java
@@ -11,9 +11,9 @@
 import umberspread.GenerationRouter;
 import umberspread.Routing.Lifecycle;
 import umberspread.Routing.Replica;
-import yewdock.desk.EndpointList;
 import yewdock.desk.Counters;
 import yewdock.desk.Desk;
+import yewdock.desk.EndpointList;
 import yewdock.desk.ModelServer;
 import yewdock.desk.Terms;
 import yewdock.platform.Config;
@@ -23,51 +23,52 @@
 import yewdock.platform.Wires;
 
 /**
- * Requests played through a front, a desk and a module of their own, with connections that are none, before a
- * generation serves: its first clients should not wait while its code is loaded and compiled. Nothing that
- * happens here is known to the generation itself.
+ * Warms up the JVM before a generation serves, so that its first clients don't wait for class loading and
+ * compilation. Plays synthetic requests through a platform, reducer and module of its own, without sockets;
+ * the state of the generation itself is not affected.
  */
 final class Rehearsal implements Wires {
-    private static final int BOXES = 4;
-    private static final long STEP = 60_000;
-    private static final String ANSWER = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    private static final int SERVERS = 4;
+    private static final long REQUEST_INTERVAL_MICROS = 60_000;
+    private static final String RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final List<String> EVENTS = List.of("data: {\"choices\":[{\"index\":0}]}\n\n",
             "data: {\"usage\":{\"prompt_tokens_details\":{\"cached_tokens\":1}}}\n\n",
             ": X-Backend-Load: inflight=1,qps=0,eps=0,x1=0\n\n");
 
-    private final Queue<Runnable> due = new ArrayDeque<>();
+    private final Queue<Runnable> tasks = new ArrayDeque<>();
     private final Counters counters = new Counters();
     private final Config config;
     private final Front front;
-    private long now = 1;
+    private long nowMicros = 1;
 
     private Rehearsal(Config config) {
         this.config = config;
         Desk desk = new Desk(Terms.of(config.settings(), config.keepalive()), config.bounds(),
                 counters, actions -> new GenerationRouter(config.settings(), 1, actions));
-        front = new Front(config, desk, counters, this, () -> now, line -> { });
+        front = new Front(config, desk, counters, this, () -> nowMicros, line -> { });
     }
 
-    /** Plays so many requests; returns how many were served. */
-    static long play(Config config, int requests) {
-        Rehearsal rehearsal = new Rehearsal(config);
-        List<ModelServer> boxes = new ArrayList<>();
-        for (int i = 1; i <= BOXES; i++) {
-            boxes.add(new ModelServer("s-" + i, "127.0.0.1:" + i, new Replica(i, 0, 0, 0, 1, Lifecycle.READY,
+    /** Plays this number of requests; returns how many were served. */
+    static long run(Config config, int requests) {
+        Rehearsal warmUp = new Rehearsal(config);
+        List<ModelServer> servers = new ArrayList<>();
+        for (int i = 1; i <= SERVERS; i++) {
+            servers.add(new ModelServer("s-" + i, "127.0.0.1:" + i, new Replica(i, 0, 0, 0, 1,
+                    Lifecycle.READY,
                     0)));
         }
-        rehearsal.front.start(new EndpointList(1, true, boxes));
+        warmUp.front.start(new EndpointList(1, true, servers));
         for (int i = 0; i < requests; i++) {
-            rehearsal.one(i);
+            warmUp.playRequest(i);
         }
-        return rehearsal.counters.get("answers.served");
+        return warmUp.counters.get("answers.served");
     }
 
-    private void one(int number) {
-        now += STEP;
-        Side client = front.accept(new Nowhere());
+    private void playRequest(int number) {
+        nowMicros += REQUEST_INTERVAL_MICROS;
+        Side client = front.accept(new SimulatedWire());
         client.received(ByteBuffer.wrap(request(number).getBytes(StandardCharsets.US_ASCII)));
-        for (Runnable next = due.poll(); next != null; next = due.poll()) {
+        for (Runnable next = tasks.poll(); next != null; next = tasks.poll()) {
             next.run();
         }
         client.down();
@@ -76,46 +77,47 @@
     private String request(int number) {
         String account = config.settings().tenants().isEmpty() ? "" : "X-Account: "
                 + config.settings().tenants().get(0).name() + "\r\n";
-        int kinds = config.settings().classes().size();
+        int classes = config.settings().classes().size();
         return String.format(Locale.ROOT, "POST /v1/chat/completions HTTP/1.1\r\nX-Correlation-Id: %x\r\n"
                 + "X-Service-Class: %s\r\n%sX-Session-Key: %x\r\nX-Time-Left: 4.000\r\nX-Facts: prefix=%x,"
                 + "prompt_len=100,prefix_len=50,max_out=20\r\nContent-Length: 2\r\n\r\n{}", number + 1,
-                config.settings().classes().get(number % kinds).name(), account, number + 1, number % 9 + 1);
+                config.settings().classes().get(number % classes).name(), account, number + 1, number % 9
+                        + 1);
     }
 
-    /** A box's connection, which answers what is written to it; the list's never comes up. */
+    /** Opens a simulated server connection that answers every write; a discovery connection never opens. */
     @Override
     public <S extends Side> S connect(String address, Function<Wire, S> makeSide) {
-        Nowhere wire = new Nowhere();
-        S side = makeSide.apply(wire);
+        SimulatedWire connection = new SimulatedWire();
+        S handler = makeSide.apply(connection);
         if (!address.equals(config.discovery())) {
-            wire.answers = side;
-            due.add(side::up);
+            connection.serverHandler = handler;
+            tasks.add(handler::up);
         }
-        return side;
+        return handler;
     }
 
     @Override
     public void stop() {
-        // nobody asks for it
+        // not used
     }
 
-    private final class Nowhere extends NoWire {
-        private Side answers;
+    private final class SimulatedWire extends NoWire {
+        private Side serverHandler;
 
         @Override
         public void write(ByteBuffer bytes) {
-            Side box = answers;
-            if (box == null) {
+            Side handler = serverHandler;
+            if (handler == null) {
                 return;
             }
             int size = bytes.remaining();
-            due.add(() -> {
-                box.written(size);
-                box.received(bytes(ANSWER));
-                EVENTS.forEach(e -> box.received(bytes(Integer.toHexString(e.length()) + "\r\n" + e
+            tasks.add(() -> {
+                handler.written(size);
+                handler.received(bytes(RESPONSE_HEAD));
+                EVENTS.forEach(e -> handler.received(bytes(Integer.toHexString(e.length()) + "\r\n" + e
                         + "\r\n")));
-                box.received(bytes("0\r\n\r\n"));
+                handler.received(bytes("0\r\n\r\n"));
             });
         }
 
@@ -125,8 +127,8 @@
 
         @Override
         public void close() {
-            if (answers != null) {
-                due.add(answers::down);
+            if (serverHandler != null) {
+                tasks.add(serverHandler::down);
             }
         }
     }
--- a/src/main/java/yewdock/daemon/Serve.java
+++ b/src/main/java/yewdock/daemon/Serve.java
@@ -16,9 +16,9 @@
 import yewdock.platform.Front;
 import yewdock.sockets.Sockets;
 
-/** One router in this process, as the platform runs it: no keeper, no store. */
+/** Runs a single router in this process, without supervisor and store. */
 public final class Serve {
-    /** Makes what a router needs to be replaced by a process beside it. */
+    /** Creates the handover with a process that runs alongside this one. */
     public interface Maker {
         Succession make(String folder, Config config);
     }
@@ -26,14 +26,14 @@
     private Serve() {
     }
 
-    /** Serves as the configuration in this file says, to the end; returns the exit code. */
+    /** Serves with the configuration in this file until the process ends; returns the exit code. */
     public static int run(String file, Maker maker) {
         Consumer<String> log = line -> Logger.info("{}", line);
         if (file == null) {
             Logger.error("the configuration can't be read: PROXY_CONFIG is not set");
             return 1;
         }
-        // before all else: a SIGHUP that comes meanwhile would end the process
+        // first of all: a SIGHUP before its handler is installed would end the process
         ConfigurationFile configurationFile = ConfigurationFile.at(Path.of(file));
         Config config;
         try {
@@ -42,47 +42,48 @@
             Logger.error("the configuration can't be read: {}", e.toString());
             return 1;
         }
-        String operator = config.operator().isEmpty()
+        String operatorAddress = config.operator().isEmpty()
                 ? Objects.requireNonNullElse(System.getenv("PROXY_OPERATOR"), "") : config.operator();
         Counters counters = new Counters();
-        // only a router with a door for operators is replaced by a process beside it
-        Succession succession = operator.isEmpty() ? null
+        // only a router with an admin interface can be replaced by a process that runs alongside it
+        Succession handover = operatorAddress.isEmpty() ? null
                 : maker.make(Objects.requireNonNullElse(System.getenv("TMPDIR"), ""), config);
-        if (succession != null) {
-            succession.find();
+        if (handover != null) {
+            handover.find();
         }
         Desk desk = new Desk(Terms.of(config.settings(), config.keepalive()), config.bounds(), counters,
-                actions -> succession == null
+                actions -> handover == null
                         ? new BoundedLoadRouter(config.settings(), config.seed(), actions)
-                        : succession.router(actions));
+                        : handover.router(actions));
         Sockets sockets = new Sockets(config.bounds().clients(),
                 config.settings().contract().drainGrace());
         Front front = new Front(config, desk, counters, sockets, sockets.clock(), log);
-        // The JVM ends when its hooks have: this one holds it until nothing is owed.
+        // The JVM exits when its shutdown hooks have finished; this one waits for all open requests.
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             sockets.leave();
             Logger.info("counters at exit:\n{}", counters);
-            shutLogger();
+            shutDownLogger();
         }, "leave"));
-        configurationFile.readBy(() -> reconfigure(sockets, file, log));
-        if (!configurationFile.takesSignal()) {
+        configurationFile.setReader(() -> reconfigure(sockets, file, log));
+        if (!configurationFile.handlesSignal()) {
             Logger.warn("SIGHUP was ignored when this process was started: {} is read again whenever it has "
                     + "changed", file);
         }
         try {
-            if (succession != null) {
-                Door door = new Door(front);
-                sockets.listenAlso(operator, Door.MOST_ACCEPTED, Door.PATIENCE_SECONDS, door::accept);
+            if (handover != null) {
+                Door adminInterface = new Door(front);
+                sockets.listenAlso(operatorAddress, Door.MOST_ACCEPTED, Door.PATIENCE_SECONDS,
+                        adminInterface::accept);
             }
         } catch (IOException | IllegalArgumentException e) {
-            Logger.error("can't listen for operators on {}: {}", operator, e.getMessage());
+            Logger.error("can't listen for operators on {}: {}", operatorAddress, e.getMessage());
             Runtime.getRuntime().halt(1);
         }
         try {
-            if (succession == null) {
+            if (handover == null) {
                 sockets.serve(config.listen(), front, desk);
             } else {
-                succession.serve(sockets, front, desk);
+                handover.serve(sockets, front, desk);
             }
         } catch (IOException e) {
             Logger.error("can't listen on {}: {}", config.listen(), e.getMessage());
@@ -101,7 +102,7 @@
         }
     }
 
-    /** Whether a configuration can be read from this file. */
+    /** Whether this file holds a readable configuration. */
     static boolean isReadable(Path file) {
         try {
             read(file.toString(), line -> { });
@@ -111,7 +112,7 @@
         }
     }
 
-    /** The configuration in this file; null where none was named. */
+    /** Reads the configuration file; throws IllegalArgumentException if file is null. */
     static Config read(String file, Consumer<String> log) throws IOException {
         if (file == null) {
             throw new IllegalArgumentException("PROXY_CONFIG is not set");
@@ -119,7 +120,7 @@
         return Config.read(Files.readString(Path.of(file)), log);
     }
 
-    private static void shutLogger() {
+    private static void shutDownLogger() {
         try {
             ProviderRegistry.getLoggingProvider().shutdown();
         } catch (InterruptedException e) {
--- a/src/main/java/yewdock/daemon/States.java
+++ b/src/main/java/yewdock/daemon/States.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import umberspread.Routing.Lifecycle;
 import umberspread.Routing.Replica;
-import yewdock.desk.EndpointList;
 import yewdock.desk.BoxMark;
+import yewdock.desk.EndpointList;
 import yewdock.desk.Holdings;
 import yewdock.desk.ModelServer;
 import yewdock.desk.OtherNews;
@@ -24,115 +24,127 @@
 import yewdock.wire.Sharing;
 import yewdock.wire.State;
 
-/** Turns what generations tell each other into messages, and back. No I/O. */
+/** Converts the state and messages that generations exchange to protobuf and back. No I/O. */
 public final class States {
-    /** The version that is written, and the oldest that is still read. */
+    /** Version of the state format that is written, and the oldest that can be read. */
     static final int VERSION = 1;
-    static final int OLDEST_READ = 1;
-    /** The least version that a reader must know to make sense of what is written now. */
-    static final int LEAST_READER = 1;
+    static final int OLDEST_READABLE_VERSION = 1;
+    /** Lowest format version that a reader must support to read what is written now. */
+    static final int MIN_READER_VERSION = 1;
 
     private States() {
     }
 
-    /** What a state holds for the next generation; memory is null if there is none to go on with. */
+    /**
+     * The state that a generation takes over. Memory is the module's learned state, null if there is none;
+     * toldAt the time at which each server's state was reported, by server id in microseconds on the reader's
+     * clock; shift the offset in microseconds from the writer's clock to the reader's.
+     */
     public record Left(EndpointList boxes, String listAddress, Map<Long, Long> toldAt,
             umberspread.Memory memory,
             long shift, Map<String, Long> counters, boolean afterRestart) {
     }
 
-    /** The state of a generation, as of this time on its clock and on the system's monotonic one. */
-    public static State write(Holdings held, umberspread.Memory memory, Map<String, Long> counters,
-            long clock, long monoNanos) {
-        return State.newBuilder().setVersion(VERSION).setLeastReader(LEAST_READER).setClock(clock)
-                .setMonoNanos(monoNanos).setBoxes(boxes(held.boxes(), held.listAddress(), held.toldAt()))
-                .setModule(memory(memory)).putAllCounters(counters).build();
+    /** Encodes the state of a generation at this time on its clock (microseconds) and the monotonic clock. */
+    public static State write(Holdings generation, umberspread.Memory memory, Map<String, Long> counters,
+            long clockMicros, long monoNanos) {
+        return State.newBuilder().setVersion(VERSION).setLeastReader(MIN_READER_VERSION).setClock(clockMicros)
+                .setMonoNanos(monoNanos)
+                .setBoxes(encodeEndpointList(generation.boxes(), generation.listAddress(),
+                        generation.toldAt()))
+                .setModule(learnedState(memory)).putAllCounters(counters).build();
     }
 
-    /** Reads a state at this time on the reader's clock; null if there is none. */
-    public static Left read(State s, long clock, long monoNanos) throws UnreadableStateException {
-        if (s.getVersion() == 0 && s.getLeastReader() == 0 && !s.hasModule()) {
+    /** Decodes a state at this time on the reader's clock in microseconds; null if the state is empty. */
+    public static Left read(State encoded, long clockMicros, long monoNanos) throws UnreadableStateException {
+        if (encoded.getVersion() == 0 && encoded.getLeastReader() == 0 && !encoded.hasModule()) {
             return null;
         }
-        if (s.getVersion() < OLDEST_READ) {
-            throw new UnreadableStateException("the state's version is " + s.getVersion()
-                    + "; this program reads versions from " + OLDEST_READ + " on");
+        if (encoded.getVersion() < OLDEST_READABLE_VERSION) {
+            throw new UnreadableStateException("the state's version is " + encoded.getVersion()
+                    + "; this program reads versions from " + OLDEST_READABLE_VERSION + " on");
         }
-        if (s.getLeastReader() > VERSION) {
-            throw new UnreadableStateException("the state's version is " + s.getVersion()
+        if (encoded.getLeastReader() > VERSION) {
+            throw new UnreadableStateException("the state's version is " + encoded.getVersion()
                     + ", for readers of "
-                    + s.getLeastReader() + " or later; this program's is " + VERSION);
+                    + encoded.getLeastReader() + " or later; this program's is " + VERSION);
         }
-        long age = (monoNanos - s.getMonoNanos()) / 1000;
-        if (age < 0) {
-            throw new UnreadableStateException("the state comes from another start of this machine");
+        long ageMicros = (monoNanos - encoded.getMonoNanos()) / 1000;
+        if (ageMicros < 0) {
+            throw new UnreadableStateException("the state was written before this machine was rebooted");
         }
-        // the moment at which the state was written, on the reader's clock, less the same on the writer's
-        long shift = clock - age - s.getClock();
+        // when the state was written: the time on the reader's clock minus the time on the writer's
+        long shiftMicros = clockMicros - ageMicros - encoded.getClock();
         try {
             Map<Long, Long> toldAt = new HashMap<>();
-            for (Box box : s.getBoxes().getBoxesList()) {
+            for (Box box : encoded.getBoxes().getBoxesList()) {
                 if (box.getToldAt() != 0) {
-                    toldAt.put(box.getId(), box.getToldAt() + shift);
+                    toldAt.put(box.getId(), box.getToldAt() + shiftMicros);
                 }
             }
-            return new Left(list(s.getBoxes()), s.getBoxes().getAddress(), toldAt,
-                    s.hasModule() ? memory(s.getModule()) : null, shift, Map.copyOf(s.getCountersMap()),
-                    s.getAfterRestart());
+            return new Left(decodeEndpointList(encoded.getBoxes()), encoded.getBoxes().getAddress(), toldAt,
+                    encoded.hasModule() ? learnedState(encoded.getModule()) : null, shiftMicros,
+                            Map.copyOf(encoded.getCountersMap()),
+                    encoded.getAfterRestart());
         } catch (IllegalArgumentException e) {
             throw new UnreadableStateException("the state can't be read: " + e.getMessage());
         }
     }
 
-    /** The marks that hold. */
-    static Map<String, BoxMark> marks(Marks told) {
-        Map<String, BoxMark> marks = new HashMap<>();
-        told.getByBoxMap().forEach((box, mark) -> {
-            switch (mark.getKind()) {
-                case DRAIN -> marks.put(box, BoxMark.DRAINS);
-                case GONE -> marks.put(box, new BoxMark(BoxMark.Kind.GONE, mark.getStartedAt()));
-                case BACK -> marks.put(box, new BoxMark(BoxMark.Kind.BACK, mark.getStartedAt()));
+    /** Decodes operator overrides. */
+    static Map<String, BoxMark> overrides(Marks encoded) {
+        Map<String, BoxMark> overrides = new HashMap<>();
+        encoded.getByBoxMap().forEach((server, override) -> {
+            switch (override.getKind()) {
+                case DRAIN -> overrides.put(server, BoxMark.DRAINS);
+                case GONE -> overrides.put(server, new BoxMark(BoxMark.Kind.GONE, override.getStartedAt()));
+                case BACK -> overrides.put(server, new BoxMark(BoxMark.Kind.BACK, override.getStartedAt()));
                 default -> { }
             }
         });
-        return marks;
+        return overrides;
     }
 
-    /** Marks for another process; changes: those of other boxes hold as they did. */
-    static Marks marks(Map<String, BoxMark> marks, boolean changes) {
-        Marks.Builder all = Marks.newBuilder().setChanges(changes);
-        marks.forEach((box, mark) -> all.putByBox(box,
-                Mark.newBuilder().setKind(kind(mark)).setStartedAt(mark.at()).build()));
-        return all.build();
+    /** Encodes operator overrides; with changes set, the overrides of servers not named stay as they are. */
+    static Marks overrides(Map<String, BoxMark> overrides, boolean changes) {
+        Marks.Builder encoded = Marks.newBuilder().setChanges(changes);
+        overrides.forEach((server, override) -> encoded.putByBox(server,
+                Mark.newBuilder().setKind(kind(override)).setStartedAt(override.at()).build()));
+        return encoded.build();
     }
 
-    private static Mark.Kind kind(BoxMark mark) {
-        return switch (mark.kind()) {
+    private static Mark.Kind kind(BoxMark override) {
+        return switch (override.kind()) {
             case DRAINS -> Mark.Kind.DRAIN;
             case GONE -> Mark.Kind.GONE;
             case BACK -> Mark.Kind.BACK;
         };
     }
 
-    /** What the module has learnt, for the keeper to keep. */
-    static Keep keep(umberspread.Memory memory, long clock) {
-        return Keep.newBuilder().setClock(clock).setModule(memory(memory)).build();
+    /** Encodes the module's learned state for the supervisor to store. */
+    static Keep encodeLearnedState(umberspread.Memory memory, long clockMicros) {
+        return Keep.newBuilder().setClock(clockMicros).setModule(learnedState(memory)).build();
     }
 
-    static Sharing sharing(Holdings held) {
-        Sharing.Builder all = Sharing.newBuilder().addAllIds(held.ids())
-                .setBoxes(boxes(held.boxes(), held.listAddress(), held.toldAt()));
-        held.out().forEach(o -> all.addOuts(Out.newBuilder().setToken(o.token()).setBox(o.box())));
-        return all.build();
+    /** Encodes what a generation holds: open request ids, attempts in flight and the endpoint list. */
+    static Sharing encodeGenerationState(Holdings generation) {
+        Sharing.Builder encoded = Sharing.newBuilder().addAllIds(generation.ids())
+                .setBoxes(encodeEndpointList(generation.boxes(), generation.listAddress(),
+                        generation.toldAt()));
+        generation.out().forEach(o -> encoded.addOuts(Out.newBuilder().setToken(o.token()).setBox(o.box())));
+        return encoded.build();
     }
 
-    static Holdings holdings(Sharing s) {
-        List<OtherNews.Sent> out = new ArrayList<>();
-        s.getOutsList().forEach(o -> out.add(new OtherNews.Sent(o.getToken(), o.getBox())));
-        return new Holdings(s.getIdsList(), out, list(s.getBoxes()), s.getBoxes().getAddress(), Map.of());
+    /** Decodes what another generation holds; without the report times of server states. */
+    static Holdings decodeGenerationState(Sharing encoded) {
+        List<OtherNews.Sent> attempts = new ArrayList<>();
+        encoded.getOutsList().forEach(o -> attempts.add(new OtherNews.Sent(o.getToken(), o.getBox())));
+        return new Holdings(encoded.getIdsList(), attempts, decodeEndpointList(encoded.getBoxes()),
+                encoded.getBoxes().getAddress(), Map.of());
     }
 
-    static News news(OtherNews n) {
+    /** Encodes a message to other generations. */
+    static News message(OtherNews n) {
         News.Builder news = News.newBuilder();
         if (n instanceof OtherNews.Claim c) {
             news.setClaim(c.id()).setNumber(c.number());
@@ -150,13 +162,13 @@
         } else if (n instanceof OtherNews.Ended e) {
             news.setEnded(e.token());
         } else if (n instanceof OtherNews.Told t) {
-            news.setBoxes(boxes(t.list(), t.address(), Map.of()));
+            news.setBoxes(encodeEndpointList(t.list(), t.address(), Map.of()));
         }
         return news.build();
     }
 
-    /** The news, or null where a later version tells of something that this one doesn't know. */
-    static OtherNews news(News n) {
+    /** Decodes a message from another generation; null if this version does not know its kind. */
+    static OtherNews message(News n) {
         return switch (n.getWhatCase()) {
             case CLAIM -> new OtherNews.Claim(n.getClaim(), n.getNumber());
             case GRANTED -> new OtherNews.Claimed(n.getOf(), n.getGranted(), n.getNumber(), true);
@@ -164,67 +176,75 @@
             case RELEASED -> new OtherNews.Released(n.getReleased());
             case SENT -> new OtherNews.Sent(n.getSent().getToken(), n.getSent().getBox());
             case ENDED -> new OtherNews.Ended(n.getEnded());
-            case BOXES -> new OtherNews.Told(list(n.getBoxes()), n.getBoxes().getAddress());
+            case BOXES -> new OtherNews.Told(decodeEndpointList(n.getBoxes()), n.getBoxes().getAddress());
             default -> null;
         };
     }
 
-    private static Boxes boxes(EndpointList list, String address, Map<Long, Long> toldAt) {
-        Boxes.Builder all = Boxes.newBuilder().setVersion(list.version()).setFull(list.full())
+    private static Boxes encodeEndpointList(EndpointList list, String address, Map<Long, Long> toldAt) {
+        Boxes.Builder encoded = Boxes.newBuilder().setVersion(list.version()).setFull(list.full())
                 .setAddress(address == null ? "" : address);
-        for (ModelServer box : list.boxes()) {
-            Replica r = box.replica();
-            all.addBoxes(Box.newBuilder().setName(box.name()).setAddress(box.address()).setId(r.id())
-                    .setSite(r.zone()).setKind(r.kind()).setCell(r.cell()).setWeight(r.weight())
-                    .setLifecycle(r.lifecycle().ordinal()).setStartedAt(r.startedAt())
-                    .setToldAt(toldAt.getOrDefault(r.id(), 0L)));
+        for (ModelServer server : list.boxes()) {
+            Replica state = server.replica();
+            encoded.addBoxes(Box.newBuilder().setName(server.name()).setAddress(server.address())
+                    .setId(state.id()).setSite(state.zone()).setKind(state.kind()).setCell(state.cell())
+                    .setWeight(state.weight())
+                    .setLifecycle(state.lifecycle().ordinal()).setStartedAt(state.startedAt())
+                    .setToldAt(toldAt.getOrDefault(state.id(), 0L)));
         }
-        return all.build();
+        return encoded.build();
     }
 
-    private static EndpointList list(Boxes boxes) {
-        List<ModelServer> all = new ArrayList<>();
-        for (Box b : boxes.getBoxesList()) {
-            if (b.getLifecycle() < 0 || b.getLifecycle() >= Lifecycle.values().length) {
-                throw new IllegalArgumentException("box " + b.getName() + " is in an unknown state");
+    private static EndpointList decodeEndpointList(Boxes encoded) {
+        List<ModelServer> servers = new ArrayList<>();
+        for (Box server : encoded.getBoxesList()) {
+            if (server.getLifecycle() < 0 || server.getLifecycle() >= Lifecycle.values().length) {
+                throw new IllegalArgumentException("server " + server.getName() + " is in an unknown state");
             }
-            all.add(new ModelServer(b.getName(), b.getAddress(), new Replica(b.getId(), b.getSite(),
-                    b.getKind(),
-                    b.getCell(), b.getWeight(), Lifecycle.values()[b.getLifecycle()], b.getStartedAt())));
+            servers.add(new ModelServer(server.getName(), server.getAddress(), new Replica(server.getId(),
+                    server.getSite(),
+                    server.getKind(),
+                    server.getCell(), server.getWeight(), Lifecycle.values()[server.getLifecycle()],
+                            server.getStartedAt())));
         }
-        return new EndpointList(boxes.getVersion(), boxes.getFull(), all);
+        return new EndpointList(encoded.getVersion(), encoded.getFull(), servers);
     }
 
-    private static Memory memory(umberspread.Memory m) {
-        Memory.Builder all = Memory.newBuilder().setUnitWeight(m.unitWeight())
+    private static Memory learnedState(umberspread.Memory m) {
+        Memory.Builder encoded = Memory.newBuilder().setUnitWeight(m.unitWeight())
                 .setAverageWorth(m.averageWorth()).setSendTally(m.firstTokenTally()).setReadRate(m.readRate())
                 .setUnnamed(m.unnamed()).setPlannedAt(m.plannedAt()).addAllClassTime(m.classTime())
                 .putAllKindTime(m.kindTime()).addAllMunicipalityTally(m.tenantTally())
                 .addAllTaken(m.taken()).addAllFurther(m.further()).addAllPoolArrivals(m.poolArrivals());
-        for (umberspread.Memory.OfReplica r : m.replicas()) {
-            all.addNodes(NodeMemory.newBuilder().setId(r.id()).setPoints(r.points())
-                    .addAllRestUntil(r.restUntil()).addAllStrikes(r.strikes())
-                    .setEjectedUntil(r.ejectedUntil()).setEjections(r.ejections()).setBreaks(r.breaks())
-                    .setSlowUntil(r.slowUntil()).setLastDelay(r.lastDelay())
-                    .setColdBudgetAt(r.coldBudgetAt()).setBudgetedStart(r.budgetedStart()));
+        for (umberspread.Memory.OfReplica server : m.replicas()) {
+            encoded.addNodes(NodeMemory.newBuilder().setId(server.id()).setPoints(server.points())
+                    .addAllRestUntil(server.restUntil()).addAllStrikes(server.strikes())
+                    .setEjectedUntil(server.ejectedUntil()).setEjections(server.ejections())
+                    .setBreaks(server.breaks())
+                    .setSlowUntil(server.slowUntil()).setLastDelay(server.lastDelay())
+                    .setColdBudgetAt(server.coldBudgetAt()).setBudgetedStart(server.budgetedStart()));
         }
-        for (umberspread.Memory.OfKey k : m.keys()) {
-            all.addKeys(KeyMemory.newBuilder().setKey(k.key()).setTally(k.tally()).setSpread(k.spread())
-                    .setPool(k.pool()));
+        for (umberspread.Memory.OfKey key : m.keys()) {
+            encoded.addKeys(KeyMemory.newBuilder().setKey(key.key()).setTally(key.tally())
+                    .setSpread(key.spread()).setPool(key.pool()));
         }
-        return all.build();
+        return encoded.build();
     }
 
-    private static umberspread.Memory memory(Memory m) {
+    private static umberspread.Memory learnedState(Memory m) {
         List<umberspread.Memory.OfReplica> replicas = new ArrayList<>();
-        for (NodeMemory n : m.getNodesList()) {
-            replicas.add(new umberspread.Memory.OfReplica(n.getId(), n.getPoints(), n.getRestUntilList(),
-                    n.getStrikesList(), n.getEjectedUntil(), n.getEjections(), n.getBreaks(),
-                    n.getSlowUntil(), n.getLastDelay(), n.getColdBudgetAt(), n.getBudgetedStart()));
+        for (NodeMemory server : m.getNodesList()) {
+            replicas.add(new umberspread.Memory.OfReplica(server.getId(), server.getPoints(),
+                    server.getRestUntilList(),
+                    server.getStrikesList(), server.getEjectedUntil(), server.getEjections(),
+                            server.getBreaks(),
+                    server.getSlowUntil(), server.getLastDelay(), server.getColdBudgetAt(),
+                            server.getBudgetedStart()));
         }
         List<umberspread.Memory.OfKey> keys = new ArrayList<>();
-        for (KeyMemory k : m.getKeysList()) {
-            keys.add(new umberspread.Memory.OfKey(k.getKey(), k.getTally(), k.getSpread(), k.getPool()));
+        for (KeyMemory key : m.getKeysList()) {
+            keys.add(new umberspread.Memory.OfKey(key.getKey(), key.getTally(), key.getSpread(),
+                    key.getPool()));
         }
         return new umberspread.Memory(m.getUnitWeight(), m.getAverageWorth(), m.getSendTally(),
                 m.getReadRate(), m.getUnnamed(),
--- a/src/main/java/yewdock/daemon/Succession.java
+++ b/src/main/java/yewdock/daemon/Succession.java
@@ -38,74 +38,77 @@
 import yewdock.wire.State;
 
 /**
- * A router whose process is replaced by another, with no keeper between them: the newer one is started beside
- * the older, finds it by a socket in the folder that both have, takes its state, listens at the same address
- * and tells it to let go. What the two say to each other is what a daemon's generations say.
+ * Hands a router over from one process to its successor without a supervisor. The new process is started
+ * alongside the old one, finds it by a socket in their common folder, takes its state, listens at the same
+ * address and tells it to stop accepting. Both speak the protocol of a daemon's generations.
  *
- * <p>With nobody there, or with one that doesn't answer, the newer one serves by itself; it is never kept
- * from serving by what it finds in the folder. All but the finding happens on the desk's thread.
+ * <p>If there is no older process, or it does not respond, the new one serves on its own: nothing that it
+ * finds in the folder keeps it from serving. Everything but {@link #find} runs on the reducer's thread.
  */
 public class Succession {
-    private static final int OLDER = 1;
-    private static final int NEWER = 2;
-    /** An older process that is asked for its state, and then for what it has out, answers so soon. */
-    private static final long STATE_MILLIS = 1_500;
-    private static final long SHARE_MILLIS = 2_500;
-    /** A newer one that has taken the ids listens so soon, or is given up. */
-    private static final long TAKE_MILLIS = 3_000;
-    /** An older process that still finishes is waited for so long before a third may take over. */
-    private static final long FINISH_MILLIS = 2_000;
-    private static final long LOOK_MILLIS = 100;
+    private static final int PREDECESSOR = 1;
+    private static final int SUCCESSOR = 2;
+    /** Timeouts for the older process to send its state, and then its open requests. */
+    private static final long STATE_TIMEOUT_MILLIS = 1_500;
+    private static final long SHARE_TIMEOUT_MILLIS = 2_500;
+    /** Timeout for a newer process that owns the request ids to listen; after it, it is given up. */
+    private static final long TAKE_OVER_TIMEOUT_MILLIS = 3_000;
+    /** How long a third process has to wait for the oldest one to finish before it may take over. */
+    private static final long FINISH_TIMEOUT_MILLIS = 2_000;
+    private static final long POLL_MILLIS = 100;
     /**
-     * The older process is ended once this one says that it is ready, which is due within 6 s: until this age
-     * it lets the older one finish its streams. Both serve meanwhile.
+     * Age at which this process reports ready. The platform stops the older process at that moment, and
+     * requires it within 6 s; until then the older one can finish its streams. Both serve in the meantime.
      */
-    private static final long READY_MILLIS = 5_000;
-    /** Of the fields of a process's state behind its name, the one that tells its start. */
-    private static final int START_TICKS = 19;
-    private static final long MILLIS_A_TICK = 10;
+    private static final long READY_AGE_MILLIS = 5_000;
+    /**
+     * Index of the start time, in clock ticks since boot, among the fields of /proc/self/stat behind the
+     * name.
+     */
+    private static final int START_TICKS_FIELD = 19;
+    private static final long MILLIS_PER_TICK = 10;
     private static final long UNKNOWN_AGE_MILLIS = 2_000;
-    private static final long LET_GO_MICROS = 600_000_000L;
-    private static final int MOST_PATH = 100;
+    private static final long FINISH_LIMIT_MICROS = 600_000_000L;
+    private static final int MAX_SOCKET_PATH = 100;
 
     private final Config config;
-    /** Null where there is no folder that both processes would have. */
+    /** Null if the processes have no common folder, or its path is too long for a Unix socket. */
     private final Path socket;
-    private final MarksFile marksFile;
+    private final MarksFile overridesFile;
     private final CompletableFuture<State> state = new CompletableFuture<>();
-    private volatile Marks marksLeft;
+    private volatile Marks inheritedOverrides;
     private Link older;
-    private States.Left left;
+    private States.Left inherited;
     private GenerationRouter router;
-    private final List<Runnable> early = new ArrayList<>();
+    private final List<Runnable> queuedWork = new ArrayList<>();
     private Sockets sockets;
     private Front front;
     private Desk desk;
-    private ServerSocketChannel door;
-    /** Written on the desk's thread only. */
-    private Link newer;
-    /** Where clients come; they come back to the same port. */
+    private ServerSocketChannel successorListener;
+    /** Written on the reducer's thread only. */
+    private Link successor;
+    /** The address on which clients connect; the port stays the same when this process listens again. */
     private String address;
     private boolean tookOver;
     private boolean listening;
-    private boolean shared;
-    private boolean letGo;
+    private boolean idsShared;
+    private boolean toldToLetGo;
 
-    /** The router of this configuration, whose processes have this folder; "" if they have none. */
+    /** Creates the handover of a router whose processes share this folder; "" if they have none. */
     public Succession(String folder, Config config) {
         this.config = config;
         this.address = config.listen();
         Path base = folder.isEmpty() ? null : Path.of(folder).toAbsolutePath()
                 .resolve("yewdock-" + config.name().replaceAll("[^A-Za-z0-9_-]", "_"));
-        this.marksFile = base == null ? null
+        this.overridesFile = base == null ? null
                 : new MarksFile(base.resolveSibling(base.getFileName() + ".marks"));
-        this.socket = base == null || base.toString().length() > MOST_PATH ? null
+        this.socket = base == null || base.toString().length() > MAX_SOCKET_PATH ? null
                 : base.resolveSibling(base.getFileName() + ".sock");
     }
 
-    /** Called as each stage of taking over is reached; stand-ins make it fail. */
+    /** Called when a stage of taking over is reached; overridden for fault injection. */
     protected void reached(Stage stage) {
-        // nothing fails here
+        // no fault here
     }
 
     /** The connection to the older process; null if there is none. */
@@ -113,7 +116,9 @@
         return older;
     }
 
-    /** Looks for an older process and takes its state; any thread may call it, once, before all else. */
+    /**
+     * Connects to an older process and reads its state. To be called once, before all else, on any thread.
+     */
     public final void find() {
         if (socket == null || !Files.exists(socket)) {
             return;
@@ -125,63 +130,65 @@
             return;
         }
         reached(Stage.CHECK);
-        older.start("older", this::heardOfOlder, why -> {
+        older.start("older", this::predecessorFrameReceived, why -> {
             state.complete(State.getDefaultInstance());
-            later(() -> olderGone(why));
+            runOnReducerThread(() -> predecessorGone(why));
         });
         older.send(Frame.newBuilder().setHello(Hello.newBuilder().setProgram(
                 String.valueOf(getClass().getPackage().getImplementationVersion()))).build());
         older.send(Frame.newBuilder().setGiveState(GiveState.getDefaultInstance()).build());
         try {
-            left = States.read(state.get(STATE_MILLIS, TimeUnit.MILLISECONDS), new Clock().getAsLong(),
+            inherited = States.read(state.get(STATE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS),
+                    new Clock().getAsLong(),
                     System.nanoTime());
             reached(Stage.STATE);
         } catch (TimeoutException | ExecutionException | UnreadableStateException e) {
-            Say.warn("succession.no_state", "why", e.toString(), "now", "going on without");
+            Say.warn("succession.no_state", "why", e.toString(), "now", "continuing without");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** The module, with what the older process has learnt. */
+    /** Creates the module, with the learned state of the older process if there is any. */
     public final Routing.Events router(Routing.Actions actions) {
-        router = Generation.router(config, config.seed(), actions, left);
+        router = Generation.router(config, config.seed(), actions, inherited);
         return router;
     }
 
-    /** Serves until told to stop. */
-    public final void serve(Sockets on, Front by, Desk of) {
+    /** Serves until the process is told to stop. */
+    public final void serve(Sockets transport, Front connectionManager, Desk reducer) {
         synchronized (this) {
-            sockets = on;
-            early.forEach(on::post);
-            early.clear();
+            sockets = transport;
+            queuedWork.forEach(transport::post);
+            queuedWork.clear();
         }
-        front = by;
-        desk = of;
-        front.tellOthersBy(this::tell);
-        sockets.serveLater(this::begin, front, desk);
-        if (newer == null && door != null) {
-            delete();
+        front = connectionManager;
+        desk = reducer;
+        front.tellOthersBy(this::sendToOthers);
+        sockets.serveLater(this::start, front, desk);
+        if (successor == null && successorListener != null) {
+            deleteSocket();
         }
     }
 
-    /** On the desk's thread; what comes before there is one waits for it. */
-    private synchronized void later(Runnable work) {
+    /** Runs the work on the reducer's thread; before there is one, queues it. */
+    private synchronized void runOnReducerThread(Runnable work) {
         if (sockets != null) {
             sockets.post(work);
         } else {
-            early.add(work);
+            queuedWork.add(work);
         }
     }
 
-    // ---- the newer process
+    // ---- as the newer process
 
-    private void begin() {
-        Generation.begin(front, desk, config, left);
-        Map<String, BoxMark> marks = marksLeft != null ? States.marks(marksLeft) : kept();
-        if (!marks.isEmpty()) {
-            front.happened(new Event.Marked(marks));
-            Say.info("succession.marks", "boxes", marks.size());
+    private void start() {
+        Generation.startReducer(front, desk, config, inherited);
+        Map<String, BoxMark> overrides = inheritedOverrides != null ? States.overrides(inheritedOverrides)
+                : readOverrides();
+        if (!overrides.isEmpty()) {
+            front.happened(new Event.Marked(overrides));
+            Say.info("succession.marks", "boxes", overrides.size());
         }
         if (older == null) {
             takeOver();
@@ -190,51 +197,54 @@
         front.happened(new Event.Beside(Older.SERVES));
         reached(Stage.READY);
         older.send(Frame.newBuilder().setShare(Share.getDefaultInstance()).build());
-        sockets.postAfter(SHARE_MILLIS, () -> {
+        sockets.postAfter(SHARE_TIMEOUT_MILLIS, () -> {
             if (!tookOver) {
-                Say.warn("succession.silent", "now", "taking over all the same");
+                Say.warn("succession.silent", "now", "taking over anyway");
                 takeOver();
             }
         });
     }
 
-    private Map<String, BoxMark> kept() {
+    private Map<String, BoxMark> readOverrides() {
         try {
-            return marksFile == null ? Map.of() : marksFile.read();
+            return overridesFile == null ? Map.of() : overridesFile.read();
         } catch (IOException e) {
-            Say.warn("succession.marks_unreadable", "why", e.getMessage(), "now", "going on without");
+            Say.warn("succession.marks_unreadable", "why", e.getMessage(), "now", "continuing without");
             return Map.of();
         }
     }
 
-    /** Listens, and only then is ready; the older process lets go once this one takes connections. */
+    /**
+     * Listens and then becomes ready; the older process stops accepting once this one accepts connections.
+     */
     private void takeOver() {
         if (tookOver) {
             return;
         }
-        // once: the older process may end when this one has let go itself
+        // only once: the older process may end after this one has itself stopped accepting for a successor
         tookOver = true;
         listen();
         awaitSuccessor();
         front.happened(new Event.Beside(older == null ? Older.NONE : Older.FINISHES));
         if (older != null) {
-            sockets.postAfter(Math.max(0, READY_MILLIS - age()),
+            sockets.postAfter(Math.max(0, READY_AGE_MILLIS - ageMillis()),
                     () -> front.happened(new Event.Beside(Older.NONE)));
-            older.send(Frame.newBuilder().setLetGo(LetGo.newBuilder().setLimitMicros(LET_GO_MICROS)).build());
+            older.send(Frame.newBuilder().setLetGo(LetGo.newBuilder()
+                    .setLimitMicros(FINISH_LIMIT_MICROS)).build());
             Say.info("succession.took_over", "boxes", desk.holdings().boxes().boxes().size());
         }
     }
 
     /**
-     * How long this process has been there, from the system's own counts since its boot: the start that Java
-     * tells is off by up to a second.
+     * The age of this process in milliseconds, from its start time and the uptime in /proc: the start time
+     * that Java reports is off by up to a second.
      */
-    private static long age() {
+    private static long ageMillis() {
         try {
             String stat = Files.readString(Path.of("/proc/self/stat"));
             String[] behindName = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
             double up = Double.parseDouble(Files.readString(Path.of("/proc/uptime")).split(" ")[0]);
-            return Math.round(up * 1000) - Long.parseLong(behindName[START_TICKS]) * MILLIS_A_TICK;
+            return Math.round(up * 1000) - Long.parseLong(behindName[START_TICKS_FIELD]) * MILLIS_PER_TICK;
         } catch (IOException | RuntimeException e) {
             return UNKNOWN_AGE_MILLIS;
         }
@@ -250,63 +260,64 @@
         }
     }
 
-    private void heardOfOlder(Frame frame) {
+    private void predecessorFrameReceived(Frame frame) {
         if (frame.hasState()) {
             state.complete(frame.getState());
         } else if (frame.hasMarks() && !frame.getMarks().getChanges()) {
-            marksLeft = frame.getMarks();
+            inheritedOverrides = frame.getMarks();
         } else {
-            later(() -> fromOlder(frame));
+            runOnReducerThread(() -> handlePredecessorFrame(frame));
         }
     }
 
-    private void fromOlder(Frame frame) {
+    private void handlePredecessorFrame(Frame frame) {
         switch (frame.getWhatCase()) {
             case SHARING -> {
                 reached(Stage.SHARE);
-                front.happened(new Event.Adopt(OLDER, States.holdings(frame.getSharing())));
+                front.happened(new Event.Adopt(PREDECESSOR,
+                        States.decodeGenerationState(frame.getSharing())));
                 takeOver();
             }
-            case NEWS -> news(OLDER, frame.getNews());
-            case MARKS -> changed(frame.getMarks());
+            case NEWS -> messageReceived(PREDECESSOR, frame.getNews());
+            case MARKS -> overridesChanged(frame.getMarks());
             default -> Say.warn("frame.unknown", "from", "older", "frame", frame.getWhatCase());
         }
     }
 
-    private void olderGone(String why) {
-        Say.info("succession.older_gone", "why", why);
+    private void predecessorGone(String reason) {
+        Say.info("succession.older_gone", "why", reason);
         older = null;
-        front.happened(new Event.OtherGone(OLDER));
+        front.happened(new Event.OtherGone(PREDECESSOR));
         front.happened(new Event.Beside(Older.NONE));
         takeOver();
     }
 
-    // ---- the older process
+    // ---- as the older process
 
-    /** Whoever is started next finds this process here. */
+    /** Opens the socket at which the next process finds this one. */
     private void awaitSuccessor() {
         if (socket == null) {
             return;
         }
         try {
-            delete();
-            door = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
-            door.bind(UnixDomainSocketAddress.of(socket));
+            deleteSocket();
+            successorListener = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
+            successorListener.bind(UnixDomainSocketAddress.of(socket));
         } catch (IOException | RuntimeException e) {
-            // Unix sockets may be refused here: the process can be replaced all the same, without its state
+            // if Unix sockets are not permitted, the process can still be replaced, but without its state
             Say.warn("succession.no_socket", "why", e.getMessage());
-            door = null;
+            successorListener = null;
             return;
         }
-        ServerSocketChannel mine = door;
+        ServerSocketChannel mine = successorListener;
         Thread acceptor = new Thread(() -> {
             try {
                 while (true) {
                     Link link = new Link(mine.accept());
-                    later(() -> came(link));
+                    runOnReducerThread(() -> successorConnected(link));
                 }
             } catch (ClosedChannelException e) {
-                // not waiting any more
+                // the socket was closed because this process ends
             } catch (IOException e) {
                 Say.warn("succession.no_socket", "why", e.getMessage());
             }
@@ -315,7 +326,7 @@
         acceptor.start();
     }
 
-    private void delete() {
+    private void deleteSocket() {
         try {
             Files.deleteIfExists(socket);
         } catch (IOException e) {
@@ -323,34 +334,34 @@
         }
     }
 
-    private void came(Link link) {
-        if (newer != null) {
-            Say.warn("succession.second", "now", "turned away: another process is taking over");
-            link.close();
+    private void successorConnected(Link connection) {
+        if (successor != null) {
+            Say.warn("succession.second", "now", "rejected: another process is already taking over");
+            connection.close();
             return;
         }
-        newer = link;
-        link.start("newer", frame -> later(() -> fromNewer(link, frame)),
-                why -> later(() -> newerGone(link, why)));
+        successor = connection;
+        connection.start("newer", frame -> runOnReducerThread(() -> handleSuccessorFrame(connection, frame)),
+                why -> runOnReducerThread(() -> successorGone(connection, why)));
     }
 
-    private void fromNewer(Link link, Frame frame) {
-        if (link != newer) {
+    private void handleSuccessorFrame(Link connection, Frame frame) {
+        if (connection != successor) {
             return;
         }
         switch (frame.getWhatCase()) {
             case HELLO -> Say.info("succession.newer", "program", frame.getHello().getProgram());
             case GIVE_STATE -> {
-                newer.send(Frame.newBuilder().setMarks(States.marks(desk.marks(), false)).build());
-                // each process counts from 0
-                newer.send(Frame.newBuilder().setState(States.write(desk.holdings(), router.memory(),
+                successor.send(Frame.newBuilder().setMarks(States.overrides(desk.marks(), false)).build());
+                // no counters: each process counts from 0
+                successor.send(Frame.newBuilder().setState(States.write(desk.holdings(), router.memory(),
                         Map.of(), sockets.clock().getAsLong(), System.nanoTime())).build());
             }
-            case SHARE -> share(link, System.nanoTime());
-            case NEWS -> news(NEWER, frame.getNews());
-            case MARKS -> changed(frame.getMarks());
+            case SHARE -> shareRequestIds(connection, System.nanoTime());
+            case NEWS -> messageReceived(SUCCESSOR, frame.getNews());
+            case MARKS -> overridesChanged(frame.getMarks());
             case LET_GO -> {
-                letGo = true;
+                toldToLetGo = true;
                 if (listening) {
                     listening = false;
                     sockets.stopAccepting();
@@ -362,41 +373,45 @@
         }
     }
 
-    /** Of three processes the middle one can't speak for the oldest: that one is waited for, but not long. */
-    private void share(Link link, long since) {
-        if (link != newer) {
+    /**
+     * Hands the request ids over. With a third, still older process, waits for it up to {@link
+     * #FINISH_TIMEOUT_MILLIS} first, because this process doesn't know its open requests.
+     */
+    private void shareRequestIds(Link connection, long sinceNanos) {
+        if (connection != successor) {
             return;
         }
-        if (older != null && System.nanoTime() - since < TimeUnit.MILLISECONDS.toNanos(FINISH_MILLIS)) {
-            sockets.postAfter(LOOK_MILLIS, () -> share(link, since));
+        if (older != null && System.nanoTime() - sinceNanos
+                < TimeUnit.MILLISECONDS.toNanos(FINISH_TIMEOUT_MILLIS)) {
+            sockets.postAfter(POLL_MILLIS, () -> shareRequestIds(connection, sinceNanos));
             return;
         }
         if (older != null) {
             older.close();
         }
-        shared = true;
+        idsShared = true;
         front.happened(new Event.Share());
-        sockets.postAfter(TAKE_MILLIS, () -> {
-            if (link == newer && !letGo) {
-                link.close();
-                newerGone(link, "it took the ids and then said nothing");
+        sockets.postAfter(TAKE_OVER_TIMEOUT_MILLIS, () -> {
+            if (connection == successor && !toldToLetGo) {
+                connection.close();
+                successorGone(connection, "it took over the request ids but did not start serving in time");
             }
         });
     }
 
-    /** The newer process died: this one serves as before, if it is not leaving itself. */
-    private void newerGone(Link link, String why) {
-        if (link != newer) {
+    /** Serves again after the newer process has died, unless this one is shutting down itself. */
+    private void successorGone(Link connection, String reason) {
+        if (connection != successor) {
             return;
         }
-        Say.warn("succession.newer_gone", "why", why, "shared", shared);
-        newer = null;
-        letGo = false;
-        if (!shared) {
+        Say.warn("succession.newer_gone", "why", reason, "shared", idsShared);
+        successor = null;
+        toldToLetGo = false;
+        if (!idsShared) {
             return;
         }
-        shared = false;
-        front.happened(new Event.OtherGone(NEWER));
+        idsShared = false;
+        front.happened(new Event.OtherGone(SUCCESSOR));
         front.happened(new Event.TakeBack());
         if (!listening && !desk.leaving()) {
             listen();
@@ -404,37 +419,38 @@
         }
     }
 
-    // ---- both
+    // ---- in both roles
 
-    private void news(int who, News told) {
-        OtherNews news = States.news(told);
-        if (news != null) {
-            front.happened(new Event.FromOther(who, news));
+    private void messageReceived(int generation, News encoded) {
+        OtherNews message = States.message(encoded);
+        if (message != null) {
+            front.happened(new Event.FromOther(generation, message));
         }
     }
 
-    private void changed(Marks marks) {
-        States.marks(marks).forEach((box, mark) -> front.happened(new Event.MarkChanged(box, mark)));
-        keep();
+    private void overridesChanged(Marks overrides) {
+        States.overrides(overrides).forEach((box, mark) -> front.happened(new Event.MarkChanged(box, mark)));
+        storeOverrides();
     }
 
-    private void tell(Effect effect) {
+    private void sendToOthers(Effect effect) {
         if (effect instanceof Effect.ShareOut e) {
-            send(newer, Frame.newBuilder().setSharing(States.sharing(e.held())).build());
+            send(successor, Frame.newBuilder().setSharing(States.encodeGenerationState(e.held())).build());
         } else if (effect instanceof Effect.MarkChanged e) {
-            Frame frame = Frame.newBuilder().setMarks(States.marks(Map.of(e.box(), e.mark()), true)).build();
-            send(newer, frame);
+            Frame frame = Frame.newBuilder().setMarks(States.overrides(Map.of(e.box(), e.mark()),
+                    true)).build();
+            send(successor, frame);
             send(older, frame);
-            keep();
+            storeOverrides();
         } else if (effect instanceof Effect.TellOthers e) {
-            Frame frame = Frame.newBuilder().setNews(States.news(e.news())).build();
+            Frame frame = Frame.newBuilder().setNews(States.message(e.news())).build();
             if (e.news() instanceof OtherNews.Claimed c) {
-                send(c.to() == OLDER ? older : newer, frame);
+                send(c.to() == PREDECESSOR ? older : successor, frame);
             } else if (e.news() instanceof OtherNews.Told) {
-                send(newer, frame);
+                send(successor, frame);
                 send(older, frame);
             } else {
-                send(newer, frame);
+                send(successor, frame);
             }
         }
     }
@@ -445,12 +461,12 @@
         }
     }
 
-    private void keep() {
-        if (marksFile == null) {
+    private void storeOverrides() {
+        if (overridesFile == null) {
             return;
         }
         try {
-            marksFile.write(desk.marks());
+            overridesFile.write(desk.marks());
         } catch (IOException e) {
             Say.warn("succession.marks_unwritten", "why", e.getMessage());
         }
--- a/src/main/java/yewdock/daemon/UnreadableStateException.java
+++ b/src/main/java/yewdock/daemon/UnreadableStateException.java
@@ -1,6 +1,6 @@
 package yewdock.daemon;
 
-/** A state that this version can't take up; the message is one clear line. */
+/** Thrown for a state that this version can't decode; the message is a single line. */
 public final class UnreadableStateException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/yewdock/door/Caller.java
+++ b/src/main/java/yewdock/door/Caller.java
@@ -7,62 +7,62 @@
 import yewdock.platform.Side;
 import yewdock.platform.Wire;
 
-/** An operator's connection: a line comes, an answer goes, and it is closed. */
+/** A connection to the admin interface: reads one command line, sends one answer and closes. */
 final class Caller implements Side {
-    /** No call is longer. */
-    static final int MOST_LINE = 512;
+    /** Maximum length of a command line in bytes. */
+    static final int MAX_LINE_BYTES = 512;
 
-    private final Door door;
+    private final Door adminInterface;
     private final long id;
-    private final Wire wire;
+    private final Wire connection;
     private final StringBuilder line = new StringBuilder();
-    private boolean called;
+    private boolean answered;
 
     Caller(Door door, long id, Wire wire) {
-        this.door = door;
+        this.adminInterface = door;
         this.id = id;
-        this.wire = wire;
+        this.connection = wire;
     }
 
     @Override
     public void up() {
-        // a caller's connection is up from the first
+        // an accepted connection is always up
     }
 
     @Override
     public void received(ByteBuffer bytes) {
-        if (called) {
+        if (answered) {
             return;
         }
         while (bytes.hasRemaining()) {
             char c = (char) (bytes.get() & 0xff);
             if (c == '\n') {
-                call(line.toString());
+                parseCommand(line.toString());
                 return;
             }
             line.append(c);
-            if (line.length() > MOST_LINE) {
-                turnDown("the line is too long");
+            if (line.length() > MAX_LINE_BYTES) {
+                reject("the line is too long");
                 return;
             }
         }
     }
 
-    private void call(String text) {
+    private void parseCommand(String text) {
         String[] words = text.strip().split("\\s+");
-        Call call = named(words[0]);
-        int wanted = call != null && call.namesBox() ? 2 : 1;
-        if (call == null) {
-            turnDown("unknown call; there are health, counters, cordon ID, uncordon ID, quiesce, resume");
+        Call command = commandNamed(words[0]);
+        int wanted = command != null && command.namesBox() ? 2 : 1;
+        if (command == null) {
+            reject("unknown call; there are health, counters, cordon ID, uncordon ID, quiesce, resume");
         } else if (words.length != wanted) {
-            turnDown(wanted == 2 ? "one id is wanted" : "nothing is wanted behind this call");
+            reject(wanted == 2 ? "one id is wanted" : "nothing is wanted behind this call");
         } else {
-            called = true;
-            door.called(id, call, wanted == 2 ? words[1] : "");
+            answered = true;
+            adminInterface.dispatch(id, command, wanted == 2 ? words[1] : "");
         }
     }
 
-    private static Call named(String word) {
+    private static Call commandNamed(String word) {
         for (Call call : Call.values()) {
             if (call.name().toLowerCase(Locale.ROOT).equals(word)) {
                 return call;
@@ -71,40 +71,43 @@
         return null;
     }
 
-    private void turnDown(String why) {
-        called = true;
-        answer("NO " + why + "\n");
+    private void reject(String reason) {
+        answered = true;
+        answer("NO " + reason + "\n");
     }
 
+    /** Writes the answer and closes once the client has had time to read it. */
     void answer(String text) {
-        wire.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
-        wire.linger();
+        connection.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
+        connection.linger();
     }
 
-    /** Others need the place: one that is being answered goes by itself, one that says nothing goes now. */
-    void makeRoom() {
-        door.forget(id);
-        if (!called) {
-            called = true;
-            wire.close();
+    /** Frees the place for another connection; closes at once unless a command is already being answered. */
+    void evict() {
+        adminInterface.remove(id);
+        if (!answered) {
+            answered = true;
+            connection.close();
         }
     }
 
     @Override
     public void written(int bytes) {
-        // the close waits for it
+        // closing waits until everything is written
     }
 
-    /** No call came for long, or it has lingered long enough. */
+    /**
+     * No command came within the idle timeout, or the connection has lingered long enough after an answer.
+     */
     @Override
     public void idle() {
-        called = true;
-        wire.close();
+        answered = true;
+        connection.close();
     }
 
     @Override
     public void down() {
-        called = true;
-        door.forget(id);
+        answered = true;
+        adminInterface.remove(id);
     }
 }
