--- a/src/main/java/yewdock/door/Door.java
+++ b/src/main/java/yewdock/door/Door.java
@@ -11,81 +11,82 @@
 import yewdock.platform.Wire;
 
 /**
- * The operators' door: one line to a connection, and one answer. It reads calls and prints answers; what they
- * do is the desk's business. Runs on the desk's thread.
+ * The admin interface for operators: one command line and one answer per connection. It parses commands and
+ * formats answers; the reducer executes them. Runs on the reducer's thread.
  *
- * <p>Callers that say nothing cost no good one its place: beyond a few, the one that has been silent longest
- * makes room.
+ * <p>Idle connections can't lock an operator out: above the maximum, the oldest connection is closed.
  */
 public final class Door {
-    /** So many callers at once; more take descriptors that clients and boxes need. */
+    /** Maximum number of open connections; more would use descriptors that clients and servers need. */
     public static final int MOST_CALLERS = 16;
-    /** Those that are being given up still hold a descriptor for a moment. */
+    /** Accept limit, higher because connections that are being closed hold a descriptor for a moment. */
     public static final int MOST_ACCEPTED = MOST_CALLERS + 8;
-    /** A caller that sends nothing for so long is given up. */
+    /** A connection that sends nothing for this many seconds is closed. */
     public static final int PATIENCE_SECONDS = 3;
-    private static final String PREFIX = "edge_proxy.";
+    private static final String COUNTER_PREFIX = "edge_proxy.";
 
     private final Front front;
-    private final Map<Long, Caller> callers = new LinkedHashMap<>();
-    private long last;
+    private final Map<Long, Caller> connections = new LinkedHashMap<>();
+    private long lastId;
 
-    /** A door whose calls go through this front. */
+    /** Creates an admin interface whose commands go through this platform front. */
     public Door(Front front) {
         this.front = front;
         front.answerCallsBy(this::answer);
     }
 
-    /** An operator has connected. */
-    public Side accept(Wire wire) {
-        Caller caller = new Caller(this, ++last, wire);
-        callers.put(last, caller);
-        if (callers.size() > MOST_CALLERS) {
-            callers.values().iterator().next().makeRoom();
+    /** Handles a new connection. */
+    public Side accept(Wire transportConnection) {
+        Caller connection = new Caller(this, ++lastId, transportConnection);
+        connections.put(lastId, connection);
+        if (connections.size() > MOST_CALLERS) {
+            connections.values().iterator().next().evict();
         }
-        return caller;
+        return connection;
     }
 
-    void called(long caller, Call call, String box) {
-        front.happened(new Event.Called(caller, call, box));
+    /** Passes a command to the reducer; box is the server that it names, or "". */
+    void dispatch(long connectionId, Call command, String server) {
+        front.happened(new Event.Called(connectionId, command, server));
     }
 
-    void forget(long caller) {
-        callers.remove(caller);
+    /** Forgets a connection; an answer that is still to come for it is dropped. */
+    void remove(long connectionId) {
+        connections.remove(connectionId);
     }
 
     private void answer(Effect effect) {
         if (effect instanceof Effect.AnswerCall e) {
             answer(e.caller(), (e.yes() ? "YES " : "NO ") + e.text() + "\n");
         } else if (effect instanceof Effect.AnswerFigures e) {
-            answer(e.caller(), print(e.figures()));
+            answer(e.caller(), format(e.figures()));
         }
     }
 
-    private void answer(long caller, String text) {
-        Caller to = callers.get(caller);
-        if (to != null) {
-            to.answer(text);
+    private void answer(long connectionId, String text) {
+        Caller connection = connections.get(connectionId);
+        if (connection != null) {
+            connection.answer(text);
         }
     }
 
-    /** The figures, one a line, and a last line that tells that none is missing. */
-    static String print(Figures figures) {
+    /** Formats the counters one per line, followed by a line that shows that the answer is complete. */
+    static String format(Figures counters) {
         StringBuilder text = new StringBuilder();
-        for (Figures.OfClass c : figures.classes()) {
-            String name = "downstream_requests." + c.name() + '.';
-            line(text, name + "completed", c.completed());
-            line(text, name + "rejected", c.rejected());
-            line(text, name + "failed", c.failed());
+        for (Figures.OfClass classCounters : counters.classes()) {
+            String name = "downstream_requests." + classCounters.name() + '.';
+            appendCounter(text, name + "completed", classCounters.completed());
+            appendCounter(text, name + "rejected", classCounters.rejected());
+            appendCounter(text, name + "failed", classCounters.failed());
         }
-        line(text, "upstream_requests", figures.tries());
-        line(text, "pending", figures.pending());
-        line(text, "members", figures.boxes());
-        line(text, "members_unavailable", figures.avoided());
+        appendCounter(text, "upstream_requests", counters.tries());
+        appendCounter(text, "pending", counters.pending());
+        appendCounter(text, "members", counters.boxes());
+        appendCounter(text, "members_unavailable", counters.avoided());
         return text.append("END\n").toString();
     }
 
-    private static void line(StringBuilder text, String name, long figure) {
-        text.append(PREFIX).append(name).append('=').append(figure).append('\n');
+    private static void appendCounter(StringBuilder text, String name, long value) {
+        text.append(COUNTER_PREFIX).append(name).append('=').append(value).append('\n');
     }
 }
--- a/src/main/java/yewdock/log/Fields.java
+++ b/src/main/java/yewdock/log/Fields.java
@@ -3,12 +3,12 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A line's fields, in their order. */
+/** Builds the ordered fields of a log line. */
 public final class Fields {
     private Fields() {
     }
 
-    /** The fields given as name and value by turns. */
+    /** The fields of alternating names and values; a name without value is dropped. */
     public static Map<String, Object> of(Object... namesAndValues) {
         Map<String, Object> fields = new LinkedHashMap<>();
         for (int i = 0; i + 1 < namesAndValues.length; i += 2) {
--- a/src/main/java/yewdock/log/Lines.java
+++ b/src/main/java/yewdock/log/Lines.java
@@ -15,25 +15,28 @@
 import org.tinylog.provider.LoggingProvider;
 
 /**
- * tinylog's lines on standard output, as text or as one JSON object each; the form may be set at any time.
- * Against a router that is away for longer than need be when it is killed: tinylog's own provider reads
- * management beans, process ids and locales at its first line, which took a fifth of a start. And its JSON
- * writer seeks in its file, and so can't write to a pipe, which is what a service manager gives.
+ * A tinylog provider that writes log lines to standard output, as text or as one JSON object each; the format
+ * can be changed at any time. It replaces tinylog's own provider for two reasons: that one reads management
+ * beans, process ids and locales for its first line, which took a fifth of the start time and prolonged the
+ * outage when a router is killed; and its JSON writer seeks in its file, so it can't write to the pipe that
+ * a service manager provides.
  */
 public final class Lines implements LoggingProvider {
-    private static volatile Say.Form form = Say.Form.TEXT;
-    private static final ThreadLocal<Boolean> ONLY_EVENTS = new ThreadLocal<>();
+    private static volatile Say.Form format = Say.Form.TEXT;
+    private static final ThreadLocal<Boolean> LIBRARY_LOGS_MUTED = new ThreadLocal<>();
 
     private final PrintStream out = System.out;
     private final Context context = new Context();
     private final TimeZone zone = TimeZone.getDefault();
 
+    /** Sets the format of subsequent lines. */
     static void as(Say.Form next) {
-        form = next;
+        format = next;
     }
 
+    /** Restricts library output on this thread to errors; event lines are still written. */
     static void onlyEvents() {
-        ONLY_EVENTS.set(true);
+        LIBRARY_LOGS_MUTED.set(true);
     }
 
     @Override
@@ -53,8 +56,9 @@
 
     @Override
     public boolean isEnabled(int depth, String tag, Level level) {
-        Level least = ONLY_EVENTS.get() == null || context.get("event") != null ? Level.INFO : Level.ERROR;
-        return level.ordinal() >= least.ordinal();
+        Level minLevel = LIBRARY_LOGS_MUTED.get() == null || context.get("event") != null ? Level.INFO
+                : Level.ERROR;
+        return level.ordinal() >= minLevel.ordinal();
     }
 
     @Override
@@ -71,7 +75,7 @@
         String text = arguments == null || formatter == null ? String.valueOf(message)
                 : formatter.format(String.valueOf(message), arguments);
         long now = System.currentTimeMillis();
-        if (form == Say.Form.JSON) {
+        if (format == Say.Form.JSON) {
             out.println(json(now, level, text, exception));
             return;
         }
@@ -80,7 +84,7 @@
             out.println(line);
             return;
         }
-        // one piece: lines of others must not come between
+        // lines of other threads must not come between the message and the stack trace
         synchronized (out) {
             out.println(line);
             exception.printStackTrace(out);
@@ -98,9 +102,9 @@
         out.flush();
     }
 
-    /** Hours, minutes, seconds and thousandths, made by hand: a formatter loads all the locales first. */
-    static String timeOfDay(long millis) {
-        long day = Math.floorMod(millis, 86_400_000L);
+    /** Formats as HH:mm:ss.SSS without a formatter, because a formatter loads all locales first. */
+    static String timeOfDay(long epochMillis) {
+        long day = Math.floorMod(epochMillis, 86_400_000L);
         StringBuilder text = new StringBuilder(12);
         digits(text, day / 3_600_000, 10).append(':');
         digits(text, day / 60_000 % 60, 10).append(':');
@@ -130,17 +134,17 @@
             }
             json.writeEndObject();
         } catch (IOException e) {
-            throw new IllegalStateException("a string can always be written", e);
+            throw new IllegalStateException("writing JSON to a string failed", e);
         }
         return line.toString();
     }
 
-    /** Loaded with the first line of JSON only. */
+    /** Holder class, so that the JSON library is loaded with the first JSON line only. */
     private static final class Json {
         private static final JsonFactory FACTORY = new JsonFactory();
     }
 
-    /** The fields of the line that this thread writes. */
+    /** The fields of the line that the current thread writes. */
     private static final class Context implements ContextProvider {
         private final ThreadLocal<Map<String, String>> fields =
                 ThreadLocal.withInitial(LinkedHashMap::new);
--- a/src/main/java/yewdock/log/Say.java
+++ b/src/main/java/yewdock/log/Say.java
@@ -6,51 +6,51 @@
 import org.tinylog.ThreadContext;
 
 /**
- * Lines for the operator: an event's name and its fields. As text they follow the name as field=value; as
- * JSON they are fields of the line's object, so that one request or one upgrade can be followed by its
- * number.
+ * Structured log lines for operators: the name of an event and its fields. In text format the fields follow
+ * the name as field=value; in JSON they are fields of the line's object, so that a request or an upgrade can
+ * be traced by its number.
  */
 public final class Say {
-    /** How lines are written. */
+    /** The format of log lines. */
     public enum Form { TEXT, JSON }
 
     private Say() {
     }
 
-    /** Sets the form of the lines to come. */
+    /** Sets the format of subsequent lines. */
     public static void as(Form form) {
         Lines.as(form);
     }
 
     /**
-     * Of what libraries say on this thread, only errors count from now on: one of them tells its every step.
+     * Restricts library output on this thread to errors from now on; one of the libraries logs every step.
      */
     public static void onlyEvents() {
         Lines.onlyEvents();
     }
 
-    /** A line with fields given as name and value by turns. */
+    /** Logs an event with alternating field names and values. */
     public static void info(String event, Object... fields) {
-        say(Level.INFO, event, Fields.of(fields));
+        log(Level.INFO, event, Fields.of(fields));
     }
 
-    /** A line that tells of trouble. */
+    /** Logs a warning with alternating field names and values. */
     public static void warn(String event, Object... fields) {
-        say(Level.WARN, event, Fields.of(fields));
+        log(Level.WARN, event, Fields.of(fields));
     }
 
-    /** A line with these fields. */
+    /** Logs an event with these fields. */
     public static void info(String event, Map<String, Object> fields) {
-        say(Level.INFO, event, fields);
+        log(Level.INFO, event, fields);
     }
 
-    private static void say(Level level, String event, Map<String, Object> fields) {
+    private static void log(Level level, String event, Map<String, Object> fields) {
         StringBuilder text = new StringBuilder(event);
         fields.forEach((name, value) -> {
-            String word = String.valueOf(value);
+            String formatted = String.valueOf(value);
             text.append(' ').append(name).append('=');
-            text.append(word.isEmpty() || word.matches(".*[\\s\"=].*")
-                    ? '"' + word.replace("\"", "'").replace("\n", " ") + '"' : word);
+            text.append(formatted.isEmpty() || formatted.matches(".*[\\s\"=].*")
+                    ? '"' + formatted.replace("\"", "'").replace("\n", " ") + '"' : formatted);
         });
         ThreadContext.put("event", event);
         fields.forEach((name, value) -> ThreadContext.put(name, String.valueOf(value)));
--- a/src/main/java/yewdock/settings/BadSettingsException.java
+++ b/src/main/java/yewdock/settings/BadSettingsException.java
@@ -2,17 +2,19 @@
 
 import java.util.List;
 
-/** Settings that can't be taken; each mistake is one line with the file, the key and what is allowed. */
+/** Thrown for an invalid settings file; each error is one line with the file, the key and what is allowed. */
 public final class BadSettingsException extends Exception {
     private static final long serialVersionUID = 1;
 
     private final transient List<String> mistakes;
 
-    public BadSettingsException(List<String> mistakes) {
-        super(String.join("\n", mistakes));
-        this.mistakes = List.copyOf(mistakes);
+    /** Creates an exception with these error lines. */
+    public BadSettingsException(List<String> errors) {
+        super(String.join("\n", errors));
+        this.mistakes = List.copyOf(errors);
     }
 
+    /** The error lines, in the order in which they were found. */
     public List<String> mistakes() {
         return mistakes;
     }
--- a/src/main/java/yewdock/settings/OperatorSettings.java
+++ b/src/main/java/yewdock/settings/OperatorSettings.java
@@ -11,14 +11,14 @@
 import java.util.regex.Pattern;
 
 /**
- * The operator's own settings, read from HCL. Either all of a file is taken or none of it. Durations are
- * microseconds here and seconds in the file.
+ * The operator's settings, read from an HCL file. A file with any error is rejected as a whole. Durations are
+ * in microseconds here and in seconds in the file.
  */
 public record OperatorSettings(Daemon daemon, Upgrade upgrade, Log log, Store store, Copies copies,
         Agreement agreement) {
-    private static final double LONGEST_STAGE = 600;
-    private static final double LONGEST_FINISH = 86_400;
-    private static final Pattern NAME = Pattern.compile("[A-Za-z0-9.-]{1,64}");
+    private static final double MAX_STAGE_SECONDS = 600;
+    private static final double MAX_FINISH_SECONDS = 86_400;
+    private static final Pattern INSTANCE_NAME = Pattern.compile("[A-Za-z0-9.-]{1,64}");
     private static final Pattern ADDRESS = Pattern.compile("\\S+:[0-9]{1,5}");
 
     /**
@@ -31,31 +31,36 @@
         }
     }
 
-    /** How long the stages of an upgrade may take, and the old generation after it. */
+    /**
+     * Timeouts of the stages of an upgrade and of an old generation that finishes its requests, in
+     * microseconds, and the number of generations that may be finishing at once.
+     */
     public record Upgrade(long start, long check, long state, long ready, long take, long share, long go,
             long letGo,
             long finish, int mostFinishing) {
     }
 
-    /** The form of log lines: text or json. */
+    /** The format of log lines: text or json. */
     public record Log(String form) {
     }
 
     /**
-     * The store: its folder (null: nothing is kept), how long changes are gathered before they are written,
-     * after how long a store that failed is tried again, after how long a kept drain that no list has told
-     * again is doubted at a start, and how many records are kept.
+     * The store: its folder (null: no store), how long changes are batched before they are written, the
+     * interval of attempts to reopen a failed store, the age at which a stored drain that no endpoint list
+     * has confirmed is no longer trusted at a start, and the maximum number of records. Times in
+     * microseconds.
      */
     public record Store(Path folder, long gather, long retry, long doubt, int mostRecords) {
-        /** Whether there is one. */
+        /** Whether a store is configured. */
         public boolean on() {
             return folder != null;
         }
     }
 
     /**
-     * The copies: the installation's name, this instance's, where it listens, and the others with their
-     * addresses; megabytes read of a peer in a second, and removals remembered though all peers know them.
+     * Replication: the names of the installation and this instance, its listen address, and the peers'
+     * addresses by name; the read rate limit per peer in megabytes per second, and the maximum number of
+     * tombstones that are kept although all peers have them.
      */
     public record Copies(String cluster, String instance, String listen, Map<String, String> peers,
             double readMegabytes, int mostRemovals) {
@@ -65,42 +70,43 @@
     }
 
     /**
-     * The agreement: the instances that vote, the stated time in which no router acts any more by what has
-     * changed (microseconds), how far clocks drift, and whether a router in doubt serves on.
+     * Consensus: the voting instances, the time in microseconds after which no router applies a rule any more
+     * that has been changed, the largest relative drift between clocks, and whether a router without a lease
+     * continues to serve.
      */
     public record Agreement(List<String> members, long agreedWithin, double drift, boolean serveInDoubt) {
         public Agreement {
             members = List.copyOf(members);
         }
 
-        /** Whether there is one. */
+        /** Whether consensus is configured. */
         public boolean on() {
             return !members.isEmpty();
         }
     }
 
-    /** The same with another form of log lines. */
+    /** These settings with other log settings. */
     public OperatorSettings with(Log other) {
         return new OperatorSettings(daemon, upgrade, other, store, copies, agreement);
     }
 
-    /** What holds where a file says nothing. */
+    /** The settings of an empty file. */
     public static OperatorSettings defaults() {
-        List<String> mistakes = new ArrayList<>();
-        return of(new Section("", Map.of(), mistakes));
+        List<String> errors = new ArrayList<>();
+        return of(new Section("", Map.of(), errors));
     }
 
-    /** Reads a file; throws with one line for each mistake. */
+    /** Reads a file; throws with one line for each error. */
     public static OperatorSettings read(Path file) throws IOException, BadSettingsException {
         return parse(file.toString(), Files.readString(file));
     }
 
-    /** Reads a text that came from there. */
-    public static OperatorSettings parse(String where, String text) throws BadSettingsException {
-        List<String> mistakes = new ArrayList<>();
-        OperatorSettings settings = of(Section.read(where, text, mistakes));
-        if (!mistakes.isEmpty()) {
-            throw new BadSettingsException(mistakes);
+    /** Parses the text of a file; where is the name that error lines begin with. */
+    public static OperatorSettings parse(String fileName, String text) throws BadSettingsException {
+        List<String> errors = new ArrayList<>();
+        OperatorSettings settings = of(Section.read(fileName, text, errors));
+        if (!errors.isEmpty()) {
+            throw new BadSettingsException(errors);
         }
         return settings;
     }
@@ -116,7 +122,7 @@
                 5),
                 stage(u, "ready_s", 10), stage(u, "take_s", 5), stage(u, "share_s", 1), stage(u, "go_s", 1),
                 stage(u, "let_go_s", 2),
-                u.seconds("finish_s", 600, 1, LONGEST_FINISH), u.whole("most_finishing", 4, 1, 64));
+                u.seconds("finish_s", 600, 1, MAX_FINISH_SECONDS), u.whole("most_finishing", 4, 1, 64));
         u.nothingElse();
         Section l = all.section("log");
         Log log = new Log(l.oneOf("form", "text", List.of("text", "json")));
@@ -131,8 +137,8 @@
     private static Store store(Section s) {
         String folder = s.text("folder", "");
         Store store = new Store(folder.isEmpty() ? null : Path.of(folder),
-                s.seconds("gather_s", 0.02, 0.001, 0.08), s.seconds("retry_s", 5, 0.1, LONGEST_STAGE),
-                s.seconds("doubt_s", 3600, 10, LONGEST_FINISH * 30),
+                s.seconds("gather_s", 0.02, 0.001, 0.08), s.seconds("retry_s", 5, 0.1, MAX_STAGE_SECONDS),
+                s.seconds("doubt_s", 3600, 10, MAX_FINISH_SECONDS * 30),
                 s.whole("most_records", 100_000, 100, 1_000_000));
         s.nothingElse();
         return store;
@@ -144,12 +150,12 @@
         Map<String, String> peers = new TreeMap<>();
         for (String peer : c.texts("peers", List.of())) {
             String[] parts = peer.split("=", 2);
-            if (parts.length != 2 || !NAME.matcher(parts[0]).matches()
+            if (parts.length != 2 || !INSTANCE_NAME.matcher(parts[0]).matches()
                     || !ADDRESS.matcher(parts[1]).matches() || peers.put(parts[0], parts[1]) != null) {
                 c.wrong("peers", "name=host:port, each name once, not " + peer);
             }
         }
-        if (!name.isEmpty() && !NAME.matcher(name).matches()) {
+        if (!name.isEmpty() && !INSTANCE_NAME.matcher(name).matches()) {
             c.wrong("instance", "1 to 64 letters, digits, dots or dashes, not " + name);
         }
         if (!peers.isEmpty()) {
@@ -182,14 +188,14 @@
                 }
             }
         }
-        Agreement agreement = new Agreement(members, a.seconds("agreed_within_s", 3, 1, LONGEST_STAGE),
+        Agreement agreement = new Agreement(members, a.seconds("agreed_within_s", 3, 1, MAX_STAGE_SECONDS),
                 a.number("drift", 0.001, 0, 0.01),
                 a.oneOf("in_doubt", "refuse", List.of("refuse", "serve")).equals("serve"));
         a.nothingElse();
         return agreement;
     }
 
-    private static long stage(Section u, String key, double byDefault) {
-        return u.seconds(key, byDefault, 0.1, LONGEST_STAGE);
+    private static long stage(Section u, String key, double defaultSeconds) {
+        return u.seconds(key, defaultSeconds, 0.1, MAX_STAGE_SECONDS);
     }
 }
--- a/src/main/java/yewdock/settings/Section.java
+++ b/src/main/java/yewdock/settings/Section.java
@@ -11,98 +11,102 @@
 import java.util.Set;
 
 /**
- * One block of a settings file. Reads what is there, notes every mistake, and knows which keys were asked
- * for.
+ * One block of an HCL settings file, with typed access to its values. Collects an error line for every
+ * invalid value, and remembers which keys were read in order to report unknown ones. An accessor returns its
+ * default if the key is missing or the value invalid.
  */
 public final class Section {
-    private final String where;
+    private final String location;
     private final Map<?, ?> values;
-    private final List<String> mistakes;
-    private final Set<String> known = new LinkedHashSet<>();
+    private final List<String> errors;
+    private final Set<String> readKeys = new LinkedHashSet<>();
 
-    Section(String where, Map<?, ?> values, List<String> mistakes) {
-        this.where = where;
+    Section(String location, Map<?, ?> values, List<String> errors) {
+        this.location = location;
         this.values = values;
-        this.mistakes = mistakes;
+        this.errors = errors;
     }
 
-    /** The whole of a text that came from there. */
-    public static Section read(String where, String text, List<String> mistakes) throws BadSettingsException {
-        return read(where, text, Map.of(), mistakes);
+    /** Parses a whole file; where is the name that error lines begin with, and mistakes collects them. */
+    public static Section read(String fileName, String text, List<String> errors)
+            throws BadSettingsException {
+        return read(fileName, text, Map.of(), errors);
     }
 
     /**
-     * The same with some values put in place of the text's, each by the names of its blocks and its own, with
-     * dots between them.
+     * Parses a whole file and overrides some of its values, given by their path: the names of the blocks and
+     * of the key, separated by dots.
      */
-    public static Section read(String where, String text, Map<String, Object> instead, List<String> mistakes)
+    public static Section read(String fileName, String text, Map<String, Object> overrides,
+            List<String> errors)
             throws BadSettingsException {
         Map<String, Object> values;
         try {
             values = new HCLParser().parse(text);
         } catch (HCLParserException | IOException | RuntimeException e) {
             String why = String.valueOf(e.getMessage()).lines().findFirst().orElse("").strip();
-            throw new BadSettingsException(List.of(where + ": not HCL: " + why));
+            throw new BadSettingsException(List.of(fileName + ": not HCL: " + why));
         }
-        // the parser takes some texts that are no HCL for empty ones
-        boolean saysSomething = text.lines().map(String::strip)
+        // the parser accepts some texts that are not HCL and returns an empty result for them
+        boolean hasContent = text.lines().map(String::strip)
                 .anyMatch(l -> !l.isEmpty() && !l.startsWith("#") && !l.startsWith("//"));
-        if (values.isEmpty() && saysSomething && !text.contains("/*")) {
-            mistakes.add(where + ": not HCL: nothing in it can be read");
+        if (values.isEmpty() && hasContent && !text.contains("/*")) {
+            errors.add(fileName + ": not HCL: nothing in it can be read");
         }
-        braces(where, text, mistakes);
+        checkBraces(fileName, text, errors);
         Map<String, Object> all = values;
-        instead.forEach((path, value) -> put(all, path, value));
-        return new Section(where + ": ", values, mistakes);
+        overrides.forEach((path, value) -> setPath(all, path, value));
+        return new Section(fileName + ": ", values, errors);
     }
 
     @SuppressWarnings("unchecked")
-    private static void put(Map<String, Object> values, String path, Object value) {
+    private static void setPath(Map<String, Object> values, String path, Object value) {
         String[] names = path.split("\\.");
-        Map<String, Object> at = values;
+        Map<String, Object> block = values;
         for (int i = 0; i < names.length - 1; i++) {
-            Object inner = at.get(names[i]);
+            Object inner = block.get(names[i]);
             if (!(inner instanceof Map)) {
                 inner = new LinkedHashMap<String, Object>();
-                at.put(names[i], inner);
+                block.put(names[i], inner);
             }
-            at = (Map<String, Object>) inner;
+            block = (Map<String, Object>) inner;
         }
-        at.put(names[names.length - 1], value);
+        block.put(names[names.length - 1], value);
     }
 
-    /** The parser closes blocks by itself that the text leaves open. */
-    private static void braces(String where, String text, List<String> mistakes) {
-        String bare = text.replaceAll("\"(?:[^\"\\\\\n]|\\\\.)*\"", "").replaceAll("(?m)(#|//).*$", "");
-        long open = bare.chars().filter(c -> c == '{').count();
-        long closed = bare.chars().filter(c -> c == '}').count();
+    /** Reports unbalanced braces, because the parser silently closes blocks that the text leaves open. */
+    private static void checkBraces(String fileName, String text, List<String> errors) {
+        String stripped = text.replaceAll("\"(?:[^\"\\\\\n]|\\\\.)*\"", "").replaceAll("(?m)(#|//).*$", "");
+        long open = stripped.chars().filter(c -> c == '{').count();
+        long closed = stripped.chars().filter(c -> c == '}').count();
         if (open != closed) {
-            mistakes.add(where + ": not HCL: " + open + " blocks are opened and " + closed + " closed");
+            errors.add(fileName + ": not HCL: " + open + " blocks are opened and " + closed + " closed");
         }
     }
 
+    /** The block of this name; an empty one if there is none. */
     public Section section(String key) {
-        Object value = take(key);
+        Object value = readValue(key);
         if (value instanceof Map<?, ?> map) {
-            return new Section(where + key + ".", map, mistakes);
+            return new Section(location + key + ".", map, errors);
         }
         if (value instanceof List<?>) {
             wrong(key, "one block, not several");
         } else if (value != null) {
             wrong(key, "a block, not " + value);
         }
-        return new Section(where + key + ".", Map.of(), mistakes);
+        return new Section(location + key + ".", Map.of(), errors);
     }
 
-    /** The blocks of this word by their labels, in the order of the file; none where there are none. */
+    /** The blocks of this name by their labels, in the order of the file; empty if there are none. */
     public Map<String, Section> sections(String key) {
         Map<String, Section> found = new LinkedHashMap<>();
-        Object value = take(key);
+        Object value = readValue(key);
         if (value instanceof Map<?, ?> map) {
             map.forEach((label, block) -> {
                 if (block instanceof Map<?, ?> inner) {
-                    found.put(String.valueOf(label), new Section(where + key + "." + label + ".", inner,
-                            mistakes));
+                    found.put(String.valueOf(label), new Section(location + key + "." + label + ".", inner,
+                            errors));
                 } else {
                     wrong(key + "." + label, "one block with a label of its own, not " + block);
                 }
@@ -113,109 +117,114 @@
         return found;
     }
 
-    /** A range [from, to] in these bounds; one number is a range of that alone. */
-    public double[] range(String key, double from, double to, double least, double most) {
+    /** A range [from, to] within these bounds; a single number stands for both ends. */
+    public double[] range(String key, double defaultFrom, double defaultTo, double min, double max) {
         if (!(values.get(key) instanceof List<?> list)) {
-            double one = number(key, Double.NaN, least, most);
-            return Double.isNaN(one) ? new double[] {from, to} : new double[] {one, one};
+            double one = number(key, Double.NaN, min, max);
+            return Double.isNaN(one) ? new double[] {defaultFrom, defaultTo} : new double[] {one, one};
         }
-        take(key);
+        readValue(key);
         if (list.size() == 2 && list.get(0) instanceof Number a && list.get(1) instanceof Number b
-                && a.doubleValue() >= least && a.doubleValue() <= b.doubleValue()
-                && b.doubleValue() <= most) {
+                && a.doubleValue() >= min && a.doubleValue() <= b.doubleValue()
+                && b.doubleValue() <= max) {
             return new double[] {a.doubleValue(), b.doubleValue()};
         }
-        wrong(key, "[from, to], from " + plain(least) + " to " + plain(most) + ", not " + list);
-        return new double[] {from, to};
+        wrong(key, "[from, to], from " + format(min) + " to " + format(max) + ", not " + list);
+        return new double[] {defaultFrom, defaultTo};
     }
 
-    /** True or false. */
-    public boolean flag(String key, boolean byDefault) {
-        Object value = take(key);
+    /** A boolean. */
+    public boolean flag(String key, boolean defaultValue) {
+        Object value = readValue(key);
         if (value == null || value instanceof Boolean) {
-            return value == null ? byDefault : (Boolean) value;
+            return value == null ? defaultValue : (Boolean) value;
         }
         wrong(key, "true or false, not " + value);
-        return byDefault;
+        return defaultValue;
     }
 
-    /** A list of numbers in these bounds; none where there is none. */
-    public List<Double> numbers(String key, double least, double most) {
-        Object value = take(key);
+    /** A list of numbers within these bounds; empty if the key is missing. */
+    public List<Double> numbers(String key, double min, double max) {
+        Object value = readValue(key);
         List<Double> all = new ArrayList<>();
         if (value instanceof List<?> list && list.stream().allMatch(v -> v instanceof Number n
-                && n.doubleValue() >= least && n.doubleValue() <= most)) {
+                && n.doubleValue() >= min && n.doubleValue() <= max)) {
             list.forEach(v -> all.add(((Number) v).doubleValue()));
         } else if (value != null) {
-            wrong(key, "a list of numbers from " + plain(least) + " to " + plain(most) + ", not " + value);
+            wrong(key, "a list of numbers from " + format(min) + " to " + format(max) + ", not " + value);
         }
         return all;
     }
 
-    /** Every key with its value, taken as they are. */
+    /** All keys with their values, without type checks. */
     public Map<String, Object> everything() {
         Map<String, Object> all = new LinkedHashMap<>();
-        values.keySet().forEach(k -> all.put(String.valueOf(k), take(String.valueOf(k))));
+        values.keySet().forEach(k -> all.put(String.valueOf(k), readValue(String.valueOf(k))));
         return all;
     }
 
-    /** Whether the key is there. */
+    /** Whether the key is present. */
     public boolean has(String key) {
         return values.containsKey(key);
     }
 
-    public String text(String key, String byDefault) {
-        Object value = take(key);
+    /** A string. */
+    public String text(String key, String defaultValue) {
+        Object value = readValue(key);
         if (value == null) {
-            return byDefault;
+            return defaultValue;
         }
         if (!(value instanceof String)) {
             wrong(key, "a text, not " + value);
-            return byDefault;
+            return defaultValue;
         }
         return (String) value;
     }
 
-    public String oneOf(String key, String byDefault, List<String> allowed) {
-        String value = text(key, byDefault);
+    /** A string that must be one of the allowed ones. */
+    public String oneOf(String key, String defaultValue, List<String> allowed) {
+        String value = text(key, defaultValue);
         if (!allowed.contains(value)) {
             wrong(key, String.join(" or ", allowed) + ", not " + value);
-            return byDefault;
+            return defaultValue;
         }
         return value;
     }
 
-    public double number(String key, double byDefault, double least, double most) {
-        Object value = take(key);
+    /** A number within these bounds. */
+    public double number(String key, double defaultValue, double min, double max) {
+        Object value = readValue(key);
         if (value == null) {
-            return byDefault;
+            return defaultValue;
         }
-        if (!(value instanceof Number n) || !(n.doubleValue() >= least && n.doubleValue() <= most)) {
-            wrong(key, "a number from " + plain(least) + " to " + plain(most) + ", not "
-                    + (value instanceof Number n ? plain(n.doubleValue()) : value));
-            return byDefault;
+        if (!(value instanceof Number n) || !(n.doubleValue() >= min && n.doubleValue() <= max)) {
+            wrong(key, "a number from " + format(min) + " to " + format(max) + ", not "
+                    + (value instanceof Number n ? format(n.doubleValue()) : value));
+            return defaultValue;
         }
         return n.doubleValue();
     }
 
-    public int whole(String key, int byDefault, int least, int most) {
-        double value = number(key, byDefault, least, most);
+    /** An integer within these bounds. */
+    public int whole(String key, int defaultValue, int min, int max) {
+        double value = number(key, defaultValue, min, max);
         if (value != Math.rint(value)) {
             wrong(key, "a whole number, not " + value);
-            return byDefault;
+            return defaultValue;
         }
         return (int) value;
     }
 
-    /** Microseconds, given as seconds. */
-    public long seconds(String key, double byDefault, double least, double most) {
-        return Math.round(number(key, byDefault, least, most) * 1e6);
+    /** A duration in microseconds; the default, the bounds and the value in the file are in seconds. */
+    public long seconds(String key, double defaultValue, double min, double max) {
+        return Math.round(number(key, defaultValue, min, max) * 1e6);
     }
 
-    public List<String> texts(String key, List<String> byDefault) {
-        Object value = take(key);
+    /** A list of strings. */
+    public List<String> texts(String key, List<String> defaultValue) {
+        Object value = readValue(key);
         if (value == null) {
-            return byDefault;
+            return defaultValue;
         }
         List<String> texts = new ArrayList<>();
         if (value instanceof List<?> list && list.stream().allMatch(v -> v instanceof String)) {
@@ -223,30 +232,30 @@
             return texts;
         }
         wrong(key, "a list of texts, not " + value);
-        return byDefault;
+        return defaultValue;
     }
 
-    /** Every key that was not asked for is a mistake. */
+    /** Reports every key that was not read as an error; to be called after all keys were read. */
     public void nothingElse() {
         for (Object key : values.keySet()) {
-            if (!known.contains(String.valueOf(key))) {
-                wrong(String.valueOf(key), known.isEmpty() ? "nothing here"
-                        : "no such key; there are " + String.join(", ", known));
+            if (!readKeys.contains(String.valueOf(key))) {
+                wrong(String.valueOf(key), readKeys.isEmpty() ? "nothing here"
+                        : "no such key; there are " + String.join(", ", readKeys));
             }
         }
     }
 
-    private Object take(String key) {
-        known.add(key);
+    private Object readValue(String key) {
+        readKeys.add(key);
         return values.get(key);
     }
 
-    /** Notes a mistake: what the key may be, and what it is not. */
+    /** Adds an error line for a key; allowed says what the value may be and what it is instead. */
     public void wrong(String key, String allowed) {
-        mistakes.add(where + key + ": " + allowed);
+        errors.add(location + key + ": " + allowed);
     }
 
-    private static String plain(double value) {
+    private static String format(double value) {
         return value == Math.rint(value) && Math.abs(value) < 1e15 ? Long.toString((long) value)
                 : Double.toString(value);
     }
--- a/src/main/java/yewdock/upgrade/KeeperEffect.java
+++ b/src/main/java/yewdock/upgrade/KeeperEffect.java
@@ -4,29 +4,29 @@
 import java.util.Map;
 import yewdock.wire.Frame;
 
-/** All that the keeper's reducer can ask for. */
+/** An action that {@link Upgrade} asks the supervisor to execute. */
 public sealed interface KeeperEffect {
-    /** Start a generation's process; the listener is its standard input. */
+    /** Starts a generation's process with the listener as its standard input. */
     record Start(int generation, List<String> program) implements KeeperEffect {
     }
 
-    /** Tell a generation something. */
+    /** Sends a frame to a generation. */
     record Tell(int generation, Frame frame) implements KeeperEffect {
     }
 
-    /** End a generation's process at once. */
+    /** Kills a generation's process. */
     record Kill(int generation) implements KeeperEffect {
     }
 
-    /** Answer an operator; after the last line the command's process ends with this exit code. */
+    /** Sends a line to an operator; after the last one the operator's command exits with this code. */
     record Reply(long command, String line, boolean last, int exit) implements KeeperEffect {
     }
 
-    /** A line for the log: an event's name and its fields. */
+    /** Writes a log line: the name of an event and its fields. */
     record Note(String event, Map<String, Object> fields) implements KeeperEffect {
     }
 
-    /** Nothing is left to keep: end the keeper with this exit code. */
+    /** Ends the supervisor with this exit code; no generation is left. */
     record Stop(int exit) implements KeeperEffect {
     }
 }
--- a/src/main/java/yewdock/upgrade/Limits.java
+++ b/src/main/java/yewdock/upgrade/Limits.java
@@ -4,15 +4,15 @@
 import java.util.Map;
 
 /**
- * How long each stage may take, how long an old generation may finish what it has, and how many may be
- * finishing at once. Microseconds.
+ * The timeout of each stage and of an old generation that finishes its open requests, in microseconds, and
+ * the number of generations that may be finishing at once.
  */
 public record Limits(Map<Stage, Long> stages, long finish, int mostFinishing) {
     public Limits {
         stages = Map.copyOf(stages);
     }
 
-    /** The same time for each stage. */
+    /** Creates limits with the same timeout for each stage; times in microseconds. */
     public static Limits even(long stage, long finish, int mostFinishing) {
         Map<Stage, Long> all = new EnumMap<>(Stage.class);
         for (Stage s : Stage.values()) {
--- a/src/main/java/yewdock/upgrade/Stage.java
+++ b/src/main/java/yewdock/upgrade/Stage.java
@@ -2,28 +2,30 @@
 
 import java.util.Locale;
 
-/** The stages of an upgrade, in their order. Up to GO the old generation serves as if nothing happened. */
+/** The stages of an upgrade, in order. Before GO the old generation serves without restriction. */
 public enum Stage {
-    /** The new process starts and gives its name. */
+    /** The new process starts and identifies itself to the supervisor. */
     START,
-    /** It reads its configuration. */
+    /** The new generation reads its configuration. */
     CHECK,
-    /** The old one gives its state. */
+    /** The old generation sends its state. */
     STATE,
-    /** The new one takes the state up and gets ready. */
+    /** The new generation loads the state and warms up. */
     READY,
-    /** The new one takes the listener and tries itself out, but accepts nothing yet. */
+    /** The new generation takes the listener and tests itself, but accepts no connections yet. */
     TAKE,
     /**
-     * Every older generation tells what it holds, and from then on asks before it takes a request. Nobody
-     * answers until the new one goes, so that all that can go wrong by then should have done so before.
+     * Every older generation reports its open requests, and from then on claims the id of a request before
+     * it accepts it. Claims are answered only once the new generation serves, so anything that is likely to
+     * fail belongs in an earlier stage.
      */
     SHARE,
-    /** The new one accepts connections. */
+    /** The new generation accepts connections. */
     GO,
-    /** The old one stops accepting. */
+    /** The old generation stops accepting. */
     LET_GO;
 
+    /** The name in lower case, as in log lines and answers to operators. */
     @Override
     public String toString() {
         return name().toLowerCase(Locale.ROOT);
--- a/src/main/java/yewdock/upgrade/Upgrade.java
+++ b/src/main/java/yewdock/upgrade/Upgrade.java
@@ -25,48 +25,49 @@
 import yewdock.wire.TakeBack;
 
 /**
- * Everything that the keeper decides: which generation serves, how far an upgrade has come, and the way back
+ * Makes the supervisor's decisions: which generation serves, the progress of an upgrade, and the rollback
  * from each of its stages. A pure reducer: events in, effects out, no I/O and no clock of its own.
  *
- * <p>At every moment one generation at least has the listener and has not been told to let it go, unless its
- * process has died. A new generation that fails in any way at any stage is killed, and the old one told to
- * take back what it had given.
+ * <p>At all times at least one generation has the listener and has not been told to stop accepting, unless
+ * its process has died. A new generation that fails at any stage is killed, and the old one is told to take
+ * back what it had handed over.
  */
 public final class Upgrade {
-    /** A serving process that died is replaced after so long, doubled with each death in a row. */
-    static final long RESTART_AFTER = 100_000;
-    static final int MOST_DOUBLINGS = 6;
-    /** One that has served so long has started well: the next death counts as the first in a row. */
-    static final long SERVED_WELL = 10_000_000;
-    /** An old generation ends itself at its limit; so much later it is killed. */
-    static final long FINISH_SLACK = 5_000_000;
-    private static final double MICROS_A_MILLI = 1000.0;
+    /** Restart backoff of a serving process that died, in microseconds; doubles with each death in a row. */
+    static final long RESTART_BACKOFF_MICROS = 100_000;
+    static final int MAX_BACKOFF_DOUBLINGS = 6;
+    /** After serving this many microseconds, a generation's death counts as the first in a row. */
+    static final long STABLE_AFTER_MICROS = 10_000_000;
+    /** An old generation ends itself at its limit; it is killed this many microseconds later. */
+    static final long FINISH_SLACK_MICROS = 5_000_000;
+    private static final double MICROS_PER_MILLI = 1000.0;
 
     private final Limits limits;
     private final Map<Integer, Generation> generations = new TreeMap<>();
     private List<KeeperEffect> effects = new ArrayList<>();
     private long now;
-    private int last;
+    private int lastNumber;
     private Generation serving;
-    private Generation next;
+    private Generation upcoming;
     private Stage stage;
     private long stageBegan;
     private long upgradeBegan;
-    private long command;
-    private final Map<Stage, Long> took = new EnumMap<>(Stage.class);
-    /** Older generations that have yet to tell what they hold, and those that have. */
-    private final Set<Integer> awaited = new HashSet<>();
+    private long upgradeCommand;
+    private final Map<Stage, Long> stageDurations = new EnumMap<>(Stage.class);
+    /** Older generations that have yet to report their open requests, and those that have. */
+    private final Set<Integer> awaitingShare = new HashSet<>();
     private final Set<Integer> shared = new HashSet<>();
     private List<String> program = List.of();
     private int deaths;
     private long restartAt = Long.MAX_VALUE;
     private boolean everServed;
-    private boolean leaving;
+    private boolean shuttingDown;
     private boolean stopped;
     private long upgrades;
     private long failures;
     private String lastFailure = "";
 
+    /** The state of a generation's process; killAt and the other times are in microseconds. */
     private static final class Generation {
         private final int number;
         private final List<String> program;
@@ -83,59 +84,60 @@
         }
     }
 
+    /** Creates a reducer without any generation. */
     public Upgrade(Limits limits) {
         this.limits = limits;
     }
 
-    /** Takes one event and tells what to do about it. */
+    /** Applies one event at this time in microseconds; returns the effects to execute, in order. */
     public List<KeeperEffect> reduce(KeeperEvent event, long time) {
         now = Math.max(now, time);
         effects = new ArrayList<>();
-        take(event);
-        if (leaving && !stopped && generations.isEmpty()) {
+        handle(event);
+        if (shuttingDown && !stopped && generations.isEmpty()) {
             stop(0);
         }
         return effects;
     }
 
-    /** When the next {@link KeeperEvent.Tick} is due. */
+    /** When the next {@link KeeperEvent.Tick} is due, in microseconds; Long.MAX_VALUE if none is. */
     public long nextDue() {
-        long due = next == null ? restartAt : stageBegan + limits.stages().get(stage);
+        long due = upcoming == null ? restartAt : stageBegan + limits.stages().get(stage);
         for (Generation g : generations.values()) {
             due = Math.min(due, g.killAt);
         }
         return due;
     }
 
-    /** The generation that serves, or 0. */
+    /** The number of the serving generation, or 0. */
     public int serving() {
         return serving == null ? 0 : serving.number;
     }
 
-    /** The generation that an upgrade is bringing up, or 0. */
+    /** The number of the generation that is being started, or 0. */
     public int coming() {
-        return next == null ? 0 : next.number;
+        return upcoming == null ? 0 : upcoming.number;
     }
 
-    private void take(KeeperEvent event) {
+    private void handle(KeeperEvent event) {
         if (event instanceof KeeperEvent.Heard e) {
-            heard(e.generation(), e.frame());
+            frameReceived(e.generation(), e.frame());
         } else if (event instanceof KeeperEvent.Begun e) {
             program = List.copyOf(e.program());
-            begin(program, 0);
+            startGeneration(program, 0);
         } else if (event instanceof KeeperEvent.Asked e) {
-            asked(e);
+            upgradeRequested(e);
         } else if (event instanceof KeeperEvent.StatusAsked e) {
-            status(e.command());
+            replyStatus(e.command());
         } else if (event instanceof KeeperEvent.Lost e) {
-            lost(e);
+            connectionLost(e);
         } else if (event instanceof KeeperEvent.Ended e) {
-            ended(e.generation(), e.how());
+            processEnded(e.generation(), e.how());
         } else if (event instanceof KeeperEvent.HungUp) {
-            generations.values().stream().filter(g -> g.connected).forEach(g -> tell(g,
+            generations.values().stream().filter(g -> g.connected).forEach(g -> send(g,
                     Frame.newBuilder().setReconfigure(Reconfigure.getDefaultInstance())));
         } else if (event instanceof KeeperEvent.Leave) {
-            leave();
+            shutDown();
         } else if (event instanceof KeeperEvent.Tick) {
             tick();
         }
@@ -143,314 +145,320 @@
 
     // ---- an upgrade, stage by stage
 
-    private void asked(KeeperEvent.Asked e) {
+    private void upgradeRequested(KeeperEvent.Asked e) {
         String refusal = null;
-        if (leaving) {
-            refusal = "the router is leaving";
-        } else if (next != null) {
-            refusal = "generation " + next.number + " is on its way, at stage " + stage;
+        if (shuttingDown) {
+            refusal = "the router is shutting down";
+        } else if (upcoming != null) {
+            refusal = "generation " + upcoming.number + " is on its way, at stage " + stage;
         } else if (serving == null) {
-            refusal = "no generation serves: one is being started";
-        } else if (finishing() >= limits.mostFinishing()) {
-            refusal = finishing() + " older generations are still finishing what they have";
+            refusal = "no generation serves yet: one is being started";
+        } else if (countFinishing() >= limits.mostFinishing()) {
+            refusal = countFinishing() + " older generations are still finishing their requests";
         }
         if (refusal != null) {
             effects.add(new KeeperEffect.Reply(e.command(), "not now: " + refusal, true, 1));
             return;
         }
-        begin(e.program().isEmpty() ? program : List.copyOf(e.program()), e.command());
+        startGeneration(e.program().isEmpty() ? program : List.copyOf(e.program()), e.command());
     }
 
-    private long finishing() {
+    private long countFinishing() {
         return generations.values().stream().filter(g -> g != serving && !g.failed).count();
     }
 
-    private void begin(List<String> what, long asker) {
-        next = new Generation(++last, what, now);
-        generations.put(last, next);
-        command = asker;
+    private void startGeneration(List<String> newProgram, long commandId) {
+        upcoming = new Generation(++lastNumber, newProgram, now);
+        generations.put(lastNumber, upcoming);
+        upgradeCommand = commandId;
         restartAt = Long.MAX_VALUE;
-        took.clear();
-        awaited.clear();
+        stageDurations.clear();
+        awaitingShare.clear();
         shared.clear();
         upgradeBegan = now;
         stage = Stage.START;
         stageBegan = now;
-        note("generation.start", "generation", last, "program", String.join(" ", what));
-        effects.add(new KeeperEffect.Start(last, what));
+        log("generation.start", "generation", lastNumber, "program", String.join(" ", newProgram));
+        effects.add(new KeeperEffect.Start(lastNumber, newProgram));
     }
 
-    private void enter(Stage s) {
-        took.put(stage, now - stageBegan);
-        stage = s;
+    private void enterStage(Stage newStage) {
+        stageDurations.put(stage, now - stageBegan);
+        stage = newStage;
         stageBegan = now;
-        note("upgrade.stage", "generation", next.number, "stage", s);
+        log("upgrade.stage", "generation", upcoming.number, "stage", newStage);
     }
 
-    private void heard(int number, Frame frame) {
-        Generation g = generations.get(number);
-        if (g == null) {
+    private void frameReceived(int number, Frame frame) {
+        Generation generation = generations.get(number);
+        if (generation == null) {
             return;
         }
         if (frame.hasNews()) {
-            news(g, frame.getNews());
+            forwardMessage(generation, frame.getNews());
         } else if (frame.hasSay()) {
-            note("generation.says", "generation", number, "line", frame.getSay().getLine());
-        } else if (g == next) {
-            ofNext(frame);
-        } else if (frame.hasState() && g == serving && stage == Stage.STATE && next != null) {
-            tell(next, Frame.newBuilder().setState(frame.getState()));
-            enter(Stage.READY);
+            log("generation.says", "generation", number, "line", frame.getSay().getLine());
+        } else if (generation == upcoming) {
+            handleUpcomingFrame(frame);
+        } else if (frame.hasState() && generation == serving && stage == Stage.STATE && upcoming != null) {
+            send(upcoming, Frame.newBuilder().setState(frame.getState()));
+            enterStage(Stage.READY);
         } else if (frame.hasSharing()) {
-            sharing(g, frame.getSharing());
-        } else if (frame.hasLetGoDone() && g == serving && next != null && stage == Stage.LET_GO) {
-            arrived("");
+            forwardShared(generation, frame.getSharing());
+        } else if (frame.hasLetGoDone() && generation == serving && upcoming != null
+                && stage == Stage.LET_GO) {
+            completeUpgrade("");
         }
     }
 
-    private void ofNext(Frame frame) {
+    private void handleUpcomingFrame(Frame frame) {
         if (frame.hasFailed()) {
-            fail(frame.getFailed().getWhy());
+            failUpgrade(frame.getFailed().getWhy());
         } else if (frame.hasHello() && stage == Stage.START) {
-            next.connected = true;
-            enter(Stage.CHECK);
+            upcoming.connected = true;
+            enterStage(Stage.CHECK);
         } else if (frame.hasChecked() && stage == Stage.CHECK) {
             if (serving != null) {
-                enter(Stage.STATE);
-                tell(serving, Frame.newBuilder().setGiveState(GiveState.getDefaultInstance()));
+                enterStage(Stage.STATE);
+                send(serving, Frame.newBuilder().setGiveState(GiveState.getDefaultInstance()));
             } else {
-                withoutState();
+                startWithoutState();
             }
         } else if (frame.hasReady() && stage == Stage.READY) {
             if (!frame.getReady().getNote().isEmpty()) {
-                note("upgrade.ready", "generation", next.number, "line", frame.getReady().getNote());
+                log("upgrade.ready", "generation", upcoming.number, "line", frame.getReady().getNote());
             }
-            enter(Stage.TAKE);
-            tell(next, Frame.newBuilder().setTake(Take.getDefaultInstance()));
+            enterStage(Stage.TAKE);
+            send(upcoming, Frame.newBuilder().setTake(Take.getDefaultInstance()));
         } else if (frame.hasTook() && stage == Stage.TAKE) {
             askToShare();
         } else if (frame.hasServing() && stage == Stage.GO) {
-            serves();
+            upcomingServes();
         } else {
-            fail("it said " + frame.getWhatCase().name().toLowerCase(Locale.ROOT) + ", which nobody asked");
+            failUpgrade("unexpected frame " + frame.getWhatCase().name().toLowerCase(Locale.ROOT)
+                    + " at this stage");
         }
     }
 
-    private void withoutState() {
-        tell(next, Frame.newBuilder().setState(State.getDefaultInstance()));
-        enter(Stage.READY);
+    private void startWithoutState() {
+        send(upcoming, Frame.newBuilder().setState(State.getDefaultInstance()));
+        enterStage(Stage.READY);
     }
 
     private void askToShare() {
-        enter(Stage.SHARE);
+        enterStage(Stage.SHARE);
         for (Generation g : generations.values()) {
-            if (g != next && g.connected) {
-                awaited.add(g.number);
-                tell(g, Frame.newBuilder().setShare(Share.getDefaultInstance()));
+            if (g != upcoming && g.connected) {
+                awaitingShare.add(g.number);
+                send(g, Frame.newBuilder().setShare(Share.getDefaultInstance()));
             }
         }
         goIfAllShared();
     }
 
-    /** What a generation holds goes to the one that owns the ids next, and all it says after that, too. */
-    private void sharing(Generation g, Sharing held) {
-        Frame.Builder named = Frame.newBuilder().setSharing(held.toBuilder().setGeneration(g.number));
-        if (next != null && awaited.remove(g.number)) {
-            shared.add(g.number);
-            tell(next, named);
+    /** Forwards a generation's open requests to the next owner of the ids; its later news go there, too. */
+    private void forwardShared(Generation generation, Sharing sharing) {
+        Frame.Builder numbered = Frame.newBuilder().setSharing(
+                sharing.toBuilder().setGeneration(generation.number));
+        if (upcoming != null && awaitingShare.remove(generation.number)) {
+            shared.add(generation.number);
+            send(upcoming, numbered);
             goIfAllShared();
-        } else if (serving != null && g != serving) {
-            tell(serving, named);
+        } else if (serving != null && generation != serving) {
+            send(serving, numbered);
         }
     }
 
     private void goIfAllShared() {
-        if (stage == Stage.SHARE && awaited.isEmpty()) {
-            enter(Stage.GO);
-            tell(next, Frame.newBuilder().setGo(Go.getDefaultInstance()));
+        if (stage == Stage.SHARE && awaitingShare.isEmpty()) {
+            enterStage(Stage.GO);
+            send(upcoming, Frame.newBuilder().setGo(Go.getDefaultInstance()));
         }
     }
 
-    private void serves() {
-        enter(Stage.LET_GO);
-        next.servesSince = now;
+    private void upcomingServes() {
+        enterStage(Stage.LET_GO);
+        upcoming.servesSince = now;
         if (serving == null) {
-            arrived("");
+            completeUpgrade("");
         } else {
-            tell(serving, Frame.newBuilder().setLetGo(LetGo.newBuilder().setLimitMicros(limits.finish())));
+            send(serving, Frame.newBuilder().setLetGo(LetGo.newBuilder().setLimitMicros(limits.finish())));
         }
     }
 
-    private void arrived(String remark) {
-        took.put(stage, now - stageBegan);
+    private void completeUpgrade(String remark) {
+        stageDurations.put(stage, now - stageBegan);
         Generation old = serving;
         if (old != null) {
-            old.killAt = now + limits.finish() + FINISH_SLACK;
+            old.killAt = now + limits.finish() + FINISH_SLACK_MICROS;
         }
-        serving = next;
+        serving = upcoming;
         program = serving.program;
-        next = null;
+        upcoming = null;
         everServed = true;
         StringBuilder stages = new StringBuilder();
-        took.forEach((s, t) -> stages.append(stages.length() == 0 ? "" : ", ").append(s)
-                .append(String.format(Locale.ROOT, " %.1f", t / MICROS_A_MILLI)));
-        if (old != null || command != 0) {
+        stageDurations.forEach((s, t) -> stages.append(stages.length() == 0 ? "" : ", ").append(s)
+                .append(String.format(Locale.ROOT, " %.1f", t / MICROS_PER_MILLI)));
+        if (old != null || upgradeCommand != 0) {
             upgrades++;
         }
-        note("upgrade.done", "generation", serving.number, "before", old == null ? 0 : old.number,
+        log("upgrade.done", "generation", serving.number, "before", old == null ? 0 : old.number,
                 "took_ms", (now - upgradeBegan) / 1000, "stages_ms", stages);
         reply("generation " + serving.number + " serves"
-                + (old == null ? "" : ", generation " + old.number + " finishes what it has") + "; ms: "
+                + (old == null ? "" : ", generation " + old.number + " finishes its requests") + "; ms: "
                 + stages + remark, 0);
     }
 
-    /** The new generation is given up, and everything is again as it was before. */
-    private void fail(String why) {
-        Generation failed = next;
-        Stage at = stage;
-        next = null;
+    /** Gives the new generation up and rolls the upgrade back. */
+    private void failUpgrade(String reason) {
+        Generation failed = upcoming;
+        Stage failedAt = stage;
+        upcoming = null;
         failed.connected = false;
         failed.failed = true;
         failures++;
-        lastFailure = "generation " + failed.number + " at stage " + at + ": " + why;
-        note("upgrade.failed", "generation", failed.number, "stage", at, "why", why);
+        lastFailure = "generation " + failed.number + " at stage " + failedAt + ": " + reason;
+        log("upgrade.failed", "generation", failed.number, "stage", failedAt, "why", reason);
         effects.add(new KeeperEffect.Kill(failed.number));
         if (serving != null) {
-            if (at.compareTo(Stage.SHARE) >= 0) {
-                takeBack(failed.number);
+            if (failedAt.compareTo(Stage.SHARE) >= 0) {
+                restoreOwnership(failed.number);
             }
-        } else if (leaving) {
-            // nothing to go back to, and nothing is wanted
+        } else if (shuttingDown) {
+            // nothing to roll back to, and no restart during shutdown
             restartAt = Long.MAX_VALUE;
         } else if (everServed) {
-            restart();
+            scheduleRestart();
         } else {
             stop(1);
         }
-        reply("upgrade failed at stage " + at + ": " + why
+        reply("upgrade failed at stage " + failedAt + ": " + reason
                 + (serving == null ? "" : "; generation " + serving.number + " serves as before"), 1);
     }
 
-    private void takeBack(int failed) {
-        tell(serving, Frame.newBuilder().setTakeBack(TakeBack.getDefaultInstance()));
-        tell(serving, Frame.newBuilder().setOtherGone(
+    private void restoreOwnership(int failed) {
+        send(serving, Frame.newBuilder().setTakeBack(TakeBack.getDefaultInstance()));
+        send(serving, Frame.newBuilder().setOtherGone(
                 OtherGone.newBuilder().setGeneration(failed)));
         for (Generation g : generations.values()) {
-            // what these have told the failed one since, the one that owns the ids again doesn't know
+            // the owner lacks what these have reported to the failed generation: they report everything again
             if (g != serving && g.number != failed && g.connected) {
-                tell(g, Frame.newBuilder().setShare(Share.getDefaultInstance()));
+                send(g, Frame.newBuilder().setShare(Share.getDefaultInstance()));
             }
         }
     }
 
-    // ---- what generations tell each other
+    // ---- messages between generations
 
-    private void news(Generation from, News told) {
-        News named = told.toBuilder().setGeneration(from.number).build();
-        Frame.Builder frame = Frame.newBuilder().setNews(named);
-        switch (told.getWhatCase()) {
+    private void forwardMessage(Generation from, News news) {
+        News numbered = news.toBuilder().setGeneration(from.number).build();
+        Frame.Builder frame = Frame.newBuilder().setNews(numbered);
+        switch (news.getWhatCase()) {
             case GRANTED, DENIED -> {
-                Generation to = generations.get(told.getOf());
+                Generation to = generations.get(news.getOf());
                 if (to != null) {
-                    tell(to, frame);
+                    send(to, frame);
                 }
             }
-            case BOXES -> toAllBut(from, frame, named.getBoxes());
+            case BOXES -> sendToOthers(from, frame, numbered.getBoxes());
             default -> {
                 Generation owner = ownerFor(from);
                 if (owner != null && owner != from) {
-                    tell(owner, frame);
+                    send(owner, frame);
                 }
             }
         }
     }
 
-    private void toAllBut(Generation from, Frame.Builder frame, Boxes boxes) {
+    private void sendToOthers(Generation from, Frame.Builder frame, Boxes boxes) {
         for (Generation g : generations.values()) {
-            boolean knowsNothingYet = g == next && stage.compareTo(Stage.READY) < 0;
+            boolean knowsNothingYet = g == upcoming && stage.compareTo(Stage.READY) < 0;
             if (g != from && g.connected && !knowsNothingYet && boxes.getBoxesCount() > 0) {
-                tell(g, frame);
+                send(g, frame);
             }
         }
     }
 
-    /** Who owns the ids as far as this generation is concerned. */
+    /** The generation that owns the request ids, as seen by this one. */
     private Generation ownerFor(Generation from) {
-        if (next != null && (shared.contains(from.number) || stage == Stage.LET_GO)) {
-            return next;
+        if (upcoming != null && (shared.contains(from.number) || stage == Stage.LET_GO)) {
+            return upcoming;
         }
         return serving;
     }
 
-    // ---- ends
+    // ---- lost connections and exited processes
 
-    private void lost(KeeperEvent.Lost e) {
-        Generation g = generations.get(e.generation());
-        if (g == null) {
+    private void connectionLost(KeeperEvent.Lost e) {
+        Generation generation = generations.get(e.generation());
+        if (generation == null) {
             return;
         }
-        g.connected = false;
-        if (g == next) {
-            fail(e.why());
+        generation.connected = false;
+        if (generation == upcoming) {
+            failUpgrade(e.why());
         } else {
-            note("generation.lost", "generation", g.number, "why", e.why());
-            if (next != null && awaited.remove(g.number)) {
+            log("generation.lost", "generation", generation.number, "why", e.why());
+            if (upcoming != null && awaitingShare.remove(generation.number)) {
                 goIfAllShared();
             }
         }
     }
 
-    private void ended(int number, String how) {
-        Generation g = generations.get(number);
-        if (g == null) {
+    private void processEnded(int number, String reason) {
+        Generation generation = generations.get(number);
+        if (generation == null) {
             return;
         }
-        note("generation.ended", "generation", number, "how", how);
-        if (g == next) {
-            // fail kills by number: the process is gone, and must be forgotten only after that
-            fail(how);
+        log("generation.ended", "generation", number, "how", reason);
+        if (generation == upcoming) {
+            // fail() refers to the generation by its number, so it is removed only afterwards
+            failUpgrade(reason);
             generations.remove(number);
             return;
         }
         generations.remove(number);
-        toldGone(number);
-        if (g == serving) {
-            servingDied();
-        } else if (next != null && awaited.remove(number)) {
+        announceGone(number);
+        if (generation == serving) {
+            servingGenerationDied();
+        } else if (upcoming != null && awaitingShare.remove(number)) {
             goIfAllShared();
         }
     }
 
-    private void toldGone(int number) {
+    private void announceGone(int number) {
         for (Generation other : generations.values()) {
             if (other.connected) {
-                tell(other, Frame.newBuilder().setOtherGone(
+                send(other, Frame.newBuilder().setOtherGone(
                         OtherGone.newBuilder().setGeneration(number)));
             }
         }
     }
 
-    /** The one that serves was killed. One on its way goes on without it; otherwise another is started. */
-    private void servingDied() {
+    /** The serving process died: an upgrade in progress goes on without it, otherwise another one serves. */
+    private void servingGenerationDied() {
         long servedFor = now - serving.servesSince;
         int number = serving.number;
         serving = null;
-        deaths = servedFor >= SERVED_WELL ? 0 : deaths;
-        if (next == null) {
-            if (!leaving && !fallBack(number)) {
-                restart();
+        deaths = servedFor >= STABLE_AFTER_MICROS ? 0 : deaths;
+        if (upcoming == null) {
+            if (!shuttingDown && !fallBack(number)) {
+                scheduleRestart();
             }
         } else if (stage == Stage.STATE) {
-            withoutState();
-        } else if (stage == Stage.SHARE && awaited.remove(number)) {
+            startWithoutState();
+        } else if (stage == Stage.SHARE && awaitingShare.remove(number)) {
             goIfAllShared();
         } else if (stage == Stage.LET_GO) {
-            arrived("; generation " + number + " was gone before it had let go");
+            completeUpgrade("; generation " + number + " exited before it stopped accepting");
         }
     }
 
-    /** The newest of those that still finish serves again: it is there at once, and it served well before. */
-    private boolean fallBack(int dead) {
+    /**
+     * Lets the newest generation that is still finishing serve again: it needs no start, and is known to
+     * work. Returns false if there is none.
+     */
+    private boolean fallBack(int deadNumber) {
         for (Generation g : generations.values()) {
             if (g.connected && (serving == null || g.number > serving.number)) {
                 serving = g;
@@ -462,50 +470,51 @@
         serving.killAt = Long.MAX_VALUE;
         serving.servesSince = now;
         program = serving.program;
-        note("generation.fall_back", "generation", serving.number, "dead", dead);
-        takeBack(dead);
+        log("generation.fall_back", "generation", serving.number, "dead", deadNumber);
+        restoreOwnership(deadNumber);
         return true;
     }
 
-    private void restart() {
-        restartAt = now + (RESTART_AFTER << Math.min(deaths++, MOST_DOUBLINGS));
-        note("generation.restart", "after_ms", (restartAt - now) / 1000);
+    private void scheduleRestart() {
+        restartAt = now + (RESTART_BACKOFF_MICROS << Math.min(deaths++, MAX_BACKOFF_DOUBLINGS));
+        log("generation.restart", "after_ms", (restartAt - now) / 1000);
     }
 
     private void tick() {
-        if (next != null && now >= stageBegan + limits.stages().get(stage)) {
+        if (upcoming != null && now >= stageBegan + limits.stages().get(stage)) {
             if (stage == Stage.LET_GO) {
-                // the new one serves: what hangs is the old one, and its time is limited
-                arrived("; generation " + serving.number + " has not said that it let go");
+                // the new generation serves; the old one hangs and will be killed at its limit
+                completeUpgrade("; generation " + serving.number
+                        + " did not confirm that it stopped accepting");
             } else {
-                fail("nothing came within " + limits.stages().get(stage) / 1000 + " ms");
+                failUpgrade("timed out after " + limits.stages().get(stage) / 1000 + " ms");
             }
         }
         if (now >= restartAt) {
-            begin(program, 0);
+            startGeneration(program, 0);
         }
         for (Generation g : List.copyOf(generations.values())) {
             if (now >= g.killAt) {
                 g.killAt = Long.MAX_VALUE;
-                note("generation.killed", "generation", g.number, "why", "over its limit");
+                log("generation.killed", "generation", g.number, "why", "over its limit");
                 effects.add(new KeeperEffect.Kill(g.number));
             }
         }
     }
 
-    private void leave() {
-        if (leaving) {
+    private void shutDown() {
+        if (shuttingDown) {
             return;
         }
-        leaving = true;
+        shuttingDown = true;
         restartAt = Long.MAX_VALUE;
-        note("keeper.leaves", "generations", generations.size());
-        if (next != null && stage != Stage.LET_GO) {
-            fail("the router was told to leave");
+        log("keeper.leaves", "generations", generations.size());
+        if (upcoming != null && stage != Stage.LET_GO) {
+            failUpgrade("the router was told to leave");
         }
         for (Generation g : generations.values()) {
-            g.killAt = Math.min(g.killAt, now + limits.finish() + FINISH_SLACK);
-            tell(g, Frame.newBuilder().setLeave(Leave.getDefaultInstance()));
+            g.killAt = Math.min(g.killAt, now + limits.finish() + FINISH_SLACK_MICROS);
+            send(g, Frame.newBuilder().setLeave(Leave.getDefaultInstance()));
         }
     }
 
@@ -516,33 +525,33 @@
         }
     }
 
-    // ---- words
+    // ---- answers and logging
 
-    private void status(long asker) {
+    private void replyStatus(long commandId) {
         for (Generation g : generations.values()) {
-            String role = g == serving ? "serves" : g == next ? "comes, at stage " + stage
-                    : g.failed ? "failed and is being ended" : "finishes";
-            effects.add(new KeeperEffect.Reply(asker, String.format(Locale.ROOT,
+            String role = g == serving ? "serves" : g == upcoming ? "starts, at stage " + stage
+                    : g.failed ? "failed and is being killed" : "finishes";
+            effects.add(new KeeperEffect.Reply(commandId, String.format(Locale.ROOT,
                     "generation %d %s, started %.1f s ago", g.number, role, (now - g.startedAt) / 1e6),
                     false, 0));
         }
-        effects.add(new KeeperEffect.Reply(asker, "upgrades done " + upgrades + ", failed " + failures
+        effects.add(new KeeperEffect.Reply(commandId, "upgrades done " + upgrades + ", failed " + failures
                 + (lastFailure.isEmpty() ? "" : "; last failure: " + lastFailure), true,
                 serving == null ? 1 : 0));
     }
 
     private void reply(String line, int exit) {
-        if (command != 0) {
-            effects.add(new KeeperEffect.Reply(command, line, true, exit));
-            command = 0;
+        if (upgradeCommand != 0) {
+            effects.add(new KeeperEffect.Reply(upgradeCommand, line, true, exit));
+            upgradeCommand = 0;
         }
     }
 
-    private void tell(Generation g, Frame.Builder frame) {
-        effects.add(new KeeperEffect.Tell(g.number, frame.build()));
+    private void send(Generation generation, Frame.Builder frame) {
+        effects.add(new KeeperEffect.Tell(generation.number, frame.build()));
     }
 
-    private void note(String event, Object... fields) {
+    private void log(String event, Object... fields) {
         effects.add(new KeeperEffect.Note(event, Fields.of(fields)));
     }
 }
--- a/src/test/java/yewdock/daemon/ConfigurationFileTest.java
+++ b/src/test/java/yewdock/daemon/ConfigurationFileTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** When a configuration is read: as told, as soon as there is a reader, and again until it could be read. */
+/** When the configuration is reloaded: on request, once there is a reader, and until it could be read. */
 @Timeout(60)
 class ConfigurationFileTest {
     private static final String WHOLE = "{}";
@@ -40,20 +40,20 @@
     }
 
     @Test
-    void whatItIsToldBeforeThereIsAReaderIsDoneOnceThereIs() {
+    void reloadRequestedBeforeThereIsAReaderIsDoneLater() {
         ConfigurationFile configuration = ConfigurationFile.at(file);
-        configuration.readAgain();
+        configuration.reload();
         assertNull(read.poll());
-        configuration.readBy(this::read);
+        configuration.setReader(this::read);
         assertEquals(WHOLE, read.poll());
     }
 
     @Test
-    void aFileThatIsHalfWrittenIsReadAgainOnceItIsWhole() throws Exception {
+    void incompleteFileIsReloadedOnceItIsComplete() throws Exception {
         ConfigurationFile configuration = ConfigurationFile.at(file);
-        configuration.readBy(this::read);
+        configuration.setReader(this::read);
         Files.writeString(file, "{");
-        configuration.readAgain();
+        configuration.reload();
         assertEquals("{", read.poll());
         Files.writeString(file, WHOLE);
         assertEquals(WHOLE, read.poll(30, TimeUnit.SECONDS));
--- a/src/test/java/yewdock/daemon/GenerationsSimTest.java
+++ b/src/test/java/yewdock/daemon/GenerationsSimTest.java
@@ -21,13 +21,13 @@
 import umberspread.Routing.Outcome;
 import umberspread.Routing.Replica;
 import yewdock.desk.Bounds;
-import yewdock.desk.EndpointList;
 import yewdock.desk.Counters;
 import yewdock.desk.Desk;
 import yewdock.desk.Effect;
+import yewdock.desk.EndpointList;
 import yewdock.desk.Event;
-import yewdock.desk.ModelServer;
 import yewdock.desk.ModelRequest;
+import yewdock.desk.ModelServer;
 import yewdock.desk.Terms;
 import yewdock.platform.Config;
 import yewdock.upgrade.KeeperEffect;
@@ -43,21 +43,23 @@
 import yewdock.wire.Took;
 
 /**
- * The keeper's reducer, real desks and the real module in virtual time, with links that are late, processes
- * that die and hang at any point, boxes that drain, and clients that use few ids, so that they meet. One
- * seed, one run.
+ * Simulates upgrades in virtual time with the supervisor's reducer, real core reducers and the real module.
+ * Connections delay frames, processes die or hang at any point, servers drain, and clients use few request
+ * ids, so that several generations get the same id. Guards against an id being in flight twice, requests
+ * without an answer, and requests to drained servers. Every seed gives one reproducible run.
  */
 class GenerationsSimTest {
-    private static final Terms TERMS = new Terms(250_000, 5_000_000, false, 1_000_000, 10_000_000, false, 4,
+    private static final Terms SETTINGS = new Terms(250_000, 5_000_000, false, 1_000_000, 10_000_000, false,
+            4,
             List.of(), List.of("chat"), 0);
     private static final int SEEDS = Integer.getInteger("sim.seeds", 60);
-    private static final int IDS = 25;
+    private static final int REQUEST_IDS = 25;
     private static final int CLIENTS = 14;
-    private static final long RUN = 25_000_000;
-    private static final long GRACE = 1_050_000;
+    private static final long RUN_MICROS = 25_000_000;
+    private static final long DRAIN_GRACE_MICROS = 1_050_000;
 
     @Test
-    void noIdIsOutTwiceAndEveryRequestIsAnsweredWhateverFails() throws IOException {
+    void noIdIsInFlightTwiceAndEveryRequestIsAnswered() throws IOException {
         Config config = Config.read(Files.readString(Path.of("src/test/resources/exchanges/config.json")),
                 line -> { });
         long answered = 0;
@@ -65,294 +67,300 @@
         long failed = 0;
         long claims = 0;
         for (int seed = 1; seed <= SEEDS; seed++) {
-            Sim sim = new Sim(seed, config);
+            Simulation sim = new Simulation(seed, config);
             sim.run();
-            assertEquals(List.of(), sim.broken, "seed " + seed);
+            assertEquals(List.of(), sim.violations, "seed " + seed);
             answered += sim.answered;
             upgraded += sim.upgraded;
             failed += sim.failed;
             claims += sim.claims;
         }
-        // a run in which nothing happens would prove nothing
+        // guards against runs without enough answers, upgrades and claims to be meaningful
         assertTrue(answered > SEEDS * 300, answered + " answers");
         assertTrue(upgraded > SEEDS * 3 && failed > SEEDS, upgraded + " upgrades, " + failed + " failed");
         assertTrue(claims > SEEDS * 5, claims + " claims");
     }
 
-    /** The checker sees what it is there for: desks that don't ask each other send an id twice. */
+    /** Checks the checker: generations that don't learn each other's open ids send an id twice. */
     @Test
-    void desksThatDoNotAskAreCaught() throws IOException {
+    void generationsThatDoNotShareIdsAreDetected() throws IOException {
         Config config = Config.read(Files.readString(Path.of("src/test/resources/exchanges/config.json")),
                 line -> { });
         int caught = 0;
         for (int seed = 1; seed <= SEEDS; seed++) {
-            Sim sim = new Sim(seed, config);
-            sim.deaf = true;
+            Simulation sim = new Simulation(seed, config);
+            sim.ignoresSharing = true;
             sim.run();
-            caught += sim.broken.stream().anyMatch(b -> b.contains("out twice")) ? 1 : 0;
+            caught += sim.violations.stream().anyMatch(b -> b.contains("out twice")) ? 1 : 0;
         }
         assertTrue(caught > 0);
     }
 
-    private record Due(long at, long order, Runnable task) {
+    /** A task that is due at this time in microseconds. */
+    private record ScheduledTask(long at, long order, Runnable task) {
     }
 
-    private static final class Sim {
+    private static final class Simulation {
         private final SplittableRandom random;
         private final Config config;
-        private final PriorityQueue<Due> queue =
-                new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
-        private final Upgrade keeper = new Upgrade(Limits.even(700_000, 4_000_000, 3));
-        private final Map<Integer, Gen> gens = new TreeMap<>();
-        private final Map<Long, String> boxStates = new HashMap<>();
-        private final Map<Long, Long> drainTold = new HashMap<>();
-        private final Map<String, String> out = new HashMap<>();
-        private final List<Runnable> watchers = new ArrayList<>();
-        private final List<String> broken = new ArrayList<>();
+        private final PriorityQueue<ScheduledTask> tasks =
+                new PriorityQueue<>(Comparator.comparingLong(ScheduledTask::at)
+                        .thenComparingLong(ScheduledTask::order));
+        private final Upgrade supervisor = new Upgrade(Limits.even(700_000, 4_000_000, 3));
+        private final Map<Integer, SimulatedGeneration> generations = new TreeMap<>();
+        private final Map<Long, String> serverStates = new HashMap<>();
+        private final Map<Long, Long> drainToldAt = new HashMap<>();
+        private final Map<String, String> idsInFlight = new HashMap<>();
+        private final List<Runnable> listWatchers = new ArrayList<>();
+        private final List<String> violations = new ArrayList<>();
         private long now = 1_000_000_000_000L;
         private long order;
         private long version = 1;
         private long lastConnection;
-        private long keeperTick = Long.MAX_VALUE;
-        private boolean deaf;
+        private long supervisorTickAt = Long.MAX_VALUE;
+        private boolean ignoresSharing;
         private boolean ending;
         private long answered;
         private long upgraded;
         private long failed;
         private long claims;
 
-        Sim(long seed, Config config) {
+        Simulation(long seed, Config config) {
             this.random = new SplittableRandom(seed);
             this.config = config;
             for (long b = 1; b <= 4; b++) {
-                boxStates.put(b, "up");
+                serverStates.put(b, "up");
             }
         }
 
         void run() {
-            keeper(new KeeperEvent.Begun(List.of("p")));
+            supervisor(new KeeperEvent.Begun(List.of("p")));
             for (int c = 0; c < CLIENTS; c++) {
-                Client client = new Client();
-                client.goIn(random.nextLong(500_000));
+                SimulatedClient client = new SimulatedClient();
+                client.scheduleRequest(random.nextLong(500_000));
             }
-            at(1_500_000, this::askUpgrade);
-            at(700_000, this::drainOne);
-            long end = now + RUN;
-            at(RUN - 6_000_000, () -> ending = true);
-            while (!queue.isEmpty() && queue.peek().at <= end) {
-                Due due = queue.poll();
+            schedule(1_500_000, this::requestUpgrade);
+            schedule(700_000, this::toggleDrain);
+            long end = now + RUN_MICROS;
+            schedule(RUN_MICROS - 6_000_000, () -> ending = true);
+            while (!tasks.isEmpty() && tasks.peek().at <= end) {
+                ScheduledTask due = tasks.poll();
                 now = Math.max(now, due.at);
                 due.task.run();
             }
-            for (Gen g : gens.values()) {
+            for (SimulatedGeneration g : generations.values()) {
                 if (g.alive && !g.hung) {
-                    g.owing.forEach((connection, id) -> broken.add("request " + id + " was never answered by "
+                    g.openRequests.forEach((connection, id) -> violations.add("request " + id
+                            + " was never answered by "
                             + g.number));
                     if (g.counters.get("faults") > 0) {
-                        broken.add("faults in generation " + g.number);
+                        violations.add("faults in generation " + g.number);
                     }
                 }
                 claims += g.counters.get("claims.made");
             }
-            if (gens.values().stream().noneMatch(g -> g.alive && g.accepting)) {
-                broken.add("nobody accepts at the end");
+            if (generations.values().stream().noneMatch(g -> g.alive && g.accepting)) {
+                violations.add("nobody accepts at the end");
             }
         }
 
-        private void at(long in, Runnable task) {
-            queue.add(new Due(now + in, order++, task));
+        private void schedule(long in, Runnable task) {
+            tasks.add(new ScheduledTask(now + in, order++, task));
         }
 
-        private void askUpgrade() {
+        private void requestUpgrade() {
             if (!ending) {
-                keeper(new KeeperEvent.Asked(order, List.of()));
-                at(500_000 + random.nextLong(2_000_000), this::askUpgrade);
+                supervisor(new KeeperEvent.Asked(order, List.of()));
+                schedule(500_000 + random.nextLong(2_000_000), this::requestUpgrade);
                 if (random.nextInt(12) == 0) {
-                    Gen serving = gens.get(keeper.serving());
+                    SimulatedGeneration serving = generations.get(supervisor.serving());
                     if (serving != null) {
-                        at(random.nextLong(300_000), serving::die);
+                        schedule(random.nextLong(300_000), serving::die);
                     }
                 }
             }
         }
 
-        private void drainOne() {
+        private void toggleDrain() {
             long box = 1 + random.nextInt(3);
-            boxStates.put(box, boxStates.get(box).equals("up") ? "draining" : "up");
+            serverStates.put(box, serverStates.get(box).equals("up") ? "draining" : "up");
             version++;
-            List<Runnable> all = new ArrayList<>(watchers);
-            watchers.clear();
-            all.forEach(w -> at(random.nextLong(20_000), w));
-            at(300_000 + random.nextLong(2_500_000), this::drainOne);
+            List<Runnable> all = new ArrayList<>(listWatchers);
+            listWatchers.clear();
+            all.forEach(w -> schedule(random.nextLong(20_000), w));
+            schedule(300_000 + random.nextLong(2_500_000), this::toggleDrain);
         }
 
-        private void keeper(KeeperEvent event) {
-            for (KeeperEffect effect : keeper.reduce(event, now)) {
+        private void supervisor(KeeperEvent event) {
+            for (KeeperEffect effect : supervisor.reduce(event, now)) {
                 if (effect instanceof KeeperEffect.Start e) {
-                    Gen g = new Gen(e.generation());
-                    gens.put(e.generation(), g);
-                    at(50_000, g::begin);
+                    SimulatedGeneration g = new SimulatedGeneration(e.generation());
+                    generations.put(e.generation(), g);
+                    schedule(50_000, g::start);
                 } else if (effect instanceof KeeperEffect.Tell e) {
-                    gens.get(e.generation()).deliver(e.frame());
+                    generations.get(e.generation()).deliver(e.frame());
                 } else if (effect instanceof KeeperEffect.Kill e) {
-                    gens.get(e.generation()).die();
+                    generations.get(e.generation()).die();
                 } else if (effect instanceof KeeperEffect.Note e) {
                     upgraded += e.event().equals("upgrade.done") ? 1 : 0;
                     failed += e.event().equals("upgrade.failed") ? 1 : 0;
                 } else if (effect instanceof KeeperEffect.Stop) {
-                    broken.add("the keeper stopped");
+                    violations.add("the keeper stopped");
                 }
             }
-            // one generation at least accepts, unless the one that served has died
-            Gen serving = gens.get(keeper.serving());
+            // at least one generation accepts, unless the serving one has died
+            SimulatedGeneration serving = generations.get(supervisor.serving());
             if (serving != null && serving.alive && !serving.accepting && !serving.stopping
-                    && keeper.coming() == 0 && !serving.awaitsBack) {
-                broken.add("generation " + serving.number + " serves and does not accept");
+                    && supervisor.coming() == 0 && !serving.awaitsTakeBack) {
+                violations.add("generation " + serving.number + " serves and does not accept");
             }
-            if (keeper.nextDue() < keeperTick) {
-                keeperTick = keeper.nextDue();
-                long mine = keeperTick;
-                at(Math.max(0, mine - now), () -> {
-                    if (keeperTick == mine) {
-                        keeperTick = Long.MAX_VALUE;
-                        keeper(new KeeperEvent.Tick());
+            if (supervisor.nextDue() < supervisorTickAt) {
+                supervisorTickAt = supervisor.nextDue();
+                long mine = supervisorTickAt;
+                schedule(Math.max(0, mine - now), () -> {
+                    if (supervisorTickAt == mine) {
+                        supervisorTickAt = Long.MAX_VALUE;
+                        supervisor(new KeeperEvent.Tick());
                     }
                 });
             }
         }
 
-        private EndpointList list(long since) {
+        private EndpointList endpointList(long since) {
             List<ModelServer> boxes = new ArrayList<>();
-            boxStates.forEach((id, state) -> boxes.add(new ModelServer("s-" + id, "127.0.0.1:" + (9000 + id),
+            serverStates.forEach((id, state) ->
+                    boxes.add(new ModelServer("s-" + id, "127.0.0.1:" + (9000 + id),
                     new Replica(id, 0, 0, 0, 1, state.equals("up") ? Lifecycle.READY : Lifecycle.DRAINING,
                             0))));
             return new EndpointList(version, since < 0, boxes);
         }
 
-        private void answer(Gen g, long since, long wait, long call, boolean force) {
+        private void answerDiscovery(SimulatedGeneration g, long since, long wait, long call, boolean force) {
             if (!g.alive || call != g.listCall) {
                 return;
             }
             if (version > since || force) {
-                told();
-                EndpointList list = list(since);
-                at(random.nextLong(1_000), () -> g.happened(new Event.ListCame(list)));
+                recordDrainsTold();
+                EndpointList list = endpointList(since);
+                schedule(random.nextLong(1_000), () -> g.dispatch(new Event.ListCame(list)));
                 return;
             }
-            watchers.add(() -> answer(g, since, wait, call, false));
-            at(wait, () -> answer(g, since, 0, call, true));
+            listWatchers.add(() -> answerDiscovery(g, since, wait, call, false));
+            schedule(wait, () -> answerDiscovery(g, since, 0, call, true));
         }
 
-        private void told() {
-            boxStates.forEach((id, state) -> {
+        private void recordDrainsTold() {
+            serverStates.forEach((id, state) -> {
                 if (state.equals("up")) {
-                    drainTold.remove(id);
+                    drainToldAt.remove(id);
                 } else {
-                    drainTold.putIfAbsent(id, now);
+                    drainToldAt.putIfAbsent(id, now);
                 }
             });
         }
 
-        /** A client that asks one request after the other, over a connection as long as it lasts. */
-        private final class Client {
-            private Gen gen;
+        /** A client that sends one request after another, over the same connection while it is open. */
+        private final class SimulatedClient {
+            private SimulatedGeneration generation;
             private long connection;
             private int turn;
 
-            /** Its next request, unless something else brings one before. */
-            void goIn(long micros) {
+            /** Schedules the next request; a later call replaces this one. */
+            void scheduleRequest(long micros) {
                 int mine = ++turn;
-                at(micros, () -> {
+                schedule(micros, () -> {
                     if (turn == mine && !ending) {
-                        go();
+                        sendRequest();
                     }
                 });
             }
 
-            private void go() {
-                if (gen == null || !gen.alive) {
-                    List<Gen> open = gens.values().stream().filter(g -> g.alive && g.accepting).toList();
+            private void sendRequest() {
+                if (generation == null || !generation.alive) {
+                    List<SimulatedGeneration> open = generations.values().stream().filter(g -> g.alive
+                            && g.accepting).toList();
                     if (open.isEmpty()) {
-                        goIn(5_000);
+                        scheduleRequest(5_000);
                         return;
                     }
-                    gen = open.get(random.nextInt(open.size()));
+                    generation = open.get(random.nextInt(open.size()));
                     connection = ++lastConnection;
-                    gen.clients.put(connection, this);
-                    gen.happened(new Event.ClientCame(connection));
+                    generation.clients.put(connection, this);
+                    generation.dispatch(new Event.ClientCame(connection));
                 }
-                String id = "id" + random.nextInt(IDS);
-                gen.happened(new Event.ClientBegan(connection));
-                gen.owing.put(connection, id);
-                gen.happened(new Event.Asked(connection, new ModelRequest(id, 0, 0, false, random.nextInt(9),
+                String id = "id" + random.nextInt(REQUEST_IDS);
+                generation.dispatch(new Event.ClientBegan(connection));
+                generation.openRequests.put(connection, id);
+                generation.dispatch(new Event.Asked(connection, new ModelRequest(id, 0, 0, false,
+                        random.nextInt(9),
                         random.nextInt(5), 10, 5, 9, 3_000_000, 100)));
             }
 
             void closed() {
-                gen = null;
-                goIn(random.nextLong(100_000));
+                generation = null;
+                scheduleRequest(random.nextLong(100_000));
             }
 
-            void done() {
+            void answered() {
                 answered++;
-                if (gen.desk.lettingGo() || gen.desk.leaving()) {
-                    gen.leaves(connection);
+                if (generation.reducer.lettingGo() || generation.reducer.leaving()) {
+                    generation.clientLeaves(connection);
                 } else {
-                    gen.happened(new Event.ClientQuiet(connection));
-                    goIn(random.nextLong(250_000));
+                    generation.dispatch(new Event.ClientQuiet(connection));
+                    scheduleRequest(random.nextLong(250_000));
                 }
             }
         }
 
-        /** A generation's process. */
-        private final class Gen {
+        /** A simulated process of a generation. */
+        private final class SimulatedGeneration {
             private final int number;
             private final Counters counters = new Counters();
-            private final Map<Long, Client> clients = new HashMap<>();
-            private final Map<Long, String> owing = new HashMap<>();
-            private final Map<Long, Long> boxOfLine = new HashMap<>();
-            private final Map<Long, String> tryOnLine = new HashMap<>();
-            private final int fails;
-            private Desk desk;
+            private final Map<Long, SimulatedClient> clients = new HashMap<>();
+            private final Map<Long, String> openRequests = new HashMap<>();
+            private final Map<Long, Long> serverByConnection = new HashMap<>();
+            private final Map<Long, String> attemptByConnection = new HashMap<>();
+            private final int failsAtFrame;
+            private Desk reducer;
             private GenerationRouter router;
             private boolean alive = true;
             private boolean hung;
             private boolean accepting;
             private boolean stopping;
-            private boolean awaitsBack;
-            private long linkFree;
+            private boolean awaitsTakeBack;
+            private long outboundFreeAt;
             private long listCall;
             private int frames;
             private long tickAt = Long.MAX_VALUE;
 
-            Gen(int number) {
+            SimulatedGeneration(int number) {
                 this.number = number;
-                // the first must come up, and the last; of the others, about a third fail at some frame
-                this.fails = number > 1 && !ending && random.nextInt(3) == 0 ? random.nextInt(8) : -1;
+                // the first and the last must succeed; about a third of the others fail at some frame
+                this.failsAtFrame = number > 1 && !ending && random.nextInt(3) == 0 ? random.nextInt(8) : -1;
             }
 
-            void begin() {
+            void start() {
                 if (alive) {
-                    tell(Frame.newBuilder().setHello(Hello.newBuilder().setGeneration(number)));
-                    tell(Frame.newBuilder().setChecked(Checked.getDefaultInstance()));
+                    send(Frame.newBuilder().setHello(Hello.newBuilder().setGeneration(number)));
+                    send(Frame.newBuilder().setChecked(Checked.getDefaultInstance()));
                 }
             }
 
-            /** Frames of one link stay in order, each late by a little. */
-            private void tell(Frame.Builder frame) {
+            /** Sends a frame to the supervisor; frames of a connection stay in order, each with a delay. */
+            private void send(Frame.Builder frame) {
                 Frame built = frame.build();
-                linkFree = Math.max(linkFree, now + 50 + random.nextLong(2_000));
-                at(linkFree - now, () -> keeper(new KeeperEvent.Heard(number, built)));
+                outboundFreeAt = Math.max(outboundFreeAt, now + 50 + random.nextLong(2_000));
+                schedule(outboundFreeAt - now, () -> supervisor(new KeeperEvent.Heard(number, built)));
             }
 
-            private long inFree;
+            private long inboundFreeAt;
 
             void deliver(Frame frame) {
-                awaitsBack |= frame.hasTakeBack();
-                inFree = Math.max(inFree, now + 50 + random.nextLong(2_000));
-                at(inFree - now, () -> {
+                awaitsTakeBack |= frame.hasTakeBack();
+                inboundFreeAt = Math.max(inboundFreeAt, now + 50 + random.nextLong(2_000));
+                schedule(inboundFreeAt - now, () -> {
                     if (alive && !hung) {
-                        if (frames++ == fails) {
+                        if (frames++ == failsAtFrame) {
                             if (random.nextBoolean()) {
                                 hung = true;
                             } else {
@@ -371,48 +379,48 @@
                 }
                 alive = false;
                 accepting = false;
-                // its connections to boxes close with it
-                tryOnLine.values().forEach(id -> out.remove(id, number + ""));
-                tryOnLine.clear();
-                owing.clear();
-                List.copyOf(clients.values()).forEach(Client::closed);
+                // its server connections close with it
+                attemptByConnection.values().forEach(id -> idsInFlight.remove(id, number + ""));
+                attemptByConnection.clear();
+                openRequests.clear();
+                List.copyOf(clients.values()).forEach(SimulatedClient::closed);
                 clients.clear();
-                at(100, () -> keeper(new KeeperEvent.Lost(number, "closed")));
-                at(2_000, () -> keeper(new KeeperEvent.Ended(number, "died")));
+                schedule(100, () -> supervisor(new KeeperEvent.Lost(number, "closed")));
+                schedule(2_000, () -> supervisor(new KeeperEvent.Ended(number, "died")));
             }
 
             private void handle(Frame frame) {
                 switch (frame.getWhatCase()) {
                     case STATE -> build(frame);
-                    case GIVE_STATE -> tell(Frame.newBuilder().setState(States.write(desk.holdings(),
+                    case GIVE_STATE -> send(Frame.newBuilder().setState(States.write(reducer.holdings(),
                             router.memory(), counters.all(), now, now * 1000)));
-                    case TAKE -> tell(Frame.newBuilder().setTook(Took.getDefaultInstance()));
-                    case SHARE -> happened(new Event.Share());
+                    case TAKE -> send(Frame.newBuilder().setTook(Took.getDefaultInstance()));
+                    case SHARE -> dispatch(new Event.Share());
                     case SHARING -> {
-                        if (!deaf) {
-                            happened(new Event.Adopt(frame.getSharing().getGeneration(),
-                                    States.holdings(frame.getSharing())));
+                        if (!ignoresSharing) {
+                            dispatch(new Event.Adopt(frame.getSharing().getGeneration(),
+                                    States.decodeGenerationState(frame.getSharing())));
                         }
                     }
                     case GO -> {
                         accepting = true;
-                        tell(Frame.newBuilder().setServing(Serving.getDefaultInstance()));
+                        send(Frame.newBuilder().setServing(Serving.getDefaultInstance()));
                     }
                     case LET_GO -> {
                         accepting = false;
-                        tell(Frame.newBuilder().setLetGoDone(LetGoDone.getDefaultInstance()));
-                        happened(new Event.LetGo(frame.getLetGo().getLimitMicros()));
+                        send(Frame.newBuilder().setLetGoDone(LetGoDone.getDefaultInstance()));
+                        dispatch(new Event.LetGo(frame.getLetGo().getLimitMicros()));
                     }
                     case TAKE_BACK -> {
-                        // one that has just stopped is gone before it hears this
+                        // one that has just stopped exits before it receives this
                         accepting = !stopping;
-                        awaitsBack = false;
-                        happened(new Event.TakeBack());
+                        awaitsTakeBack = false;
+                        dispatch(new Event.TakeBack());
                     }
-                    case OTHER_GONE -> happened(new Event.OtherGone(frame.getOtherGone().getGeneration()));
-                    case NEWS -> happened(new Event.FromOther(frame.getNews().getGeneration(),
-                            States.news(frame.getNews())));
-                    default -> broken.add("told " + frame.getWhatCase());
+                    case OTHER_GONE -> dispatch(new Event.OtherGone(frame.getOtherGone().getGeneration()));
+                    case NEWS -> dispatch(new Event.FromOther(frame.getNews().getGeneration(),
+                            States.message(frame.getNews())));
+                    default -> violations.add("told " + frame.getWhatCase());
                 }
             }
 
@@ -421,37 +429,37 @@
                 try {
                     left = States.read(frame.getState(), now, now * 1000);
                 } catch (UnreadableStateException e) {
-                    broken.add(e.getMessage());
+                    violations.add(e.getMessage());
                     return;
                 }
-                desk = new Desk(TERMS, new Bounds(60, 60, 60, 1 << 20), counters, actions -> {
+                reducer = new Desk(SETTINGS, new Bounds(60, 60, 60, 1 << 20), counters, actions -> {
                     router = left == null ? new GenerationRouter(config.settings(), number, actions)
                             : new GenerationRouter(config.settings(), number, actions, left.memory(),
                                     left.shift());
                     return router;
                 });
                 if (left == null) {
-                    // as after a restart: its configuration tells it the list
-                    told();
+                    // as after a restart: the endpoint list comes from the configuration
+                    recordDrainsTold();
                 }
-                happened(new Event.Started(left == null ? list(-1) : left.boxes(), "list"));
-                tell(Frame.newBuilder().setReady(Ready.getDefaultInstance()));
+                dispatch(new Event.Started(left == null ? endpointList(-1) : left.boxes(), "list"));
+                send(Frame.newBuilder().setReady(Ready.getDefaultInstance()));
             }
 
-            void happened(Event event) {
-                if (!alive || hung || desk == null || stopping) {
+            void dispatch(Event event) {
+                if (!alive || hung || reducer == null || stopping) {
                     return;
                 }
-                for (Effect effect : desk.reduce(event, now)) {
+                for (Effect effect : reducer.reduce(event, now)) {
                     perform(effect);
                 }
-                if (desk.nextDue() < tickAt) {
-                    tickAt = desk.nextDue();
+                if (reducer.nextDue() < tickAt) {
+                    tickAt = reducer.nextDue();
                     long mine = tickAt;
-                    at(Math.max(0, mine - now), () -> {
+                    schedule(Math.max(0, mine - now), () -> {
                         if (tickAt == mine) {
                             tickAt = Long.MAX_VALUE;
-                            happened(new Event.Tick());
+                            dispatch(new Event.Tick());
                         }
                     });
                 }
@@ -459,101 +467,104 @@
 
             private void perform(Effect effect) {
                 if (effect instanceof Effect.OpenLine e) {
-                    boxOfLine.put(e.line(), Long.parseLong(e.address().split(":")[1]) - 9000);
-                    at(100 + random.nextLong(900), () -> happened(new Event.LineUp(e.line())));
+                    serverByConnection.put(e.line(), Long.parseLong(e.address().split(":")[1]) - 9000);
+                    schedule(100 + random.nextLong(900), () -> dispatch(new Event.LineUp(e.line())));
                 } else if (effect instanceof Effect.SendTry e) {
-                    sent(e);
+                    attemptSent(e);
                 } else if (effect instanceof Effect.CloseLine e) {
-                    at(random.nextLong(500), () -> down(e.line()));
+                    schedule(random.nextLong(500), () -> connectionClosed(e.line()));
                 } else if (effect instanceof Effect.EndAnswer e) {
-                    final Client c = over(e.client());
-                    at(0, c::done);
+                    final SimulatedClient c = requestEnded(e.client());
+                    schedule(0, c::answered);
                 } else if (effect instanceof Effect.Refuse e) {
-                    at(0, over(e.client())::done);
+                    schedule(0, requestEnded(e.client())::answered);
                 } else if (effect instanceof Effect.Fail e) {
-                    at(0, over(e.client())::done);
+                    schedule(0, requestEnded(e.client())::answered);
                 } else if (effect instanceof Effect.TurnDownTwin e) {
-                    over(e.client());
-                    at(0, () -> leaves(e.client()));
+                    requestEnded(e.client());
+                    schedule(0, () -> clientLeaves(e.client()));
                 } else if (effect instanceof Effect.CutOff e) {
-                    over(e.client());
-                    at(0, () -> leaves(e.client()));
+                    requestEnded(e.client());
+                    schedule(0, () -> clientLeaves(e.client()));
                 } else if (effect instanceof Effect.CloseClient e) {
-                    at(0, () -> leaves(e.client()));
+                    schedule(0, () -> clientLeaves(e.client()));
                 } else if (effect instanceof Effect.AskList e) {
                     long call = ++listCall;
-                    at(random.nextLong(2_000), () -> answer(this, e.since(), e.longest(), call,
+                    schedule(random.nextLong(2_000), () -> answerDiscovery(this, e.since(), e.longest(), call,
                             e.longest() == 0));
                 } else if (effect instanceof Effect.HangUpList) {
                     listCall++;
                 } else if (effect instanceof Effect.TellOthers e) {
-                    tell(Frame.newBuilder().setNews(States.news(e.news())));
+                    send(Frame.newBuilder().setNews(States.message(e.news())));
                 } else if (effect instanceof Effect.ShareOut e) {
-                    tell(Frame.newBuilder().setSharing(States.sharing(e.held())));
+                    send(Frame.newBuilder().setSharing(States.encodeGenerationState(e.held())));
                 } else if (effect instanceof Effect.Stop) {
                     stopping = true;
                     listCall++;
-                    at(5_000, this::die);
+                    schedule(5_000, this::die);
                 }
             }
 
-            private Client over(long connection) {
-                if (owing.remove(connection) == null) {
-                    broken.add("an answer that nobody is owed, in generation " + number);
+            private SimulatedClient requestEnded(long connection) {
+                if (openRequests.remove(connection) == null) {
+                    violations.add("an answer that nobody is owed, in generation " + number);
                 }
                 return clients.get(connection);
             }
 
-            private void leaves(long connection) {
-                Client client = clients.remove(connection);
+            private void clientLeaves(long connection) {
+                SimulatedClient client = clients.remove(connection);
                 if (client != null) {
-                    owing.remove(connection);
-                    happened(new Event.ClientLeft(connection));
+                    openRequests.remove(connection);
+                    dispatch(new Event.ClientLeft(connection));
                     client.closed();
                 }
             }
 
-            private void sent(Effect.SendTry e) {
-                String id = owing.get(e.client());
-                long box = boxOfLine.get(e.line());
-                if (out.putIfAbsent(id, number + "") != null) {
-                    broken.add("id " + id + " is out twice, from " + out.get(id) + " and " + number);
+            private void attemptSent(Effect.SendTry e) {
+                String id = openRequests.get(e.client());
+                long box = serverByConnection.get(e.line());
+                if (idsInFlight.putIfAbsent(id, number + "") != null) {
+                    violations.add("id " + id + " is out twice, from " + idsInFlight.get(id) + " and "
+                            + number);
                 }
-                tryOnLine.put(e.line(), id);
-                if (now > drainTold.getOrDefault(box, Long.MAX_VALUE - GRACE) + GRACE) {
-                    broken.add("sent to box " + box + " " + (now - drainTold.get(box))
+                attemptByConnection.put(e.line(), id);
+                if (now > drainToldAt.getOrDefault(box, Long.MAX_VALUE - DRAIN_GRACE_MICROS)
+                        + DRAIN_GRACE_MICROS) {
+                    violations.add("sent to box " + box + " " + (now - drainToldAt.get(box))
                             + " us after its drain");
                 }
-                happened(new Event.TrySent(e.line()));
+                dispatch(new Event.TrySent(e.line()));
                 long first = random.nextLong(150_000);
                 long whole = first + random.nextLong(random.nextInt(10) == 0 ? 3_000_000 : 200_000);
                 boolean breaks = random.nextInt(30) == 0;
                 String mine = id;
-                at(first, () -> onLine(e.line(), mine, new Event.Piece(e.line(), ByteBuffer.allocate(9))));
-                at(whole, () -> {
+                schedule(first, () -> dispatchIfInFlight(e.line(), mine, new Event.Piece(e.line(),
+                        ByteBuffer.allocate(9))));
+                schedule(whole, () -> {
                     if (breaks) {
-                        down(e.line());
-                    } else if (mine.equals(tryOnLine.get(e.line()))) {
-                        tryOnLine.remove(e.line());
-                        out.remove(mine, number + "");
-                        happened(new Event.Answered(e.line(), Outcome.OK, true, 0, null));
+                        connectionClosed(e.line());
+                    } else if (mine.equals(attemptByConnection.get(e.line()))) {
+                        attemptByConnection.remove(e.line());
+                        idsInFlight.remove(mine, number + "");
+                        dispatch(new Event.Answered(e.line(), Outcome.OK, true, 0, null));
                     }
                 });
             }
 
-            private void onLine(long line, String id, Event event) {
-                if (id.equals(tryOnLine.get(line))) {
-                    happened(event);
+            private void dispatchIfInFlight(long line, String id, Event event) {
+                if (id.equals(attemptByConnection.get(line))) {
+                    dispatch(event);
                 }
             }
 
-            private void down(long line) {
-                String id = tryOnLine.remove(line);
+            private void connectionClosed(long line) {
+                String id = attemptByConnection.remove(line);
                 if (id != null) {
-                    out.remove(id, number + "");
+                    idsInFlight.remove(id, number + "");
                 }
-                if (boxOfLine.remove(line) != null) {
-                    happened(new Event.LineDown(line));
+                if (serverByConnection.remove(line) != null) {
+                    dispatch(new Event.LineDown(line));
                 }
             }
         }
--- a/src/test/java/yewdock/daemon/RehearsalTest.java
+++ b/src/test/java/yewdock/daemon/RehearsalTest.java
@@ -7,11 +7,13 @@
 import org.junit.jupiter.api.Test;
 import yewdock.platform.Config;
 
-/** A rehearsal that serves nothing would load nothing. */
+/**
+ * Guards against a warm-up whose requests all fail: it would not load and compile the code that serves them.
+ */
 class RehearsalTest {
     @Test
     void everyRequestIsServed() throws Exception {
-        assertEquals(50, Rehearsal.play(Config.read(Files.readString(
+        assertEquals(50, Rehearsal.run(Config.read(Files.readString(
                 Path.of("src/test/resources/exchanges/config.json")), line -> { }), 50));
     }
 }
--- a/src/test/java/yewdock/daemon/StatesTest.java
+++ b/src/test/java/yewdock/daemon/StatesTest.java
@@ -20,56 +20,64 @@
 import yewdock.wire.State;
 
 /**
- * What one generation leaves to the next: all of it comes across, and what can't be read is refused clearly.
+ * Encoding and decoding of the state that one generation hands to the next: nothing is lost, and a state that
+ * can't be decoded is rejected with a clear message.
  */
 class StatesTest {
-    private static final Memory MEMORY = new Memory(1, 2, 3, 4, 8, 9, List.of(1.0, 2.0),
+    private static final Memory LEARNED_STATE = new Memory(1, 2, 3, 4, 8, 9, List.of(1.0, 2.0),
             Map.of(0, 1.5), List.of(0.5), List.of(100L), List.of(101L), List.of(new Memory.OfReplica(7, 64,
             List.of(5L, 0L), List.of(1, 0), 900, 2, 1, 800, 50, 700, 600)),
             List.of(new Memory.OfKey(42, 3.5, 4, 0)), List.of(11.0));
-    private static final Holdings HELD = new Holdings(List.of("x", "y"), List.of(new OtherNews.Sent(3, 7)),
+    private static final Holdings GENERATION = new Holdings(List.of("x", "y"),
+            List.of(new OtherNews.Sent(3, 7)),
             new EndpointList(41, true, List.of(new ModelServer("s-7", "127.0.0.1:9001", new Replica(7, 1, 2,
                     3, 1.5,
             Lifecycle.DRAINING, 123)))), "127.0.0.1:8500", Map.of(7L, 2_000L));
 
     private static State state() {
-        return States.write(HELD, MEMORY, Map.of("answers.served", 5L), 1_000_000, 2_000_000_000L);
+        return States.write(GENERATION, LEARNED_STATE, Map.of("answers.served", 5L), 1_000_000,
+                2_000_000_000L);
     }
 
     @Test
-    void allOfItComesAcrossOnTheReadersClock() throws Exception {
-        // 3 ms later by the machine's clock; the reader's own clock is 1 s ahead of the writer's
-        States.Left left = States.read(state(), 2_003_000, 2_003_000_000L);
-        assertEquals(1_000_000, left.shift());
-        assertEquals(MEMORY, left.memory());
-        assertEquals(HELD.boxes(), left.boxes());
-        assertEquals("127.0.0.1:8500", left.listAddress());
-        assertEquals(Map.of(7L, 1_002_000L), left.toldAt());
-        assertEquals(Map.of("answers.served", 5L), left.counters());
-        assertEquals(HELD.ids(), States.holdings(States.sharing(HELD)).ids());
-        assertEquals(HELD.out(), States.holdings(States.sharing(HELD)).out());
+    void stateIsPreservedAndShiftedToTheReadersClock() throws Exception {
+        // read 3 ms later by the monotonic clock; the reader's own clock is 1 s ahead of the writer's
+        States.Left inherited = States.read(state(), 2_003_000, 2_003_000_000L);
+        assertEquals(1_000_000, inherited.shift());
+        assertEquals(LEARNED_STATE, inherited.memory());
+        assertEquals(GENERATION.boxes(), inherited.boxes());
+        assertEquals("127.0.0.1:8500", inherited.listAddress());
+        assertEquals(Map.of(7L, 1_002_000L), inherited.toldAt());
+        assertEquals(Map.of("answers.served", 5L), inherited.counters());
+        assertEquals(GENERATION.ids(),
+                States.decodeGenerationState(States.encodeGenerationState(GENERATION)).ids());
+        assertEquals(GENERATION.out(),
+                States.decodeGenerationState(States.encodeGenerationState(GENERATION)).out());
     }
 
     @Test
-    void aLaterVersionsFieldsAreSkipped() throws Exception {
+    void unknownFieldsOfANewerVersionAreSkipped() throws Exception {
         State later = state().toBuilder().setVersion(9).setLeastReader(1).setUnknownFields(
                 UnknownFieldSet.newBuilder().addField(500, UnknownFieldSet.Field.newBuilder()
                         .addLengthDelimited(ByteString.copyFromUtf8("news")).build()).build()).build();
-        assertEquals(MEMORY, States.read(State.parseFrom(later.toByteArray()), 1, 2_000_000_000L).memory());
+        assertEquals(LEARNED_STATE, States.read(State.parseFrom(later.toByteArray()), 1,
+                2_000_000_000L).memory());
     }
 
     @Test
-    void whatCantBeReadIsRefusedWithOneLine() throws Exception {
+    void unreadableStateIsRejectedWithOneLine() throws Exception {
         assertNull(States.read(State.getDefaultInstance(), 1, 1));
-        refused("for readers of 2 or later", state().toBuilder().setVersion(2).setLeastReader(2).build());
-        refused("reads versions from 1 on", state().toBuilder().setVersion(0).build());
-        refused("another start of this machine", state().toBuilder().setMonoNanos(Long.MAX_VALUE).build());
+        assertRejected("for readers of 2 or later",
+                state().toBuilder().setVersion(2).setLeastReader(2).build());
+        assertRejected("reads versions from 1 on", state().toBuilder().setVersion(0).build());
+        assertRejected("before this machine was rebooted",
+                state().toBuilder().setMonoNanos(Long.MAX_VALUE).build());
         State.Builder odd = state().toBuilder();
         odd.getBoxesBuilder().getBoxesBuilder(0).setLifecycle(77);
-        refused("an unknown state", odd.build());
+        assertRejected("an unknown state", odd.build());
     }
 
-    private static void refused(String words, State state) {
+    private static void assertRejected(String words, State state) {
         String said = assertThrows(UnreadableStateException.class,
                 () -> States.read(state, 1, 2_000_000_000L)).getMessage();
         assertTrue(said.contains(words) && said.lines().count() == 1, said);
--- a/src/test/java/yewdock/door/DoorTest.java
+++ b/src/test/java/yewdock/door/DoorTest.java
@@ -21,75 +21,75 @@
 import yewdock.platform.Wire;
 import yewdock.platform.Wires;
 
-/** The door against callers that hold it open, and what it prints under load. */
+/** The admin interface under idle connections, and the consistency of its counters under load. */
 class DoorTest {
     private long micros = 1_000_000_000_000L;
     private final Counters counters = new Counters();
     private final Config config;
-    private final Front front;
-    private final Door door;
+    private final Front connectionManager;
+    private final Door adminInterface;
 
     DoorTest() throws Exception {
         config = Config.read(Files.readString(Path.of("src/test/resources/exchanges/config.json")),
                 line -> { });
         Desk desk = new Desk(Terms.of(config.settings(), config.keepalive()), config.bounds(), counters,
                 actions -> new GenerationRouter(config.settings(), 1, actions));
-        front = new Front(config, desk, counters, new NoNetwork(), () -> micros, line -> { });
-        door = new Door(front);
-        front.start();
+        connectionManager = new Front(config, desk, counters, new NoNetwork(), () -> micros, line -> { });
+        adminInterface = new Door(connectionManager);
+        connectionManager.start();
     }
 
-    /** Two hundred that say nothing: no more than a few hold descriptors, and the good one is answered. */
+    /** Of 200 idle connections only the maximum number stays open, and a command is still answered. */
     @Test
-    void silentCallersCostNoGoodOneItsPlace() {
-        List<Heard> silent = new ArrayList<>();
+    void idleConnectionsDoNotLockOutACommand() {
+        List<RecordingConnection> silent = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            Heard wire = new Heard();
-            wire.side = door.accept(wire);
+            RecordingConnection wire = new RecordingConnection();
+            wire.side = adminInterface.accept(wire);
             if (i % 2 == 0) {
                 wire.side.received(bytes("heal"));
             }
             silent.add(wire);
         }
         assertEquals(Door.MOST_CALLERS, silent.stream().filter(w -> !w.closed).count());
-        assertEquals("YES ready\n", call("health"));
+        assertEquals("YES ready\n", sendCommand("health"));
         assertTrue(silent.stream().allMatch(w -> w.text.isEmpty()));
     }
 
     @Test
-    void binaryAndEndlessLinesAreTurnedDown() {
-        assertTrue(call("\0\u00ff\u00fe").startsWith("NO "));
-        Heard wire = new Heard();
-        wire.side = door.accept(wire);
+    void binaryAndOverlongLinesAreRejected() {
+        assertTrue(sendCommand("\0\u00ff\u00fe").startsWith("NO "));
+        RecordingConnection wire = new RecordingConnection();
+        wire.side = adminInterface.accept(wire);
         for (int i = 0; i < 600 && !wire.closed; i++) {
             wire.side.received(bytes("x"));
         }
         assertTrue(wire.text.toString().startsWith("NO the line is too long"), wire.text.toString());
     }
 
-    /** Asked at any moment, each request taken is in exactly one figure. */
+    /** Whenever the counters are read, each accepted request is in exactly one of them. */
     @Test
-    void figuresBalanceAtEveryMoment() {
-        Heard client = null;
+    void countersAddUpAtAnyTime() {
+        RecordingConnection client = null;
         long mostPending = 0;
         for (int i = 0; i < 1000; i++) {
             micros += 7_000;
             if (i % 100 == 50) {
-                front.reconfigure(config);
+                connectionManager.reconfigure(config);
             }
             if (i % 3 == 0) {
-                client = new Heard();
-                client.side = front.accept(client);
+                client = new RecordingConnection();
+                client.side = connectionManager.accept(client);
                 client.side.received(bytes("POST /v1/chat/completions HTTP/1.1\r\nX-Correlation-Id: " + i / 2
                         + "\r\nX-Service-Class: chat\r\nX-Account: lalitpur-metro\r\nX-Time-Left: 4\r\n"
                         + "X-Facts: prompt_len=1,prefix_len=0,max_out=9\r\nContent-Length: 2\r\n\r\n{}"));
             } else if (i % 5 == 0) {
                 client.side.down();
             } else {
-                front.happened(new yewdock.desk.Event.Tick());
+                connectionManager.happened(new yewdock.desk.Event.Tick());
             }
             long sum = 0;
-            for (String line : call("counters").split("\n")) {
+            for (String line : sendCommand("counters").split("\n")) {
                 String name = line.contains("=") ? line.substring(0, line.indexOf('=')) : "";
                 if (name.contains("downstream_requests") || name.endsWith(".pending")) {
                     long figure = Long.parseLong(line.substring(line.indexOf('=') + 1));
@@ -103,9 +103,9 @@
         assertTrue(mostPending > 0);
     }
 
-    private String call(String line) {
-        Heard wire = new Heard();
-        wire.side = door.accept(wire);
+    private String sendCommand(String line) {
+        RecordingConnection wire = new RecordingConnection();
+        wire.side = adminInterface.accept(wire);
         wire.side.received(bytes(line + "\n"));
         wire.side.down();
         return wire.text.toString();
@@ -115,7 +115,7 @@
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private static final class Heard implements Wire {
+    private static final class RecordingConnection implements Wire {
         private final StringBuilder text = new StringBuilder();
         private Side side;
         private boolean closed;
@@ -153,20 +153,20 @@
 
         @Override
         public void hold(boolean held) {
-            // nothing comes by itself
+            // tests deliver all bytes themselves
         }
     }
 
-    /** Connections that never come up. */
+    /** Outgoing connections that are never established. */
     private static final class NoNetwork implements Wires {
         @Override
         public <S extends Side> S connect(String address, Function<Wire, S> makeSide) {
-            return makeSide.apply(new Heard());
+            return makeSide.apply(new RecordingConnection());
         }
 
         @Override
         public void stop() {
-            // never asked to
+            // not used
         }
     }
 }
--- a/src/test/java/yewdock/settings/OperatorSettingsTest.java
+++ b/src/test/java/yewdock/settings/OperatorSettingsTest.java
@@ -7,16 +7,16 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The operator's file: all of it or nothing, and one line for each mistake. */
+/** The operator's settings file is rejected as a whole, with one line for each error. */
 class OperatorSettingsTest {
     @Test
-    void theFileInDeployHoldsEveryDefault() throws Exception {
+    void deployedFileEqualsTheDefaults() throws Exception {
         assertEquals(OperatorSettings.defaults(), OperatorSettings.read(Path.of("deploy/operator.hcl")));
         assertEquals(OperatorSettings.defaults(), OperatorSettings.parse("f", "# nothing\n"));
     }
 
     @Test
-    void eachMistakeIsALineOfItsOwn() {
+    void eachErrorIsALineOfItsOwn() {
         BadSettingsException bad = assertThrows(BadSettingsException.class,
                 () -> OperatorSettings.parse("f.hcl",
                 """
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void aCouncilOfWhoIsNotThereIsAMistake() {
+    void consensusMembersMustBeKnownInstances() {
         BadSettingsException bad = assertThrows(BadSettingsException.class, () -> OperatorSettings.parse("f",
                 "agreement {\n members = [\"a\", \"b\"]\n agreed_within_s = 0.5\n in_doubt = \"hope\"\n}\n"));
         assertEquals(List.of("f: agreement.members: three or five instances, each once, not [a, b]",
@@ -54,9 +54,9 @@
                 "f: agreement.in_doubt: refuse or serve, not hope"), bad.mistakes());
     }
 
-    /** What the parser takes for an empty file, or mends by itself, is a mistake here. */
+    /** Text that the parser accepts as empty or repairs silently must be rejected. */
     @Test
-    void whatIsNoHclIsRefused() {
+    void invalidHclIsRejected() {
         for (String text : List.of("daemon { = ", "daemon {\n config = \"x\"\n", "{\"name\":",
                 "daemon { }\ndaemon"
                 + " { config = \"a\" }\n")) {
--- a/src/test/java/yewdock/upgrade/UpgradeTest.java
+++ b/src/test/java/yewdock/upgrade/UpgradeTest.java
@@ -19,51 +19,53 @@
 import yewdock.wire.State;
 import yewdock.wire.Took;
 
-/** The keeper's decisions, stage by stage. */
+/** The supervisor's decisions in each stage of an upgrade. */
 class UpgradeTest {
-    private static final long STAGE = 1_000_000;
-    private final Upgrade keeper = new Upgrade(Limits.even(STAGE, 10 * STAGE, 2));
-    private final List<String> seen = new ArrayList<>();
+    private static final long STAGE_MICROS = 1_000_000;
+    private final Upgrade reducer = new Upgrade(Limits.even(STAGE_MICROS, 10 * STAGE_MICROS, 2));
+    private final List<String> effects = new ArrayList<>();
     private long now = 1;
     private int exit = -1;
 
-    private void happens(KeeperEvent event) {
-        for (KeeperEffect effect : keeper.reduce(event, now)) {
+    private void dispatch(KeeperEvent event) {
+        for (KeeperEffect effect : reducer.reduce(event, now)) {
             if (effect instanceof KeeperEffect.Tell e) {
-                seen.add(e.generation() + " " + e.frame().getWhatCase());
+                effects.add(e.generation() + " " + e.frame().getWhatCase());
             } else if (effect instanceof KeeperEffect.Start e) {
-                seen.add("start " + e.generation());
+                effects.add("start " + e.generation());
             } else if (effect instanceof KeeperEffect.Kill e) {
-                seen.add("kill " + e.generation());
+                effects.add("kill " + e.generation());
             } else if (effect instanceof KeeperEffect.Reply e) {
-                seen.add("reply " + e.exit() + " " + e.line());
+                effects.add("reply " + e.exit() + " " + e.line());
             } else if (effect instanceof KeeperEffect.Stop e) {
                 exit = e.exit();
             }
         }
     }
 
-    private void says(int generation, Frame.Builder frame) {
-        happens(new KeeperEvent.Heard(generation, frame.build()));
+    private void receive(int generation, Frame.Builder frame) {
+        dispatch(new KeeperEvent.Heard(generation, frame.build()));
     }
 
-    private List<String> taken() {
-        List<String> all = List.copyOf(seen);
-        seen.clear();
+    private List<String> takeEffects() {
+        List<String> all = List.copyOf(effects);
+        effects.clear();
         return all;
     }
 
-    /** Brings a generation up to just before a stage; old is the one that serves, 0 for none. */
-    private void upTo(Stage stage, int old, int next) {
+    /** Takes an upgrade to the begin of a stage, null: to its end; old is the serving generation, 0: none. */
+    private void advanceTo(Stage stage, int old, int next) {
         Map<Stage, Runnable> steps = new EnumMap<>(Stage.class);
-        steps.put(Stage.START, () -> says(next, Frame.newBuilder().setHello(Hello.getDefaultInstance())));
-        steps.put(Stage.CHECK, () -> says(next, Frame.newBuilder().setChecked(Checked.getDefaultInstance())));
-        steps.put(Stage.STATE, () -> says(old, Frame.newBuilder().setState(State.getDefaultInstance())));
-        steps.put(Stage.READY, () -> says(next, Frame.newBuilder().setReady(Ready.getDefaultInstance())));
-        steps.put(Stage.TAKE, () -> says(next, Frame.newBuilder().setTook(Took.getDefaultInstance())));
-        steps.put(Stage.SHARE, () -> says(old, Frame.newBuilder().setSharing(Sharing.getDefaultInstance())));
-        steps.put(Stage.GO, () -> says(next, Frame.newBuilder().setServing(Serving.getDefaultInstance())));
-        steps.put(Stage.LET_GO, () -> says(old, Frame.newBuilder().setLetGoDone(
+        steps.put(Stage.START, () -> receive(next, Frame.newBuilder().setHello(Hello.getDefaultInstance())));
+        steps.put(Stage.CHECK, () -> receive(next,
+                Frame.newBuilder().setChecked(Checked.getDefaultInstance())));
+        steps.put(Stage.STATE, () -> receive(old, Frame.newBuilder().setState(State.getDefaultInstance())));
+        steps.put(Stage.READY, () -> receive(next, Frame.newBuilder().setReady(Ready.getDefaultInstance())));
+        steps.put(Stage.TAKE, () -> receive(next, Frame.newBuilder().setTook(Took.getDefaultInstance())));
+        steps.put(Stage.SHARE, () -> receive(old,
+                Frame.newBuilder().setSharing(Sharing.getDefaultInstance())));
+        steps.put(Stage.GO, () -> receive(next, Frame.newBuilder().setServing(Serving.getDefaultInstance())));
+        steps.put(Stage.LET_GO, () -> receive(old, Frame.newBuilder().setLetGoDone(
                 LetGoDone.getDefaultInstance())));
         for (Map.Entry<Stage, Runnable> step : steps.entrySet()) {
             if (step.getKey() == stage) {
@@ -76,28 +78,31 @@
         }
     }
 
-    private void firstServes() {
-        happens(new KeeperEvent.Begun(List.of("p")));
-        upTo(null, 0, 1);
-        assertEquals(1, keeper.serving());
-        taken();
+    private void startFirstGeneration() {
+        dispatch(new KeeperEvent.Begun(List.of("p")));
+        advanceTo(null, 0, 1);
+        assertEquals(1, reducer.serving());
+        takeEffects();
     }
 
     @Test
-    void goesThroughItsStages() {
-        firstServes();
-        happens(new KeeperEvent.Asked(7, List.of()));
-        upTo(null, 1, 2);
-        assertEquals(2, keeper.serving());
-        List<String> all = taken();
+    void upgradePassesAllStages() {
+        startFirstGeneration();
+        dispatch(new KeeperEvent.Asked(7, List.of()));
+        advanceTo(null, 1, 2);
+        assertEquals(2, reducer.serving());
+        List<String> all = takeEffects();
         assertEquals(List.of("start 2", "1 GIVE_STATE", "2 STATE", "2 TAKE", "1 SHARE", "2 SHARING", "2 GO",
                 "1 LET_GO"), all.subList(0, 8));
         assertTrue(all.get(8).startsWith("reply 0 generation 2 serves, generation 1 finishes"), all.get(8));
     }
 
-    /** At every stage and in every way: the old one serves on, and the answer names the stage. */
+    /**
+     * Failures of every kind at every stage: the old generation keeps serving, and the answer names the
+     * stage.
+     */
     @Test
-    void whateverFailsTheOldOneServesOn() {
+    void oldGenerationKeepsServingWhenTheNewOneFails() {
         for (Stage stage : Stage.values()) {
             for (String way : List.of("late", "exits", "lost", "fails", "nonsense")) {
                 UpgradeTest t = new UpgradeTest();
@@ -107,131 +112,129 @@
     }
 
     private void failAt(Stage stage, String way) {
-        firstServes();
-        happens(new KeeperEvent.Asked(7, List.of()));
-        upTo(stage, 1, 2);
-        taken();
+        startFirstGeneration();
+        dispatch(new KeeperEvent.Asked(7, List.of()));
+        advanceTo(stage, 1, 2);
+        takeEffects();
         String at = stage + " " + way;
         switch (way) {
             case "late" -> {
-                now += STAGE;
-                happens(new KeeperEvent.Tick());
+                now += STAGE_MICROS;
+                dispatch(new KeeperEvent.Tick());
             }
-            case "exits" -> happens(new KeeperEvent.Ended(2, "it ended with 3"));
-            case "lost" -> happens(new KeeperEvent.Lost(2, "its connection broke"));
-            case "fails" -> says(2, Frame.newBuilder().setFailed(Failed.newBuilder().setWhy("no")));
-            default -> says(2, Frame.newBuilder().setLetGoDone(LetGoDone.getDefaultInstance()));
+            case "exits" -> dispatch(new KeeperEvent.Ended(2, "it ended with 3"));
+            case "lost" -> dispatch(new KeeperEvent.Lost(2, "its connection broke"));
+            case "fails" -> receive(2, Frame.newBuilder().setFailed(Failed.newBuilder().setWhy("no")));
+            default -> receive(2, Frame.newBuilder().setLetGoDone(LetGoDone.getDefaultInstance()));
         }
-        List<String> all = taken();
+        List<String> all = takeEffects();
         if (stage == Stage.LET_GO && way.equals("late")) {
-            // the new one serves: what is late is the old one
-            assertEquals(2, keeper.serving(), at);
+            // the new generation serves already; the old one is late
+            assertEquals(2, reducer.serving(), at);
             return;
         }
-        assertEquals(1, keeper.serving(), at);
-        assertEquals(0, keeper.coming(), at);
+        assertEquals(1, reducer.serving(), at);
+        assertEquals(0, reducer.coming(), at);
         assertTrue(all.contains("kill 2"), at + all);
         assertEquals(stage.compareTo(Stage.SHARE) >= 0, all.contains("1 TAKE_BACK"), at + all);
         assertTrue(all.stream().anyMatch(l -> l.startsWith("reply 1 upgrade failed at stage " + stage)
                 && l.endsWith("generation 1 serves as before")), at + all);
-        happens(new KeeperEvent.Ended(2, "killed"));
-        happens(new KeeperEvent.Asked(8, List.of()));
-        upTo(null, 1, 3);
-        assertEquals(3, keeper.serving(), at);
+        dispatch(new KeeperEvent.Ended(2, "killed"));
+        dispatch(new KeeperEvent.Asked(8, List.of()));
+        advanceTo(null, 1, 3);
+        assertEquals(3, reducer.serving(), at);
     }
 
     @Test
-    void oneUpgradeAtATimeAndNotTooManyFinishing() {
-        firstServes();
-        happens(new KeeperEvent.Asked(7, List.of()));
-        happens(new KeeperEvent.Asked(8, List.of()));
-        assertTrue(taken().contains("reply 1 not now: generation 2 is on its way, at stage start"));
-        upTo(null, 1, 2);
-        happens(new KeeperEvent.Asked(9, List.of()));
-        upTo(Stage.SHARE, 2, 3);
-        says(1, Frame.newBuilder().setSharing(Sharing.getDefaultInstance()));
-        says(2, Frame.newBuilder().setSharing(Sharing.getDefaultInstance()));
-        says(3, Frame.newBuilder().setServing(Serving.getDefaultInstance()));
-        says(2, Frame.newBuilder().setLetGoDone(LetGoDone.getDefaultInstance()));
-        assertEquals(3, keeper.serving());
-        taken();
-        happens(new KeeperEvent.Asked(10, List.of()));
-        assertEquals(List.of("reply 1 not now: 2 older generations are still finishing what they have"),
-                taken());
+    void concurrentUpgradesAndTooManyFinishingAreRefused() {
+        startFirstGeneration();
+        dispatch(new KeeperEvent.Asked(7, List.of()));
+        dispatch(new KeeperEvent.Asked(8, List.of()));
+        assertTrue(takeEffects().contains("reply 1 not now: generation 2 is on its way, at stage start"));
+        advanceTo(null, 1, 2);
+        dispatch(new KeeperEvent.Asked(9, List.of()));
+        advanceTo(Stage.SHARE, 2, 3);
+        receive(1, Frame.newBuilder().setSharing(Sharing.getDefaultInstance()));
+        receive(2, Frame.newBuilder().setSharing(Sharing.getDefaultInstance()));
+        receive(3, Frame.newBuilder().setServing(Serving.getDefaultInstance()));
+        receive(2, Frame.newBuilder().setLetGoDone(LetGoDone.getDefaultInstance()));
+        assertEquals(3, reducer.serving());
+        takeEffects();
+        dispatch(new KeeperEvent.Asked(10, List.of()));
+        assertEquals(List.of("reply 1 not now: 2 older generations are still finishing their requests"),
+                takeEffects());
     }
 
-    /** The old one is killed outright in the middle: at each stage the new one goes on by itself. */
+    /** The old generation is killed during an upgrade: at each stage the new one continues without it. */
     @Test
-    void theOldOneDiesAtAnyStage() {
+    void upgradeContinuesWhenTheOldGenerationDies() {
         for (Stage stage : Stage.values()) {
             UpgradeTest t = new UpgradeTest();
-            t.firstServes();
-            t.happens(new KeeperEvent.Asked(7, List.of()));
-            t.upTo(stage, 1, 2);
-            t.happens(new KeeperEvent.Lost(1, "killed"));
-            t.happens(new KeeperEvent.Ended(1, "killed"));
+            t.startFirstGeneration();
+            t.dispatch(new KeeperEvent.Asked(7, List.of()));
+            t.advanceTo(stage, 1, 2);
+            t.dispatch(new KeeperEvent.Lost(1, "killed"));
+            t.dispatch(new KeeperEvent.Ended(1, "killed"));
             for (Stage rest : Stage.values()) {
                 if (rest.compareTo(stage) >= 0) {
-                    t.upToFrom(rest);
+                    t.runNewGenerationStep(rest);
                 }
             }
-            assertEquals(2, t.keeper.serving(), stage.toString());
+            assertEquals(2, t.reducer.serving(), stage.toString());
         }
     }
 
-    private void upToFrom(Stage stage) {
+    private void runNewGenerationStep(Stage stage) {
         switch (stage) {
-            case START -> says(2, Frame.newBuilder().setHello(Hello.getDefaultInstance()));
-            case CHECK -> says(2, Frame.newBuilder().setChecked(Checked.getDefaultInstance()));
-            case READY -> says(2, Frame.newBuilder().setReady(Ready.getDefaultInstance()));
-            case TAKE -> says(2, Frame.newBuilder().setTook(Took.getDefaultInstance()));
-            case GO -> says(2, Frame.newBuilder().setServing(Serving.getDefaultInstance()));
+            case START -> receive(2, Frame.newBuilder().setHello(Hello.getDefaultInstance()));
+            case CHECK -> receive(2, Frame.newBuilder().setChecked(Checked.getDefaultInstance()));
+            case READY -> receive(2, Frame.newBuilder().setReady(Ready.getDefaultInstance()));
+            case TAKE -> receive(2, Frame.newBuilder().setTook(Took.getDefaultInstance()));
+            case GO -> receive(2, Frame.newBuilder().setServing(Serving.getDefaultInstance()));
             default -> {
-                // what the dead one would have said
+                // frames that the dead generation would have sent
             }
         }
     }
 
     @Test
-    void aServingOneThatDiesIsReplacedAndAFirstOneThatFailsEndsTheKeeper() {
-        firstServes();
-        happens(new KeeperEvent.Ended(1, "killed"));
-        assertEquals(List.of(), taken());
-        now = keeper.nextDue();
-        happens(new KeeperEvent.Tick());
-        assertEquals(List.of("start 2"), taken());
-        Upgrade other = new Upgrade(Limits.even(STAGE, STAGE, 2));
+    void dyingServingGenerationIsReplacedAndFailingFirstOneEndsTheSupervisor() {
+        startFirstGeneration();
+        dispatch(new KeeperEvent.Ended(1, "killed"));
+        assertEquals(List.of(), takeEffects());
+        now = reducer.nextDue();
+        dispatch(new KeeperEvent.Tick());
+        assertEquals(List.of("start 2"), takeEffects());
+        Upgrade other = new Upgrade(Limits.even(STAGE_MICROS, STAGE_MICROS, 2));
         other.reduce(new KeeperEvent.Begun(List.of("p")), 1);
         assertTrue(other.reduce(new KeeperEvent.Ended(1, "it ended with 1"), 2)
                 .contains(new KeeperEffect.Stop(1)));
     }
 
-    /**
-     * A new one that dies soon after the upgrade: the old one, which still finishes, serves again at once.
-     */
+    /** The new generation dies soon after the upgrade: the old one, still finishing, serves again at once. */
     @Test
-    void anOldOneThatStillFinishesServesAgain() {
-        firstServes();
-        happens(new KeeperEvent.Asked(7, List.of("q")));
-        upTo(null, 1, 2);
-        taken();
-        happens(new KeeperEvent.Lost(2, "closed"));
-        happens(new KeeperEvent.Ended(2, "killed"));
-        assertEquals(List.of("1 OTHER_GONE", "1 TAKE_BACK", "1 OTHER_GONE"), taken());
-        assertEquals(1, keeper.serving());
+    void finishingGenerationServesAgain() {
+        startFirstGeneration();
+        dispatch(new KeeperEvent.Asked(7, List.of("q")));
+        advanceTo(null, 1, 2);
+        takeEffects();
+        dispatch(new KeeperEvent.Lost(2, "closed"));
+        dispatch(new KeeperEvent.Ended(2, "killed"));
+        assertEquals(List.of("1 OTHER_GONE", "1 TAKE_BACK", "1 OTHER_GONE"), takeEffects());
+        assertEquals(1, reducer.serving());
     }
 
     @Test
-    void leavingEndsAnUpgradeAndWaitsForAll() {
-        firstServes();
-        happens(new KeeperEvent.Asked(7, List.of()));
-        upTo(Stage.READY, 1, 2);
-        happens(new KeeperEvent.Leave());
-        List<String> all = taken();
+    void shutdownAbortsAnUpgradeAndWaitsForAllGenerations() {
+        startFirstGeneration();
+        dispatch(new KeeperEvent.Asked(7, List.of()));
+        advanceTo(Stage.READY, 1, 2);
+        dispatch(new KeeperEvent.Leave());
+        List<String> all = takeEffects();
         assertTrue(all.contains("kill 2") && all.contains("1 LEAVE"), all.toString());
-        happens(new KeeperEvent.Ended(2, "killed"));
+        dispatch(new KeeperEvent.Ended(2, "killed"));
         assertEquals(-1, exit);
-        happens(new KeeperEvent.Ended(1, "it ended with 0"));
+        dispatch(new KeeperEvent.Ended(1, "it ended with 0"));
         assertEquals(0, exit);
     }
 }
