--- a/src/main/java/yewdock/daemon/Keeper.java
+++ b/src/main/java/yewdock/daemon/Keeper.java
@@ -82,8 +82,8 @@
         Limits limits = new Limits(Map.of(Stage.START, upgradeSettings.start(),
                 Stage.CHECK, upgradeSettings.check(), Stage.STATE, upgradeSettings.state(),
                 Stage.READY, upgradeSettings.ready(), Stage.SHARE, upgradeSettings.share(),
-                Stage.TAKE, upgradeSettings.take(), Stage.GO, upgradeSettings.go(), Stage.LET_GO,
-                        upgradeSettings.letGo()),
+                Stage.TAKE, upgradeSettings.take(), Stage.GO, upgradeSettings.go(),
+                Stage.LET_GO, upgradeSettings.letGo()),
                 upgradeSettings.finish(), upgradeSettings.mostFinishing());
         this.reducer = new Upgrade(limits);
     }
@@ -93,8 +93,8 @@
         Config config = Config.read(Files.readString(settings.daemon().config()), line -> { });
         openControl();
         if (settings.store().on()) {
-            stateService = new Archive(settings, frame -> generationConnections.values().forEach(link ->
-                    link.send(frame)));
+            stateService = new Archive(settings, frame ->
+                    generationConnections.values().forEach(connection -> connection.send(frame)));
             stateService.configurationApplied(Files.readString(settings.daemon().config()));
         }
         listener = Listener.asStandardInput(Addresses.of(config.listen()));
@@ -140,9 +140,9 @@
         try {
             long waitMicros = Math.max(0, Math.min(reducer.nextDue() - clock.getAsLong(), MAX_SLEEP_MICROS));
             KeeperEvent event = events.poll(waitMicros, TimeUnit.MICROSECONDS);
-            if (event instanceof KeeperEvent.Ended ended) {
-                processes.remove(ended.generation());
-                secrets.remove(ended.generation());
+            if (event instanceof KeeperEvent.Ended exited) {
+                processes.remove(exited.generation());
+                secrets.remove(exited.generation());
             }
             if (event instanceof KeeperEvent.HungUp) {
                 configurationReloaded();
--- a/src/main/java/yewdock/daemon/MarksFile.java
+++ b/src/main/java/yewdock/daemon/MarksFile.java
@@ -40,9 +40,9 @@
      */
     static String format(Map<String, BoxMark> overrides) {
         StringBuilder text = new StringBuilder(HEADER).append('\n');
-        new TreeMap<>(overrides).forEach((box, mark) ->
-                text.append(mark.kind().name().toLowerCase(Locale.ROOT))
-                .append(' ').append(mark.at()).append(' ').append(box).append('\n'));
+        new TreeMap<>(overrides).forEach((server, override) ->
+                text.append(override.kind().name().toLowerCase(Locale.ROOT)).append(' ')
+                        .append(override.at()).append(' ').append(server).append('\n'));
         return text.append(TRAILER).append(overrides.size()).append('\n').toString();
     }
 
--- a/src/main/java/yewdock/daemon/Peers.java
+++ b/src/main/java/yewdock/daemon/Peers.java
@@ -75,7 +75,7 @@
         thread.start();
     }
 
-    private Framed<PeerFrame> frame(SocketChannel channel) throws IOException {
+    private Framed<PeerFrame> wrap(SocketChannel channel) throws IOException {
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         return new Framed<>(channel, PeerFrame.parser(), MAX_FRAME_BYTES, MAX_QUEUED_FRAMES,
                 settings.readMegabytes() * BYTES_PER_MEGABYTE);
@@ -88,7 +88,7 @@
                     SocketChannel channel = SocketChannel.open();
                     try {
                         channel.socket().connect(address, CONNECT_TIMEOUT_MILLIS);
-                        register(name, frame(channel));
+                        register(name, wrap(channel));
                     } catch (IOException e) {
                         channel.close();
                     }
@@ -135,7 +135,7 @@
         timeout.setDaemon(true);
         timeout.start();
         try {
-            Framed<PeerFrame> connection = frame(channel);
+            Framed<PeerFrame> connection = wrap(channel);
             PeerFrame first = connection.first();
             timeout.interrupt();
             String name = first.getHello().getInstance();
@@ -202,7 +202,7 @@
     void close(String peer) {
         Framed<PeerFrame> connection = connections.remove(peer);
         if (connection != null) {
-            startThread("last words", () -> connection.finish(FLUSH_TIMEOUT_MILLIS));
+            startThread("flush and close", () -> connection.finish(FLUSH_TIMEOUT_MILLIS));
         }
     }
 
--- a/src/main/java/yewdock/daemon/Rehearsal.java
+++ b/src/main/java/yewdock/daemon/Rehearsal.java
@@ -54,8 +54,7 @@
         List<ModelServer> servers = new ArrayList<>();
         for (int i = 1; i <= SERVERS; i++) {
             servers.add(new ModelServer("s-" + i, "127.0.0.1:" + i, new Replica(i, 0, 0, 0, 1,
-                    Lifecycle.READY,
-                    0)));
+                    Lifecycle.READY, 0)));
         }
         warmUp.front.start(new EndpointList(1, true, servers));
         for (int i = 0; i < requests; i++) {
@@ -81,8 +80,8 @@
         return String.format(Locale.ROOT, "POST /v1/chat/completions HTTP/1.1\r\nX-Correlation-Id: %x\r\n"
                 + "X-Service-Class: %s\r\n%sX-Session-Key: %x\r\nX-Time-Left: 4.000\r\nX-Facts: prefix=%x,"
                 + "prompt_len=100,prefix_len=50,max_out=20\r\nContent-Length: 2\r\n\r\n{}", number + 1,
-                config.settings().classes().get(number % classes).name(), account, number + 1, number % 9
-                        + 1);
+                config.settings().classes().get(number % classes).name(), account, number + 1,
+                number % 9 + 1);
     }
 
     /** Opens a simulated server connection that answers every write; a discovery connection never opens. */
--- a/src/main/java/yewdock/daemon/States.java
+++ b/src/main/java/yewdock/daemon/States.java
@@ -66,8 +66,8 @@
         }
         if (encoded.getLeastReader() > VERSION) {
             throw new UnreadableStateException("the state's version is " + encoded.getVersion()
-                    + ", for readers of "
-                    + encoded.getLeastReader() + " or later; this program's is " + VERSION);
+                    + ", for readers of " + encoded.getLeastReader()
+                    + " or later; this program's is " + VERSION);
         }
         long ageMicros = (monoNanos - encoded.getMonoNanos()) / 1000;
         if (ageMicros < 0) {
@@ -84,8 +84,7 @@
             }
             return new Left(decodeEndpointList(encoded.getBoxes()), encoded.getBoxes().getAddress(), toldAt,
                     encoded.hasModule() ? learnedState(encoded.getModule()) : null, shiftMicros,
-                            Map.copyOf(encoded.getCountersMap()),
-                    encoded.getAfterRestart());
+                    Map.copyOf(encoded.getCountersMap()), encoded.getAfterRestart());
         } catch (IllegalArgumentException e) {
             throw new UnreadableStateException("the state can't be read: " + e.getMessage());
         }
@@ -188,9 +187,8 @@
             Replica state = server.replica();
             encoded.addBoxes(Box.newBuilder().setName(server.name()).setAddress(server.address())
                     .setId(state.id()).setSite(state.zone()).setKind(state.kind()).setCell(state.cell())
-                    .setWeight(state.weight())
-                    .setLifecycle(state.lifecycle().ordinal()).setStartedAt(state.startedAt())
-                    .setToldAt(toldAt.getOrDefault(state.id(), 0L)));
+                    .setWeight(state.weight()).setLifecycle(state.lifecycle().ordinal())
+                    .setStartedAt(state.startedAt()).setToldAt(toldAt.getOrDefault(state.id(), 0L)));
         }
         return encoded.build();
     }
@@ -202,10 +200,8 @@
                 throw new IllegalArgumentException("server " + server.getName() + " is in an unknown state");
             }
             servers.add(new ModelServer(server.getName(), server.getAddress(), new Replica(server.getId(),
-                    server.getSite(),
-                    server.getKind(),
-                    server.getCell(), server.getWeight(), Lifecycle.values()[server.getLifecycle()],
-                            server.getStartedAt())));
+                    server.getSite(), server.getKind(), server.getCell(), server.getWeight(),
+                    Lifecycle.values()[server.getLifecycle()], server.getStartedAt())));
         }
         return new EndpointList(encoded.getVersion(), encoded.getFull(), servers);
     }
@@ -220,8 +216,8 @@
             encoded.addNodes(NodeMemory.newBuilder().setId(server.id()).setPoints(server.points())
                     .addAllRestUntil(server.restUntil()).addAllStrikes(server.strikes())
                     .setEjectedUntil(server.ejectedUntil()).setEjections(server.ejections())
-                    .setBreaks(server.breaks())
-                    .setSlowUntil(server.slowUntil()).setLastDelay(server.lastDelay())
+                    .setBreaks(server.breaks()).setSlowUntil(server.slowUntil())
+                    .setLastDelay(server.lastDelay())
                     .setColdBudgetAt(server.coldBudgetAt()).setBudgetedStart(server.budgetedStart()));
         }
         for (umberspread.Memory.OfKey key : m.keys()) {
@@ -235,11 +231,9 @@
         List<umberspread.Memory.OfReplica> replicas = new ArrayList<>();
         for (NodeMemory server : m.getNodesList()) {
             replicas.add(new umberspread.Memory.OfReplica(server.getId(), server.getPoints(),
-                    server.getRestUntilList(),
-                    server.getStrikesList(), server.getEjectedUntil(), server.getEjections(),
-                            server.getBreaks(),
-                    server.getSlowUntil(), server.getLastDelay(), server.getColdBudgetAt(),
-                            server.getBudgetedStart()));
+                    server.getRestUntilList(), server.getStrikesList(), server.getEjectedUntil(),
+                    server.getEjections(), server.getBreaks(), server.getSlowUntil(), server.getLastDelay(),
+                    server.getColdBudgetAt(), server.getBudgetedStart()));
         }
         List<umberspread.Memory.OfKey> keys = new ArrayList<>();
         for (KeyMemory key : m.getKeysList()) {
--- a/src/main/java/yewdock/daemon/Succession.java
+++ b/src/main/java/yewdock/daemon/Succession.java
@@ -139,8 +139,7 @@
         older.send(Frame.newBuilder().setGiveState(GiveState.getDefaultInstance()).build());
         try {
             inherited = States.read(state.get(STATE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS),
-                    new Clock().getAsLong(),
-                    System.nanoTime());
+                    new Clock().getAsLong(), System.nanoTime());
             reached(Stage.STATE);
         } catch (TimeoutException | ExecutionException | UnreadableStateException e) {
             Say.warn("succession.no_state", "why", e.toString(), "now", "continuing without");
@@ -309,15 +308,15 @@
             successorListener = null;
             return;
         }
-        ServerSocketChannel mine = successorListener;
+        ServerSocketChannel listener = successorListener;
         Thread acceptor = new Thread(() -> {
             try {
                 while (true) {
-                    Link link = new Link(mine.accept());
-                    runOnReducerThread(() -> successorConnected(link));
+                    Link connection = new Link(listener.accept());
+                    runOnReducerThread(() -> successorConnected(connection));
                 }
             } catch (ClosedChannelException e) {
-                // the socket was closed because this process ends
+                // the listener was closed
             } catch (IOException e) {
                 Say.warn("succession.no_socket", "why", e.getMessage());
             }
@@ -429,7 +428,8 @@
     }
 
     private void overridesChanged(Marks overrides) {
-        States.overrides(overrides).forEach((box, mark) -> front.happened(new Event.MarkChanged(box, mark)));
+        States.overrides(overrides).forEach((server, override) ->
+                front.happened(new Event.MarkChanged(server, override)));
         storeOverrides();
     }
 
--- a/src/test/java/yewdock/daemon/GenerationsSimTest.java
+++ b/src/test/java/yewdock/daemon/GenerationsSimTest.java
@@ -50,8 +50,7 @@
  */
 class GenerationsSimTest {
     private static final Terms SETTINGS = new Terms(250_000, 5_000_000, false, 1_000_000, 10_000_000, false,
-            4,
-            List.of(), List.of("chat"), 0);
+            4, List.of(), List.of("chat"), 0);
     private static final int SEEDS = Integer.getInteger("sim.seeds", 60);
     private static final int REQUEST_IDS = 25;
     private static final int CLIENTS = 14;
@@ -86,14 +85,14 @@
     void generationsThatDoNotShareIdsAreDetected() throws IOException {
         Config config = Config.read(Files.readString(Path.of("src/test/resources/exchanges/config.json")),
                 line -> { });
-        int caught = 0;
+        int detected = 0;
         for (int seed = 1; seed <= SEEDS; seed++) {
             Simulation sim = new Simulation(seed, config);
             sim.ignoresSharing = true;
             sim.run();
-            caught += sim.violations.stream().anyMatch(b -> b.contains("out twice")) ? 1 : 0;
+            detected += sim.violations.stream().anyMatch(v -> v.contains("in flight twice")) ? 1 : 0;
         }
-        assertTrue(caught > 0);
+        assertTrue(detected > 0);
     }
 
     /** A task that is due at this time in microseconds. */
@@ -128,8 +127,8 @@
         Simulation(long seed, Config config) {
             this.random = new SplittableRandom(seed);
             this.config = config;
-            for (long b = 1; b <= 4; b++) {
-                serverStates.put(b, "up");
+            for (long server = 1; server <= 4; server++) {
+                serverStates.put(server, "up");
             }
         }
 
@@ -151,8 +150,7 @@
             for (SimulatedGeneration g : generations.values()) {
                 if (g.alive && !g.hung) {
                     g.openRequests.forEach((connection, id) -> violations.add("request " + id
-                            + " was never answered by "
-                            + g.number));
+                            + " was never answered by generation " + g.number));
                     if (g.counters.get("faults") > 0) {
                         violations.add("faults in generation " + g.number);
                     }
@@ -160,7 +158,7 @@
                 claims += g.counters.get("claims.made");
             }
             if (generations.values().stream().noneMatch(g -> g.alive && g.accepting)) {
-                violations.add("nobody accepts at the end");
+                violations.add("no generation accepts at the end");
             }
         }
 
@@ -182,8 +180,8 @@
         }
 
         private void toggleDrain() {
-            long box = 1 + random.nextInt(3);
-            serverStates.put(box, serverStates.get(box).equals("up") ? "draining" : "up");
+            long server = 1 + random.nextInt(3);
+            serverStates.put(server, serverStates.get(server).equals("up") ? "draining" : "up");
             version++;
             List<Runnable> all = new ArrayList<>(listWatchers);
             listWatchers.clear();
@@ -205,7 +203,7 @@
                     upgraded += e.event().equals("upgrade.done") ? 1 : 0;
                     failed += e.event().equals("upgrade.failed") ? 1 : 0;
                 } else if (effect instanceof KeeperEffect.Stop) {
-                    violations.add("the keeper stopped");
+                    violations.add("the supervisor stopped");
                 }
             }
             // at least one generation accepts, unless the serving one has died
@@ -227,12 +225,11 @@
         }
 
         private EndpointList endpointList(long since) {
-            List<ModelServer> boxes = new ArrayList<>();
+            List<ModelServer> servers = new ArrayList<>();
             serverStates.forEach((id, state) ->
-                    boxes.add(new ModelServer("s-" + id, "127.0.0.1:" + (9000 + id),
-                    new Replica(id, 0, 0, 0, 1, state.equals("up") ? Lifecycle.READY : Lifecycle.DRAINING,
-                            0))));
-            return new EndpointList(version, since < 0, boxes);
+                    servers.add(new ModelServer("s-" + id, "127.0.0.1:" + (9000 + id), new Replica(id, 0, 0,
+                            0, 1, state.equals("up") ? Lifecycle.READY : Lifecycle.DRAINING, 0))));
+            return new EndpointList(version, since < 0, servers);
         }
 
         private void answerDiscovery(SimulatedGeneration g, long since, long wait, long call, boolean force) {
@@ -292,8 +289,7 @@
                 generation.dispatch(new Event.ClientBegan(connection));
                 generation.openRequests.put(connection, id);
                 generation.dispatch(new Event.Asked(connection, new ModelRequest(id, 0, 0, false,
-                        random.nextInt(9),
-                        random.nextInt(5), 10, 5, 9, 3_000_000, 100)));
+                        random.nextInt(9), random.nextInt(5), 10, 5, 9, 3_000_000, 100)));
             }
 
             void closed() {
@@ -420,29 +416,30 @@
                     case OTHER_GONE -> dispatch(new Event.OtherGone(frame.getOtherGone().getGeneration()));
                     case NEWS -> dispatch(new Event.FromOther(frame.getNews().getGeneration(),
                             States.message(frame.getNews())));
-                    default -> violations.add("told " + frame.getWhatCase());
+                    default -> violations.add("unexpected frame " + frame.getWhatCase());
                 }
             }
 
             private void build(Frame frame) {
-                States.Left left;
+                States.Left inherited;
                 try {
-                    left = States.read(frame.getState(), now, now * 1000);
+                    inherited = States.read(frame.getState(), now, now * 1000);
                 } catch (UnreadableStateException e) {
                     violations.add(e.getMessage());
                     return;
                 }
                 reducer = new Desk(SETTINGS, new Bounds(60, 60, 60, 1 << 20), counters, actions -> {
-                    router = left == null ? new GenerationRouter(config.settings(), number, actions)
-                            : new GenerationRouter(config.settings(), number, actions, left.memory(),
-                                    left.shift());
+                    router = inherited == null ? new GenerationRouter(config.settings(), number, actions)
+                            : new GenerationRouter(config.settings(), number, actions, inherited.memory(),
+                                    inherited.shift());
                     return router;
                 });
-                if (left == null) {
+                if (inherited == null) {
                     // as after a restart: the endpoint list comes from the configuration
                     recordDrainsTold();
                 }
-                dispatch(new Event.Started(left == null ? endpointList(-1) : left.boxes(), "list"));
+                dispatch(new Event.Started(inherited == null ? endpointList(-1) : inherited.boxes(),
+                        "list"));
                 send(Frame.newBuilder().setReady(Ready.getDefaultInstance()));
             }
 
@@ -451,7 +448,7 @@
                     return;
                 }
                 for (Effect effect : reducer.reduce(event, now)) {
-                    perform(effect);
+                    execute(effect);
                 }
                 if (reducer.nextDue() < tickAt) {
                     tickAt = reducer.nextDue();
@@ -465,7 +462,7 @@
                 }
             }
 
-            private void perform(Effect effect) {
+            private void execute(Effect effect) {
                 if (effect instanceof Effect.OpenLine e) {
                     serverByConnection.put(e.line(), Long.parseLong(e.address().split(":")[1]) - 9000);
                     schedule(100 + random.nextLong(900), () -> dispatch(new Event.LineUp(e.line())));
@@ -507,7 +504,7 @@
 
             private SimulatedClient requestEnded(long connection) {
                 if (openRequests.remove(connection) == null) {
-                    violations.add("an answer that nobody is owed, in generation " + number);
+                    violations.add("an answer without a request, in generation " + number);
                 }
                 return clients.get(connection);
             }
@@ -523,15 +520,15 @@
 
             private void attemptSent(Effect.SendTry e) {
                 String id = openRequests.get(e.client());
-                long box = serverByConnection.get(e.line());
+                long server = serverByConnection.get(e.line());
                 if (idsInFlight.putIfAbsent(id, number + "") != null) {
-                    violations.add("id " + id + " is out twice, from " + idsInFlight.get(id) + " and "
+                    violations.add("id " + id + " is in flight twice, from " + idsInFlight.get(id) + " and "
                             + number);
                 }
                 attemptByConnection.put(e.line(), id);
-                if (now > drainToldAt.getOrDefault(box, Long.MAX_VALUE - DRAIN_GRACE_MICROS)
+                if (now > drainToldAt.getOrDefault(server, Long.MAX_VALUE - DRAIN_GRACE_MICROS)
                         + DRAIN_GRACE_MICROS) {
-                    violations.add("sent to box " + box + " " + (now - drainToldAt.get(box))
+                    violations.add("sent to server " + server + " " + (now - drainToldAt.get(server))
                             + " us after its drain");
                 }
                 dispatch(new Event.TrySent(e.line()));
--- a/src/test/java/yewdock/door/DoorTest.java
+++ b/src/test/java/yewdock/door/DoorTest.java
@@ -42,36 +42,36 @@
     /** Of 200 idle connections only the maximum number stays open, and a command is still answered. */
     @Test
     void idleConnectionsDoNotLockOutACommand() {
-        List<RecordingConnection> silent = new ArrayList<>();
+        List<RecordingConnection> idle = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            RecordingConnection wire = new RecordingConnection();
-            wire.side = adminInterface.accept(wire);
+            RecordingConnection connection = new RecordingConnection();
+            connection.side = adminInterface.accept(connection);
             if (i % 2 == 0) {
-                wire.side.received(bytes("heal"));
+                connection.side.received(bytes("heal"));
             }
-            silent.add(wire);
+            idle.add(connection);
         }
-        assertEquals(Door.MOST_CALLERS, silent.stream().filter(w -> !w.closed).count());
+        assertEquals(Door.MOST_CALLERS, idle.stream().filter(w -> !w.closed).count());
         assertEquals("YES ready\n", sendCommand("health"));
-        assertTrue(silent.stream().allMatch(w -> w.text.isEmpty()));
+        assertTrue(idle.stream().allMatch(w -> w.text.isEmpty()));
     }
 
     @Test
     void binaryAndOverlongLinesAreRejected() {
         assertTrue(sendCommand("\0\u00ff\u00fe").startsWith("NO "));
-        RecordingConnection wire = new RecordingConnection();
-        wire.side = adminInterface.accept(wire);
-        for (int i = 0; i < 600 && !wire.closed; i++) {
-            wire.side.received(bytes("x"));
+        RecordingConnection connection = new RecordingConnection();
+        connection.side = adminInterface.accept(connection);
+        for (int i = 0; i < 600 && !connection.closed; i++) {
+            connection.side.received(bytes("x"));
         }
-        assertTrue(wire.text.toString().startsWith("NO the line is too long"), wire.text.toString());
+        assertTrue(connection.text.toString().startsWith("NO the line is too long"), connection.text.toString());
     }
 
     /** Whenever the counters are read, each accepted request is in exactly one of them. */
     @Test
     void countersAddUpAtAnyTime() {
         RecordingConnection client = null;
-        long mostPending = 0;
+        long maxPending = 0;
         for (int i = 0; i < 1000; i++) {
             micros += 7_000;
             if (i % 100 == 50) {
@@ -92,23 +92,23 @@
             for (String line : sendCommand("counters").split("\n")) {
                 String name = line.contains("=") ? line.substring(0, line.indexOf('=')) : "";
                 if (name.contains("downstream_requests") || name.endsWith(".pending")) {
-                    long figure = Long.parseLong(line.substring(line.indexOf('=') + 1));
-                    sum += figure;
-                    mostPending = name.endsWith(".pending") ? Math.max(mostPending, figure) : mostPending;
+                    long value = Long.parseLong(line.substring(line.indexOf('=') + 1));
+                    sum += value;
+                    maxPending = name.endsWith(".pending") ? Math.max(maxPending, value) : maxPending;
                 }
             }
             assertEquals(counters.get("requests.taken"), sum, "at " + i);
         }
         assertTrue(counters.get("requests.chat.failed") > 0);
-        assertTrue(mostPending > 0);
+        assertTrue(maxPending > 0);
     }
 
     private String sendCommand(String line) {
-        RecordingConnection wire = new RecordingConnection();
-        wire.side = adminInterface.accept(wire);
-        wire.side.received(bytes(line + "\n"));
-        wire.side.down();
-        return wire.text.toString();
+        RecordingConnection connection = new RecordingConnection();
+        connection.side = adminInterface.accept(connection);
+        connection.side.received(bytes(line + "\n"));
+        connection.side.down();
+        return connection.text.toString();
     }
 
     private static ByteBuffer bytes(String text) {
