--- a/src/main/java/yewdock/door/Caller.java
+++ b/src/main/java/yewdock/door/Caller.java
@@ -16,12 +16,13 @@
     private final long id;
     private final Wire connection;
     private final StringBuilder line = new StringBuilder();
-    private boolean answered;
+    /** Whether further bytes are ignored: a command was taken or rejected, or the connection is closed. */
+    private boolean inputClosed;
 
-    Caller(Door door, long id, Wire wire) {
-        this.adminInterface = door;
+    Caller(Door adminInterface, long id, Wire connection) {
+        this.adminInterface = adminInterface;
         this.id = id;
-        this.connection = wire;
+        this.connection = connection;
     }
 
     @Override
@@ -31,7 +32,7 @@
 
     @Override
     public void received(ByteBuffer bytes) {
-        if (answered) {
+        if (inputClosed) {
             return;
         }
         while (bytes.hasRemaining()) {
@@ -57,22 +58,22 @@
         } else if (words.length != wanted) {
             reject(wanted == 2 ? "one id is wanted" : "nothing is wanted behind this call");
         } else {
-            answered = true;
+            inputClosed = true;
             adminInterface.dispatch(id, command, wanted == 2 ? words[1] : "");
         }
     }
 
     private static Call commandNamed(String word) {
-        for (Call call : Call.values()) {
-            if (call.name().toLowerCase(Locale.ROOT).equals(word)) {
-                return call;
+        for (Call command : Call.values()) {
+            if (command.name().toLowerCase(Locale.ROOT).equals(word)) {
+                return command;
             }
         }
         return null;
     }
 
     private void reject(String reason) {
-        answered = true;
+        inputClosed = true;
         answer("NO " + reason + "\n");
     }
 
@@ -85,8 +86,8 @@
     /** Frees the place for another connection; closes at once unless a command is already being answered. */
     void evict() {
         adminInterface.remove(id);
-        if (!answered) {
-            answered = true;
+        if (!inputClosed) {
+            inputClosed = true;
             connection.close();
         }
     }
@@ -101,13 +102,13 @@
      */
     @Override
     public void idle() {
-        answered = true;
+        inputClosed = true;
         connection.close();
     }
 
     @Override
     public void down() {
-        answered = true;
+        inputClosed = true;
         adminInterface.remove(id);
     }
 }
--- a/src/main/java/yewdock/door/Door.java
+++ b/src/main/java/yewdock/door/Door.java
@@ -45,7 +45,7 @@
         return connection;
     }
 
-    /** Passes a command to the reducer; box is the server that it names, or "". */
+    /** Passes a command to the reducer; server is the name in the command, or "". */
     void dispatch(long connectionId, Call command, String server) {
         front.happened(new Event.Called(connectionId, command, server));
     }
--- a/src/main/java/yewdock/settings/OperatorSettings.java
+++ b/src/main/java/yewdock/settings/OperatorSettings.java
@@ -36,8 +36,7 @@
      * microseconds, and the number of generations that may be finishing at once.
      */
     public record Upgrade(long start, long check, long state, long ready, long take, long share, long go,
-            long letGo,
-            long finish, int mostFinishing) {
+            long letGo, long finish, int mostFinishing) {
     }
 
     /** The format of log lines: text or json. */
@@ -101,7 +100,7 @@
         return parse(file.toString(), Files.readString(file));
     }
 
-    /** Parses the text of a file; where is the name that error lines begin with. */
+    /** Parses the text of a file; error lines begin with fileName. */
     public static OperatorSettings parse(String fileName, String text) throws BadSettingsException {
         List<String> errors = new ArrayList<>();
         OperatorSettings settings = of(Section.read(fileName, text, errors));
@@ -118,10 +117,9 @@
                 d.texts("java", List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx80m")));
         d.nothingElse();
         Section u = all.section("upgrade");
-        Upgrade upgrade = new Upgrade(stage(u, "start_s", 20), stage(u, "check_s", 10), stage(u, "state_s",
-                5),
-                stage(u, "ready_s", 10), stage(u, "take_s", 5), stage(u, "share_s", 1), stage(u, "go_s", 1),
-                stage(u, "let_go_s", 2),
+        Upgrade upgrade = new Upgrade(stage(u, "start_s", 20), stage(u, "check_s", 10),
+                stage(u, "state_s", 5), stage(u, "ready_s", 10), stage(u, "take_s", 5),
+                stage(u, "share_s", 1), stage(u, "go_s", 1), stage(u, "let_go_s", 2),
                 u.seconds("finish_s", 600, 1, MAX_FINISH_SECONDS), u.whole("most_finishing", 4, 1, 64));
         u.nothingElse();
         Section l = all.section("log");
@@ -160,13 +158,13 @@
         }
         if (!peers.isEmpty()) {
             if (!store.on()) {
-                c.wrong("peers", "none without store.folder: copies need a store");
+                c.wrong("peers", "empty without store.folder: replication needs a store");
             }
             if (name.isEmpty() || peers.containsKey(name)) {
-                c.wrong("instance", "a name of its own where there are peers, not \"" + name + "\"");
+                c.wrong("instance", "a unique name if there are peers, not \"" + name + "\"");
             }
             if (!ADDRESS.matcher(listen).matches()) {
-                c.wrong("listen", "host:port where there are peers, not \"" + listen + "\"");
+                c.wrong("listen", "host:port if there are peers, not \"" + listen + "\"");
             }
         }
         Copies copies = new Copies(c.text("cluster", "yewdock"), name.isEmpty() ? "here" : name, listen,
--- a/src/main/java/yewdock/settings/Section.java
+++ b/src/main/java/yewdock/settings/Section.java
@@ -27,25 +27,24 @@
         this.errors = errors;
     }
 
-    /** Parses a whole file; where is the name that error lines begin with, and mistakes collects them. */
+    /** Parses the text of a file; error lines begin with fileName and are added to errors. */
     public static Section read(String fileName, String text, List<String> errors)
             throws BadSettingsException {
         return read(fileName, text, Map.of(), errors);
     }
 
     /**
-     * Parses a whole file and overrides some of its values, given by their path: the names of the blocks and
+     * Parses the text of a file and overrides some of its values, given by their path: the names of the blocks and
      * of the key, separated by dots.
      */
     public static Section read(String fileName, String text, Map<String, Object> overrides,
-            List<String> errors)
-            throws BadSettingsException {
+            List<String> errors) throws BadSettingsException {
         Map<String, Object> values;
         try {
             values = new HCLParser().parse(text);
         } catch (HCLParserException | IOException | RuntimeException e) {
-            String why = String.valueOf(e.getMessage()).lines().findFirst().orElse("").strip();
-            throw new BadSettingsException(List.of(fileName + ": not HCL: " + why));
+            String reason = String.valueOf(e.getMessage()).lines().findFirst().orElse("").strip();
+            throw new BadSettingsException(List.of(fileName + ": not HCL: " + reason));
         }
         // the parser accepts some texts that are not HCL and returns an empty result for them
         boolean hasContent = text.lines().map(String::strip)
--- a/src/test/java/yewdock/door/DoorTest.java
+++ b/src/test/java/yewdock/door/DoorTest.java
@@ -64,7 +64,8 @@
         for (int i = 0; i < 600 && !connection.closed; i++) {
             connection.side.received(bytes("x"));
         }
-        assertTrue(connection.text.toString().startsWith("NO the line is too long"), connection.text.toString());
+        assertTrue(connection.text.toString().startsWith("NO the line is too long"),
+                connection.text.toString());
     }
 
     /** Whenever the counters are read, each accepted request is in exactly one of them. */
