--- a/src/main/java/yewdock/settings/Section.java
+++ b/src/main/java/yewdock/settings/Section.java
@@ -34,8 +34,8 @@
     }
 
     /**
-     * Parses the text of a file and overrides some of its values, given by their path: the names of the blocks and
-     * of the key, separated by dots.
+     * Parses the text of a file and overrides some of its values, given by their path: the names of the
+     * blocks and of the key, separated by dots.
      */
     public static Section read(String fileName, String text, Map<String, Object> overrides,
             List<String> errors) throws BadSettingsException {
