--- a/src/main/java/umberspread/BoundedLoadRouter.java
+++ b/src/main/java/umberspread/BoundedLoadRouter.java
@@ -8,14 +8,14 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.LongUnaryOperator;
-import umberspread.Routing.Effect;
 import umberspread.Routing.Lifecycle;
 import umberspread.Routing.ListKind;
 import umberspread.Routing.LoadReport;
 import umberspread.Routing.Outcome;
-import umberspread.Routing.Replica;
 import umberspread.Routing.Request;
 import umberspread.Routing.RequestClass;
+import umberspread.Routing.RetrySafety;
+import umberspread.Routing.ServerState;
 import umberspread.Routing.Settings;
 
 /**
@@ -201,7 +201,7 @@
 
     /** A replica as this gateway knows it. */
     static final class Node {
-        Replica replica;
+        ServerState replica;
         int points;
         List<Pool> pools = List.of();
         int load;
@@ -222,7 +222,7 @@
         double others;
         long othersUntil;
 
-        Node(Replica replica, int points, int classes) {
+        Node(ServerState replica, int points, int classes) {
             this.restUntil = new long[classes];
             this.strikes = new int[classes];
             this.replica = replica;
@@ -276,7 +276,7 @@
             this.type = type;
             this.pool = pool;
             this.arrivedAt = now;
-            this.deadline = now + request.patience();
+            this.deadline = now + request.clientTimeout();
             long named = request.sharedPrefix() != 0 ? request.sharedPrefix() : request.session();
             this.key = named != 0 ? named : request.id();
         }
@@ -311,15 +311,15 @@
         long longest = 0;
         long aim = Long.MAX_VALUE;
         for (RequestClass c : settings.classes()) {
-            longest = Math.max(longest, c.giveUp());
-            aim = Math.min(aim, c.aim());
+            longest = Math.max(longest, c.maxClientTimeout());
+            aim = Math.min(aim, c.firstTokenTarget());
         }
         this.patience = longest;
         this.planEvery = aim / PLANS_PER_AIM;
         this.classTime = new double[settings.classes().size()];
         this.firstTime = new double[settings.classes().size()];
         this.tenantTally = new double[settings.tenants().size()];
-        Routing.AttemptBudget stated = settings.contract().attempts();
+        Routing.AttemptBudget stated = settings.contract().attemptBudget();
         this.budget = stated.window() > 0 ? stated
                 : new Routing.AttemptBudget(FREE_RETRIES, RETRY_RATIO, longest);
         this.whole = poolFor(Routing.Placement.ANYWHERE);
@@ -342,21 +342,21 @@
     @Override
     public void started(long time) {
         long now = latest(time);
-        if (settings.askForList()) {
-            callDiscoveryAt(now + jittered(settings.contract().askWithin() / ASK_SPREAD));
+        if (settings.pullsEndpointList()) {
+            callDiscoveryAt(now + jittered(settings.contract().maxDiscoveryInterval() / ASK_SPREAD));
         }
     }
 
     // ---- discovery
 
     @Override
-    public void listReceived(long time, ListKind kind, List<Replica> entries) {
+    public void listReceived(long time, ListKind kind, List<ServerState> entries) {
         long now = latest(time);
         if (kind == ListKind.FAILED) {
             calling = false;
             following = false;
             long wait = Math.min(LONGEST_BACKOFF,
-                    settings.contract().askWithin() / ASK_BACKOFF << Math.min(failedCalls++, 3));
+                    settings.contract().maxDiscoveryInterval() / ASK_BACKOFF << Math.min(failedCalls++, 3));
             callDiscoveryAt(now + wait / 2 + jittered(wait / 2));
             return;
         }
@@ -377,7 +377,7 @@
             double sum = entries.stream().mapToDouble(r -> Math.max(0, r.weight())).sum();
             unitWeight = sum > 0 ? Math.pow(2, Math.rint(Math.log(sum / entries.size()) / Math.log(2))) : 1;
         }
-        for (Replica r : entries) {
+        for (ServerState r : entries) {
             changed |= update(r);
         }
         if (changed) {
@@ -386,7 +386,7 @@
         retryHeld(now);
     }
 
-    private boolean update(Replica r) {
+    private boolean update(ServerState r) {
         Node n = nodes.get(r.id());
         if (r.lifecycle() == Lifecycle.GONE) {
             return n != null && remove(n);
@@ -409,16 +409,16 @@
         return was != ready || ready && moved;
     }
 
-    private List<Pool> poolsOf(Replica r) {
+    private List<Pool> poolsOf(ServerState r) {
         List<Pool> found = new ArrayList<>(pools);
         found.removeIf(p -> !p.placement.allows(r));
         return found;
     }
 
     /** More points for a larger replica, by the weight that it was first listed with. */
-    private int pointsFor(Replica r) {
+    private int pointsFor(ServerState r) {
         double times = r.weight() > 0 ? Math.min(MOST_WEIGHT, r.weight() / unitWeight) : 1;
-        return Math.max(1, (int) Math.rint(tuning.virtualPoints() * times));
+        return Math.max(1, (int) Math.rint(tuning.virtualNodes() * times));
     }
 
     private boolean remove(Node n) {
@@ -500,8 +500,8 @@
             return;
         }
         calling = true;
-        actions.followList();
-        callDiscoveryAt(now + settings.contract().askWithin());
+        actions.watchEndpointList();
+        callDiscoveryAt(now + settings.contract().maxDiscoveryInterval());
     }
 
     // ---- the ordinary path
@@ -546,7 +546,7 @@
                 continue;
             }
             // of the keys that the ring gives it, a kind gets the part that its speed is of the fastest's
-            if (wanted == 1 && speed(n) < fastest * Mixing.unit(p.key ^ Mixing.mix(~n.replica.id()))) {
+            if (wanted == 1 && speed(n) < fastest * Mixing.uniform(p.key ^ Mixing.mix(~n.replica.id()))) {
                 slower = slower == null ? n : slower;
                 continue;
             }
@@ -554,7 +554,7 @@
             if (free && slow(p, n, now)) {
                 continue;
             }
-            double score = -warmth(n, now) * speed(n) / Math.log(Mixing.unit(session ^ n.replica.id()));
+            double score = -warmth(n, now) * speed(n) / Math.log(Mixing.uniform(session ^ n.replica.id()));
             if (best == null || score > bestScore) {
                 best = n;
                 bestScore = score;
@@ -587,9 +587,9 @@
                     * weight(n) * speed(n) * warmth(n, now) / p.pool.room));
         }
         double average = (p.pool.inFlight + 1) * weight(n) * warmth(n, now) / p.pool.capacity;
-        double fair = average * (tuning.loadFactor() / 100.0);
-        return n.load + 1 > (tuning.byChance()
-                ? Math.floor(fair + Mixing.unit(p.request.id() ^ n.replica.id())) : Math.ceil(fair));
+        double fair = average * (tuning.loadFactorPercent() / 100.0);
+        return n.load + 1 > (tuning.randomRounding()
+                ? Math.floor(fair + Mixing.uniform(p.request.id() ^ n.replica.id())) : Math.ceil(fair));
     }
 
     /**
@@ -674,7 +674,7 @@
 
     /** Against small tenants refused in a big one's jam: a spill's cost in aims against its worth. */
     private boolean worthASpill(Pending p) {
-        return readTime(p) * averageWorth < CHEAP_READ * p.type.aim() * p.worth;
+        return readTime(p) * averageWorth < CHEAP_READ * p.type.firstTokenTarget() * p.worth;
     }
 
     /** Where only few are slow, a spill costs a read and no more; where many are, it would spread the jam. */
@@ -688,7 +688,7 @@
     }
 
     private boolean cheapToRead(Pending p) {
-        return readTime(p) < CHEAP_READ * p.type.aim();
+        return readTime(p) < CHEAP_READ * p.type.firstTokenTarget();
     }
 
     /**
@@ -766,7 +766,7 @@
      */
     private boolean warmEnough(long key, Node n, long now) {
         double share = warmth(n, now);
-        return share >= 1 || Mixing.unit(key ^ Mixing.mix(n.replica.id() ^ Mixing.COLD_SALT)) < share;
+        return share >= 1 || Mixing.uniform(key ^ Mixing.mix(n.replica.id() ^ Mixing.COLD_SALT)) < share;
     }
 
     /**
@@ -781,9 +781,9 @@
         if (n.budgetedStart != n.replica.startedAt()) {
             n.budgetedStart = n.replica.startedAt();
             long turn = jittered(coldSpacing(n, now));
-            n.coldBudgetAt = now + settings.contract().fallFor() / 2 + turn;
+            n.coldBudgetAt = now + settings.contract().overloadWindow() / 2 + turn;
         }
-        return n.coldBudgetAt - now <= settings.contract().fallFor() / 2;
+        return n.coldBudgetAt - now <= settings.contract().overloadWindow() / 2;
     }
 
     void spendColdBudget(Node n, long now) {
@@ -795,18 +795,18 @@
     private long coldSpacing(Node n, long now) {
         double meterTime = METER_AIMS * planEvery * PLANS_PER_AIM;
         double perReplica = firstTokenTally / meterTime / Math.max(1, whole.ready);
-        double rate = perReplica * warmth(n, now) * settings.contract().fallMultiple() * COLD_MARGIN;
-        return (long) Math.min(1 / rate, settings.contract().coldFor());
+        double rate = perReplica * warmth(n, now) * settings.contract().overloadMultiple() * COLD_MARGIN;
+        return (long) Math.min(1 / rate, settings.contract().warmUpTime());
     }
 
     private double warmth(Node n, long now) {
         long start = n.replica.startedAt();
         long age = now - start;
-        long coldFor = settings.contract().coldFor();
+        long coldFor = settings.contract().warmUpTime();
         if (start == 0 || age >= coldFor) {
             return 1;
         }
-        double from = settings.contract().coldFrom();
+        double from = settings.contract().coldCapacityShare();
         return from + (1 - from) * Math.max(0, age) / coldFor;
     }
 
@@ -823,7 +823,7 @@
         if (planStale || now >= plannedAt + planEvery) {
             plan(now);
         }
-        p.worth = p.type.worth() * (overShare(request) ? settings.overShareWorth() : 1);
+        p.worth = p.type.worth() * (overShare(request) ? settings.overQuotaWorth() : 1);
         averageWorth += (p.worth - averageWorth) * WORTH_WEIGHT;
         dispatch(p, now);
     }
@@ -852,7 +852,8 @@
     }
 
     private static long aim(Pending p) {
-        return p.type.aim() + (long) (p.type.aimPerKilotoken() * p.request.promptTokens() / 1000);
+        return p.type.firstTokenTarget()
+                + (long) (p.type.targetPerKilotoken() * p.request.promptTokens() / 1000);
     }
 
     private void dispatch(Pending p, long now) {
@@ -882,7 +883,7 @@
         if (p.attempts.size() == 1) {
             tally(p);
             reviewAt(p, now + aim(p) / OVERDUE_PART);
-            if (settings.limits().mayDuplicate()) {
+            if (settings.limits().allowsHedging()) {
                 reviewAt(p, now + aim(p) / HEDGE_PART);
             }
         }
@@ -952,7 +953,7 @@
 
     /** What is due for a request whose answer has not begun: its replica may be slow, or its attempt lost. */
     private void review(Pending p, long now) {
-        boolean more = settings.limits().mayDuplicate() && now >= p.arrivedAt + aim(p) / HEDGE_PART
+        boolean more = settings.limits().allowsHedging() && now >= p.arrivedAt + aim(p) / HEDGE_PART
                 && roomy(p, now);
         boolean first = !p.judged;
         p.judged = true;
@@ -983,12 +984,12 @@
     /** A second copy, or, where none is allowed, a call to stop the first, whose end is then a retry. */
     private void hedge(Pending p, Attempt first, long now) {
         p.hedged = true;
-        if (settings.limits().mayDuplicate()) {
+        if (settings.limits().allowsHedging()) {
             Node n = pick(p, false, now);
             if (n != null && !slow(p, n, now) && warmth(n, now) >= 1) {
                 send(p, n, now);
             }
-        } else if (settings.limits().cancelling()) {
+        } else if (settings.limits().allowsCancelling()) {
             actions.cancel(p.request.id(), p.attempts.indexOf(first));
         }
     }
@@ -1130,7 +1131,7 @@
     }
 
     @Override
-    public void requestGone(long now, long requestId) {
+    public void requestAbandoned(long now, long requestId) {
         Pending p = open.get(requestId);
         if (p != null) {
             p.over = true;
@@ -1141,7 +1142,7 @@
 
     private void cancelOthers(Pending p, int kept) {
         for (int i = 0; i < p.attempts.size(); i++) {
-            if (i != kept && p.attempts.get(i).out && settings.limits().cancelling()) {
+            if (i != kept && p.attempts.get(i).out && settings.limits().allowsCancelling()) {
                 actions.cancel(p.request.id(), i);
             }
         }
@@ -1172,17 +1173,17 @@
     // ---- no effect twice
 
     private boolean mayRepeatAt(Pending p, Node n, long now) {
-        if (!settings.limits().mayDuplicate() && p.anyOut()) {
+        if (!settings.limits().allowsHedging() && p.anyOut()) {
             return false;
         }
         Attempt ran = p.firstThatMayHaveRun();
-        if (ran == null || p.type.effect() == Effect.RETRYABLE) {
+        if (ran == null || p.type.retrySafety() == RetrySafety.RETRYABLE) {
             return true;
         }
         // sent over a connection that may have to be made first, it must arrive in its window
         long arrives = now + settings.limits().connectTimeout();
-        return p.type.effect() == Effect.DEDUP && arrives < ran.sentAt + p.type.window()
-                && switch (p.type.group()) {
+        return p.type.retrySafety() == RetrySafety.DEDUP && arrives < ran.sentAt + p.type.dedupWindow()
+                && switch (p.type.dedupGroup()) {
             case ALL -> true;
             case ZONE -> ran.node.replica.zone() == n.replica.zone();
             case CELL -> ran.node.replica.cell() == n.replica.cell();
@@ -1190,14 +1191,14 @@
     }
 
     private boolean mayRefuse(Pending p) {
-        return p.type.effect() == Effect.RETRYABLE || p.firstThatMayHaveRun() == null
-                || p.type.effect() == Effect.DEDUP && p.type.group() == Routing.DedupGroup.ALL;
+        return p.type.retrySafety() == RetrySafety.RETRYABLE || p.firstThatMayHaveRun() == null
+                || p.type.retrySafety() == RetrySafety.DEDUP && p.type.dedupGroup() == Routing.DedupGroup.ALL;
     }
 
     // ---- holding
 
     private long holdUntil(Pending p) {
-        return p.deadline - p.request.patience() / HOLD_RESERVE;
+        return p.deadline - p.request.clientTimeout() / HOLD_RESERVE;
     }
 
     private void hold(Pending p, long now) {
@@ -1209,7 +1210,7 @@
             }
             held.add(p);
         }
-        reviewAt(p, Math.min(now + p.request.patience() / HOLD_CHECKS, holdUntil(p)));
+        reviewAt(p, Math.min(now + p.request.clientTimeout() / HOLD_CHECKS, holdUntil(p)));
     }
 
     private void retryHeld(long now) {
--- a/src/main/java/umberspread/GenerationRouter.java
+++ b/src/main/java/umberspread/GenerationRouter.java
@@ -13,8 +13,8 @@
 import umberspread.Routing.ListKind;
 import umberspread.Routing.LoadReport;
 import umberspread.Routing.Outcome;
-import umberspread.Routing.Replica;
 import umberspread.Routing.Request;
+import umberspread.Routing.ServerState;
 import umberspread.Routing.Settings;
 
 /**
@@ -24,7 +24,7 @@
  */
 public final class GenerationRouter implements Routing.Events {
     private final BoundedLoadRouter router;
-    private final Memory memory;
+    private final LearnedState learnedState;
     private final long shift;
     private final Map<String, Lent> lent = new HashMap<>();
     private boolean recalled;
@@ -38,32 +38,34 @@
     }
 
     /** A router that goes on with a memory, whose times are moved by shift. */
-    public GenerationRouter(Settings settings, long seed, Routing.Actions actions, Memory memory,
+    public GenerationRouter(Settings settings, long seed, Routing.Actions actions, LearnedState memory,
             long shift) {
         this.router = new BoundedLoadRouter(settings, seed, actions);
-        this.memory = memory;
+        this.learnedState = memory;
         this.shift = shift;
     }
 
     /** What this router has learnt so far. */
-    public Memory memory() {
-        return memory(true);
+    public LearnedState learnedState() {
+        return learnedState(true);
     }
 
     /** The same; with no keys where they are not wanted, for there may be tens of thousands. */
-    public Memory memory(boolean withKeys) {
-        List<Memory.OfReplica> replicas = new ArrayList<>();
+    public LearnedState learnedState(boolean withKeys) {
+        List<LearnedState.LearnedServer> replicas = new ArrayList<>();
         for (Node n : router.nodes.values()) {
-            replicas.add(new Memory.OfReplica(n.replica.id(), n.points, list(n.restUntil),
+            replicas.add(new LearnedState.LearnedServer(n.replica.id(), n.points, list(n.restUntil),
                     Arrays.stream(n.strikes).boxed().toList(), n.ejectedUntil, n.ejections, n.breaks,
                     n.slowUntil, n.lastDelay, n.coldBudgetAt, n.budgetedStart));
         }
-        List<Memory.OfKey> keys = new ArrayList<>();
+        List<LearnedState.LearnedKey> keys = new ArrayList<>();
         if (withKeys) {
             router.hot.forEach((key, h) ->
-                    keys.add(new Memory.OfKey(key, h.tally, h.spread, router.pools.indexOf(h.pool))));
+                    keys.add(new LearnedState.LearnedKey(key, h.tally, h.spread,
+                            router.pools.indexOf(h.pool))));
         }
-        return new Memory(router.unitWeight, router.averageWorth, router.firstTokenTally, router.readRate,
+        return new LearnedState(router.unitWeight, router.averageWorth, router.firstTokenTally,
+                router.readRate,
                 router.unnamed, router.plannedAt,
                 list(router.classTime), router.kindTime, list(router.tenantTally), List.copyOf(router.taken),
                 List.copyOf(router.further), replicas, keys,
@@ -72,34 +74,34 @@
 
     /** Once the replicas are known; what the memory says of others, or of other settings, is dropped. */
     private void recall(long now) {
-        router.unitWeight = memory.unitWeight();
-        router.averageWorth = memory.averageWorth();
-        router.firstTokenTally = memory.firstTokenTally();
-        router.readRate = memory.readRate();
-        router.unnamed = memory.unnamed();
-        router.plannedAt = Math.min(now, memory.plannedAt() + shift);
-        router.kindTime.putAll(memory.kindTime());
-        fill(router.classTime, memory.classTime());
-        fill(router.tenantTally, memory.tenantTally());
-        memory.taken().forEach(t -> router.taken.add(Math.min(now, t + shift)));
-        memory.further().forEach(t -> router.further.add(Math.min(now, t + shift)));
-        boolean samePools = memory.poolArrivals().size() == router.pools.size();
+        router.unitWeight = learnedState.referenceWeight();
+        router.averageWorth = learnedState.averageWorth();
+        router.firstTokenTally = learnedState.recentFirstTokens();
+        router.readRate = learnedState.prefillRate();
+        router.unnamed = learnedState.unkeyedRequests();
+        router.plannedAt = Math.min(now, learnedState.plannedAt() + shift);
+        router.kindTime.putAll(learnedState.kindLatencyRatio());
+        fill(router.classTime, learnedState.classLatency());
+        fill(router.tenantTally, learnedState.tenantRequests());
+        learnedState.recentArrivals().forEach(t -> router.taken.add(Math.min(now, t + shift)));
+        learnedState.recentExtraAttempts().forEach(t -> router.further.add(Math.min(now, t + shift)));
+        boolean samePools = learnedState.poolArrivals().size() == router.pools.size();
         for (int i = 0; samePools && i < router.pools.size(); i++) {
-            router.pools.get(i).arrivals = memory.poolArrivals().get(i);
+            router.pools.get(i).arrivals = learnedState.poolArrivals().get(i);
         }
-        for (Memory.OfKey k : memory.keys()) {
-            if (samePools && k.pool() >= 0 && k.pool() < router.pools.size()) {
+        for (LearnedState.LearnedKey k : learnedState.keys()) {
+            if (samePools && k.poolIndex() >= 0 && k.poolIndex() < router.pools.size()) {
                 Hot h = router.hot.computeIfAbsent(k.key(), key -> new Hot());
-                h.pool = router.pools.get(k.pool());
-                h.tally = k.tally();
+                h.pool = router.pools.get(k.poolIndex());
+                h.tally = k.recentRequests();
                 h.spread = Math.max(1, k.spread());
             }
         }
-        memory.replicas().forEach(this::recall);
+        learnedState.servers().forEach(this::recall);
         router.rebuildRing();
     }
 
-    private void recall(Memory.OfReplica m) {
+    private void recall(LearnedState.LearnedServer m) {
         Node n = router.nodes.get(m.id());
         if (n == null) {
             return;
@@ -107,16 +109,17 @@
         n.points = Math.max(1, m.points());
         n.ejectedUntil = moved(m.ejectedUntil());
         n.ejections = m.ejections();
-        n.breaks = m.breaks();
+        n.breaks = m.consecutiveResets();
         n.slowUntil = moved(m.slowUntil());
-        n.lastDelay = m.lastDelay();
+        n.lastDelay = m.lastFirstTokenDelay();
         // A box's start is a time of its own: a box that has started since is a new one to the budget.
-        n.coldBudgetAt = moved(m.coldBudgetAt());
-        n.budgetedStart = m.budgetedStart();
-        if (m.restUntil().size() == n.restUntil.length && m.strikes().size() == n.strikes.length) {
+        n.coldBudgetAt = moved(m.nextColdSendAt());
+        n.budgetedStart = m.coldBudgetStart();
+        if (m.classBackoffUntil().size() == n.restUntil.length
+                && m.classFailures().size() == n.strikes.length) {
             for (int c = 0; c < n.restUntil.length; c++) {
-                n.restUntil[c] = moved(m.restUntil().get(c));
-                n.strikes[c] = m.strikes().get(c);
+                n.restUntil[c] = moved(m.classBackoffUntil().get(c));
+                n.strikes[c] = m.classFailures().get(c);
             }
         }
     }
@@ -141,7 +144,7 @@
 
     /** Ejected, and not yet served again: those that no request, or only one for a trial, may go to. */
     @Override
-    public Set<Long> avoided(long now) {
+    public Set<Long> unavailableServers(long now) {
         Set<Long> avoided = new HashSet<>();
         for (Node n : router.nodes.values()) {
             if (n.keptOff(now)) {
@@ -152,7 +155,7 @@
     }
 
     @Override
-    public void otherSent(long time, String token, long replicaId) {
+    public void otherGenerationSent(long time, String token, long replicaId) {
         long now = router.latest(time);
         Node n = router.nodes.get(replicaId);
         if (n == null || lent.containsKey(token)) {
@@ -166,7 +169,7 @@
     }
 
     @Override
-    public void otherEnded(long now, String token) {
+    public void otherGenerationEnded(long now, String token) {
         Lent l = lent.remove(token);
         if (l != null) {
             l.node.load--;
@@ -180,9 +183,9 @@
     }
 
     @Override
-    public void listReceived(long now, ListKind kind, List<Replica> entries) {
+    public void listReceived(long now, ListKind kind, List<ServerState> entries) {
         router.listReceived(now, kind, entries);
-        if (!recalled && memory != null) {
+        if (!recalled && learnedState != null) {
             recalled = true;
             recall(router.latest(now));
         }
@@ -205,8 +208,8 @@
     }
 
     @Override
-    public void requestGone(long now, long requestId) {
-        router.requestGone(now, requestId);
+    public void requestAbandoned(long now, long requestId) {
+        router.requestAbandoned(now, requestId);
     }
 
     @Override
--- a/src/main/java/umberspread/Mixing.java
+++ b/src/main/java/umberspread/Mixing.java
@@ -19,7 +19,7 @@
     }
 
     /** A number from 0 up to 1, and never 1. */
-    public static double unit(long x) {
+    public static double uniform(long x) {
         return (mix(x) >>> 11) * 0x1.0p-53;
     }
 }
--- a/src/main/java/umberspread/Routing.java
+++ b/src/main/java/umberspread/Routing.java
@@ -19,9 +19,9 @@
     }
 
     /** What happens when a request of a class runs twice. */
-    public enum Effect { RETRYABLE, DEDUP, FRAGILE }
+    public enum RetrySafety { RETRYABLE, DEDUP, FRAGILE }
 
-    /** Which replicas recognise and drop a repeat of a {@link Effect#DEDUP} request. */
+    /** Which replicas recognise and drop a repeat of a {@link RetrySafety#DEDUP} request. */
     public enum DedupGroup { ALL, ZONE, CELL }
 
     /** State of a replica on the list. */
@@ -63,7 +63,7 @@
         }
 
         /** Whether a replica of this zone and kind may be sent the class. */
-        public boolean allows(Replica r) {
+        public boolean allows(ServerState r) {
             return (zones.isEmpty() || zones.contains(r.zone()))
                     && (kinds.isEmpty() || kinds.contains(r.kind()));
         }
@@ -73,18 +73,20 @@
      * A class of requests. An answer whose first token comes within aim + aimPerKilotoken for each 1,000
      * prompt tokens has its full worth; a later one, lateWorth of it. tokenAim is the aim between tokens.
      */
-    public record RequestClass(String name, Effect effect, DedupGroup group, long window, long aim,
-            long aimPerKilotoken, long tokenAim, long giveUp, double worth, double lateWorth,
+    public record RequestClass(String name, RetrySafety retrySafety, DedupGroup dedupGroup, long dedupWindow,
+            long firstTokenTarget,
+            long targetPerKilotoken, long interTokenTarget, long maxClientTimeout, double worth,
+                    double lateWorth,
             boolean stream, Placement placement) {
         public RequestClass {
             require(name != null, "class name");
-            require(effect != null, "class effect");
-            require(group != null, "class group");
-            require(window >= 0, "class window");
-            require(aim > 0, "class aim");
-            require(aimPerKilotoken >= 0, "class aimPerKilotoken");
-            require(tokenAim >= 0, "class tokenAim");
-            require(giveUp > 0, "class giveUp");
+            require(retrySafety != null, "class effect");
+            require(dedupGroup != null, "class group");
+            require(dedupWindow >= 0, "class window");
+            require(firstTokenTarget > 0, "class aim");
+            require(targetPerKilotoken >= 0, "class aimPerKilotoken");
+            require(interTokenTarget >= 0, "class tokenAim");
+            require(maxClientTimeout > 0, "class giveUp");
             require(worth >= 0 && worth < Double.MAX_VALUE, "class worth");
             require(lateWorth >= 0 && lateWorth <= 1, "class lateWorth");
             require(placement != null, "class placement");
@@ -132,21 +134,22 @@
      * share of capacity at the start; a cold replica falls over when sent fallMultiple of its capacity for
      * fallFor.
      */
-    public record Contract(long drainGrace, long coldFor, double coldFrom, double fallMultiple, long fallFor,
-            long askWithin, AttemptBudget attempts) {
+    public record Contract(long drainGrace, long warmUpTime, double coldCapacityShare,
+            double overloadMultiple, long overloadWindow,
+            long maxDiscoveryInterval, AttemptBudget attemptBudget) {
         public Contract {
             require(drainGrace >= 0, "contract drainGrace");
-            require(coldFor >= 0, "contract coldFor");
-            require(coldFrom >= 0 && coldFrom <= 1, "contract coldFrom");
-            require(fallMultiple > 0, "contract fallMultiple");
-            require(fallFor >= 0, "contract fallFor");
-            require(askWithin > 0, "contract askWithin");
-            require(attempts != null, "contract attempts");
+            require(warmUpTime >= 0, "contract coldFor");
+            require(coldCapacityShare >= 0 && coldCapacityShare <= 1, "contract coldFrom");
+            require(overloadMultiple > 0, "contract fallMultiple");
+            require(overloadWindow >= 0, "contract fallFor");
+            require(maxDiscoveryInterval > 0, "contract askWithin");
+            require(attemptBudget != null, "contract attempts");
         }
     }
 
     /** What the deployment allows. retryAfterMax is 0 where clients are given no advice. */
-    public record Limits(int maxAttempts, boolean mayDuplicate, boolean cancelling, boolean probes,
+    public record Limits(int maxAttempts, boolean allowsHedging, boolean allowsCancelling, boolean probes,
             long connectTimeout, long retryAfterMax) {
         public Limits {
             require(maxAttempts >= 1, "limits maxAttempts");
@@ -157,7 +160,7 @@
 
     /** What a gateway knows when it starts. instances counts all gateways that send to the same replicas. */
     public record Settings(int instances, int ordinal, int zone, List<RequestClass> classes,
-            List<Tenant> tenants, double overShareWorth, boolean askForList, Limits limits,
+            List<Tenant> tenants, double overQuotaWorth, boolean pullsEndpointList, Limits limits,
             Contract contract, Prices prices) {
         public Settings {
             require(instances >= 1, "instances");
@@ -165,7 +168,7 @@
             require(zone >= 0, "zone");
             require(classes != null && !classes.isEmpty(), "classes");
             require(tenants != null, "tenants");
-            require(overShareWorth >= 0 && overShareWorth <= 1, "overShareWorth");
+            require(overQuotaWorth >= 0 && overQuotaWorth <= 1, "overShareWorth");
             require(limits != null, "limits");
             require(contract != null, "contract");
             require(prices != null, "prices");
@@ -179,16 +182,17 @@
      * ring
      * the hash that places points and keys, and whether the bound is rounded by chance and not up.
      */
-    public record Tuning(int loadFactor, int virtualPoints, LongUnaryOperator hash, boolean byChance) {
+    public record Tuning(int loadFactorPercent, int virtualNodes, LongUnaryOperator hash,
+            boolean randomRounding) {
         public Tuning {
-            require(loadFactor > 100, "tuning loadFactor");
-            require(virtualPoints >= 1, "tuning virtualPoints");
+            require(loadFactorPercent > 100, "tuning loadFactor");
+            require(virtualNodes >= 1, "tuning virtualPoints");
             require(hash != null, "tuning hash");
         }
     }
 
     /** A line of the list. weight is a size hint without a unit; startedAt is 0 when long ago. */
-    public record Replica(long id, int zone, int kind, int cell, double weight, Lifecycle lifecycle,
+    public record ServerState(long id, int zone, int kind, int cell, double weight, Lifecycle lifecycle,
             long startedAt) {
     }
 
@@ -196,8 +200,9 @@
      * A client's request. session and sharedPrefix are 0 when absent; patience is how long the client still
      * waits for this try; repeat says that the client marked it as one.
      */
-    public record Request(long id, int requestClass, int tenant, boolean repeat, long session,
-            long sharedPrefix, double promptTokens, double prefixTokens, double maxTokens, long patience) {
+    public record Request(long id, int requestClass, int tenant, boolean clientRetry, long session,
+            long sharedPrefix, double promptTokens, double prefixTokens, double maxTokens,
+                    long clientTimeout) {
     }
 
     /** What a replica reports of its load; a value is NaN when the deployment does not report it. */
@@ -211,7 +216,7 @@
         void started(long now);
 
         /** A list, a change to it, or the news that a call for it failed. */
-        void listReceived(long now, ListKind kind, List<Replica> entries);
+        void listReceived(long now, ListKind kind, List<ServerState> entries);
 
         /** A request has come in; the router now owes it one final answer. Ids never repeat. */
         void requestArrived(long now, Request request);
@@ -228,13 +233,13 @@
                 boolean requestOver, long keptTokens, LoadReport report);
 
         /** The client has left; the request is over and is owed nothing. Unknown ids are ignored. */
-        void requestGone(long now, long requestId);
+        void requestAbandoned(long now, long requestId);
 
         /** A time asked for by {@link Actions#wakeAt} has come. */
         void woken(long now, int token);
 
         /** The listed replicas that the router keeps off for now, though they are ready; changes nothing. */
-        default Set<Long> avoided(long now) {
+        default Set<Long> unavailableServers(long now) {
             return Set.of();
         }
 
@@ -242,11 +247,11 @@
          * Another process of this gateway has a request out at a replica: it counts as the gateway's own
          * load. token is the other's name for it, and never that of a request of this one.
          */
-        default void otherSent(long now, String token, long replicaId) {
+        default void otherGenerationSent(long now, String token, long replicaId) {
         }
 
-        /** What {@link #otherSent} told is over. Unknown tokens are ignored. */
-        default void otherEnded(long now, String token) {
+        /** What {@link #otherGenerationSent} told is over. Unknown tokens are ignored. */
+        default void otherGenerationEnded(long now, String token) {
         }
     }
 
@@ -265,7 +270,7 @@
         void fail(long requestId);
 
         /** Ask discovery for the list and all changes from now on. One listReceived answers each call. */
-        void followList();
+        void watchEndpointList();
 
         /** Ask for {@link Events#woken} with this token at or after this time. */
         void wakeAt(long time, int token);
--- a/src/main/java/umberspread/adapter/Host.java
+++ b/src/main/java/umberspread/adapter/Host.java
@@ -24,13 +24,13 @@
     private final Reply reply;
     private final PrintStream err;
 
-    private final Main.Maker maker;
+    private final Main.RouterFactory maker;
 
     Host(Reply reply, PrintStream err) {
         this(reply, err, BoundedLoadRouter::new);
     }
 
-    Host(Reply reply, PrintStream err, Main.Maker maker) {
+    Host(Reply reply, PrintStream err, Main.RouterFactory maker) {
         this.reply = reply;
         this.err = err;
         this.maker = maker;
@@ -43,11 +43,11 @@
         private final List<String> reportNames;
         private final Routing.Events router;
 
-        Gateway(int number, SettingsParser.Parsed parsed, long seed, Reply reply, Main.Maker maker) {
+        Gateway(int number, SettingsParser.Parsed parsed, long seed, Reply reply, Main.RouterFactory maker) {
             this.number = number;
             this.reply = reply;
             this.reportNames = parsed.reportNames();
-            this.router = maker.make(parsed.settings(), seed, this);
+            this.router = maker.create(parsed.settings(), seed, this);
         }
 
         @Override
@@ -71,7 +71,7 @@
         }
 
         @Override
-        public void followList() {
+        public void watchEndpointList() {
             reply.follow(number);
         }
 
@@ -102,7 +102,7 @@
                 case 2 -> firstToken(frame, now, gateway);
                 case 3 -> {
                     long request = frame.u64();
-                    deliver(gateway, g -> g.requestGone(now, request));
+                    deliver(gateway, g -> g.requestAbandoned(now, request));
                 }
                 case 4 -> echo(frame);
                 case 5 -> {
@@ -158,7 +158,7 @@
             throw frame.bad("unknown list kind " + code);
         }
         int n = frame.count(frame.u32(), ENTRY_BYTES);
-        List<Routing.Replica> entries = new ArrayList<>(n);
+        List<Routing.ServerState> entries = new ArrayList<>(n);
         for (int i = 0; i < n; i++) {
             int cell = frame.u16();
             int shape = frame.u8();
@@ -169,7 +169,7 @@
             double weight = frame.f32();
             int zone = frame.u8();
             long started = micros(frame.f64());
-            entries.add(new Routing.Replica(frame.u32(), zone, shape, cell, weight, LIFECYCLES[state],
+            entries.add(new Routing.ServerState(frame.u32(), zone, shape, cell, weight, LIFECYCLES[state],
                     started));
         }
         deliver(gateway, g -> g.listReceived(now, kind, entries));
--- a/src/main/java/umberspread/adapter/Main.java
+++ b/src/main/java/umberspread/adapter/Main.java
@@ -17,9 +17,9 @@
     }
 
     /** Makes the router of one gateway. */
-    public interface Maker {
+    public interface RouterFactory {
         /** A router for these settings, with this seed, that asks this of its gateway. */
-        Routing.Events make(Routing.Settings settings, long seed, Routing.Actions actions);
+        Routing.Events create(Routing.Settings settings, long seed, Routing.Actions actions);
     }
 
     /** Runs the command and exits with its status. */
@@ -38,7 +38,7 @@
     /**
      * Answers rounds until the input ends, with routers of this maker; 0, or 1 where a round can't be read.
      */
-    public static int serve(InputStream in, OutputStream out, PrintStream err, Maker maker) {
+    public static int serve(InputStream in, OutputStream out, PrintStream err, RouterFactory maker) {
         try {
             InputStream buffered = new BufferedInputStream(in, BUFFER);
             Reply reply = new Reply();
--- a/src/main/java/umberspread/adapter/SettingsParser.java
+++ b/src/main/java/umberspread/adapter/SettingsParser.java
@@ -53,7 +53,7 @@
         for (int i = 0; i < n; i++) {
             String at = "classes." + i + ".";
             classes.add(new Routing.RequestClass(text(at + "name"),
-                    named(Routing.Effect.class, at + "effect", "retryable"),
+                    named(Routing.RetrySafety.class, at + "effect", "retryable"),
                     named(Routing.DedupGroup.class, at + "group", "all"), time(at + "window", 0.0),
                     time(at + "aim", null), item("domain.aim_us_per_1000_prompt_tokens", i, 1.0),
                     item("domain.token_aim", i, MICROS), time(at + "give_up", null),
--- a/src/main/java/yewdock/Commands.java
+++ b/src/main/java/yewdock/Commands.java
@@ -12,30 +12,30 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import yewdock.daemon.Keeper;
-import yewdock.daemon.Operator;
-import yewdock.daemon.Succession;
-import yewdock.log.Say;
+import yewdock.baseline.Options;
+import yewdock.baseline.Policies;
+import yewdock.daemon.OperatorClient;
+import yewdock.daemon.ProcessHandover;
+import yewdock.daemon.Supervisor;
+import yewdock.logging.EventLog;
 import yewdock.platform.Addresses;
-import yewdock.platform.Deployment;
-import yewdock.proof.AgreementProof;
-import yewdock.proof.CopiesProof;
-import yewdock.proof.DeploymentsProof;
-import yewdock.proof.LiveProof;
-import yewdock.proof.ReplacementProof;
-import yewdock.proof.Router;
-import yewdock.proof.Rules;
-import yewdock.proof.StoreCost;
-import yewdock.proof.StoreProof;
-import yewdock.proof.UpgradeProof;
+import yewdock.platform.DeploymentSummary;
 import yewdock.scenario.ScenarioFile;
-import yewdock.settings.BadSettingsException;
+import yewdock.settings.InvalidSettingsException;
 import yewdock.settings.OperatorSettings;
-import yewdock.standin.Fleet;
-import yewdock.standin.Ledger;
-import yewdock.standin.Load;
-import yewdock.textbook.Options;
-import yewdock.textbook.Policies;
+import yewdock.testbed.Fleet;
+import yewdock.testbed.Ledger;
+import yewdock.testbed.Load;
+import yewdock.verification.AgreementProof;
+import yewdock.verification.CopiesProof;
+import yewdock.verification.DeploymentsProof;
+import yewdock.verification.LiveProof;
+import yewdock.verification.ReplacementProof;
+import yewdock.verification.Router;
+import yewdock.verification.Rules;
+import yewdock.verification.StoreCost;
+import yewdock.verification.StoreProof;
+import yewdock.verification.UpgradeProof;
 
 /** The commands that {@code serve} must not pay for: this class and its library are loaded for them alone. */
 final class Commands {
@@ -92,7 +92,7 @@
                 description = "the operator's settings, in HCL (default: all defaults)")
         private Path file;
 
-        OperatorSettings read() throws IOException, BadSettingsException {
+        OperatorSettings read() throws IOException, InvalidSettingsException {
             return file == null ? OperatorSettings.defaults() : OperatorSettings.read(file);
         }
     }
@@ -102,7 +102,7 @@
     static final class Serve implements Callable<Integer> {
         @Override
         public Integer call() {
-            return yewdock.daemon.Serve.run(System.getenv("PROXY_CONFIG"), Succession::new);
+            return yewdock.daemon.StandaloneRouter.run(System.getenv("PROXY_CONFIG"), ProcessHandover::new);
         }
     }
 
@@ -145,9 +145,11 @@
             if (log != null && !List.of("text", "json").contains(log)) {
                 throw new IllegalArgumentException("--log: text or json, not " + log);
             }
-            OperatorSettings chosen = log == null ? read : read.with(new OperatorSettings.Log(log));
-            Say.as(chosen.log().form().equals("json") ? Say.Form.JSON : Say.Form.TEXT);
-            return new Keeper(chosen, List.of(MAIN, "generation")).run();
+            OperatorSettings chosen = log == null ? read
+                    : read.withLog(new OperatorSettings.LogSettings(log));
+            EventLog.setFormat(chosen.log().form().equals("json") ? EventLog.LogFormat.JSON
+                    : EventLog.LogFormat.TEXT);
+            return new Supervisor(chosen, List.of(MAIN, "generation")).run();
         }
     }
 
@@ -167,11 +169,13 @@
             if (program != null && !Files.isReadable(program)) {
                 throw new IOException("the program can't be read: " + program);
             }
-            OperatorSettings.Upgrade u = read.upgrade();
-            long longest = (u.start() + u.check() + u.state() + u.ready() + u.take() + u.share() + u.go()
-                    + u.letGo())
+            OperatorSettings.UpgradeSettings u = read.upgrade();
+            long longest = (u.startMicros() + u.checkMicros() + u.stateMicros() + u.readyMicros()
+                    + u.takeMicros() + u.shareMicros() + u.goMicros()
+                    + u.letGoMicros())
                     / 1000 + SLACK_MILLIS;
-            return Operator.ask(read.daemon().control(), "upgrade", program == null ? List.of()
+            return OperatorClient.sendCommand(read.daemon().controlFolder(), "upgrade", program == null
+                    ? List.of()
                     : List.of(program.toAbsolutePath().toString()), longest, System.out::println);
         }
     }
@@ -194,7 +198,8 @@
 
         @Override
         public final Integer call() throws Exception {
-            return Operator.ask(settings.read().daemon().control(), word(), words(), answerMillis(),
+            return OperatorClient.sendCommand(settings.read().daemon().controlFolder(), word(), words(),
+                    answerMillis(),
                     System.out::println);
         }
     }
@@ -226,8 +231,9 @@
         @Override
         public Integer call() throws Exception {
             Path config = file.toString().endsWith(".json") ? file
-                    : OperatorSettings.read(file).daemon().config();
-            Deployment.describe(Files.readString(config), System.out::println).forEach(System.out::println);
+                    : OperatorSettings.read(file).daemon().configFile();
+            DeploymentSummary.describe(Files.readString(config),
+                    System.out::println).forEach(System.out::println);
             System.out.println("good");
             return 0;
         }
@@ -300,7 +306,7 @@
             if (connections < 1 || !(rate > 0) || seconds < 1 || tokens < 1 || pace < 0) {
                 throw new IllegalArgumentException("connections, rate, seconds and tokens are at least 1");
             }
-            InetSocketAddress address = Addresses.of(to);
+            InetSocketAddress address = Addresses.parse(to);
             if (!address.getAddress().isLoopbackAddress()) {
                 throw new IllegalArgumentException("load is sent to this machine only, not to " + to);
             }
--- a/src/main/java/yewdock/Main.java
+++ b/src/main/java/yewdock/Main.java
@@ -1,9 +1,9 @@
 package yewdock;
 
 import yewdock.daemon.Generation;
-import yewdock.daemon.Serve;
-import yewdock.daemon.Succession;
-import yewdock.log.Say;
+import yewdock.daemon.ProcessHandover;
+import yewdock.daemon.StandaloneRouter;
+import yewdock.logging.EventLog;
 
 /**
  * The entry point of the command line: {@code serve} runs the router, {@code adapter} the decision module for
@@ -19,9 +19,11 @@
         switch (command) {
             // these start often and with little memory, so they avoid loading the command-line library
             case "adapter" -> umberspread.adapter.Main.main(args);
-            case "serve" -> System.exit(Serve.run(System.getenv("PROXY_CONFIG"), Succession::new));
+            case "serve" -> System.exit(StandaloneRouter.run(System.getenv("PROXY_CONFIG"),
+                    ProcessHandover::new));
             case "generation" -> {
-                Say.as("json".equals(System.getenv("YEWDOCK_LOG")) ? Say.Form.JSON : Say.Form.TEXT);
+                EventLog.setFormat("json".equals(System.getenv("YEWDOCK_LOG")) ? EventLog.LogFormat.JSON
+                        : EventLog.LogFormat.TEXT);
                 System.exit(Generation.run(System.getenv()));
             }
             default -> System.exit(Commands.run(args));
--- a/src/main/java/yewdock/ModelCommands.java
+++ b/src/main/java/yewdock/ModelCommands.java
@@ -12,10 +12,10 @@
 import java.util.concurrent.Callable;
 import me.tongfei.progressbar.ProgressBar;
 import me.tongfei.progressbar.ProgressBarBuilder;
+import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import picocli.CommandLine;
 import yewdock.experiment.Experiment;
 import yewdock.experiment.Plan;
 import yewdock.model.Day;
@@ -23,7 +23,7 @@
 import yewdock.model.Score;
 import yewdock.model.World;
 import yewdock.scenario.ScenarioFile;
-import yewdock.settings.BadSettingsException;
+import yewdock.settings.InvalidSettingsException;
 
 /** The commands that play days of a scenario in virtual time. */
 final class ModelCommands {
@@ -95,7 +95,7 @@
                 description = "in place of the file's value, such as routers.policy=hash or boxes.count=100")
         private List<String> set = List.of();
 
-        Scenario read() throws IOException, BadSettingsException {
+        Scenario read() throws IOException, InvalidSettingsException {
             return ScenarioFile.read(file, values(set));
         }
     }
--- a/src/main/java/yewdock/StoreCommands.java
+++ b/src/main/java/yewdock/StoreCommands.java
@@ -15,9 +15,9 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 import yewdock.settings.OperatorSettings;
-import yewdock.state.Keys;
-import yewdock.state.Records;
-import yewdock.store.Store;
+import yewdock.state.RecordKeys;
+import yewdock.state.ReplicatedRecords;
+import yewdock.store.RecordFile;
 import yewdock.store.StoreException;
 import yewdock.wire.Kept;
 
@@ -109,20 +109,21 @@
 
         @Override
         public final Integer call() throws Exception {
-            OperatorSettings.Store store = settings.read().store();
-            if (!store.on()) {
+            OperatorSettings.StoreSettings store = settings.read().store();
+            if (!store.enabled()) {
                 throw new IOException("store.folder is not set in the settings: nothing is kept");
             }
-            with(store.folder(), store.mostRecords());
+            with(store.folder(), store.maxRecords());
             return 0;
         }
     }
 
-    private static Map<String, Kept> records(Store store, String beginning) throws IOException {
+    private static Map<String, Kept> records(RecordFile store, String beginning) throws IOException {
         Map<String, Kept> all = new TreeMap<>();
-        for (Map.Entry<String, byte[]> e : store.prefix(Keys.STORED + beginning).entrySet()) {
+        for (Map.Entry<String, byte[]> e : store.prefix(RecordKeys.STORE_PREFIX + beginning).entrySet()) {
             try {
-                all.put(e.getKey().substring(Keys.STORED.length()), Records.read(e.getValue()));
+                all.put(e.getKey().substring(RecordKeys.STORE_PREFIX.length()),
+                        ReplicatedRecords.parse(e.getValue()));
             } catch (InvalidProtocolBufferException broken) {
                 throw new IOException("the record " + e.getKey() + " can't be read: " + broken.getMessage(),
                         broken);
@@ -139,10 +140,11 @@
     static final class Verify extends OfFolder {
         @Override
         void with(Path folder, int mostRecords) throws IOException, StoreException {
-            try (Store store = Store.look(folder)) {
-                String good = store.missing() > 0 ? store.missing()
+            try (RecordFile store = RecordFile.openReadOnly(folder)) {
+                String good = store.missingCommits() > 0 ? store.missingCommits()
                         + " commits are missing; what is left is good: " : "good: ";
-                System.out.println(good + "version " + store.version() + ", commit " + store.number() + ", "
+                System.out.println(good + "version " + store.version() + ", commit "
+                        + store.lastCommitNumber() + ", "
                         + records(store, "").size() + " records, " + store.bytes() + " bytes");
             }
         }
@@ -156,7 +158,7 @@
 
         @Override
         void with(Path folder, int mostRecords) throws IOException, StoreException {
-            try (Store store = Store.look(folder)) {
+            try (RecordFile store = RecordFile.openReadOnly(folder)) {
                 records(store, beginning).values().forEach(kept -> System.out.println(line(kept)));
             }
         }
@@ -170,7 +172,7 @@
 
         @Override
         void with(Path folder, int mostRecords) throws IOException, StoreException {
-            try (Store store = Store.look(folder); PrintWriter out = new PrintWriter(
+            try (RecordFile store = RecordFile.openReadOnly(folder); PrintWriter out = new PrintWriter(
                     Files.newBufferedWriter(file))) {
                 Map<String, Kept> all = records(store, "");
                 all.values().forEach(kept -> out.println(line(kept)));
@@ -190,8 +192,8 @@
 
         @Override
         void with(Path folder, int mostRecords) throws IOException, StoreException {
-            try (Store store = Store.open(folder)) {
-                Records known = new Records("import", mostRecords);
+            try (RecordFile store = RecordFile.open(folder)) {
+                ReplicatedRecords known = new ReplicatedRecords("import", mostRecords);
                 records(store, "").values().forEach(known::merge);
                 Map<String, byte[]> changes = new TreeMap<>();
                 int number = 0;
@@ -199,14 +201,15 @@
                     for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                         number++;
                         Kept kept = read(line, number);
-                        Records.Merged merged = known.merge(kept);
-                        if (merged == Records.Merged.REFUSED) {
+                        ReplicatedRecords.MergeResult merged = known.merge(kept);
+                        if (merged == ReplicatedRecords.MergeResult.REJECTED) {
                             throw new IOException(file + ": line " + number + ": "
-                                    + (Records.flaw(kept) == null ? "more records than are kept"
-                                    : Records.flaw(kept)));
+                                    + (ReplicatedRecords.validate(kept) == null ? "more records than are kept"
+                                    : ReplicatedRecords.validate(kept)));
                         }
-                        if (merged == Records.Merged.TAKEN) {
-                            changes.put(Keys.STORED + kept.getKey(), Records.bytes(kept));
+                        if (merged == ReplicatedRecords.MergeResult.APPLIED) {
+                            changes.put(RecordKeys.STORE_PREFIX + kept.getKey(),
+                                    ReplicatedRecords.bytes(kept));
                         }
                     }
                 }
@@ -233,7 +236,7 @@
 
         @Override
         void with(Path folder, int mostRecords) throws IOException, StoreException {
-            try (Store store = Store.open(folder)) {
+            try (RecordFile store = RecordFile.open(folder)) {
                 long before = store.bytes();
                 store.compact(LONGEST_MILLIS);
                 System.out.println(before + " bytes before, " + store.bytes() + " now");
--- a/src/main/java/yewdock/door/Caller.java
+++ b/src/main/java/yewdock/admin/AdminConnection.java
@@ -1,37 +1,37 @@
-package yewdock.door;
+package yewdock.admin;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
-import yewdock.desk.Call;
-import yewdock.platform.Side;
-import yewdock.platform.Wire;
+import yewdock.core.OperatorCommand;
+import yewdock.platform.Connection;
+import yewdock.platform.ConnectionHandler;
 
 /** A connection to the admin interface: reads one command line, sends one answer and closes. */
-final class Caller implements Side {
+final class AdminConnection implements ConnectionHandler {
     /** Maximum length of a command line in bytes. */
     static final int MAX_LINE_BYTES = 512;
 
-    private final Door adminInterface;
+    private final AdminInterface adminInterface;
     private final long id;
-    private final Wire connection;
+    private final Connection connection;
     private final StringBuilder line = new StringBuilder();
     /** Whether further bytes are ignored: a command was taken or rejected, or the connection is closed. */
     private boolean inputClosed;
 
-    Caller(Door adminInterface, long id, Wire connection) {
+    AdminConnection(AdminInterface adminInterface, long id, Connection connection) {
         this.adminInterface = adminInterface;
         this.id = id;
         this.connection = connection;
     }
 
     @Override
-    public void up() {
+    public void onConnected() {
         // an accepted connection is always up
     }
 
     @Override
-    public void received(ByteBuffer bytes) {
+    public void onReceived(ByteBuffer bytes) {
         if (inputClosed) {
             return;
         }
@@ -51,8 +51,8 @@
 
     private void parseCommand(String text) {
         String[] words = text.strip().split("\\s+");
-        Call command = commandNamed(words[0]);
-        int wanted = command != null && command.namesBox() ? 2 : 1;
+        OperatorCommand command = commandNamed(words[0]);
+        int wanted = command != null && command.namesServer() ? 2 : 1;
         if (command == null) {
             reject("unknown call; there are health, counters, cordon ID, uncordon ID, quiesce, resume");
         } else if (words.length != wanted) {
@@ -63,8 +63,8 @@
         }
     }
 
-    private static Call commandNamed(String word) {
-        for (Call command : Call.values()) {
+    private static OperatorCommand commandNamed(String word) {
+        for (OperatorCommand command : OperatorCommand.values()) {
             if (command.name().toLowerCase(Locale.ROOT).equals(word)) {
                 return command;
             }
@@ -80,7 +80,7 @@
     /** Writes the answer and closes once the client has had time to read it. */
     void answer(String text) {
         connection.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
-        connection.linger();
+        connection.closeLingering();
     }
 
     /** Frees the place for another connection; closes at once unless a command is already being answered. */
@@ -93,7 +93,7 @@
     }
 
     @Override
-    public void written(int bytes) {
+    public void onWritten(int bytes) {
         // closing waits until everything is written
     }
 
@@ -101,13 +101,13 @@
      * No command came within the idle timeout, or the connection has lingered long enough after an answer.
      */
     @Override
-    public void idle() {
+    public void onIdle() {
         inputClosed = true;
         connection.close();
     }
 
     @Override
-    public void down() {
+    public void onClosed() {
         inputClosed = true;
         adminInterface.remove(id);
     }
--- a/src/main/java/yewdock/door/Door.java
+++ b/src/main/java/yewdock/admin/AdminInterface.java
@@ -1,14 +1,14 @@
-package yewdock.door;
+package yewdock.admin;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import yewdock.desk.Call;
-import yewdock.desk.Effect;
-import yewdock.desk.Event;
-import yewdock.desk.Figures;
-import yewdock.platform.Front;
-import yewdock.platform.Side;
-import yewdock.platform.Wire;
+import yewdock.core.Effect;
+import yewdock.core.Event;
+import yewdock.core.OperatorCommand;
+import yewdock.core.RouterStatistics;
+import yewdock.platform.Connection;
+import yewdock.platform.ConnectionHandler;
+import yewdock.platform.ConnectionManager;
 
 /**
  * The admin interface for operators: one command line and one answer per connection. It parses commands and
@@ -16,38 +16,38 @@
  *
  * <p>Idle connections can't lock an operator out: above the maximum, the oldest connection is closed.
  */
-public final class Door {
+public final class AdminInterface {
     /** Maximum number of open connections; more would use descriptors that clients and servers need. */
-    public static final int MOST_CALLERS = 16;
+    public static final int MAX_CONNECTIONS = 16;
     /** Accept limit, higher because connections that are being closed hold a descriptor for a moment. */
-    public static final int MOST_ACCEPTED = MOST_CALLERS + 8;
+    public static final int MAX_ACCEPTED_CONNECTIONS = MAX_CONNECTIONS + 8;
     /** A connection that sends nothing for this many seconds is closed. */
-    public static final int PATIENCE_SECONDS = 3;
+    public static final int IDLE_TIMEOUT_SECONDS = 3;
     private static final String COUNTER_PREFIX = "edge_proxy.";
 
-    private final Front front;
-    private final Map<Long, Caller> connections = new LinkedHashMap<>();
+    private final ConnectionManager front;
+    private final Map<Long, AdminConnection> connections = new LinkedHashMap<>();
     private long lastId;
 
     /** Creates an admin interface whose commands go through this platform front. */
-    public Door(Front front) {
+    public AdminInterface(ConnectionManager front) {
         this.front = front;
-        front.answerCallsBy(this::answer);
+        front.forwardOperatorAnswersTo(this::answer);
     }
 
     /** Handles a new connection. */
-    public Side accept(Wire transportConnection) {
-        Caller connection = new Caller(this, ++lastId, transportConnection);
+    public ConnectionHandler accept(Connection transportConnection) {
+        AdminConnection connection = new AdminConnection(this, ++lastId, transportConnection);
         connections.put(lastId, connection);
-        if (connections.size() > MOST_CALLERS) {
+        if (connections.size() > MAX_CONNECTIONS) {
             connections.values().iterator().next().evict();
         }
         return connection;
     }
 
     /** Passes a command to the reducer; server is the name in the command, or "". */
-    void dispatch(long connectionId, Call command, String server) {
-        front.happened(new Event.Called(connectionId, command, server));
+    void dispatch(long connectionId, OperatorCommand command, String server) {
+        front.dispatch(new Event.OperatorCommandReceived(connectionId, command, server));
     }
 
     /** Forgets a connection; an answer that is still to come for it is dropped. */
@@ -56,33 +56,33 @@
     }
 
     private void answer(Effect effect) {
-        if (effect instanceof Effect.AnswerCall e) {
-            answer(e.caller(), (e.yes() ? "YES " : "NO ") + e.text() + "\n");
-        } else if (effect instanceof Effect.AnswerFigures e) {
-            answer(e.caller(), format(e.figures()));
+        if (effect instanceof Effect.AnswerCommand e) {
+            answer(e.caller(), (e.accepted() ? "YES " : "NO ") + e.text() + "\n");
+        } else if (effect instanceof Effect.AnswerStatistics e) {
+            answer(e.caller(), format(e.statistics()));
         }
     }
 
     private void answer(long connectionId, String text) {
-        Caller connection = connections.get(connectionId);
+        AdminConnection connection = connections.get(connectionId);
         if (connection != null) {
             connection.answer(text);
         }
     }
 
     /** Formats the counters one per line, followed by a line that shows that the answer is complete. */
-    static String format(Figures counters) {
+    static String format(RouterStatistics counters) {
         StringBuilder text = new StringBuilder();
-        for (Figures.OfClass classCounters : counters.classes()) {
+        for (RouterStatistics.ClassStatistics classCounters : counters.classes()) {
             String name = "downstream_requests." + classCounters.name() + '.';
             appendCounter(text, name + "completed", classCounters.completed());
             appendCounter(text, name + "rejected", classCounters.rejected());
             appendCounter(text, name + "failed", classCounters.failed());
         }
-        appendCounter(text, "upstream_requests", counters.tries());
+        appendCounter(text, "upstream_requests", counters.attempts());
         appendCounter(text, "pending", counters.pending());
-        appendCounter(text, "members", counters.boxes());
-        appendCounter(text, "members_unavailable", counters.avoided());
+        appendCounter(text, "members", counters.servers());
+        appendCounter(text, "members_unavailable", counters.unavailableServers());
         return text.append("END\n").toString();
     }
 
--- a/src/main/java/yewdock/textbook/Hashes.java
+++ b/src/main/java/yewdock/baseline/Hashes.java
@@ -1,4 +1,4 @@
-package yewdock.textbook;
+package yewdock.baseline;
 
 import com.dynatrace.hash4j.hashing.Hashing;
 import java.util.function.LongUnaryOperator;
--- a/src/main/java/yewdock/textbook/Policies.java
+++ b/src/main/java/yewdock/baseline/Policies.java
@@ -1,4 +1,4 @@
-package yewdock.textbook;
+package yewdock.baseline;
 
 import java.util.List;
 import umberspread.BoundedLoadRouter;
--- a/src/main/java/yewdock/textbook/Ring.java
+++ b/src/main/java/yewdock/baseline/Ring.java
@@ -1,4 +1,4 @@
-package yewdock.textbook;
+package yewdock.baseline;
 
 import java.util.Arrays;
 import java.util.HashMap;
@@ -83,7 +83,7 @@
         }
         double fair = (openInAll + 1.0) / ready.size() * factor;
         double most = options.rounding().equals("chance")
-                ? Math.floor(fair + Mixing.unit(request.id() ^ box.replica.id()))
+                ? Math.floor(fair + Mixing.uniform(request.id() ^ box.replica.id()))
                 : Math.max(1, Math.floor(fair));
         return box.open + 1 <= most;
     }
--- a/src/main/java/yewdock/textbook/Simple.java
+++ b/src/main/java/yewdock/baseline/Simple.java
@@ -1,4 +1,4 @@
-package yewdock.textbook;
+package yewdock.baseline;
 
 import java.util.Set;
 import umberspread.Routing;
@@ -93,8 +93,8 @@
         for (Box box : ready) {
             if (!tried.contains(box) && warmEnough(box, now)) {
                 double in = sight.firstTokenIn(box.replica.id(), request);
-                if (sight.paceIn(box.replica.id()) > type.tokenAim()) {
-                    in += type.aim();
+                if (sight.paceIn(box.replica.id()) > type.interTokenTarget()) {
+                    in += type.firstTokenTarget();
                 }
                 if (in < soonest) {
                     soonest = in;
@@ -102,7 +102,7 @@
                 }
             }
         }
-        double aim = type.aim() + type.aimPerKilotoken() * request.promptTokens() / 1000;
+        double aim = type.firstTokenTarget() + type.targetPerKilotoken() * request.promptTokens() / 1000;
         // an answer that comes too late is worth nothing, and makes others late
         return soonest > aim && tried.isEmpty() && type.lateWorth() == 0 ? null : best;
     }
--- a/src/main/java/yewdock/textbook/Textbook.java
+++ b/src/main/java/yewdock/baseline/Textbook.java
@@ -1,4 +1,4 @@
-package yewdock.textbook;
+package yewdock.baseline;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -13,8 +13,8 @@
 import umberspread.Routing.ListKind;
 import umberspread.Routing.LoadReport;
 import umberspread.Routing.Outcome;
-import umberspread.Routing.Replica;
 import umberspread.Routing.Request;
+import umberspread.Routing.ServerState;
 
 /**
  * What every textbook policy does alike, as common balancers do it: it follows the list, leaves out what
@@ -38,13 +38,13 @@
 
     /** A box as the policy knows it. */
     static final class Box {
-        Replica replica;
+        ServerState replica;
         int open;
         double tokens;
         LoadReport report;
         int sinceReport;
 
-        Box(Replica replica) {
+        Box(ServerState replica) {
             this.replica = replica;
         }
     }
@@ -78,15 +78,15 @@
 
     @Override
     public void started(long now) {
-        actions.followList();
-        actions.wakeAt(now + settings.contract().askWithin(), LIST_TOKEN);
+        actions.watchEndpointList();
+        actions.wakeAt(now + settings.contract().maxDiscoveryInterval(), LIST_TOKEN);
     }
 
     @Override
-    public void listReceived(long now, ListKind kind, List<Replica> entries) {
+    public void listReceived(long now, ListKind kind, List<ServerState> entries) {
         if (kind == ListKind.FAILED) {
             following = false;
-            actions.wakeAt(now + settings.contract().askWithin() / 10, LIST_TOKEN);
+            actions.wakeAt(now + settings.contract().maxDiscoveryInterval() / 10, LIST_TOKEN);
             return;
         }
         following |= kind != ListKind.CACHED;
@@ -95,7 +95,7 @@
             entries.forEach(r -> listed.add(r.id()));
             boxes.keySet().retainAll(listed);
         }
-        for (Replica r : entries) {
+        for (ServerState r : entries) {
             if (r.lifecycle() == Lifecycle.GONE) {
                 boxes.remove(r.id());
             } else {
@@ -109,7 +109,7 @@
 
     @Override
     public void requestArrived(long now, Request request) {
-        Open o = new Open(request, now + request.patience());
+        Open o = new Open(request, now + request.clientTimeout());
         open.put(request.id(), o);
         send(o, now);
     }
@@ -120,7 +120,7 @@
         if (box == null) {
             open.remove(o.request.id());
             boolean mayRefuse = !o.mayHaveRun
-                    || settings.classes().get(o.request.requestClass()).effect() == Routing.Effect.RETRYABLE;
+                    || settings.classes().get(o.request.requestClass()).retrySafety() == Routing.RetrySafety.RETRYABLE;
             if (mayRefuse) {
                 actions.refuse(o.request.id(), 0);
             } else {
@@ -147,11 +147,11 @@
     boolean warmEnough(Box box, long now) {
         long started = box.replica.startedAt();
         long age = now - started;
-        long coldFor = settings.contract().coldFor();
+        long coldFor = settings.contract().warmUpTime();
         if (started == 0 || age >= coldFor) {
             return true;
         }
-        double from = settings.contract().coldFrom();
+        double from = settings.contract().coldCapacityShare();
         return random.nextDouble() < COLD_PART * (from + (1 - from) * Math.max(0, age) / coldFor);
     }
 
@@ -188,7 +188,7 @@
     }
 
     @Override
-    public void requestGone(long now, long requestId) {
+    public void requestAbandoned(long now, long requestId) {
         Open o = open.remove(requestId);
         if (o != null && o.out) {
             Box box = o.tried.get(o.tried.size() - 1);
@@ -202,8 +202,8 @@
     @Override
     public void woken(long now, int token) {
         if (!following) {
-            actions.followList();
-            actions.wakeAt(now + settings.contract().askWithin(), LIST_TOKEN);
+            actions.watchEndpointList();
+            actions.wakeAt(now + settings.contract().maxDiscoveryInterval(), LIST_TOKEN);
         }
     }
 }
--- a/src/main/java/yewdock/council/Council.java
+++ b/src/main/java/yewdock/consensus/ConsensusNode.java
@@ -1,4 +1,4 @@
-package yewdock.council;
+package yewdock.consensus;
 
 import com.google.protobuf.ByteString;
 import com.google.protobuf.InvalidProtocolBufferException;
@@ -11,12 +11,12 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Consumer;
-import yewdock.lease.Grants;
 import yewdock.lease.Lease;
-import yewdock.lease.LeaseTerms;
-import yewdock.rules.Refusal;
-import yewdock.rules.Rules;
-import yewdock.rules.View;
+import yewdock.lease.LeaseGrantor;
+import yewdock.lease.LeaseTiming;
+import yewdock.rules.ChangeRejection;
+import yewdock.rules.RuleStateMachine;
+import yewdock.rules.RulesView;
 import yewdock.wire.CouncilFrame;
 import yewdock.wire.Feed;
 import yewdock.wire.Founding;
@@ -33,7 +33,7 @@
  * of the council it votes on changes, and grants leases while it leads. Everything happens on one loop; no
  * decision about a request waits for any of it.
  */
-public final class Council {
+public final class ConsensusNode {
     private static final long SECOND = 1_000_000;
     private static final long ROUND_TIMEOUT = SECOND;
     private static final long PROPOSAL_TIMEOUT = 2 * SECOND;
@@ -49,43 +49,43 @@
      * @param self this instance's
      * @param members the instances that vote
      */
-    public record Terms(String cluster, String self, List<String> members, LeaseTerms lease) {
-        public Terms {
+    public record ConsensusConfig(String cluster, String self, List<String> members, LeaseTiming lease) {
+        public ConsensusConfig {
             members = members.stream().sorted().toList();
         }
     }
 
     /** What an instance does for its part. */
-    public interface Instance {
+    public interface ConsensusHost {
         /** Sends a frame to another instance, if it can be reached; never waits. */
         void send(String instance, CouncilFrame frame);
 
         /** Whether a connection to it stands. */
-        boolean reaches(String instance);
+        boolean isReachable(String instance);
 
-        /** Act by this from now on; {@link Council#takenUp} once everything here does. */
-        void actBy(View view);
+        /** Act by this from now on; {@link ConsensusNode#rulesApplied} once everything here does. */
+        void applyRules(RulesView view);
 
         /** The lease holds until then, by the loop's clock. */
-        void leaseUntil(long until);
+        void leaseExtended(long until);
 
         /** Another router acts on a newer version of the box list than this one has told. */
-        void listBehind(long newest);
+        void endpointListOutdated(long newest);
 
         /** Something that operators should know: the event, and then names and values. */
-        void note(String event, Object... fields);
+        void logEvent(String event, Object... fields);
     }
 
-    private final Terms terms;
-    private final Loop loop;
-    private final Instance instance;
-    private RaftDisk disk;
+    private final ConsensusConfig terms;
+    private final TaskScheduler loop;
+    private final ConsensusHost instance;
+    private DurableRaftStore disk;
     private final Endpoint self;
     /** Drawn anew with each start, and so what this process is told apart by. */
     private final long incarnation;
-    private final Rules held = new Rules();
+    private final RuleStateMachine localRules = new RuleStateMachine();
     private final Lease lease;
-    private final Grants grants;
+    private final LeaseGrantor grants;
     private final Feeds feeds = new Feeds();
     private final Lists lists = new Lists();
     private final Map<String, Long> fed = new HashMap<>();
@@ -122,14 +122,15 @@
      * @param disk where a member's log lies; null for one that doesn't vote
      * @param seed for what is drawn; another one with each start
      */
-    public Council(Terms terms, Loop loop, Instance instance, RaftDisk disk, long seed) throws IOException {
+    public ConsensusNode(ConsensusConfig terms, TaskScheduler loop, ConsensusHost instance,
+            DurableRaftStore disk, long seed) throws IOException {
         this.terms = terms;
         this.loop = loop;
         this.instance = instance;
         this.disk = disk;
         this.incarnation = seed;
         this.lease = new Lease(terms.lease());
-        this.grants = new Grants(terms.lease());
+        this.grants = new LeaseGrantor(terms.lease());
         this.self = disk == null ? null : Endpoint.of(terms.self(), disk.number(Long.toHexString(seed)));
         if (disk != null && disk.restored() != null) {
             start(List.of());
@@ -155,19 +156,19 @@
             return;
         }
         renew();
-        fresh.values().removeIf(h -> loop.now() - h.at >= HELLO_HOLDS);
+        fresh.values().removeIf(h -> loop.nowMicros() - h.at >= HELLO_HOLDS);
         if (disk != null && disk.broken()) {
             again("agreement.disk_failed");
         } else if (member != null && member.stuck()) {
             again("agreement.nobody_leads");
-        } else if (disk != null && !votes()) {
+        } else if (disk != null && !isVotingMember()) {
             greet();
         }
         if (member != null) {
             take();
             reconcile();
         }
-        long now = loop.now();
+        long now = loop.nowMicros();
         List<Long> late = new ArrayList<>();
         proposals.forEach((number, w) -> {
             if (now >= w.until) {
@@ -176,14 +177,14 @@
         });
         late.forEach(number -> proposed(Proposed.newBuilder().setNumber(number)
                 .setNobody("no leader has answered").build()));
-        loop.after(terms.lease().renewEvery(), this::tick);
+        loop.schedule(terms.lease().renewalIntervalMicros(), this::tick);
     }
 
     /** The member ends, and begins anew from what its disk has; a disk that takes no write is tried again. */
     private void again(String event) {
         if (member != null) {
-            instance.note(event, "now", "this member begins anew from its disk");
-            grants.follows();
+            instance.logEvent(event, "now", "this member begins anew from its disk");
+            grants.stepDown();
             member = null;
             changing = false;
         }
@@ -200,18 +201,18 @@
     // ---- the router's side: what it holds, and until when
 
     /** What this instance holds of the rules. */
-    public Rules held() {
-        return held;
+    public RuleStateMachine localRules() {
+        return localRules;
     }
 
     /** What the council has agreed, as far as this member knows; null at one that doesn't vote. */
-    public Rules agreed() {
+    public RuleStateMachine committedRules() {
         return member == null ? null : member.rules();
     }
 
     /** Whether it may act now. */
-    public boolean holds() {
-        return lease.holds(loop.now());
+    public boolean holdsLease() {
+        return lease.isValid(loop.nowMicros());
     }
 
     /** Who leads, as far as is known here; null for nobody. */
@@ -220,22 +221,22 @@
     }
 
     /** Whether this instance leads. */
-    public boolean leads() {
+    public boolean isLeader() {
         return member != null && member.leading();
     }
 
     /** Whether this instance votes, as far as it knows. */
-    public boolean votes() {
+    public boolean isVotingMember() {
         return member != null && Boolean.TRUE.equals(member.members().get(self.id()));
     }
 
     /** Everything here acts by the view of this step, or a later one. */
-    public void takenUp(long step, long chain) {
+    public void rulesApplied(long step, long chain) {
         if (step > takenStep) {
-            boolean known = takenStep >= held.prepared();
+            boolean known = takenStep >= localRules.lastPreparedStep();
             takenStep = step;
             takenChain = chain;
-            if (!known && takenStep >= held.prepared()) {
+            if (!known && takenStep >= localRules.lastPreparedStep()) {
                 // a change that waits for us should not wait for the next regular call
                 renew();
             }
@@ -243,13 +244,13 @@
     }
 
     /** The box list that this instance acts on from now on. */
-    public void actsOn(String address, long version) {
+    public void endpointListInUse(String address, long version) {
         listAddress = address;
         listVersion = version;
     }
 
     private void renew() {
-        Renew.Builder call = Renew.newBuilder().setNumber(lease.asks(loop.now())).setStep(takenStep)
+        Renew.Builder call = Renew.newBuilder().setNumber(lease.beginRenewal(loop.nowMicros())).setStep(takenStep)
                 .setChain(takenChain).setIncarnation(incarnation).setListAddress(listAddress)
                 .setListVersion(listVersion);
         if (++unanswered > MOST_UNANSWERED) {
@@ -267,13 +268,13 @@
         if (member != null) {
             leader = member.leader();
         }
-        if (leader != null && (leader.equals(terms.self()) || instance.reaches(leader))) {
+        if (leader != null && (leader.equals(terms.self()) || instance.isReachable(leader))) {
             return leader;
         }
         leader = null;
         for (int i = 0; i < terms.members().size(); i++) {
             String one = terms.members().get(nextAsked++ % terms.members().size());
-            if (!one.equals(terms.self()) && instance.reaches(one)) {
+            if (!one.equals(terms.self()) && instance.isReachable(one)) {
                 return one;
             }
         }
@@ -282,7 +283,7 @@
 
     private void send(String to, CouncilFrame frame) {
         if (to.equals(terms.self())) {
-            loop.after(0, () -> heard(to, frame));
+            loop.schedule(0, () -> receive(to, frame));
         } else {
             instance.send(to, frame);
         }
@@ -293,27 +294,27 @@
             leader = feed.getLeader();
             unanswered = 0;
         }
-        long before = held.step();
+        long before = localRules.step();
         if (feed.hasSnapshot()) {
-            if (feed.getSnapshot().getStep() > held.step()
-                    || feed.getSnapshot().getStep() == held.step()
-                    && feed.getSnapshot().getChain() != held.chain()) {
-                held.install(feed.getSnapshot());
+            if (feed.getSnapshot().getStep() > localRules.step()
+                    || feed.getSnapshot().getStep() == localRules.step()
+                    && feed.getSnapshot().getChain() != localRules.chain()) {
+                localRules.install(feed.getSnapshot());
                 before = -1;
             }
-        } else if (feed.getAfter() <= held.step()) {
-            int known = (int) Math.min(feed.getCommandsCount(), held.step() - feed.getAfter());
+        } else if (feed.getAfter() <= localRules.step()) {
+            int known = (int) Math.min(feed.getCommandsCount(), localRules.step() - feed.getAfter());
             for (ByteString bytes : feed.getCommandsList().subList(known, feed.getCommandsCount())) {
                 try {
-                    held.take(Rules.read(bytes.toByteArray()));
+                    localRules.apply(RuleStateMachine.parseCommand(bytes.toByteArray()));
                 } catch (InvalidProtocolBufferException e) {
-                    instance.note("agreement.unreadable", "from", from, "why", e.getMessage());
+                    instance.logEvent("agreement.unreadable", "from", from, "why", e.getMessage());
                     return;
                 }
             }
         }
-        if (held.step() != before) {
-            instance.actBy(held.view());
+        if (localRules.step() != before) {
+            instance.applyRules(localRules.view());
         }
     }
 
@@ -324,14 +325,14 @@
      * took it, in which case the same change may be asked for again.
      */
     public void propose(RuleChange change, Consumer<Proposed> answer) {
-        Refusal flaw = Rules.flaw(change);
+        ChangeRejection flaw = RuleStateMachine.validate(change);
         if (flaw != null) {
             answer.accept(Proposed.newBuilder().setOutcome(RuleOutcome.newBuilder().setId(change.getId())
                     .setRefusal(flaw.number())).build());
             return;
         }
         long number = ++numbers;
-        proposals.put(number, new Wait(change, answer, loop.now() + PROPOSAL_TIMEOUT));
+        proposals.put(number, new Wait(change, answer, loop.nowMicros() + PROPOSAL_TIMEOUT));
         String to = whoLeads();
         if (to == null) {
             proposed(Proposed.newBuilder().setNumber(number).setNobody("no member can be reached").build());
@@ -350,7 +351,7 @@
 
     private void asked(String from, Proposal proposal) {
         Proposed.Builder answer = Proposed.newBuilder().setNumber(proposal.getNumber());
-        if (!leads()) {
+        if (!isLeader()) {
             send(from, CouncilFrame.newBuilder().setProposed(answer.setNobody("it does not lead")).build());
             return;
         }
@@ -368,14 +369,14 @@
     // ---- frames
 
     /** A frame has come from this instance. */
-    public void heard(String from, CouncilFrame frame) {
+    public void receive(String from, CouncilFrame frame) {
         if (closed) {
             return;
         }
         switch (frame.getWhatCase()) {
             case RAFT -> {
                 if (member != null && !member.heard(frame.getRaft()) && strangers.add(from)) {
-                    instance.note("agreement.other_council", "instance", from, "its",
+                    instance.logEvent("agreement.other_council", "instance", from, "its",
                             frame.getRaft().getGroup(), "ours", member.group());
                 }
             }
@@ -395,11 +396,11 @@
         if (g.getIncarnation() == incarnation) {
             unanswered = 0;
             lease.granted(g.getNumber());
-            instance.leaseUntil(lease.until());
+            instance.leaseExtended(lease.expiresAt());
             // once for each version: a service that has started anew may never come so far again
             if (g.getListVersion() > listVersion && g.getListVersion() != listAskedFor && listVersion >= 0) {
                 listAskedFor = g.getListVersion();
-                instance.listBehind(g.getListVersion());
+                instance.endpointListOutdated(g.getListVersion());
             }
         }
     }
@@ -407,7 +408,7 @@
     // ---- the leader's side
 
     private void renewed(String from, Renew call) {
-        if (!leads()) {
+        if (!isLeader()) {
             String known = member == null ? null : member.leader();
             if (known != null) {
                 send(from, CouncilFrame.newBuilder().setFeed(Feed.newBuilder().setLeader(known)).build());
@@ -417,13 +418,14 @@
         fed.put(from, call.getStep());
         lists.heard(from, call.getListAddress(), call.getListVersion());
         if (!feeds.same(call.getStep(), call.getChain())) {
-            instance.note("agreement.diverged", "instance", from, "step", call.getStep());
+            instance.logEvent("agreement.diverged", "instance", from, "step", call.getStep());
             send(from, CouncilFrame.newBuilder().setFeed(Feeds.whole(member.rules()).toBuilder()
                     .setLeader(terms.self())).build());
             return;
         }
         feed(from, call.getStep());
-        grants.asked(new Grants.Ask(from, call.getIncarnation(), call.getNumber(), call.getStep()));
+        grants.request(new LeaseGrantor.LeaseRequest(from, call.getIncarnation(), call.getNumber(),
+                call.getStep()));
         round();
     }
 
@@ -438,27 +440,28 @@
     /** One round of confirming at a time, for all calls that wait. */
     private void round() {
         if (roundOut) {
-            if (loop.now() < roundUntil) {
+            if (loop.nowMicros() < roundUntil) {
                 return;
             }
-            grants.roundFailed();
+            grants.confirmationFailed();
         }
-        roundOut = grants.beginRound();
+        roundOut = grants.beginConfirmation();
         if (!roundOut) {
             return;
         }
         long mine = ++rounds;
-        roundUntil = loop.now() + ROUND_TIMEOUT;
+        roundUntil = loop.nowMicros() + ROUND_TIMEOUT;
         member.confirm().whenComplete((done, failed) -> {
             if (mine != rounds) {
                 return;
             }
             roundOut = false;
             if (failed != null) {
-                grants.roundFailed();
+                grants.confirmationFailed();
                 return;
             }
-            for (Grants.Ask ask : grants.confirmed(member.rules().prepared(), loop.now())) {
+            for (LeaseGrantor.LeaseRequest ask : grants.confirm(member.rules().lastPreparedStep(),
+                    loop.nowMicros())) {
                 send(ask.router(), CouncilFrame.newBuilder().setGranted(Granted.newBuilder()
                         .setNumber(ask.number()).setIncarnation(ask.incarnation())
                         .setListVersion(lists.newestFor(ask.router()))).build());
@@ -470,9 +473,9 @@
 
     /** Every member sees to what may take force, so that one that begins to lead knows since when. */
     private void take() {
-        long now = loop.now();
+        long now = loop.nowMicros();
         forced.values().removeIf(at -> now - at >= FORCE_AGAIN);
-        for (String id : grants.due(member.rules().underWay(), now)) {
+        for (String id : grants.changesToApply(member.rules().pendingChanges(), now)) {
             if (forced.putIfAbsent(id, now) == null) {
                 RuleCommand force = RuleCommand.newBuilder().setForce(id).build();
                 member.replicate(force).whenComplete((done, failed) -> {
@@ -486,7 +489,7 @@
 
     /** What all routers that ask here have not been told yet. */
     private void feedAll() {
-        if (leads()) {
+        if (isLeader()) {
             new HashMap<>(fed).forEach(this::feed);
         }
     }
@@ -500,11 +503,11 @@
                 fed.clear();
                 forced.clear();
                 if (yes) {
-                    grants.leads(loop.now());
+                    grants.becomeLeader(loop.nowMicros());
                 } else {
-                    grants.follows();
+                    grants.stepDown();
                 }
-                instance.note(yes ? "agreement.leads" : "agreement.follows");
+                instance.logEvent(yes ? "agreement.leads" : "agreement.follows");
             }
 
             @Override
@@ -519,8 +522,8 @@
             }
         };
         member = new Member(loop, terms.cluster(), self, founders, disk, incarnation, hearer, (to, frame) ->
-                send(to, CouncilFrame.newBuilder().setRaft(frame).build()), instance::reaches);
-        instance.note("agreement.member", "council", member.group());
+                send(to, CouncilFrame.newBuilder().setRaft(frame).build()), instance::isReachable);
+        instance.logEvent("agreement.member", "council", member.group());
     }
 
     /**
@@ -529,7 +532,7 @@
      * of them are new.
      */
     private void greet() {
-        fresh.put(terms.self(), new Hello(self.id(), loop.now()));
+        fresh.put(terms.self(), new Hello(self.id(), loop.nowMicros()));
         for (String other : terms.members()) {
             if (!other.equals(terms.self())) {
                 send(other, CouncilFrame.newBuilder().setFounding(Founding.newBuilder()
@@ -547,7 +550,7 @@
             return;
         }
         if (news.getMembersCount() == 0) {
-            fresh.put(from, new Hello(news.getEndpoint(), loop.now()));
+            fresh.put(from, new Hello(news.getEndpoint(), loop.nowMicros()));
             if (member != null) {
                 send(from, CouncilFrame.newBuilder().setFounding(Founding.newBuilder().setEndpoint(self.id())
                         .addAllMembers(member.founders())).build());
@@ -559,7 +562,7 @@
 
     /** A member that has come back with an empty disk takes the place of the one that remembered. */
     private void reconcile() {
-        if (!leads() || changing) {
+        if (!isLeader() || changing) {
             return;
         }
         Map<String, Boolean> now = member.members();
@@ -581,11 +584,12 @@
 
     private void change(String endpoint, MembershipChangeMode mode) {
         changing = true;
-        instance.note("agreement.membership", "member", endpoint, "change", mode);
+        instance.logEvent("agreement.membership", "member", endpoint, "change", mode);
         member.change(endpoint, mode).whenComplete((done, failed) -> {
             changing = false;
             if (failed != null) {
-                instance.note("agreement.membership_failed", "member", endpoint, "why", failed.getMessage());
+                instance.logEvent("agreement.membership_failed", "member", endpoint, "why",
+                        failed.getMessage());
             }
         });
     }
--- a/src/main/java/yewdock/council/RaftDisk.java
+++ b/src/main/java/yewdock/consensus/DurableRaftStore.java
@@ -1,4 +1,4 @@
-package yewdock.council;
+package yewdock.consensus;
 
 import com.google.protobuf.Message;
 import io.microraft.model.log.LogEntry;
@@ -17,7 +17,7 @@
 import java.util.Map;
 import java.util.SortedMap;
 import java.util.TreeMap;
-import yewdock.store.Shelf;
+import yewdock.store.KeyValueStore;
 import yewdock.store.StoreException;
 import yewdock.wire.RaftChunk;
 import yewdock.wire.RaftEntry;
@@ -29,7 +29,7 @@
  * A member's log, term, vote and snapshots, on a shelf of their own. What Raft wants kept is on the disk when
  * {@link #flush} returns, in one commit; until then nothing of it is answered.
  */
-public final class RaftDisk implements RaftStore {
+public final class DurableRaftStore implements RaftStore {
     private static final String SELF = "self";
     private static final String FOUNDERS = "founders";
     private static final String TERM = "term";
@@ -39,8 +39,8 @@
 
     private static final String TRIED = "tried";
 
-    private final Shelf.Opening opening;
-    private final Shelf shelf;
+    private final KeyValueStore.StoreOpener opening;
+    private final KeyValueStore shelf;
     private boolean broken;
     private String number;
     private Map<String, byte[]> waiting = new HashMap<>();
@@ -49,7 +49,7 @@
     private RestoredRaftState restored;
 
     /** Opens it, and reads what is there. */
-    public RaftDisk(Shelf.Opening opening) throws IOException {
+    public DurableRaftStore(KeyValueStore.StoreOpener opening) throws IOException {
         this.opening = opening;
         try {
             this.shelf = opening.open();
@@ -76,10 +76,10 @@
      * The same opened anew, once it takes writes. This one is at its end, and nothing of the member that
      * had it runs any more; where this fails, it may be tried again.
      */
-    RaftDisk anew() throws IOException {
+    DurableRaftStore anew() throws IOException {
         broken = true;
         shelf.close();
-        RaftDisk next = new RaftDisk(opening);
+        DurableRaftStore next = new DurableRaftStore(opening);
         try {
             next.waiting.put(TRIED, new byte[] {1});
             next.flush();
--- a/src/main/java/yewdock/council/Endpoint.java
+++ b/src/main/java/yewdock/consensus/Endpoint.java
@@ -1,4 +1,4 @@
-package yewdock.council;
+package yewdock.consensus;
 
 import io.microraft.RaftEndpoint;
 
--- a/src/main/java/yewdock/council/Feeds.java
+++ b/src/main/java/yewdock/consensus/Feeds.java
@@ -1,12 +1,12 @@
-package yewdock.council;
+package yewdock.consensus;
 
 import com.google.protobuf.ByteString;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
-import yewdock.rules.Rules;
-import yewdock.state.Records;
+import yewdock.rules.RuleStateMachine;
+import yewdock.state.ReplicatedRecords;
 import yewdock.wire.Feed;
 import yewdock.wire.RuleCommand;
 
@@ -22,12 +22,12 @@
     }
 
     /** A command was taken, and the rules stand so now. */
-    void add(RuleCommand command, Rules rules) {
+    void add(RuleCommand command, RuleStateMachine rules) {
         if (!steps.isEmpty() && steps.peekLast().step != rules.step() - 1) {
             steps.clear();
             bytes = 0;
         }
-        ByteString form = ByteString.copyFrom(Records.bytes(command));
+        ByteString form = ByteString.copyFrom(ReplicatedRecords.bytes(command));
         steps.add(new Step(rules.step(), rules.chain(), form));
         bytes += form.size();
         while (steps.size() > MOST || bytes > MOST_BYTES && steps.size() > 1) {
@@ -48,7 +48,7 @@
     }
 
     /** What brings a router up from this step; null if there is nothing to tell it. */
-    Feed after(long step, Rules rules) {
+    Feed after(long step, RuleStateMachine rules) {
         if (step >= rules.step()) {
             return null;
         }
@@ -65,7 +65,7 @@
     }
 
     /** The rules themselves. */
-    static Feed whole(Rules rules) {
+    static Feed whole(RuleStateMachine rules) {
         return Feed.newBuilder().setSnapshot(rules.snapshot()).build();
     }
 }
--- a/src/main/java/yewdock/council/Lists.java
+++ b/src/main/java/yewdock/consensus/Lists.java
@@ -1,4 +1,4 @@
-package yewdock.council;
+package yewdock.consensus;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/src/main/java/yewdock/council/Member.java
+++ b/src/main/java/yewdock/consensus/Member.java
@@ -1,4 +1,4 @@
-package yewdock.council;
+package yewdock.consensus;
 
 import io.microraft.MembershipChangeMode;
 import io.microraft.Ordered;
@@ -27,7 +27,7 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import java.util.stream.Collectors;
-import yewdock.rules.Rules;
+import yewdock.rules.RuleStateMachine;
 import yewdock.wire.NewTerm;
 import yewdock.wire.RaftFrame;
 import yewdock.wire.RuleCommand;
@@ -51,10 +51,10 @@
     private static final long STUCK = 5_000_000;
     private static final Object CONFIRM = new Object();
 
-    private final Loop loop;
-    private final Rules rules = new Rules();
+    private final TaskScheduler loop;
+    private final RuleStateMachine rules = new RuleStateMachine();
     private final Hearer hearer;
-    private final RaftDisk disk;
+    private final DurableRaftStore disk;
     private final RaftNode node;
     private final String group;
     private final List<String> founders;
@@ -81,7 +81,8 @@
      * @param send sends a frame to the instance of this name
      * @param up whether the instance of this name can be reached
      */
-    Member(Loop loop, String cluster, Endpoint self, List<String> founders, RaftDisk disk, long seed,
+    Member(TaskScheduler loop, String cluster, Endpoint self, List<String> founders, DurableRaftStore disk,
+            long seed,
             Hearer hearer, Sender send, Predicate<String> up) {
         this.loop = loop;
         this.disk = disk;
@@ -105,7 +106,7 @@
         } else {
             builder.setLocalEndpoint(self).setInitialGroupMembers(RaftCodec.endpoints(founders));
         }
-        ledAt = loop.now();
+        ledAt = loop.nowMicros();
         node = builder.build();
         node.start();
     }
@@ -133,7 +134,7 @@
     }
 
     /** The rules as agreed, to the last command that this member knows to be. */
-    Rules rules() {
+    RuleStateMachine rules() {
         return rules;
     }
 
@@ -153,7 +154,7 @@
      * asks.
      */
     boolean stuck() {
-        return !leading && loop.now() - ledAt >= STUCK;
+        return !leading && loop.nowMicros() - ledAt >= STUCK;
     }
 
     /**
@@ -166,7 +167,7 @@
             return false;
         }
         if (frame.hasAppend() || frame.hasInstall()) {
-            ledAt = loop.now();
+            ledAt = loop.nowMicros();
         }
         if (!disk.broken() && !outdated(frame, node.getTerm().getTerm())) {
             node.handle(RaftCodec.message(frame));
@@ -211,17 +212,17 @@
     private final class OnLoop implements RaftNodeExecutor {
         @Override
         public void execute(Runnable task) {
-            loop.after(0, guarded(task));
+            loop.schedule(0, guarded(task));
         }
 
         @Override
         public void submit(Runnable task) {
-            loop.after(0, guarded(task));
+            loop.schedule(0, guarded(task));
         }
 
         @Override
         public void schedule(Runnable task, long delay, TimeUnit unit) {
-            loop.after(unit.toMicros(delay) / SPEED, guarded(task));
+            loop.schedule(unit.toMicros(delay) / SPEED, guarded(task));
         }
 
         /**
@@ -255,7 +256,7 @@
 
         @Override
         public long millis() {
-            return loop.now() / 1000 * SPEED;
+            return loop.nowMicros() / 1000 * SPEED;
         }
     }
 
@@ -288,9 +289,9 @@
             if (!(operation instanceof RuleCommand command)) {
                 return null;
             }
-            RuleOutcome outcome = rules.take(command);
+            RuleOutcome outcome = rules.apply(command);
             hearer.agreed(command);
-            loop.after(0, hearer::stepped);
+            loop.schedule(0, hearer::stepped);
             return outcome;
         }
 
@@ -302,7 +303,7 @@
         @Override
         public void installSnapshot(long index, List<Object> chunks) {
             rules.install((RulesSnapshot) chunks.get(0));
-            loop.after(0, hearer::stepped);
+            loop.schedule(0, hearer::stepped);
         }
 
         @Override
--- a/src/main/java/yewdock/desk/Answers.java
+++ b/src/main/java/yewdock/core/Answers.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -14,7 +14,7 @@
     private static final long ANSWER_SLACK = 10_000;
 
     private final Turn turn;
-    private final Bounds bounds;
+    private final ResourceLimits bounds;
     private final List<String> classes;
     private final Others others;
     private final Tries tries;
@@ -25,10 +25,11 @@
     private long lastRequest;
     private int heldBytes;
 
-    Answers(Turn turn, Terms terms, Bounds bounds, KnownServers boxes, Lines lines, Others others) {
+    Answers(Turn turn, CoreSettings terms, ResourceLimits bounds, KnownServers boxes, Lines lines,
+            Others others) {
         this.turn = turn;
         this.bounds = bounds;
-        this.classes = terms.classes();
+        this.classes = terms.classNames();
         this.others = others;
         this.tries = new Tries(turn, terms, boxes, lines, others, this::forgetIfDone);
     }
@@ -83,16 +84,16 @@
     }
 
     /** Takes a request that has waited so long to be taken. */
-    void admit(Event.Asked e, long waited) {
+    void admit(Event.RequestReceived e, long waited) {
         ModelRequest r = e.request();
-        if (owed.size() >= bounds.requests() || heldBytes + r.size() > bounds.bytes()) {
+        if (owed.size() >= bounds.maxRequests() || heldBytes + r.memoryBytes() > bounds.maxRequestBytes()) {
             turn.count("answers.refused_for_room");
             ended(r, Ending.REJECTED);
             turn.effect(new Effect.Refuse(e.client(), 0));
             release(r.id());
             return;
         }
-        long patience = Math.max(0, r.patience() - waited);
+        long patience = Math.max(0, r.timeoutMicros() - waited);
         Owed o = new Owed(++lastRequest, r, e.client(), turn.now() + patience);
         heldBytes += o.size;
         owed.put(o.id, o);
@@ -100,14 +101,14 @@
         ofClient.put(o.client, o);
         turn.at(o.deadline + ANSWER_SLACK, () -> overdue(o));
         turn.tell(o.id, m -> m.requestArrived(turn.now(), new Routing.Request(o.id, r.requestClass(),
-                r.municipality(), r.repeat(), r.session(), r.sharedBeginning(), r.promptTokens(),
-                r.beginningTokens(), r.mostTokens(), patience)));
+                r.tenant(), r.markedAsRetry(), r.session(), r.sharedPrefix(), r.promptTokens(),
+                r.prefixTokens(), r.maxOutputTokens(), patience)));
     }
 
-    void twin(Event.Asked e) {
+    void twin(Event.RequestReceived e) {
         turn.count("answers.twin");
         ended(e.request(), Ending.FAILED);
-        turn.effect(new Effect.TurnDownTwin(e.client()));
+        turn.effect(new Effect.RejectDuplicate(e.client()));
     }
 
     void clientLeft(long client) {
@@ -115,7 +116,7 @@
         if (o != null) {
             turn.count(o.begun() ? "answers.left_midway" : "answers.left_before");
             finish(o, Ending.FAILED);
-            turn.tell(o.id, m -> m.requestGone(turn.now(), o.id));
+            turn.tell(o.id, m -> m.requestAbandoned(turn.now(), o.id));
             tries.hangUpAll(o, Outcome.CANCELLED);
         }
     }
@@ -145,21 +146,21 @@
         }
         turn.count(o.begun() ? "answers.cut_off" : "answers.failed");
         finish(o, Ending.FAILED);
-        turn.effect(o.begun() ? new Effect.CutOff(o.client) : new Effect.Fail(o.client));
+        turn.effect(o.begun() ? new Effect.AbortResponse(o.client) : new Effect.Fail(o.client));
         tries.hangUpAll(o, triesEndAs);
     }
 
     /** The same, of which the module knows nothing yet. */
     void failOurselves(Owed o, Outcome triesEndAs) {
         fail(o, triesEndAs);
-        turn.tell(o.id, m -> m.requestGone(turn.now(), o.id));
+        turn.tell(o.id, m -> m.requestAbandoned(turn.now(), o.id));
     }
 
     /** The try's stream is whole. */
     void served(Try t) {
         Owed o = t.owed;
         turn.count("answers.served");
-        turn.effect(new Effect.EndAnswer(o.client));
+        turn.effect(new Effect.EndResponse(o.client));
         finish(o, Ending.COMPLETED);
         tries.hangUpAllBut(t);
     }
@@ -169,7 +170,7 @@
         Owed o = t.owed;
         if (t.begun() && !o.over) {
             turn.count("answers.cut_off");
-            turn.effect(new Effect.CutOff(o.client));
+            turn.effect(new Effect.AbortResponse(o.client));
             finish(o, Ending.FAILED);
         }
     }
@@ -191,7 +192,7 @@
 
     private void release(String id) {
         if (others.asking()) {
-            turn.effect(new Effect.TellOthers(new OtherNews.Released(id)));
+            turn.effect(new Effect.SendToGenerations(new GenerationMessage.RequestReleased(id)));
         }
     }
 }
--- a/src/main/java/yewdock/desk/Calls.java
+++ b/src/main/java/yewdock/core/Calls.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 import java.util.List;
 import java.util.Locale;
@@ -18,7 +18,7 @@
     static final long SEND_AWAY_EVERY = 300_000;
 
     private final Turn turn;
-    private final Terms terms;
+    private final CoreSettings terms;
     private final Counters counters;
     private final KnownServers boxes;
     private final IntSupplier pending;
@@ -28,7 +28,7 @@
     private boolean quiesced;
     private long sendAwayAt;
 
-    Calls(Turn turn, Terms terms, Counters counters, KnownServers boxes, IntSupplier pending,
+    Calls(Turn turn, CoreSettings terms, Counters counters, KnownServers boxes, IntSupplier pending,
             Supplier<String> unready, Runnable changed) {
         this.turn = turn;
         this.terms = terms;
@@ -43,15 +43,15 @@
         return quiesced;
     }
 
-    void called(Event.Called e, boolean leaving) {
-        turn.count("calls." + e.call().name().toLowerCase(Locale.ROOT));
-        switch (e.call()) {
+    void called(Event.OperatorCommandReceived e, boolean leaving) {
+        turn.count("calls." + e.command().name().toLowerCase(Locale.ROOT));
+        switch (e.command()) {
             case HEALTH -> {
                 String why = unready.get();
                 answer(e, why.isEmpty(), why.isEmpty() ? "ready" : why);
             }
-            case COUNTERS -> turn.tell(0, m -> turn.effect(new Effect.AnswerFigures(e.caller(),
-                    figures(m.avoided(turn.now())))));
+            case COUNTERS -> turn.tell(0, m -> turn.effect(new Effect.AnswerStatistics(e.caller(),
+                    figures(m.unavailableServers(turn.now())))));
             case CORDON -> cordon(e);
             case UNCORDON -> uncordon(e);
             case QUIESCE -> quiesce(e);
@@ -63,8 +63,8 @@
         }
     }
 
-    private void cordon(Event.Called e) {
-        String box = e.box();
+    private void cordon(Event.OperatorCommandReceived e) {
+        String box = e.server();
         if (boxes.cordoned(box)) {
             answer(e, true, box + " was cordoned before");
         } else if (!boxes.named(box)) {
@@ -77,8 +77,8 @@
         }
     }
 
-    private void uncordon(Event.Called e) {
-        String box = e.box();
+    private void uncordon(Event.OperatorCommandReceived e) {
+        String box = e.server();
         if (boxes.cordoned(box)) {
             boxes.uncordon(box);
             changed(box);
@@ -93,10 +93,10 @@
 
     private void changed(String box) {
         changed.run();
-        turn.effect(new Effect.MarkChanged(box, boxes.marks().get(box)));
+        turn.effect(new Effect.PublishOverride(box, boxes.marks().get(box)));
     }
 
-    private void quiesce(Event.Called e) {
+    private void quiesce(Event.OperatorCommandReceived e) {
         if (!quiesced) {
             quiesced = true;
             turn.log("quiesced");
@@ -117,12 +117,13 @@
         });
     }
 
-    private void answer(Event.Called e, boolean yes, String text) {
-        turn.effect(new Effect.AnswerCall(e.caller(), yes, text));
+    private void answer(Event.OperatorCommandReceived e, boolean yes, String text) {
+        turn.effect(new Effect.AnswerCommand(e.caller(), yes, text));
     }
 
-    private Figures figures(Set<Long> avoidedByChoice) {
-        List<Figures.OfClass> classes = terms.classes().stream().map(name -> new Figures.OfClass(name,
+    private RouterStatistics figures(Set<Long> avoidedByChoice) {
+        List<RouterStatistics.ClassStatistics> classes = terms.classNames().stream().map(name ->
+                new RouterStatistics.ClassStatistics(name,
                 count(name, Ending.COMPLETED), count(name, Ending.REJECTED),
                 count(name, Ending.FAILED))).toList();
         int avoided = 0;
@@ -130,7 +131,8 @@
             ModelServer over = boxes.get(box.id());
             avoided += over == null || !over.takesWork() || avoidedByChoice.contains(box.id()) ? 1 : 0;
         }
-        return new Figures(classes, counters.get("tries.written"), pending.getAsInt(), boxes.told().size(),
+        return new RouterStatistics(classes, counters.get("tries.written"), pending.getAsInt(),
+                boxes.told().size(),
                 avoided);
     }
 
--- a/src/main/java/yewdock/desk/DiscoveryWatch.java
+++ b/src/main/java/yewdock/core/DiscoveryWatch.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
@@ -62,7 +62,7 @@
     private static final long SERIES = 2_000_000;
     private static final long REST = 1_000_000;
 
-    private final Terms terms;
+    private final CoreSettings terms;
     private final LongSupplier now;
     private final Timers timers;
     private final Counters counters;
@@ -79,7 +79,8 @@
     private boolean catchesUp;
     private long newsAt = -SERIES;
 
-    DiscoveryWatch(Terms terms, LongSupplier now, Timers timers, Counters counters, Consumer<Effect> effects,
+    DiscoveryWatch(CoreSettings terms, LongSupplier now, Timers timers, Counters counters,
+            Consumer<Effect> effects,
             Runnable whenLate) {
         this.terms = terms;
         this.now = now;
@@ -94,7 +95,7 @@
         address = where;
         versions.startWith(known);
         calledAt = now.getAsLong();
-        if (terms.listPushed()) {
+        if (terms.discoveryByAgent()) {
             ask(0);
         } else {
             remember();
@@ -103,8 +104,8 @@
 
     /** Against a module that forgets to call: nothing told for so long counts as told all the same. */
     private void remember() {
-        timers.at(now.getAsLong() + terms.askWithin(), () -> {
-            if (!out && now.getAsLong() - calledAt >= terms.askWithin()) {
+        timers.at(now.getAsLong() + terms.maxPollIntervalMicros(), () -> {
+            if (!out && now.getAsLong() - calledAt >= terms.maxPollIntervalMicros()) {
                 ask(0);
             }
             remember();
@@ -128,7 +129,7 @@
 
     private void hangUpAndAsk() {
         if (out) {
-            effects.accept(new Effect.HangUpList());
+            effects.accept(new Effect.CancelDiscoveryCall());
         }
         ask(0);
     }
@@ -151,7 +152,8 @@
     }
 
     private long longestPause() {
-        return terms.listPushed() ? part() : Math.min(COUNTS_AS_TOLD - TURN, terms.askWithin() / 2);
+        return terms.discoveryByAgent() ? part() : Math.min(COUNTS_AS_TOLD - TURN,
+                terms.maxPollIntervalMicros() / 2);
     }
 
     /** Discovery may be another process from now on, whose versions mean something else. */
@@ -166,7 +168,7 @@
     }
 
     boolean pushed() {
-        return terms.listPushed();
+        return terms.discoveryByAgent();
     }
 
     String address() {
@@ -208,7 +210,7 @@
         long mine = ++call;
         calledAt = now.getAsLong();
         counters.add("list.calls");
-        effects.accept(new Effect.AskList(address, versions.since(), wait));
+        effects.accept(new Effect.CallDiscovery(address, versions.since(), wait));
         timers.at(calledAt + wait + patience, () -> {
             if (out && call == mine) {
                 silent(wait > 0);
@@ -223,9 +225,9 @@
      * refuse the new call.
      */
     private void silent(boolean watched) {
-        boolean mayComeLate = watched && !terms.listPushed();
-        effects.accept(mayComeLate ? new Effect.SetListCallAside() : new Effect.HangUpList());
-        if (!terms.listPushed() && silences < SILENT_CALLS) {
+        boolean mayComeLate = watched && !terms.discoveryByAgent();
+        effects.accept(mayComeLate ? new Effect.SetDiscoveryCallAside() : new Effect.CancelDiscoveryCall());
+        if (!terms.discoveryByAgent() && silences < SILENT_CALLS) {
             silences++;
             counters.add("list.silent");
             ask(0, watched ? tenths(ANEW_TENTHS) : patience(0));
@@ -245,25 +247,25 @@
 
     /** Half of the grace is left for what comes after the answer. */
     private long part() {
-        return Math.min(WAIT, Math.max(LEAST_PART, terms.drainGrace() / GRACE_PARTS));
+        return Math.min(WAIT, Math.max(LEAST_PART, terms.drainGraceMicros() / GRACE_PARTS));
     }
 
     private long patience(long wait) {
-        if (terms.listPushed()) {
+        if (terms.discoveryByAgent()) {
             return part() * Math.min(MOST_PATIENCE, 1 + failures);
         }
         return wait > 0 ? tenths(WAITED_TENTHS) : TURN;
     }
 
     private long tenths(int parts) {
-        return (COUNTS_AS_TOLD - WAIT + terms.drainGrace()) / TENTHS * parts;
+        return (COUNTS_AS_TOLD - WAIT + terms.drainGraceMicros()) / TENTHS * parts;
     }
 
     /** An answer that does not follow the held list: the whole list is asked for until one is believed. */
     void cameOlder(EndpointList list) {
         answered();
         if (list.full()) {
-            askLater(terms.listPushed() ? part() : EndpointListVersions.LONGEST_LAG, 0);
+            askLater(terms.discoveryByAgent() ? part() : EndpointListVersions.LONGEST_LAG, 0);
         } else {
             ask(0);
         }
@@ -280,14 +282,14 @@
 
     /** An answer has come and the next call goes out; tells whether the module should hear of the answer. */
     boolean came(EndpointList list) {
-        boolean news = asked || list.full() || !list.boxes().isEmpty();
+        boolean news = asked || list.full() || !list.servers().isEmpty();
         answered();
-        long wait = terms.listPushed() ? part() : list.boxes().isEmpty() ? WAIT
-                : WAIT - (long) (Mixing.unit(now.getAsLong()) * APART);
-        boolean series = !list.boxes().isEmpty() && now.getAsLong() - newsAt < SERIES;
-        newsAt = list.boxes().isEmpty() ? newsAt : now.getAsLong();
-        if (series && !terms.listPushed()) {
-            askLater(Math.min(REST, terms.askWithin() / 2), wait);
+        long wait = terms.discoveryByAgent() ? part() : list.servers().isEmpty() ? WAIT
+                : WAIT - (long) (Mixing.uniform(now.getAsLong()) * APART);
+        boolean series = !list.servers().isEmpty() && now.getAsLong() - newsAt < SERIES;
+        newsAt = list.servers().isEmpty() ? newsAt : now.getAsLong();
+        if (series && !terms.discoveryByAgent()) {
+            askLater(Math.min(REST, terms.maxPollIntervalMicros() / 2), wait);
         } else if (news || now.getAsLong() - calledAt >= PACE) {
             ask(wait);
         } else {
@@ -298,12 +300,12 @@
 
     /** A call has failed; tells whether the module should hear of it, which then calls again. */
     boolean failed() {
-        boolean tell = asked || !terms.listPushed();
+        boolean tell = asked || !terms.discoveryByAgent();
         out = false;
         asked = false;
         catchesUp = false;
         counters.add("list.failures");
-        if (terms.listPushed()) {
+        if (terms.discoveryByAgent()) {
             askLater(Math.min(part(), AGAIN << Math.min(failures, 8)), 0);
             failures++;
         }
--- a/src/main/java/yewdock/desk/Ending.java
+++ b/src/main/java/yewdock/core/Ending.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 import java.util.Locale;
 
--- a/src/main/java/yewdock/desk/EndpointListVersions.java
+++ b/src/main/java/yewdock/core/EndpointListVersions.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 /**
  * How far the list of servers is known, by the versions that discovery counts.
--- a/src/main/java/yewdock/desk/Holdings.java
+++ b/src/main/java/yewdock/core/GenerationState.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 import java.util.List;
 import java.util.Map;
@@ -7,11 +7,12 @@
  * What one generation holds that no other may double: ids of its open requests, its tries that are out, and
  * the box list as it knows it, with the times at which it was told of each box's state.
  */
-public record Holdings(List<String> ids, List<OtherNews.Sent> out, EndpointList boxes, String listAddress,
+public record GenerationState(List<String> requestIds, List<GenerationMessage.AttemptSent> attemptsInFlight,
+        EndpointList endpointList, String discoveryAddress,
         Map<Long, Long> toldAt) {
-    public Holdings {
-        ids = List.copyOf(ids);
-        out = List.copyOf(out);
+    public GenerationState {
+        requestIds = List.copyOf(requestIds);
+        attemptsInFlight = List.copyOf(attemptsInFlight);
         toldAt = Map.copyOf(toldAt);
     }
 }
--- a/src/main/java/yewdock/desk/KnownServers.java
+++ b/src/main/java/yewdock/core/KnownServers.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import java.util.function.LongSupplier;
 import umberspread.Routing.Lifecycle;
-import umberspread.Routing.Replica;
+import umberspread.Routing.ServerState;
 
 /**
  * The boxes, as a part of the reducer: what the list tells of each, with what operators say laid over it. A
@@ -23,7 +23,7 @@
     /** When the list first told the state that each box has. */
     private final Map<Long, Long> toldAt = new HashMap<>();
     /** By the boxes' names, not by what the list says of them: a mark outlives the list's entry. */
-    private final Map<String, BoxMark> marks = new TreeMap<>();
+    private final Map<String, OperatorOverride> marks = new TreeMap<>();
     private final long coldFor;
 
     KnownServers(LongSupplier now, long coldFor) {
@@ -35,11 +35,11 @@
     void keep(EndpointList list) {
         if (list.full()) {
             Set<Long> named = new HashSet<>();
-            list.boxes().forEach(box -> named.add(box.id()));
+            list.servers().forEach(box -> named.add(box.id()));
             told.keySet().retainAll(named);
             boxes.keySet().retainAll(named);
         }
-        for (ModelServer box : list.boxes()) {
+        for (ModelServer box : list.servers()) {
             ModelServer before = box.isGone() ? told.remove(box.id()) : told.put(box.id(), box);
             if (before == null || before.replica().lifecycle() != box.replica().lifecycle()) {
                 toldAt.put(box.id(), now.getAsLong());
@@ -56,7 +56,7 @@
     List<ModelServer> endingsIn(EndpointList list, Lifecycle unnamed) {
         List<ModelServer> ending = new ArrayList<>();
         Set<Long> named = new HashSet<>();
-        for (ModelServer server : list.boxes()) {
+        for (ModelServer server : list.servers()) {
             named.add(server.id());
             if (!server.takesWork() && told.containsKey(server.id())) {
                 ending.add(server);
@@ -71,12 +71,12 @@
     }
 
     /** These are all the marks that hold from now on; what drains no more is back. */
-    void mark(Map<String, BoxMark> all) {
-        Map<String, BoxMark> before = new TreeMap<>(marks);
+    void mark(Map<String, OperatorOverride> all) {
+        Map<String, OperatorOverride> before = new TreeMap<>(marks);
         marks.clear();
         marks.putAll(all);
         before.forEach((name, mark) -> {
-            if (mark.kind() == BoxMark.Kind.BACK) {
+            if (mark.kind() == OperatorOverride.Kind.BACK) {
                 marks.putIfAbsent(name, mark);
             } else if (mark.drains() && !all.containsKey(name)) {
                 back(name);
@@ -86,14 +86,14 @@
     }
 
     /** This is said of the box from now on, whatever was said of it before. */
-    void mark(String name, BoxMark mark) {
+    void mark(String name, OperatorOverride mark) {
         marks.put(name, mark);
         marksChanged();
     }
 
     /** An operator puts the box out of use. */
     void cordon(String name) {
-        mark(name, BoxMark.DRAINS);
+        mark(name, OperatorOverride.DRAINS);
     }
 
     /** An operator puts the box back into use. */
@@ -104,17 +104,17 @@
 
     /** It was restarted while it was out of use, or stood empty: whatever the list says, it is cold. */
     private void back(String name) {
-        marks.put(name, new BoxMark(BoxMark.Kind.BACK, now.getAsLong()));
+        marks.put(name, new OperatorOverride(OperatorOverride.Kind.BACK, now.getAsLong()));
     }
 
     private void marksChanged() {
-        marks.values().removeIf(mark -> mark.kind() == BoxMark.Kind.BACK
-                && mark.at() + coldFor < now.getAsLong());
+        marks.values().removeIf(mark -> mark.kind() == OperatorOverride.Kind.BACK
+                && mark.atEpochMicros() + coldFor < now.getAsLong());
         told.values().forEach(this::place);
     }
 
     boolean cordoned(String name) {
-        BoxMark mark = marks.get(name);
+        OperatorOverride mark = marks.get(name);
         return mark != null && mark.drains();
     }
 
@@ -123,7 +123,7 @@
         return told.values().stream().anyMatch(box -> box.name().equals(name));
     }
 
-    Map<String, BoxMark> marks() {
+    Map<String, OperatorOverride> marks() {
         return marks;
     }
 
@@ -137,16 +137,17 @@
     }
 
     private ModelServer over(ModelServer box) {
-        BoxMark mark = marks.get(box.name());
+        OperatorOverride mark = marks.get(box.name());
         if (mark == null || box.isGone()) {
             return box;
         }
         long startedAt = box.replica().startedAt();
         return switch (mark.kind()) {
             case DRAINS -> as(box, Lifecycle.DRAINING);
-            case GONE -> startedAt <= mark.at() ? as(box, Lifecycle.GONE) : box;
+            case GONE -> startedAt <= mark.atEpochMicros() ? as(box, Lifecycle.GONE) : box;
             // a box whose restart the list tells is as old as the list says
-            case BACK -> startedAt >= mark.at() ? box : as(box, box.replica().lifecycle(), mark.at());
+            case BACK -> startedAt >= mark.atEpochMicros() ? box : as(box, box.replica().lifecycle(),
+                    mark.atEpochMicros());
         };
     }
 
@@ -156,15 +157,16 @@
     }
 
     private static ModelServer as(ModelServer box, Lifecycle lifecycle, long startedAt) {
-        Replica r = box.replica();
-        return new ModelServer(box.name(), box.address(), new Replica(r.id(), r.zone(), r.kind(), r.cell(),
+        ServerState r = box.replica();
+        return new ModelServer(box.name(), box.address(), new ServerState(r.id(), r.zone(), r.kind(),
+                r.cell(),
                 r.weight(), lifecycle, startedAt));
     }
 
     /** What the list tells, as it holds under the marks. */
     EndpointList over(EndpointList list) {
         List<ModelServer> over = new ArrayList<>();
-        for (ModelServer box : list.boxes()) {
+        for (ModelServer box : list.servers()) {
             ModelServer next = over(box);
             // a whole list says that a box is gone by not naming it
             if (!list.full() || !next.isGone()) {
--- a/src/main/java/yewdock/desk/Line.java
+++ b/src/main/java/yewdock/core/Line.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 /** A connection to a box. It carries one try at a time. */
 final class Line {
--- a/src/main/java/yewdock/desk/Lines.java
+++ b/src/main/java/yewdock/core/Lines.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -89,14 +89,14 @@
         t.line = line;
         lines.put(line.id, line);
         turn.count("lines.opened");
-        turn.effect(new Effect.OpenLine(line.id, box.address()));
+        turn.effect(new Effect.OpenServerConnection(line.id, box.address()));
         return line;
     }
 
     void close(Line line) {
         if (!line.closing) {
             line.closing = true;
-            turn.effect(new Effect.CloseLine(line.id));
+            turn.effect(new Effect.CloseServerConnection(line.id));
         }
     }
 
@@ -151,7 +151,7 @@
     void hold(Line line) {
         if (!line.held) {
             line.held = true;
-            turn.effect(new Effect.HoldLine(line.id, true));
+            turn.effect(new Effect.PauseReading(line.id, true));
         }
     }
 
@@ -159,7 +159,7 @@
     void read(Line line) {
         if (line.held) {
             line.held = false;
-            turn.effect(new Effect.HoldLine(line.id, false));
+            turn.effect(new Effect.PauseReading(line.id, false));
         }
     }
 
--- a/src/main/java/yewdock/desk/ModelServer.java
+++ b/src/main/java/yewdock/core/ModelServer.java
@@ -1,9 +1,9 @@
-package yewdock.desk;
+package yewdock.core;
 
 import umberspread.Routing;
 
 /** A line of the box list: one model box, where it listens, and what the module is told of it. */
-public record ModelServer(String name, String address, Routing.Replica replica) {
+public record ModelServer(String name, String address, Routing.ServerState replica) {
     public long id() {
         return replica.id();
     }
--- a/src/main/java/yewdock/desk/Others.java
+++ b/src/main/java/yewdock/core/Others.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -23,14 +23,14 @@
 
     /** Takes a request that may be taken now, or turns it down. */
     interface Door {
-        void admit(Event.Asked asked, long waited);
+        void admit(Event.RequestReceived asked, long waited);
 
-        void twin(Event.Asked asked);
+        void twin(Event.RequestReceived asked);
 
-        void turnAway(Event.Asked asked);
+        void turnAway(Event.RequestReceived asked);
     }
 
-    private record Claim(Event.Asked asked, long number, long at) {
+    private record Claim(Event.RequestReceived asked, long number, long at) {
     }
 
     private final LongSupplier now;
@@ -98,10 +98,10 @@
         }
     }
 
-    void adopt(int who, Holdings held) {
-        ids.put(who, new HashSet<>(held.ids()));
+    void adopt(int who, GenerationState held) {
+        ids.put(who, new HashSet<>(held.requestIds()));
         Set<Long> tokens = outs.computeIfAbsent(who, w -> new HashSet<>());
-        held.out().forEach(sent -> tokens.add(sent.token()));
+        held.attemptsInFlight().forEach(sent -> tokens.add(sent.token()));
     }
 
     /** The tries that a generation had out, which are out no more now that it is gone. */
@@ -123,53 +123,53 @@
         return claims.containsKey(id) || ids.values().stream().anyMatch(held -> held.contains(id));
     }
 
-    void claim(Event.Asked asked) {
+    void claim(Event.RequestReceived asked) {
         counters.add("claims.made");
         claim(asked, now.getAsLong());
     }
 
-    private void claim(Event.Asked asked, long at) {
+    private void claim(Event.RequestReceived asked, long at) {
         String id = asked.request().id();
         Claim mine = new Claim(asked, ++lastClaim, at);
         claims.put(id, mine);
-        effects.accept(new Effect.TellOthers(new OtherNews.Claim(id, mine.number)));
+        effects.accept(new Effect.SendToGenerations(new GenerationMessage.Claim(id, mine.number)));
         timers.at(now.getAsLong() + CLAIM_PATIENCE, () -> {
             if (claims.remove(id, mine)) {
                 counters.add("claims.unanswered");
-                effects.accept(new Effect.TellOthers(new OtherNews.Released(id)));
+                effects.accept(new Effect.SendToGenerations(new GenerationMessage.RequestReleased(id)));
                 door.turnAway(asked);
             }
         });
     }
 
     /** Gives up what a client asked; returns the requests of it that were being claimed. */
-    List<Event.Asked> clientLeft(long client) {
-        List<Event.Asked> left = new ArrayList<>();
+    List<Event.RequestReceived> clientLeft(long client) {
+        List<Event.RequestReceived> left = new ArrayList<>();
         for (Claim c : List.copyOf(claims.values())) {
             if (c.asked.client() == client) {
                 left.add(c.asked);
                 claims.remove(c.asked.request().id());
-                effects.accept(new Effect.TellOthers(new OtherNews.Released(c.asked.request().id())));
+                effects.accept(new Effect.SendToGenerations(new GenerationMessage.RequestReleased(c.asked.request().id())));
             }
         }
         return left;
     }
 
     /** Another generation's claim; openHere tells whether a request of the id is open in this one. */
-    void claimedBy(int who, OtherNews.Claim claim, boolean openHere) {
+    void claimedBy(int who, GenerationMessage.Claim claim, boolean openHere) {
         boolean elsewhere = ids.entrySet().stream()
                 .anyMatch(e -> e.getKey() != who && e.getValue().contains(claim.id()));
         boolean granted = !asking && !openHere && !elsewhere;
         if (granted) {
             ids.computeIfAbsent(who, w -> new HashSet<>()).add(claim.id());
         }
-        effects.accept(new Effect.TellOthers(
-                new OtherNews.Claimed(who, claim.id(), claim.number(), granted)));
+        effects.accept(new Effect.SendToGenerations(
+                new GenerationMessage.ClaimAnswer(who, claim.id(), claim.claimNumber(), granted)));
     }
 
-    void answered(OtherNews.Claimed answer) {
+    void answered(GenerationMessage.ClaimAnswer answer) {
         Claim c = claims.get(answer.id());
-        if (c == null || c.number != answer.number()) {
+        if (c == null || c.number != answer.claimNumber()) {
             return;
         }
         claims.remove(answer.id());
--- a/src/main/java/yewdock/desk/Owed.java
+++ b/src/main/java/yewdock/core/Owed.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -26,7 +26,7 @@
         this.id = id;
         this.name = request.id();
         this.client = client;
-        this.size = request.size();
+        this.size = request.memoryBytes();
         this.requestClass = request.requestClass();
         this.deadline = deadline;
     }
--- a/src/main/java/yewdock/desk/Desk.java
+++ b/src/main/java/yewdock/core/Reducer.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 import java.util.List;
 import java.util.Map;
@@ -17,7 +17,7 @@
  * requests out, {@link Lines} are the connections to boxes, {@link DiscoveryWatch} watches the list,
  * {@link Clients} keeps connections at rest and {@link Others} the router's other processes in mind.
  */
-public final class Desk {
+public final class Reducer {
     /** After being told to leave: new connections still come for 0.4 s, and requests count for 0.7 s. */
     static final long LEAVE_IDLE_AFTER = 500_000;
     static final long LEAVE_AFTER = 800_000;
@@ -40,9 +40,9 @@
     private final Calls calls;
     /** Whether the module has yet to be told of any box, since the agent has not answered. */
     private boolean unheard;
-    private boolean leaving;
-    private boolean lettingGo;
-    private Older older = Older.NONE;
+    private boolean isShuttingDown;
+    private boolean isHandedOver;
+    private OlderGeneration older = OlderGeneration.NONE;
     /** What the list tells is told on, to be kept. */
     private boolean keeping;
     private long letGoUntil;
@@ -50,21 +50,22 @@
     private boolean stopped;
 
     /** Makes the desk and, with the actions that it gives, the module. */
-    public Desk(Terms terms, Bounds bounds, Counters counters,
+    public Reducer(CoreSettings terms, ResourceLimits bounds, Counters counters,
             Function<Routing.Actions, Routing.Events> makeModule) {
         this.turn = new Turn(counters);
-        this.boxes = new KnownServers(turn::now, terms.coldFor());
-        this.clients = new Clients(bounds.clients(), turn::now, turn.timers(), counters, turn::effect);
+        this.boxes = new KnownServers(turn::now, terms.maxColdMicros());
+        this.clients = new Clients(bounds.maxClientConnections(), turn::now, turn.timers(), counters,
+                turn::effect);
         this.watch = new DiscoveryWatch(terms, turn::now, turn.timers(), counters, turn::effect,
                 this::listFailed);
         this.others = new Others(turn::now, turn.timers(), counters, turn::effect, new Door());
-        this.lines = new Lines(turn, bounds.lines(), terms.keepalive(), boxes);
+        this.lines = new Lines(turn, bounds.maxServerConnections(), terms.keepaliveMicros(), boxes);
         this.answers = new Answers(turn, terms, bounds, boxes, lines, others);
         this.tries = answers.tries();
         this.streams = new Streams(turn, lines, answers);
         this.calls = new Calls(turn, terms, counters, boxes, () -> answers.open() + others.claims(),
-                () -> lettingGo ? "a newer process serves"
-                        : older == Older.FINISHES ? "an older process finishes" : unready(),
+                () -> isHandedOver ? "a newer process serves"
+                        : older == OlderGeneration.FINISHING ? "an older process finishes" : notReadyReason(),
                 this::changedHere);
         turn.module(makeModule.apply(new Collector()));
     }
@@ -76,11 +77,11 @@
         for (Turn.Step step = turn.next(); step != null; step = turn.next()) {
             run(step);
         }
-        if (leaving && !stopped && answers.none() && !others.claiming() && turn.now() >= leaveAt) {
+        if (isShuttingDown && !stopped && answers.none() && !others.claiming() && turn.now() >= leaveAt) {
             stopped = true;
             turn.effect(new Effect.Stop());
         }
-        if (lettingGo && !stopped && answers.none() && !others.claiming()
+        if (isHandedOver && !stopped && answers.none() && !others.claiming()
                 && (clients.count() == 0 || turn.now() >= letGoUntil)) {
             stopped = true;
             turn.effect(new Effect.Stop());
@@ -89,19 +90,19 @@
     }
 
     /** When the next {@link Event.Tick} is due. */
-    public long nextDue() {
+    public long nextTimerDue() {
         return turn.timers().next();
     }
 
     /** Why a request that came now could not be served; empty if it could. */
-    public String unready() {
-        if (leaving && !lettingGo) {
+    public String notReadyReason() {
+        if (isShuttingDown && !isHandedOver) {
             return "leaving";
         }
         if (calls.quiesced()) {
             return "quiesced";
         }
-        if (older == Older.SERVES) {
+        if (older == OlderGeneration.SERVING) {
             return "an older process serves";
         }
         if (turn.inDoubt()) {
@@ -114,75 +115,75 @@
     }
 
     /** Whether an operator has told it to send clients away. */
-    public boolean quiesced() {
+    public boolean isQuiesced() {
         return calls.quiesced();
     }
 
     /** How much is kept of requests, clients, lines and times to come: at rest, as much as at the start. */
-    public int kept() {
+    public int retainedEntries() {
         return answers.kept() + lines.kept() + boxes.kept() + clients.count() + turn.kept() + others.kept();
     }
 
     /** Whether discovery is asked for what a pause may have hidden: nothing new should go out before that. */
-    public boolean catchesUp() {
+    public boolean isCatchingUp() {
         return watch.catchesUp();
     }
 
-    public boolean leaving() {
-        return leaving;
+    public boolean isShuttingDown() {
+        return isShuttingDown;
     }
 
     /** Whether another generation serves new connections, and this one only finishes. */
-    public boolean lettingGo() {
-        return lettingGo;
+    public boolean isHandedOver() {
+        return isHandedOver;
     }
 
     /** When an earlier generation was told of the boxes' states; what is known already stands. */
-    public void recallTold(Map<Long, Long> earlier) {
+    public void restoreToldAt(Map<Long, Long> earlier) {
         boxes.recallTold(earlier);
     }
 
     /** All that operators have said of boxes, by their names. */
-    public Map<String, BoxMark> marks() {
+    public Map<String, OperatorOverride> operatorOverrides() {
         return Map.copyOf(boxes.marks());
     }
 
     /** What this generation holds that no other may double. */
-    public Holdings holdings() {
+    public GenerationState generationState() {
         List<String> ids = answers.names();
         ids.addAll(others.claimed());
-        return new Holdings(ids, Tries.sent(answers.all()),
+        return new GenerationState(ids, Tries.sent(answers.all()),
                 new EndpointList(watch.version(), true, boxes.told()), watch.address(), boxes.toldAt());
     }
 
     private void take(Event event) {
-        if (event instanceof Event.Piece e) {
+        if (event instanceof Event.ResponseChunk e) {
             streams.piece(e);
-        } else if (event instanceof Event.ClientTook e) {
+        } else if (event instanceof Event.ClientBytesWritten e) {
             streams.clientTook(e);
-        } else if (event instanceof Event.Asked e) {
+        } else if (event instanceof Event.RequestReceived e) {
             asked(e);
-        } else if (event instanceof Event.Answered e) {
+        } else if (event instanceof Event.ResponseCompleted e) {
             streams.answered(e);
-        } else if (event instanceof Event.AnswerBegan e) {
-            streams.answerBegan(e.line());
-        } else if (event instanceof Event.AnswerSpoilt e) {
-            streams.answerSpoilt(e.line());
-        } else if (event instanceof Event.TrySent e) {
-            tries.written(e.line());
-        } else if (event instanceof Event.NotBegun e) {
-            tries.notBegun(e.line());
-        } else if (event instanceof Event.LineUp e) {
-            tries.lineUp(e.line());
-        } else if (event instanceof Event.LineDown e) {
-            streams.lineDown(e.line());
-        } else if (event instanceof Event.ClientCame e) {
+        } else if (event instanceof Event.ResponseStarted e) {
+            streams.answerBegan(e.connection());
+        } else if (event instanceof Event.ResponseMalformed e) {
+            streams.answerSpoilt(e.connection());
+        } else if (event instanceof Event.AttemptWritten e) {
+            tries.written(e.connection());
+        } else if (event instanceof Event.AttemptNotStarted e) {
+            tries.notBegun(e.connection());
+        } else if (event instanceof Event.ServerConnected e) {
+            tries.lineUp(e.connection());
+        } else if (event instanceof Event.ServerDisconnected e) {
+            streams.lineDown(e.connection());
+        } else if (event instanceof Event.ClientConnected e) {
             clients.came(e.client());
-        } else if (event instanceof Event.ClientBegan e) {
+        } else if (event instanceof Event.ClientRequestStarted e) {
             clients.began(e.client());
-        } else if (event instanceof Event.ClientQuiet e) {
+        } else if (event instanceof Event.ClientIdle e) {
             clients.quiet(e.client());
-        } else if (event instanceof Event.ClientLeft e) {
+        } else if (event instanceof Event.ClientDisconnected e) {
             clients.left(e.client());
             others.clientLeft(e.client()).forEach(a -> answers.ended(a.request(), Ending.FAILED));
             answers.clientLeft(e.client());
@@ -191,51 +192,51 @@
                     task = turn.timers().poll(turn.now())) {
                 run(new Turn.Step(0, task));
             }
-        } else if (event instanceof Event.ListCame e) {
+        } else if (event instanceof Event.EndpointListReceived e) {
             listCame(e.list());
-        } else if (event instanceof Event.LateListCame e) {
+        } else if (event instanceof Event.LateEndpointListReceived e) {
             lateListCame(e.list());
-        } else if (event instanceof Event.DiscoveryLost) {
+        } else if (event instanceof Event.DiscoveryConnectionLost) {
             watch.lost();
-        } else if (event instanceof Event.ListFailed) {
+        } else if (event instanceof Event.DiscoveryCallFailed) {
             listFailed();
         } else if (event instanceof Event.Started e) {
             started(e);
-        } else if (event instanceof Event.ListMoved e) {
+        } else if (event instanceof Event.DiscoveryAddressChanged e) {
             watch.move(e.address());
-        } else if (event instanceof Event.FromOther e) {
-            fromOther(e.who(), e.news());
-        } else if (event instanceof Event.Share) {
-            turn.effect(new Effect.ShareOut(holdings()));
+        } else if (event instanceof Event.GenerationMessageReceived e) {
+            fromOther(e.generation(), e.message());
+        } else if (event instanceof Event.HandoverStarted) {
+            turn.effect(new Effect.SendGenerationState(generationState()));
             others.share();
-        } else if (event instanceof Event.Adopt e) {
-            adopt(e.who(), e.held());
-        } else if (event instanceof Event.OtherGone e) {
-            others.gone(e.who()).forEach(token -> otherEnded(e.who(), token));
-        } else if (event instanceof Event.LetGo e) {
-            letGo(e.limit());
-        } else if (event instanceof Event.TakeBack) {
-            lettingGo = false;
+        } else if (event instanceof Event.GenerationStateReceived e) {
+            adopt(e.generation(), e.state());
+        } else if (event instanceof Event.GenerationGone e) {
+            others.gone(e.generation()).forEach(token -> otherEnded(e.generation(), token));
+        } else if (event instanceof Event.HandedOver e) {
+            letGo(e.limitMicros());
+        } else if (event instanceof Event.HandoverAborted) {
+            isHandedOver = false;
             clients.hurry(false);
             others.own();
-        } else if (event instanceof Event.Marked e) {
-            marked(e.marks());
-        } else if (event instanceof Event.Leased e) {
-            turn.leased(e.until(), e.comeBack());
-        } else if (event instanceof Event.Resumed e) {
-            watch.resumed(e.stalled());
-        } else if (event instanceof Event.ListBehind) {
+        } else if (event instanceof Event.OverridesReplaced e) {
+            marked(e.overrides());
+        } else if (event instanceof Event.LeaseGranted e) {
+            turn.leased(e.untilMicros(), e.retryAfterMicros());
+        } else if (event instanceof Event.ProcessResumed e) {
+            watch.resumed(e.pausedMicros());
+        } else if (event instanceof Event.EndpointListOutdated) {
             watch.askAnew();
-        } else if (event instanceof Event.MarkChanged e) {
-            boxes.mark(e.box(), e.mark());
+        } else if (event instanceof Event.OverrideChanged e) {
+            boxes.mark(e.server(), e.override());
             changedHere();
-        } else if (event instanceof Event.Beside e) {
+        } else if (event instanceof Event.OlderGenerationChanged e) {
             older = e.older();
-        } else if (event instanceof Event.Keeping) {
+        } else if (event instanceof Event.EndpointListRelayEnabled) {
             keeping = true;
-        } else if (event instanceof Event.Called e) {
-            calls.called(e, leaving);
-        } else if (event instanceof Event.Leave) {
+        } else if (event instanceof Event.OperatorCommandReceived e) {
+            calls.called(e, isShuttingDown);
+        } else if (event instanceof Event.ShutdownRequested) {
             leave();
         }
     }
@@ -256,14 +257,14 @@
     }
 
     private long requestOf(Event event) {
-        if (event instanceof Event.Asked e) {
+        if (event instanceof Event.RequestReceived e) {
             Owed o = answers.ofClient(e.client());
             return o == null ? 0 : o.id;
         }
-        Line line = event instanceof Event.Piece p ? lines.get(p.line())
-                : event instanceof Event.Answered a ? lines.get(a.line())
-                : event instanceof Event.LineUp u ? lines.get(u.line())
-                : event instanceof Event.LineDown d ? lines.get(d.line()) : null;
+        Line line = event instanceof Event.ResponseChunk p ? lines.get(p.connection())
+                : event instanceof Event.ResponseCompleted a ? lines.get(a.connection())
+                : event instanceof Event.ServerConnected u ? lines.get(u.connection())
+                : event instanceof Event.ServerDisconnected d ? lines.get(d.connection()) : null;
         return line != null && line.current != null ? line.current.owed.id : 0;
     }
 
@@ -307,7 +308,7 @@
         }
 
         @Override
-        public void followList() {
+        public void watchEndpointList() {
             turn.ask(0, watch::follow);
         }
 
@@ -322,7 +323,7 @@
         }
     }
 
-    private void asked(Event.Asked e) {
+    private void asked(Event.RequestReceived e) {
         turn.count("requests.taken");
         clients.asked(e.client());
         ModelRequest r = e.request();
@@ -339,7 +340,7 @@
     }
 
     /** Refuses a request that the module has not heard of. */
-    private void turnAway(Event.Asked e, long comeBack) {
+    private void turnAway(Event.RequestReceived e, long comeBack) {
         turn.count("answers.refused");
         answers.ended(e.request(), Ending.REJECTED);
         turn.effect(new Effect.Refuse(e.client(), comeBack));
@@ -348,8 +349,8 @@
     // ---- the box list
 
     private void started(Event.Started e) {
-        EndpointList known = e.known();
-        watch.begin(e.listAddress(), known.version());
+        EndpointList known = e.endpointList();
+        watch.begin(e.discoveryAddress(), known.version());
         boxes.keep(known);
         turn.tell(0, m -> m.started(turn.now()));
         unheard = watch.pushed();
@@ -395,7 +396,8 @@
 
     private void take(EndpointList list) {
         if (others.any() || keeping) {
-            turn.effect(new Effect.TellOthers(new OtherNews.Told(list, watch.address())));
+            turn.effect(new Effect.SendToGenerations(new GenerationMessage.EndpointListRelayed(list,
+                    watch.address())));
         }
         boxes.keep(list);
         lines.closeIdleToLeavers();
@@ -408,7 +410,7 @@
     }
 
     /** An operator's word acts at once, whatever the list says and whether or not it answers. */
-    private void marked(Map<String, BoxMark> marks) {
+    private void marked(Map<String, OperatorOverride> marks) {
         boxes.mark(marks);
         changedHere();
     }
@@ -433,58 +435,58 @@
         }
     }
 
-    private static List<Routing.Replica> replicas(EndpointList list) {
-        return list.boxes().stream().map(ModelServer::replica).toList();
+    private static List<Routing.ServerState> replicas(EndpointList list) {
+        return list.servers().stream().map(ModelServer::replica).toList();
     }
 
     // ---- other generations
 
     private final class Door implements Others.Door {
         @Override
-        public void admit(Event.Asked asked, long waited) {
+        public void admit(Event.RequestReceived asked, long waited) {
             answers.admit(asked, waited);
         }
 
         @Override
-        public void twin(Event.Asked asked) {
+        public void twin(Event.RequestReceived asked) {
             answers.twin(asked);
         }
 
         @Override
-        public void turnAway(Event.Asked asked) {
-            Desk.this.turnAway(asked, 0);
+        public void turnAway(Event.RequestReceived asked) {
+            Reducer.this.turnAway(asked, 0);
         }
     }
 
-    private void fromOther(int who, OtherNews news) {
-        if (news instanceof OtherNews.Claim n) {
+    private void fromOther(int who, GenerationMessage news) {
+        if (news instanceof GenerationMessage.Claim n) {
             others.claimedBy(who, n, answers.open(n.id()));
-        } else if (news instanceof OtherNews.Claimed n) {
+        } else if (news instanceof GenerationMessage.ClaimAnswer n) {
             others.answered(n);
-        } else if (news instanceof OtherNews.Released n) {
+        } else if (news instanceof GenerationMessage.RequestReleased n) {
             others.released(who, n.id());
-        } else if (news instanceof OtherNews.Sent n) {
+        } else if (news instanceof GenerationMessage.AttemptSent n) {
             others.sent(who, n.token());
-            turn.tell(0, m -> m.otherSent(turn.now(), who + "/" + n.token(), n.box()));
-        } else if (news instanceof OtherNews.Ended n) {
+            turn.tell(0, m -> m.otherGenerationSent(turn.now(), who + "/" + n.token(), n.server()));
+        } else if (news instanceof GenerationMessage.AttemptEnded n) {
             others.ended(who, n.token());
             otherEnded(who, n.token());
-        } else if (news instanceof OtherNews.Told n) {
-            toldByOther(n.list(), n.address());
+        } else if (news instanceof GenerationMessage.EndpointListRelayed n) {
+            toldByOther(n.list(), n.discoveryAddress());
         }
     }
 
     private void otherEnded(int who, long token) {
-        turn.tell(0, m -> m.otherEnded(turn.now(), who + "/" + token));
+        turn.tell(0, m -> m.otherGenerationEnded(turn.now(), who + "/" + token));
     }
 
-    private void adopt(int who, Holdings held) {
+    private void adopt(int who, GenerationState held) {
         others.gone(who).forEach(token -> otherEnded(who, token));
         others.adopt(who, held);
-        for (OtherNews.Sent sent : held.out()) {
-            turn.tell(0, m -> m.otherSent(turn.now(), who + "/" + sent.token(), sent.box()));
+        for (GenerationMessage.AttemptSent sent : held.attemptsInFlight()) {
+            turn.tell(0, m -> m.otherGenerationSent(turn.now(), who + "/" + sent.token(), sent.server()));
         }
-        toldByOther(held.boxes(), held.listAddress());
+        toldByOther(held.endpointList(), held.discoveryAddress());
     }
 
     /**
@@ -504,12 +506,12 @@
 
     /** Clients are led away between requests; what is open runs to its end, or to the limit. */
     private void letGo(long limit) {
-        lettingGo = true;
+        isHandedOver = true;
         letGoUntil = turn.now() + limit;
         clients.hurry(true);
         long until = letGoUntil;
         turn.at(until, () -> {
-            if (lettingGo && letGoUntil == until) {
+            if (isHandedOver && letGoUntil == until) {
                 List.copyOf(answers.all()).forEach(o -> {
                     turn.count("answers.over_the_limit");
                     answers.failOurselves(o, Outcome.CANCELLED);
@@ -522,8 +524,8 @@
 
     /** Serving goes on: new connections come for a while, and what was taken is still owed its answer. */
     private void leave() {
-        if (!leaving) {
-            leaving = true;
+        if (!isShuttingDown) {
+            isShuttingDown = true;
             leaveAt = turn.now() + LEAVE_AFTER;
             turn.log("leaving");
             turn.at(turn.now() + LEAVE_IDLE_AFTER, () -> turn.effect(new Effect.CloseIdleClients()));
--- a/src/main/java/yewdock/desk/Bounds.java
+++ b/src/main/java/yewdock/core/ResourceLimits.java
@@ -1,11 +1,12 @@
-package yewdock.desk;
+package yewdock.core;
 
 /**
  * How much the router holds at once: connections from clients, lines to boxes, open requests, and bytes of
  * requests. Beyond these it closes quiet connections and refuses requests, before it runs out of descriptors
  * or memory.
  */
-public record Bounds(int clients, int lines, int requests, int bytes) {
+public record ResourceLimits(int maxClientConnections, int maxServerConnections, int maxRequests,
+        int maxRequestBytes) {
     /** Descriptors for the program itself, and for connections that are just coming or being closed. */
     private static final int KEPT_BACK = 72;
     /** Clients' requests hold at most this part of the descriptors, and each needs a line. */
@@ -15,10 +16,10 @@
     private static final int LEAST = 16;
 
     /** The bounds that fit so many descriptors and so much memory. */
-    public static Bounds within(int descriptors, int megabytes) {
+    public static ResourceLimits within(int descriptors, int megabytes) {
         int lines = Math.max(LEAST, descriptors / LINES_PART);
         int clients = Math.max(LEAST, descriptors - lines - KEPT_BACK);
-        return new Bounds(clients, lines, lines, (int) Math.min(Integer.MAX_VALUE,
+        return new ResourceLimits(clients, lines, lines, (int) Math.min(Integer.MAX_VALUE,
                 ((long) megabytes << 20) / BYTES_PART));
     }
 }
--- a/src/main/java/yewdock/desk/Streams.java
+++ b/src/main/java/yewdock/core/Streams.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 import umberspread.Routing.Outcome;
 
@@ -59,12 +59,13 @@
         } else if (t != null && t.written) {
             tries.hangUp(t, Outcome.ERROR);
         }
-        // What was never written never ran: LineDown comes behind the news of the last byte, and tells.
+        // What was never written never ran: ServerDisconnected comes behind the news of the last byte, and
+        // tells.
         lines.spoilt(line);
     }
 
-    void piece(Event.Piece e) {
-        Line line = lines.get(e.line());
+    void piece(Event.ResponseChunk e) {
+        Line line = lines.get(e.connection());
         Try t = line == null ? null : line.current;
         if (t == null || t.closingAs != null || t.owed.over) {
             return;
@@ -72,7 +73,7 @@
         Owed o = t.owed;
         t.lastPieceAt = turn.now();
         o.unsent += e.bytes().remaining();
-        turn.effect(new Effect.PassOn(o.client, e.bytes()));
+        turn.effect(new Effect.ForwardChunk(o.client, e.bytes()));
         if (!o.begun()) {
             tries.won(t);
             turn.at(turn.now() + SILENCE, () -> listen(t));
@@ -82,7 +83,7 @@
         }
     }
 
-    void clientTook(Event.ClientTook e) {
+    void clientTook(Event.ClientBytesWritten e) {
         Owed o = answers.ofClient(e.client());
         if (o == null || !o.begun()) {
             return;
@@ -111,8 +112,8 @@
         }
     }
 
-    void answered(Event.Answered e) {
-        Line line = lines.get(e.line());
+    void answered(Event.ResponseCompleted e) {
+        Line line = lines.get(e.connection());
         Try t = line == null ? null : line.current;
         if (t == null || t.closingAs != null) {
             return;
@@ -126,7 +127,7 @@
             answers.cutOffIfBegun(t);
             outcome = Outcome.RESET;
         }
-        tries.end(t, outcome, e.keptTokens(), e.report());
+        tries.end(t, outcome, e.cachedTokens(), e.loadReport());
     }
 
     /** A try whose line breaks before its last byte was written never ran; after that it may have. */
--- a/src/main/java/yewdock/desk/Tries.java
+++ b/src/main/java/yewdock/core/Tries.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -17,14 +17,15 @@
  */
 final class Tries {
     private final Turn turn;
-    private final Terms terms;
+    private final CoreSettings terms;
     private final KnownServers boxes;
     private final Lines lines;
     private final Others others;
     /** Takes a request of which a try has ended: nothing of it may be out any more. */
     private final Consumer<Owed> ended;
 
-    Tries(Turn turn, Terms terms, KnownServers boxes, Lines lines, Others others, Consumer<Owed> ended) {
+    Tries(Turn turn, CoreSettings terms, KnownServers boxes, Lines lines, Others others,
+            Consumer<Owed> ended) {
         this.turn = turn;
         this.terms = terms;
         this.boxes = boxes;
@@ -36,7 +37,7 @@
     /** The module wants a try. One that may not go out ends as never sent. */
     void send(Owed o, long box, long timeout) {
         Try t = new Try(o, box, timeout, turn.now());
-        if (o.begun() || t.number >= terms.mostTries()) {
+        if (o.begun() || t.number >= terms.maxAttempts()) {
             end(t, Outcome.NOT_SENT, 0, null);
         } else if (o.out.isEmpty()) {
             start(t);
@@ -74,7 +75,7 @@
             return;
         }
         goOut(t);
-        turn.at(turn.now() + terms.connectTimeout(), () -> {
+        turn.at(turn.now() + terms.connectTimeoutMicros(), () -> {
             if (!fresh.up && t.closingAs == null) {
                 hangUp(t, Outcome.CONNECT_FAILED);
             }
@@ -97,9 +98,9 @@
         t.line = line;
         turn.count("tries.sent");
         if (others.asking()) {
-            turn.effect(new Effect.TellOthers(new OtherNews.Sent(t.token(), t.box)));
+            turn.effect(new Effect.SendToGenerations(new GenerationMessage.AttemptSent(t.token(), t.box)));
         }
-        turn.effect(new Effect.SendTry(line.id, t.owed.client, t.until - turn.now()));
+        turn.effect(new Effect.SendAttempt(line.id, t.owed.client, t.until - turn.now()));
     }
 
     /** The module wants a try no more; one whose answer has begun goes on. */
@@ -118,7 +119,8 @@
     }
 
     /**
-     * Closes a try's line. The try is out until {@link Event.LineDown} says that the line is closed: sent
+     * Closes a try's line. The try is out until {@link Event.ServerDisconnected} says that the line is
+     * closed: sent
      * elsewhere before that, the request would be out twice.
      */
     void hangUp(Try t, Outcome as) {
@@ -154,7 +156,7 @@
         Owed o = t.owed;
         turn.count("tries." + outcome.name().toLowerCase(Locale.ROOT));
         if (o.out.remove(t) && others.asking()) {
-            turn.effect(new Effect.TellOthers(new OtherNews.Ended(t.token())));
+            turn.effect(new Effect.SendToGenerations(new GenerationMessage.AttemptEnded(t.token())));
         }
         long took = turn.now() - t.sentAt;
         boolean over = o.over;
@@ -206,10 +208,10 @@
     }
 
     /** All tries that are out of these requests, for those who must not double them. */
-    static List<OtherNews.Sent> sent(Iterable<Owed> all) {
-        List<OtherNews.Sent> sent = new ArrayList<>();
+    static List<GenerationMessage.AttemptSent> sent(Iterable<Owed> all) {
+        List<GenerationMessage.AttemptSent> sent = new ArrayList<>();
         for (Owed o : all) {
-            o.out.forEach(t -> sent.add(new OtherNews.Sent(t.token(), t.box)));
+            o.out.forEach(t -> sent.add(new GenerationMessage.AttemptSent(t.token(), t.box)));
         }
         return sent;
     }
--- a/src/main/java/yewdock/daemon/Agreement.java
+++ b/src/main/java/yewdock/daemon/ConsensusService.java
@@ -18,17 +18,17 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import yewdock.council.Council;
-import yewdock.council.Loop;
-import yewdock.council.RaftDisk;
-import yewdock.lease.LeaseTerms;
-import yewdock.log.Say;
-import yewdock.rules.Kind;
-import yewdock.rules.Refusal;
-import yewdock.rules.Rules;
-import yewdock.rules.View;
+import yewdock.consensus.ConsensusNode;
+import yewdock.consensus.DurableRaftStore;
+import yewdock.consensus.TaskScheduler;
+import yewdock.lease.LeaseTiming;
+import yewdock.logging.EventLog;
+import yewdock.rules.ChangeRejection;
+import yewdock.rules.RuleKind;
+import yewdock.rules.RuleStateMachine;
+import yewdock.rules.RulesView;
 import yewdock.settings.OperatorSettings;
-import yewdock.store.Store;
+import yewdock.store.RecordFile;
 import yewdock.wire.Agreed;
 import yewdock.wire.Answer;
 import yewdock.wire.AskListAnew;
@@ -47,7 +47,7 @@
  * Sends the agreed rules and the end of the lease to the generations and collects their acknowledgements. A
  * generation that hangs blocks the lease, because the rules that it still applies are unknown.
  */
-final class Agreement implements Council.Instance, Loop, Closeable {
+final class ConsensusService implements ConsensusNode.ConsensusHost, TaskScheduler, Closeable {
     /** Command-line flag of an operator override that applies to this instance only, without consensus. */
     static final String LOCAL_ONLY = "--here";
     private static final String LOG_FOLDER = "council";
@@ -63,18 +63,18 @@
     private final SecureRandom random = new SecureRandom();
     private final Map<Integer, GenerationProgress> generations = new HashMap<>();
     private final List<PendingChange> pendingChanges = new ArrayList<>();
-    private Peers peers;
-    private Council council;
-    private View view = View.NOTHING;
+    private PeerConnections peers;
+    private ConsensusNode council;
+    private RulesView view = RulesView.EMPTY;
     private long chain;
     private long leaseEndMicros = Long.MIN_VALUE;
 
     /** A connected generation and the last step that it has acknowledged as applied. */
     private static final class GenerationProgress {
-        private final Link connection;
+        private final ControlConnection connection;
         private long appliedStep;
 
-        GenerationProgress(Link connection) {
+        GenerationProgress(ControlConnection connection) {
             this.connection = connection;
         }
     }
@@ -84,7 +84,7 @@
     }
 
     /** Creates the service; the consumer receives the names of the servers that are drained by consensus. */
-    Agreement(OperatorSettings settings, Consumer<Set<String>> drainedServersListener) {
+    ConsensusService(OperatorSettings settings, Consumer<Set<String>> drainedServersListener) {
         this.settings = settings;
         this.drainedServersListener = drainedServersListener;
         this.loop = new ScheduledThreadPoolExecutor(1, task -> {
@@ -93,33 +93,33 @@
             return thread;
         });
         loop.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
-        after(0, Say::onlyEvents);
+        schedule(0, EventLog::muteLibraryLogs);
     }
 
     /** Joins the consensus group over these connections. */
-    void start(Peers connections) throws IOException {
+    void start(PeerConnections connections) throws IOException {
         peers = connections;
-        OperatorSettings.Agreement consensusSettings = settings.agreement();
-        String self = settings.copies().instance();
-        RaftDisk disk = null;
+        OperatorSettings.ConsensusSettings consensusSettings = settings.consensus();
+        String self = settings.replication().instance();
+        DurableRaftStore disk = null;
         if (consensusSettings.members().contains(self)) {
             Path folder = settings.store().folder().resolve(LOG_FOLDER);
             try {
-                disk = new RaftDisk(() -> Store.open(folder));
+                disk = new DurableRaftStore(() -> RecordFile.open(folder));
             } catch (IOException e) {
                 throw new IOException(e.getMessage() + ", in " + folder
                         + "; an instance that lost its log must rejoin with an empty folder", e);
             }
         }
-        RaftDisk openedDisk = disk;
+        DurableRaftStore openedDisk = disk;
         long seed = random.nextLong() >>> 1;
-        after(0, () -> {
+        schedule(0, () -> {
             try {
-                council = new Council(new Council.Terms(settings.copies().cluster(), self,
-                        consensusSettings.members(), LeaseTerms.within(consensusSettings.agreedWithin(),
-                        consensusSettings.drift())), this, this, openedDisk, seed);
+                council = new ConsensusNode(new ConsensusNode.ConsensusConfig(settings.replication().cluster(), self,
+                        consensusSettings.members(), LeaseTiming.forMaxDelay(consensusSettings.agreedWithinMicros(),
+                        consensusSettings.clockDrift())), this, this, openedDisk, seed);
             } catch (IOException e) {
-                Say.warn("agreement.broken", "why", e.getMessage());
+                EventLog.warn("agreement.broken", "why", e.getMessage());
             }
         });
     }
@@ -127,18 +127,18 @@
     // ---- the loop
 
     @Override
-    public long now() {
+    public long nowMicros() {
         return System.nanoTime() / 1000;
     }
 
     @Override
-    public void after(long micros, Runnable task) {
+    public void schedule(long micros, Runnable task) {
         try {
             loop.schedule(() -> {
                 try {
                     task.run();
                 } catch (RuntimeException e) {
-                    Say.warn("agreement.fault", "why", e, "at", e.getStackTrace().length > 0
+                    EventLog.warn("agreement.fault", "why", e, "at", e.getStackTrace().length > 0
                             ? e.getStackTrace()[0] : "");
                 }
             }, micros, TimeUnit.MICROSECONDS);
@@ -151,9 +151,9 @@
 
     /** Handles a consensus frame from a peer. */
     void handleFrame(String peer, CouncilFrame frame) {
-        after(0, () -> {
+        schedule(0, () -> {
             if (council != null) {
-                council.heard(peer, frame);
+                council.receive(peer, frame);
             }
         });
     }
@@ -164,29 +164,29 @@
     }
 
     @Override
-    public boolean reaches(String instance) {
+    public boolean isReachable(String instance) {
         return peers.isConnected(instance);
     }
 
     /** Records the version of the endpoint list that the serving generation applies. */
     void applyingListVersion(String address, long version) {
-        after(0, () -> {
+        schedule(0, () -> {
             if (council != null) {
-                council.actsOn(address, version);
+                council.endpointListInUse(address, version);
             }
         });
     }
 
     @Override
-    public void listBehind(long newest) {
-        Say.info("list.behind", "newest", newest);
+    public void endpointListOutdated(long newest) {
+        EventLog.info("list.behind", "newest", newest);
         generations.values().forEach(t -> t.connection.send(Frame.newBuilder().setAskListAnew(
                 AskListAnew.getDefaultInstance()).build()));
     }
 
     @Override
-    public void note(String event, Object... fields) {
-        Say.info(event, fields);
+    public void logEvent(String event, Object... fields) {
+        EventLog.info(event, fields);
     }
 
     // ---- generations
@@ -195,16 +195,16 @@
      * Handles a frame from a generation: sends the agreed state to one that is ready, and records the step
      * that one acknowledges.
      */
-    void handleFrame(int generation, Link link, Frame frame) {
+    void handleFrame(int generation, ControlConnection link, Frame frame) {
         if (frame.hasReady()) {
-            after(0, () -> {
+            schedule(0, () -> {
                 GenerationProgress progress = new GenerationProgress(link);
                 generations.put(generation, progress);
                 // the operator overrides of this view were sent earlier: with its state or on change
                 sendAgreed(progress);
             });
         } else if (frame.hasTakenUp()) {
-            after(0, () -> {
+            schedule(0, () -> {
                 GenerationProgress progress = generations.get(generation);
                 if (progress != null) {
                     progress.appliedStep = Math.max(progress.appliedStep, frame.getTakenUp().getStep());
@@ -216,7 +216,7 @@
 
     /** Forgets a generation whose connection is closed. */
     void generationGone(int generation) {
-        after(0, () -> {
+        schedule(0, () -> {
             generations.remove(generation);
             acknowledgeIfAllApplied();
         });
@@ -224,30 +224,30 @@
 
     private void acknowledgeIfAllApplied() {
         if (council != null && generations.values().stream().allMatch(t -> t.appliedStep >= view.step())) {
-            council.takenUp(view.step(), chain);
+            council.rulesApplied(view.step(), chain);
         }
     }
 
     @Override
-    public void actBy(View next) {
+    public void applyRules(RulesView next) {
         view = next;
-        chain = council.held().chain();
+        chain = council.localRules().chain();
         // overrides go first on the same connections, so a generation that gets the step has applied them
-        drainedServersListener.accept(next.out());
+        drainedServersListener.accept(next.cordonedServers());
         generations.values().forEach(this::sendAgreed);
         acknowledgeIfAllApplied();
         answerSettledChanges();
     }
 
     @Override
-    public void leaseUntil(long end) {
+    public void leaseExtended(long end) {
         leaseEndMicros = end;
         generations.values().forEach(this::sendAgreed);
     }
 
     private void sendAgreed(GenerationProgress progress) {
         progress.connection.send(Frame.newBuilder().setAgreed(Agreed.newBuilder().setStep(view.step())
-                .setChain(chain).setUntil(settings.agreement().serveInDoubt() ? Long.MAX_VALUE
+                .setChain(chain).setUntil(settings.consensus().serveInDoubt() ? Long.MAX_VALUE
                         : leaseEndMicros)).build());
     }
 
@@ -258,14 +258,14 @@
             Consumer<Answer> answer) {
         boolean drain = command.equals("drain");
         if (command.equals("rules")) {
-            after(0, () -> showRules(answer));
+            schedule(0, () -> showRules(answer));
             return true;
         }
         if (!drain && !command.equals("undrain")) {
             return false;
         }
         if (arguments.size() == 2 && arguments.get(1).equals(LOCAL_ONLY)) {
-            Say.warn("mark.without_agreement", "box", arguments.get(0), "command", command);
+            EventLog.warn("mark.without_agreement", "box", arguments.get(0), "command", command);
             return false;
         }
         if (arguments.isEmpty()) {
@@ -280,19 +280,20 @@
         byte[] id = new byte[ID_BYTES];
         random.nextBytes(id);
         RuleChange.Builder change = RuleChange.newBuilder().setId(HexFormat.of().formatHex(id))
-                .setWho(settings.copies().instance()).setWall(System.currentTimeMillis() * 1000)
-                .setWhy(arguments.size() > 1 ? arguments.get(1) : "").setSubject(Kind.BOX.subject(box));
+                .setWho(settings.replication().instance()).setWall(System.currentTimeMillis() * 1000)
+                .setWhy(arguments.size() > 1 ? arguments.get(1)
+                        : "").setSubject(RuleKind.SERVER.subject(box));
         if (drain) {
             change.setValue(RuleValue.newBuilder().setOut(true));
         }
-        after(0, () -> {
+        schedule(0, () -> {
             if (council == null) {
                 answer.accept(lastAnswerLine("consensus is not running here: see agreement.broken in the log",
                         1));
                 return;
             }
-            change.setBase(council.held().revision(change.getSubject()));
-            propose(new PendingChange(change.build(), now() + APPLY_TIMEOUT_MICROS, answer));
+            change.setBase(council.localRules().revision(change.getSubject()));
+            propose(new PendingChange(change.build(), nowMicros() + APPLY_TIMEOUT_MICROS, answer));
         });
         return true;
     }
@@ -301,19 +302,20 @@
     private void propose(PendingChange pending) {
         council.propose(pending.change, (Proposed answer) -> {
             RuleOutcome outcome = answer.getOutcome();
-            if (!answer.hasOutcome() && now() < pending.deadlineMicros) {
-                after(RETRY_MICROS, () -> propose(pending));
+            if (!answer.hasOutcome() && nowMicros() < pending.deadlineMicros) {
+                schedule(RETRY_MICROS, () -> propose(pending));
             } else if (!answer.hasOutcome()) {
                 pending.replyTo.accept(lastAnswerLine("outcome unknown: " + answer.getNobody()
                         + "; check status, or override the server at each instance with " + LOCAL_ONLY, 1));
             } else if (outcome.getRefusal() != 0) {
-                Refusal refusal = Refusal.of(outcome.getRefusal());
+                ChangeRejection refusal = ChangeRejection.of(outcome.getRefusal());
                 pending.replyTo.accept(lastAnswerLine("not agreed: " + (refusal == null
-                        ? "refused by a newer version" : refusal.text()), refusal == Refusal.SAME ? 0 : 1));
+                        ? "refused by a newer version" : refusal.message()),
+                                refusal == ChangeRejection.UNCHANGED ? 0 : 1));
             } else {
                 pendingChanges.add(pending);
                 answerSettledChanges();
-                after(Math.max(0, pending.deadlineMicros - now()), this::answerSettledChanges);
+                schedule(Math.max(0, pending.deadlineMicros - nowMicros()), this::answerSettledChanges);
             }
         });
     }
@@ -321,14 +323,14 @@
     /** Answers the operators whose changes are in force here or have passed their deadline. */
     private void answerSettledChanges() {
         pendingChanges.removeIf(pending -> {
-            RuleOutcome outcome = council.held().outcome(pending.change.getId());
+            RuleOutcome outcome = council.localRules().outcome(pending.change.getId());
             if (outcome != null && outcome.getRevision() > 0) {
-                pending.replyTo.accept(lastAnswerLine(Kind.name(pending.change.getSubject())
+                pending.replyTo.accept(lastAnswerLine(RuleKind.name(pending.change.getSubject())
                         + (pending.change.hasValue() ? " is draining" : " has no mark any more")
                         + " by agreement, revision " + outcome.getRevision(), 0));
                 return true;
             }
-            if (now() >= pending.deadlineMicros) {
+            if (nowMicros() >= pending.deadlineMicros) {
                 pending.replyTo.accept(lastAnswerLine(
                         "agreed but not in force yet: it will be applied on its own", 1));
                 return true;
@@ -339,7 +341,7 @@
 
     private void showRules(Consumer<Answer> answer) {
         if (council != null) {
-            Rules rules = council.held();
+            RuleStateMachine rules = council.localRules();
             for (SubjectState subject : rules.subjects()) {
                 answer.accept(answerLine(subject.getSubject() + " = " + format(subject.hasValue()
                         ? subject.getValue() : null)
@@ -385,14 +387,15 @@
             return List.of("agreement: not begun");
         }
         // until the first lease its end is Long.MIN_VALUE, and subtracting from that would overflow
-        long now = now();
+        long now = nowMicros();
         String lease = leaseEndMicros > now ? String.format(Locale.ROOT, "lease for %.1f s",
                 (leaseEndMicros - now) / 1e6)
-                : settings.agreement().serveInDoubt() ? "in doubt, serving on" : "in doubt, refusing";
+                : settings.consensus().serveInDoubt() ? "in doubt, serving on" : "in doubt, refusing";
         return List.of("agreement: " + lease + ", step " + view.step() + ", revision " + view.revision()
-                + ", leader " + (council.leads() ? "this instance" : council.leader() == null ? "unknown"
-                : council.leader()) + ", " + (settings.agreement().members().contains(
-                settings.copies().instance()) ? council.votes() ? "votes" : "does not vote yet" : "follows"));
+                + ", leader " + (council.isLeader() ? "this instance" : council.leader() == null ? "unknown"
+                : council.leader()) + ", " + (settings.consensus().members().contains(
+                settings.replication().instance()) ? council.isVotingMember() ? "votes" : "does not vote yet"
+                        : "follows"));
     }
 
     private static Answer answerLine(String text) {
@@ -405,7 +408,7 @@
 
     @Override
     public void close() {
-        after(0, () -> {
+        schedule(0, () -> {
             if (council != null) {
                 council.close();
             }
--- a/src/main/java/yewdock/daemon/Link.java
+++ b/src/main/java/yewdock/daemon/ControlConnection.java
@@ -10,26 +10,26 @@
 /**
  * A connection over a Unix control socket: between supervisor and generation, or with an operator's command.
  */
-public final class Link extends Framed<Frame> {
+public final class ControlConnection extends FramedConnection<Frame> {
     /** Largest frame in bytes; a state with thousands of servers takes under 1 MiB. */
     private static final int MAX_FRAME_BYTES = 32 << 20;
     private static final int MAX_QUEUED_FRAMES = 20_000;
 
-    Link(SocketChannel channel) {
+    ControlConnection(SocketChannel channel) {
         super(channel, Frame.parser(), MAX_FRAME_BYTES, MAX_QUEUED_FRAMES, 0);
     }
 
     /** Connects to the control socket in this folder. */
-    public static Link to(Path folder) throws IOException {
+    public static ControlConnection inFolder(Path folder) throws IOException {
         try {
-            return at(socketIn(folder));
+            return connectTo(socketIn(folder));
         } catch (IOException e) {
             throw new IOException("no daemon listens at " + socketIn(folder) + ": " + e.getMessage(), e);
         }
     }
 
     /** Connects to the socket at this path; throws IOException if nobody listens there. */
-    static Link at(Path socket) throws IOException {
+    static ControlConnection connectTo(Path socket) throws IOException {
         SocketChannel channel = SocketChannel.open(StandardProtocolFamily.UNIX);
         try {
             channel.connect(UnixDomainSocketAddress.of(socket));
@@ -37,7 +37,7 @@
             channel.close();
             throw e;
         }
-        return new Link(channel);
+        return new ControlConnection(channel);
     }
 
     /** The path of the control socket in this folder. */
--- a/src/main/java/yewdock/daemon/Framed.java
+++ b/src/main/java/yewdock/daemon/FramedConnection.java
@@ -15,7 +15,7 @@
  * reading fills a bounded queue and is then disconnected, so a hanging peer delays nobody. Reading can be
  * rate limited, and unread data stays with the sender.
  */
-class Framed<F extends Message> {
+class FramedConnection<F extends Message> {
     private static final double NANOS_PER_SECOND = 1e9;
     private static final ByteBuffer END = ByteBuffer.allocate(0);
 
@@ -31,7 +31,7 @@
      * Wraps a connected channel. Limits the size of a received frame in bytes, the number of queued frames,
      * and the bytes read per second (0: no limit).
      */
-    Framed(SocketChannel channel, Parser<F> parser, int maxFrameBytes, int maxQueuedFrames,
+    FramedConnection(SocketChannel channel, Parser<F> parser, int maxFrameBytes, int maxQueuedFrames,
             double maxBytesPerSecond) {
         this.channel = channel;
         this.parser = parser;
@@ -92,7 +92,7 @@
     }
 
     /** Writes the queued frames, waiting so many milliseconds at most, and closes. */
-    public final void finish(long millis) {
+    public final void flushAndClose(long millis) {
         if (writer != null && sendQueue.offer(END)) {
             try {
                 writer.join(millis);
@@ -146,7 +146,7 @@
     }
 
     /** Reads the first frame; to be called before {@link #start}. */
-    final F first() throws IOException {
+    final F readFirst() throws IOException {
         return read();
     }
 
