--- a/src/main/java/yewdock/daemon/Generation.java
+++ b/src/main/java/yewdock/daemon/Generation.java
@@ -11,20 +11,20 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import umberspread.GenerationRouter;
 import umberspread.Routing;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Effect;
-import yewdock.desk.EndpointList;
-import yewdock.desk.Event;
-import yewdock.desk.OtherNews;
-import yewdock.desk.Terms;
-import yewdock.log.Say;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Effect;
+import yewdock.core.EndpointList;
+import yewdock.core.Event;
+import yewdock.core.GenerationMessage;
+import yewdock.core.Reducer;
+import yewdock.logging.EventLog;
 import yewdock.platform.Config;
-import yewdock.platform.Front;
-import yewdock.platform.Side;
-import yewdock.sockets.Clock;
+import yewdock.platform.ConnectionHandler;
+import yewdock.platform.ConnectionManager;
+import yewdock.sockets.MinaTransport;
+import yewdock.sockets.MonotonicClock;
 import yewdock.sockets.Signals;
-import yewdock.sockets.Sockets;
 import yewdock.upgrade.Stage;
 import yewdock.wire.Agreed;
 import yewdock.wire.Checked;
@@ -56,18 +56,18 @@
     private final String secret;
     private final String configFile;
     /** Whether the supervisor stores endpoint lists and the module's learned state. */
-    private final boolean stateIsStored = System.getenv(Keeper.STORE_VARIABLE) != null;
+    private final boolean stateIsStored = System.getenv(Supervisor.STORE_VARIABLE) != null;
     /** Whether it may serve only by rules decided by consensus, and only while a lease is valid. */
-    private final boolean needsLease = System.getenv(Keeper.CONSENSUS_VARIABLE) != null;
+    private final boolean needsLease = System.getenv(Supervisor.CONSENSUS_VARIABLE) != null;
     private Runnable onListReceived;
     private final BlockingQueue<Frame> queuedFrames = new LinkedBlockingQueue<>();
     private volatile boolean started;
-    private Link link;
+    private ControlConnection supervisorConnection;
     private Config config;
     private Counters counters;
-    private Desk desk;
-    private Front front;
-    private Sockets sockets;
+    private Reducer desk;
+    private ConnectionManager front;
+    private MinaTransport sockets;
     private GenerationRouter router;
     private ServerSocketChannel listener;
     private boolean accepting;
@@ -89,97 +89,97 @@
 
     /** Runs the generation that the environment variables describe until it ends; returns the exit code. */
     public static int run(Map<String, String> environment) {
-        return of(environment, Generation::new).run();
+        return fromEnvironment(environment, Generation::new).run();
     }
 
     /** Creates a generation from the arguments of {@link #Generation}. */
-    public interface Maker<G> {
+    public interface Factory<G> {
         G make(int number, Path control, String secret, String file);
     }
 
     /** Creates the generation that the environment variables describe. */
-    public static <G> G of(Map<String, String> environment, Maker<G> maker) {
-        String number = environment.get(Keeper.GENERATION_VARIABLE);
-        String control = environment.get(Keeper.CONTROL_VARIABLE);
+    public static <G> G fromEnvironment(Map<String, String> environment, Factory<G> maker) {
+        String number = environment.get(Supervisor.GENERATION_VARIABLE);
+        String control = environment.get(Supervisor.CONTROL_VARIABLE);
         if (number == null || control == null) {
             throw new IllegalArgumentException("a generation can only be started by its daemon");
         }
         return maker.make(Integer.parseInt(number), Path.of(control),
-                environment.getOrDefault(Keeper.SECRET_VARIABLE, ""), environment.get("PROXY_CONFIG"));
+                environment.getOrDefault(Supervisor.SECRET_VARIABLE, ""), environment.get("PROXY_CONFIG"));
     }
 
     /** Called when a stage is reached, on the thread that reaches it; overridden for fault injection. */
-    protected void reached(Stage stage) {
+    protected void stageReached(Stage stage) {
         // no fault here
     }
 
     /** The connection to the supervisor. */
-    protected final Link link() {
-        return link;
+    protected final ControlConnection supervisorConnection() {
+        return supervisorConnection;
     }
 
     /** Takes over, serves and ends; returns the exit code. */
     public final int run() {
         try {
-            link = Link.to(controlFolder);
+            supervisorConnection = ControlConnection.inFolder(controlFolder);
         } catch (IOException e) {
-            Say.warn("generation.alone", "generation", number, "why", e.getMessage());
+            EventLog.warn("generation.alone", "generation", number, "why", e.getMessage());
             return 1;
         }
-        link.start("keeper", this::frameReceived, this::supervisorLost);
+        supervisorConnection.start("keeper", this::frameReceived, this::supervisorLost);
         // the supervisor forwards SIGHUP; one sent directly to this process must not end it
         Signals.onHangUp(() -> {
             if (started) {
                 reconfigure();
             }
         });
-        reached(Stage.START);
-        link.send(Frame.newBuilder().setHello(Hello.newBuilder().setGeneration(number).setSecret(secret)
+        stageReached(Stage.START);
+        supervisorConnection.send(Frame.newBuilder().setHello(Hello.newBuilder().setGeneration(number).setSecret(secret)
                 .setProgram(String.valueOf(getClass().getPackage().getImplementationVersion()))).build());
-        reached(Stage.CHECK);
+        stageReached(Stage.CHECK);
         try {
             config = read();
         } catch (IOException | IllegalArgumentException e) {
-            link.send(Frame.newBuilder().setFailed(Failed.newBuilder()
+            supervisorConnection.send(Frame.newBuilder().setFailed(Failed.newBuilder()
                     .setWhy("the configuration can't be read: " + e.getMessage())).build());
-            link.finish(FLUSH_TIMEOUT_MILLIS);
+            supervisorConnection.flushAndClose(FLUSH_TIMEOUT_MILLIS);
             return 1;
         }
-        link.send(Frame.newBuilder().setChecked(Checked.getDefaultInstance()).build());
-        States.Left inherited = awaitPredecessorState();
-        reached(Stage.READY);
-        Rehearsal.run(config, WARM_UP_REQUESTS);
+        supervisorConnection.send(Frame.newBuilder().setChecked(Checked.getDefaultInstance()).build());
+        StateCodec.InheritedState inherited = awaitPredecessorState();
+        stageReached(Stage.READY);
+        JvmWarmUp.run(config, WARM_UP_REQUESTS);
         build(inherited);
-        sockets.serveLater(() -> startReducer(inherited), front, desk);
-        link.send(Frame.newBuilder().setNews(News.newBuilder().setCounts(
+        sockets.serveWithoutListening(() -> startReducer(inherited), front, desk);
+        supervisorConnection.send(Frame.newBuilder().setNews(News.newBuilder().setCounts(
                 Counts.newBuilder().putAllByName(countsSinceStart()))).build());
-        Say.info("generation.ends", "generation", number, "counters", counters.toString().strip()
+        EventLog.info("generation.ends", "generation", number, "counters", counters.toString().strip()
                 .replace('\n', ';'));
-        link.finish(FLUSH_TIMEOUT_MILLIS);
+        supervisorConnection.flushAndClose(FLUSH_TIMEOUT_MILLIS);
         return 0;
     }
 
     private Config read() throws IOException {
-        return Serve.read(configFile, this::log);
+        return StandaloneRouter.read(configFile, this::log);
     }
 
     private void log(String line) {
-        Say.info("router", "generation", number, "line", line);
+        EventLog.info("router", "generation", number, "line", line);
     }
 
     /** Waits for the predecessor's state; null if it is empty or unreadable, as after a restart. */
-    private States.Left awaitPredecessorState() {
+    private StateCodec.InheritedState awaitPredecessorState() {
         while (true) {
             try {
                 Frame frame = queuedFrames.take();
                 if (!frame.hasState()) {
                     continue;
                 }
-                reached(Stage.STATE);
-                return States.read(frame.getState(), new Clock().getAsLong(),
+                stageReached(Stage.STATE);
+                return StateCodec.read(frame.getState(), new MonotonicClock().getAsLong(),
                         System.nanoTime());
             } catch (UnreadableStateException e) {
-                Say.warn("state.refused", "generation", number, "why", e.getMessage());
+                EventLog.warn("state.refused", "generation", number, "why", e.getMessage());
                 return null;
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
@@ -188,25 +188,25 @@
         }
     }
 
-    private void build(States.Left inherited) {
+    private void build(StateCodec.InheritedState inherited) {
         counters = new Counters();
         if (inherited != null) {
             inherited.counters().forEach(counters::add);
         }
         inheritedCounts = counters.all();
-        desk = new Desk(Terms.of(config.settings(), config.keepalive()), config.bounds(),
+        desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()), config.bounds(),
                 counters, actions -> {
                     router = router(config, seed(), actions, inherited);
                     return router;
                 });
-        sockets = new Sockets(config.bounds().clients(),
+        sockets = new MinaTransport(config.bounds().maxClientConnections(),
                 config.settings().contract().drainGrace());
-        front = new Front(config, desk, counters, sockets, sockets.clock(), this::log);
-        front.tellOthersBy(this::sendToOthers);
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> sockets.leave(), "leave"));
+        front = new ConnectionManager(config, desk, counters, sockets, sockets.clock(), this::log);
+        front.forwardGenerationEffectsTo(this::sendToOthers);
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> sockets.shutDownGracefully(), "leave"));
         if (stateIsStored) {
             runPeriodically(STORE_INTERVAL_MILLIS, () ->
-                    link.send(Frame.newBuilder().setKeep(States.encodeLearnedState(router.memory(false),
+                    supervisorConnection.send(Frame.newBuilder().setKeep(StateCodec.encodeLearnedState(router.learnedState(false),
                     sockets.clock().getAsLong())).build()));
         }
     }
@@ -237,13 +237,13 @@
     }
 
     /** Starts the reducer; the first task on its thread. */
-    private void startReducer(States.Left inherited) {
+    private void startReducer(StateCodec.InheritedState inherited) {
         startReducer(front, desk, config, inherited);
         if (stateIsStored) {
-            front.happened(new Event.Keeping());
+            front.dispatch(new Event.EndpointListRelayEnabled());
         }
         if (needsLease) {
-            front.happened(new Event.Leased(0, 0));
+            front.dispatch(new Event.LeaseGranted(0, 0));
         }
         synchronized (queuedFrames) {
             for (Frame frame = queuedFrames.poll(); frame != null; frame = queuedFrames.poll()) {
@@ -255,30 +255,33 @@
         if (stateIsStored && (inherited == null || inherited.afterRestart())) {
             // a drain reported just before a kill may not be stored: wait for the endpoint list, which has it
             onListReceived = ready;
-            sockets.postAfter(LIST_TIMEOUT_MILLIS, this::listReceived);
+            sockets.postDelayed(LIST_TIMEOUT_MILLIS, this::listReceived);
         } else {
             ready.run();
         }
     }
 
     /** Creates the module, with the learned state of the previous process if there is any. */
-    static GenerationRouter router(Config config, long seed, Routing.Actions actions, States.Left inherited) {
+    static GenerationRouter router(Config config, long seed, Routing.Actions actions,
+            StateCodec.InheritedState inherited) {
         return inherited == null || inherited.memory() == null
                 ? new GenerationRouter(config.settings(), seed, actions)
                 : new GenerationRouter(config.settings(), seed, actions, inherited.memory(),
-                        inherited.shift());
+                        inherited.clockShiftMicros());
     }
 
     /** Sends the reducer its first event, with the endpoint list of the previous process if there is one. */
-    static void startReducer(Front front, Desk desk, Config config, States.Left inherited) {
-        boolean sameList = inherited != null && inherited.listAddress().equals(config.discovery());
-        if (inherited == null || inherited.boxes().boxes().isEmpty() && config.known().version() >= 0) {
+    static void startReducer(ConnectionManager front, Reducer desk, Config config,
+            StateCodec.InheritedState inherited) {
+        boolean sameList = inherited != null && inherited.listAddress().equals(config.discoveryAddress());
+        if (inherited == null || inherited.endpointList().servers().isEmpty()
+                && config.cachedEndpoints().version() >= 0) {
             front.start();
         } else {
             // list versions of another discovery address don't compare: -1 requests the full list
-            front.start(new EndpointList(sameList ? inherited.boxes().version() : -1, true,
-                    inherited.boxes().boxes()));
-            desk.recallTold(inherited.toldAt());
+            front.start(new EndpointList(sameList ? inherited.endpointList().version() : -1, true,
+                    inherited.endpointList().servers()));
+            desk.restoreToldAt(inherited.stateReportedAt());
         }
     }
 
@@ -290,11 +293,11 @@
         }
     }
 
-    private void reportReady(States.Left inherited) {
-        link.send(Frame.newBuilder().setReady(Ready.newBuilder().setNote(inherited == null
+    private void reportReady(StateCodec.InheritedState inherited) {
+        supervisorConnection.send(Frame.newBuilder().setReady(Ready.newBuilder().setNote(inherited == null
                 ? "starts without state"
-                : "continues with " + inherited.boxes().boxes().size() + " servers, list version "
-                + inherited.boxes().version())).build());
+                : "continues with " + inherited.endpointList().servers().size() + " servers, list version "
+                + inherited.endpointList().version())).build());
     }
 
     private void frameReceived(Frame frame) {
@@ -308,7 +311,7 @@
     }
 
     private void supervisorLost(String reason) {
-        Say.warn("keeper.lost", "generation", number, "why", reason, "now", "serving without upgrades");
+        EventLog.warn("keeper.lost", "generation", number, "why", reason, "now", "serving without upgrades");
         if (!started) {
             // without the supervisor it will never be told to serve
             Runtime.getRuntime().halt(1);
@@ -319,36 +322,36 @@
         try {
             handle(frame);
         } catch (IOException | RuntimeException e) {
-            Say.warn("generation.fault", "generation", number, "frame", frame.getWhatCase(), "why", e);
+            EventLog.warn("generation.fault", "generation", number, "frame", frame.getWhatCase(), "why", e);
             if (!accepting) {
-                link.send(Frame.newBuilder().setFailed(Failed.newBuilder().setWhy(e.toString())).build());
+                supervisorConnection.send(Frame.newBuilder().setFailed(Failed.newBuilder().setWhy(e.toString())).build());
             }
         }
     }
 
     private void handle(Frame frame) throws IOException {
         switch (frame.getWhatCase()) {
-            case GIVE_STATE -> link.send(Frame.newBuilder().setState(States.write(desk.holdings(),
-                    router.memory(), counters.all(), sockets.clock().getAsLong(),
+            case GIVE_STATE -> supervisorConnection.send(Frame.newBuilder().setState(StateCodec.write(desk.generationState(),
+                    router.learnedState(), counters.all(), sockets.clock().getAsLong(),
                             System.nanoTime())).build());
-            case SHARE -> front.happened(new Event.Share());
+            case SHARE -> front.dispatch(new Event.HandoverStarted());
             case SHARING -> {
-                reached(Stage.SHARE);
-                front.happened(new Event.Adopt(frame.getSharing().getGeneration(),
-                        States.decodeGenerationState(frame.getSharing())));
+                stageReached(Stage.SHARE);
+                front.dispatch(new Event.GenerationStateReceived(frame.getSharing().getGeneration(),
+                        StateCodec.decodeGenerationState(frame.getSharing())));
             }
             case NEWS -> messageReceived(frame.getNews());
-            case OTHER_GONE -> front.happened(new Event.OtherGone(frame.getOtherGone().getGeneration()));
-            case MARKS -> front.happened(new Event.Marked(States.overrides(frame.getMarks())));
+            case OTHER_GONE -> front.dispatch(new Event.GenerationGone(frame.getOtherGone().getGeneration()));
+            case MARKS -> front.dispatch(new Event.OverridesReplaced(StateCodec.overrides(frame.getMarks())));
             case AGREED -> applyAgreed(frame.getAgreed());
-            case ASK_LIST_ANEW -> front.happened(new Event.ListBehind());
+            case ASK_LIST_ANEW -> front.dispatch(new Event.EndpointListOutdated());
             case TAKE -> takeListener();
             case GO -> startServing();
             case LET_GO -> stopServing(frame.getLetGo().getLimitMicros());
             case TAKE_BACK -> resumeServing();
-            case LEAVE -> front.happened(new Event.Leave());
+            case LEAVE -> front.dispatch(new Event.ShutdownRequested());
             case RECONFIGURE -> reconfigure();
-            default -> Say.warn("frame.unknown", "generation", number, "frame", frame.getWhatCase());
+            default -> EventLog.warn("frame.unknown", "generation", number, "frame", frame.getWhatCase());
         }
     }
 
@@ -359,9 +362,9 @@
     private void applyAgreed(Agreed agreed) {
         long until = agreed.getUntil() == Long.MAX_VALUE ? Long.MAX_VALUE
                 : agreed.getUntil() + sockets.clock().getAsLong() - System.nanoTime() / 1000;
-        front.happened(new Event.Leased(until,
+        front.dispatch(new Event.LeaseGranted(until,
                 Math.min(MAX_RETRY_AFTER_MICROS, config.settings().limits().retryAfterMax())));
-        link.send(Frame.newBuilder().setTakenUp(TakenUp.newBuilder().setStep(agreed.getStep())
+        supervisorConnection.send(Frame.newBuilder().setTakenUp(TakenUp.newBuilder().setStep(agreed.getStep())
                 .setChain(agreed.getChain())).build());
     }
 
@@ -370,41 +373,41 @@
             encoded.getCounts().getByNameMap().forEach(counters::add);
             return;
         }
-        OtherNews message = States.message(encoded);
+        GenerationMessage message = StateCodec.message(encoded);
         if (message != null) {
-            front.happened(new Event.FromOther(encoded.getGeneration(), message));
+            front.dispatch(new Event.GenerationMessageReceived(encoded.getGeneration(), message));
         }
     }
 
     private void sendToOthers(Effect effect) {
-        if (effect instanceof Effect.ShareOut e) {
-            link.send(Frame.newBuilder().setSharing(States.encodeGenerationState(e.held())).build());
-        } else if (effect instanceof Effect.TellOthers e) {
-            link.send(Frame.newBuilder().setNews(States.message(e.news())).build());
-            if (e.news() instanceof OtherNews.Told) {
+        if (effect instanceof Effect.SendGenerationState e) {
+            supervisorConnection.send(Frame.newBuilder().setSharing(StateCodec.encodeGenerationState(e.state())).build());
+        } else if (effect instanceof Effect.SendToGenerations e) {
+            supervisorConnection.send(Frame.newBuilder().setNews(StateCodec.message(e.message())).build());
+            if (e.message() instanceof GenerationMessage.EndpointListRelayed) {
                 sockets.post(this::listReceived);
             }
         }
     }
 
     private void takeListener() throws IOException {
-        listener = Listener.inherited();
+        listener = InheritedListener.inherited();
         String answer = selfTest();
         if (!answer.startsWith("HTTP/1.1 200 ") && !answer.startsWith("HTTP/1.1 503 ")) {
             throw new IOException("the self-test returned " + answer.lines().findFirst().orElse("nothing"));
         }
-        reached(Stage.TAKE);
-        link.send(Frame.newBuilder().setTook(Took.getDefaultInstance()).build());
+        stageReached(Stage.TAKE);
+        supervisorConnection.send(Frame.newBuilder().setTook(Took.getDefaultInstance()).build());
     }
 
     private void startServing() throws IOException {
-        reached(Stage.GO);
-        sockets.accept(listener);
+        stageReached(Stage.GO);
+        sockets.acceptFrom(listener);
         accepting = true;
-        Say.info("generation.serves", "generation", number, "address", listener.getLocalAddress());
-        link.send(Frame.newBuilder().setServing(Serving.newBuilder()
+        EventLog.info("generation.serves", "generation", number, "address", listener.getLocalAddress());
+        supervisorConnection.send(Frame.newBuilder().setServing(Serving.newBuilder()
                 .setAddress(listener.getLocalAddress().toString())).build());
-        reached(Stage.LET_GO);
+        stageReached(Stage.LET_GO);
     }
 
     /**
@@ -412,14 +415,14 @@
      */
     private String selfTest() {
         StringBuilder answer = new StringBuilder();
-        Side handler = front.accept(new NoWire() {
+        ConnectionHandler handler = front.accept(new NoOpConnection() {
             @Override
             public void write(ByteBuffer bytes) {
                 answer.append(StandardCharsets.ISO_8859_1.decode(bytes));
             }
         });
-        handler.received(ByteBuffer.wrap("GET /ready HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
-        handler.down();
+        handler.onReceived(ByteBuffer.wrap("GET /ready HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
+        handler.onClosed();
         return answer.toString();
     }
 
@@ -428,18 +431,19 @@
             sockets.stopAccepting();
             accepting = false;
         }
-        Say.info("generation.lets_go", "generation", number, "open", desk.holdings().ids().size());
-        link.send(Frame.newBuilder().setLetGoDone(LetGoDone.getDefaultInstance()).build());
-        front.happened(new Event.LetGo(limitMicros));
+        EventLog.info("generation.lets_go", "generation", number, "open",
+                desk.generationState().requestIds().size());
+        supervisorConnection.send(Frame.newBuilder().setLetGoDone(LetGoDone.getDefaultInstance()).build());
+        front.dispatch(new Event.HandedOver(limitMicros));
     }
 
     private void resumeServing() throws IOException {
         if (!accepting) {
-            sockets.accept(listener);
+            sockets.acceptFrom(listener);
             accepting = true;
         }
-        Say.info("generation.takes_back", "generation", number);
-        front.happened(new Event.TakeBack());
+        EventLog.info("generation.takes_back", "generation", number);
+        front.dispatch(new Event.HandoverAborted());
     }
 
     /** Reloads the configuration on a separate thread, because a slow disk must not delay requests. */
@@ -448,7 +452,7 @@
             try {
                 sockets.reconfigure(read());
             } catch (IOException | IllegalArgumentException e) {
-                Say.warn("configuration.refused", "generation", number, "why", e.getMessage(),
+                EventLog.warn("configuration.refused", "generation", number, "why", e.getMessage(),
                         "now", "the old one stays");
             }
         }, "reconfigure");
--- a/src/main/java/yewdock/daemon/Listener.java
+++ b/src/main/java/yewdock/daemon/InheritedListener.java
@@ -16,7 +16,7 @@
  * Passes a listening socket to child processes as file descriptor 0. Every process that inherits the standard
  * input of this one shares the socket and its queue of connections that are not accepted yet.
  */
-final class Listener {
+final class InheritedListener {
     private static final int BACKLOG = 512;
     /** Columns of /proc/self/net/tcp: local address, state and inode. */
     private static final int LOCAL_ADDRESS_COLUMN = 1;
@@ -30,7 +30,7 @@
         int dup2(int from, int to);
     }
 
-    private Listener() {
+    private InheritedListener() {
     }
 
     /** Listens at this address and makes the socket this process's standard input. */
--- a/src/main/java/yewdock/daemon/Rehearsal.java
+++ b/src/main/java/yewdock/daemon/JvmWarmUp.java
@@ -10,24 +10,24 @@
 import java.util.function.Function;
 import umberspread.GenerationRouter;
 import umberspread.Routing.Lifecycle;
-import umberspread.Routing.Replica;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.EndpointList;
-import yewdock.desk.ModelServer;
-import yewdock.desk.Terms;
+import umberspread.Routing.ServerState;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.EndpointList;
+import yewdock.core.ModelServer;
+import yewdock.core.Reducer;
 import yewdock.platform.Config;
-import yewdock.platform.Front;
-import yewdock.platform.Side;
-import yewdock.platform.Wire;
-import yewdock.platform.Wires;
+import yewdock.platform.Connection;
+import yewdock.platform.ConnectionHandler;
+import yewdock.platform.ConnectionManager;
+import yewdock.platform.Transport;
 
 /**
  * Warms up the JVM before a generation serves, so that its first clients don't wait for class loading and
  * compilation. Plays synthetic requests through a platform, reducer and module of its own, without sockets;
  * the state of the generation itself is not affected.
  */
-final class Rehearsal implements Wires {
+final class JvmWarmUp implements Transport {
     private static final int SERVERS = 4;
     private static final long REQUEST_INTERVAL_MICROS = 60_000;
     private static final String RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -38,22 +38,23 @@
     private final Queue<Runnable> tasks = new ArrayDeque<>();
     private final Counters counters = new Counters();
     private final Config config;
-    private final Front front;
+    private final ConnectionManager front;
     private long nowMicros = 1;
 
-    private Rehearsal(Config config) {
+    private JvmWarmUp(Config config) {
         this.config = config;
-        Desk desk = new Desk(Terms.of(config.settings(), config.keepalive()), config.bounds(),
+        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
+                config.bounds(),
                 counters, actions -> new GenerationRouter(config.settings(), 1, actions));
-        front = new Front(config, desk, counters, this, () -> nowMicros, line -> { });
+        front = new ConnectionManager(config, desk, counters, this, () -> nowMicros, line -> { });
     }
 
     /** Plays this number of requests; returns how many were served. */
     static long run(Config config, int requests) {
-        Rehearsal warmUp = new Rehearsal(config);
+        JvmWarmUp warmUp = new JvmWarmUp(config);
         List<ModelServer> servers = new ArrayList<>();
         for (int i = 1; i <= SERVERS; i++) {
-            servers.add(new ModelServer("s-" + i, "127.0.0.1:" + i, new Replica(i, 0, 0, 0, 1,
+            servers.add(new ModelServer("s-" + i, "127.0.0.1:" + i, new ServerState(i, 0, 0, 0, 1,
                     Lifecycle.READY, 0)));
         }
         warmUp.front.start(new EndpointList(1, true, servers));
@@ -65,12 +66,12 @@
 
     private void playRequest(int number) {
         nowMicros += REQUEST_INTERVAL_MICROS;
-        Side client = front.accept(new SimulatedWire());
-        client.received(ByteBuffer.wrap(request(number).getBytes(StandardCharsets.US_ASCII)));
+        ConnectionHandler client = front.accept(new SimulatedWire());
+        client.onReceived(ByteBuffer.wrap(request(number).getBytes(StandardCharsets.US_ASCII)));
         for (Runnable next = tasks.poll(); next != null; next = tasks.poll()) {
             next.run();
         }
-        client.down();
+        client.onClosed();
     }
 
     private String request(int number) {
@@ -86,12 +87,12 @@
 
     /** Opens a simulated server connection that answers every write; a discovery connection never opens. */
     @Override
-    public <S extends Side> S connect(String address, Function<Wire, S> makeSide) {
+    public <S extends ConnectionHandler> S connect(String address, Function<Connection, S> makeSide) {
         SimulatedWire connection = new SimulatedWire();
         S handler = makeSide.apply(connection);
-        if (!address.equals(config.discovery())) {
+        if (!address.equals(config.discoveryAddress())) {
             connection.serverHandler = handler;
-            tasks.add(handler::up);
+            tasks.add(handler::onConnected);
         }
         return handler;
     }
@@ -101,22 +102,22 @@
         // not used
     }
 
-    private final class SimulatedWire extends NoWire {
-        private Side serverHandler;
+    private final class SimulatedWire extends NoOpConnection {
+        private ConnectionHandler serverHandler;
 
         @Override
         public void write(ByteBuffer bytes) {
-            Side handler = serverHandler;
+            ConnectionHandler handler = serverHandler;
             if (handler == null) {
                 return;
             }
             int size = bytes.remaining();
             tasks.add(() -> {
-                handler.written(size);
-                handler.received(bytes(RESPONSE_HEAD));
-                EVENTS.forEach(e -> handler.received(bytes(Integer.toHexString(e.length()) + "\r\n" + e
+                handler.onWritten(size);
+                handler.onReceived(bytes(RESPONSE_HEAD));
+                EVENTS.forEach(e -> handler.onReceived(bytes(Integer.toHexString(e.length()) + "\r\n" + e
                         + "\r\n")));
-                handler.received(bytes("0\r\n\r\n"));
+                handler.onReceived(bytes("0\r\n\r\n"));
             });
         }
 
@@ -127,7 +128,7 @@
         @Override
         public void close() {
             if (serverHandler != null) {
-                tasks.add(serverHandler::down);
+                tasks.add(serverHandler::onClosed);
             }
         }
     }
--- a/src/main/java/yewdock/daemon/NoWire.java
+++ b/src/main/java/yewdock/daemon/NoOpConnection.java
@@ -1,10 +1,10 @@
 package yewdock.daemon;
 
 import java.nio.ByteBuffer;
-import yewdock.platform.Wire;
+import yewdock.platform.Connection;
 
-/** A {@link Wire} without a socket: it discards what is written to it, and closing it has no effect. */
-class NoWire implements Wire {
+/** A {@link Connection} without a socket: it discards what is written to it, and closing it has no effect. */
+class NoOpConnection implements Connection {
     @Override
     public void write(ByteBuffer bytes) {
         // discarded
@@ -21,23 +21,23 @@
     }
 
     @Override
-    public boolean hasUnheard() {
+    public boolean hasUndelivered() {
         return false;
     }
 
     @Override
-    public boolean closeUnlessUnheard() {
+    public boolean closeUnlessUndelivered() {
         close();
         return true;
     }
 
     @Override
-    public void linger() {
+    public void closeLingering() {
         close();
     }
 
     @Override
-    public void hold(boolean held) {
+    public void setReadingPaused(boolean held) {
         // nothing is received, so there is nothing to hold back
     }
 }
--- a/src/main/java/yewdock/daemon/Operator.java
+++ b/src/main/java/yewdock/daemon/OperatorClient.java
@@ -12,8 +12,8 @@
 import yewdock.wire.Frame;
 
 /** Sends operator commands to a daemon over its control socket. */
-public final class Operator {
-    private Operator() {
+public final class OperatorClient {
+    private OperatorClient() {
     }
 
     /**
@@ -21,10 +21,10 @@
      * answer to out. Returns the daemon's exit code for the command; throws IOException if no daemon listens
      * or no line comes within this many milliseconds.
      */
-    public static int ask(Path control, String command, List<String> arguments, long timeoutMillis,
+    public static int sendCommand(Path control, String command, List<String> arguments, long timeoutMillis,
             Consumer<String> out)
             throws IOException {
-        Link connection = Link.to(control);
+        ControlConnection connection = ControlConnection.inFolder(control);
         BlockingQueue<Frame> answers = new LinkedBlockingQueue<>();
         connection.start("daemon", answers::add, why -> answers.add(Frame.getDefaultInstance()));
         connection.send(Frame.newBuilder().setAsk(Ask.newBuilder().setCommand(command)
--- a/src/main/java/yewdock/daemon/Peers.java
+++ b/src/main/java/yewdock/daemon/PeerConnections.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
-import yewdock.log.Say;
+import yewdock.logging.EventLog;
 import yewdock.platform.Addresses;
 import yewdock.settings.OperatorSettings;
 import yewdock.wire.PeerFrame;
@@ -20,9 +20,9 @@
  * other. Each connection has its own threads and a read rate limit from the settings, so a peer that floods
  * this instance uses bounded resources and delays no request.
  */
-final class Peers implements Closeable {
+final class PeerConnections implements Closeable {
     /** Receives the events of the connections, on their threads. */
-    interface Hearer {
+    interface PeerHandler {
         /** A connection to the peer is established. */
         void connected(String peer);
 
@@ -42,21 +42,21 @@
     private static final long FLUSH_TIMEOUT_MILLIS = 200;
     private static final double BYTES_PER_MEGABYTE = 1e6;
 
-    private final OperatorSettings.Copies settings;
-    private final Hearer handler;
-    private final Map<String, Framed<PeerFrame>> connections = new ConcurrentHashMap<>();
+    private final OperatorSettings.ReplicationSettings settings;
+    private final PeerHandler handler;
+    private final Map<String, FramedConnection<PeerFrame>> connections = new ConcurrentHashMap<>();
     private final Semaphore unidentified = new Semaphore(MAX_UNIDENTIFIED);
     private final ServerSocketChannel listener;
     private volatile boolean closed;
 
     /** Listens, and starts connecting to peers. */
-    Peers(OperatorSettings.Copies settings, Hearer handler) throws IOException {
+    PeerConnections(OperatorSettings.ReplicationSettings settings, PeerHandler handler) throws IOException {
         this.settings = settings;
         this.handler = handler;
         listener = ServerSocketChannel.open();
         listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
         try {
-            listener.bind(Addresses.of(settings.listen()));
+            listener.bind(Addresses.parse(settings.listen()));
         } catch (IOException e) {
             listener.close();
             throw new IOException("copies.listen: " + settings.listen() + ": " + e.getMessage(), e);
@@ -64,7 +64,7 @@
         startThread("peers", this::accept);
         settings.peers().forEach((name, address) -> {
             if (settings.instance().compareTo(name) < 0) {
-                startThread("call " + name, () -> keepConnected(name, Addresses.of(address)));
+                startThread("call " + name, () -> keepConnected(name, Addresses.parse(address)));
             }
         });
     }
@@ -75,10 +75,10 @@
         thread.start();
     }
 
-    private Framed<PeerFrame> wrap(SocketChannel channel) throws IOException {
+    private FramedConnection<PeerFrame> wrap(SocketChannel channel) throws IOException {
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-        return new Framed<>(channel, PeerFrame.parser(), MAX_FRAME_BYTES, MAX_QUEUED_FRAMES,
-                settings.readMegabytes() * BYTES_PER_MEGABYTE);
+        return new FramedConnection<>(channel, PeerFrame.parser(), MAX_FRAME_BYTES, MAX_QUEUED_FRAMES,
+                settings.readMegabytesPerSecond() * BYTES_PER_MEGABYTE);
     }
 
     private void keepConnected(String name, InetSocketAddress address) {
@@ -93,7 +93,7 @@
                         channel.close();
                     }
                 } catch (IOException e) {
-                    Say.warn("peer.unreachable", "peer", name, "why", e.getMessage());
+                    EventLog.warn("peer.unreachable", "peer", name, "why", e.getMessage());
                 }
             }
             try {
@@ -115,7 +115,7 @@
                 }
             } catch (IOException e) {
                 if (!closed) {
-                    Say.warn("peers.broken", "why", e.getMessage());
+                    EventLog.warn("peers.broken", "why", e.getMessage());
                     return;
                 }
             }
@@ -135,15 +135,15 @@
         timeout.setDaemon(true);
         timeout.start();
         try {
-            Framed<PeerFrame> connection = wrap(channel);
-            PeerFrame first = connection.first();
+            FramedConnection<PeerFrame> connection = wrap(channel);
+            PeerFrame first = connection.readFirst();
             timeout.interrupt();
             String name = first.getHello().getInstance();
             if (!settings.peers().containsKey(name) || settings.instance().compareTo(name) < 0) {
-                Say.warn("peer.stranger", "instance", name, "from", channel.getRemoteAddress());
+                EventLog.warn("peer.stranger", "instance", name, "from", channel.getRemoteAddress());
                 connection.close();
             } else {
-                Framed<PeerFrame> previous = connections.get(name);
+                FramedConnection<PeerFrame> previous = connections.get(name);
                 if (previous != null) {
                     // the peer reconnects, so the connection that still seems open here is dead
                     previous.close();
@@ -169,7 +169,7 @@
         }
     }
 
-    private void register(String name, Framed<PeerFrame> connection) {
+    private void register(String name, FramedConnection<PeerFrame> connection) {
         connections.put(name, connection);
         handler.connected(name);
         connection.start("peer " + name, frame -> {
@@ -190,19 +190,20 @@
 
     /** Sends a frame to the peer; drops it if there is no connection. */
     void send(String peer, PeerFrame frame) {
-        Framed<PeerFrame> connection = connections.get(peer);
+        FramedConnection<PeerFrame> connection = connections.get(peer);
         if (connection != null) {
             connection.send(frame);
         }
     }
 
     /**
-     * Closes a connection after writing its queued frames; {@link Hearer#disconnected} is not called for it.
+     * Closes a connection after writing its queued frames; {@link PeerHandler#disconnected} is not called for
+     * it.
      */
     void close(String peer) {
-        Framed<PeerFrame> connection = connections.remove(peer);
+        FramedConnection<PeerFrame> connection = connections.remove(peer);
         if (connection != null) {
-            startThread("flush and close", () -> connection.finish(FLUSH_TIMEOUT_MILLIS));
+            startThread("flush and close", () -> connection.flushAndClose(FLUSH_TIMEOUT_MILLIS));
         }
     }
 
@@ -214,6 +215,6 @@
         } catch (IOException e) {
             // the channel counts as closed anyway
         }
-        connections.values().forEach(Framed::close);
+        connections.values().forEach(FramedConnection::close);
     }
 }
--- a/src/main/java/yewdock/daemon/Succession.java
+++ b/src/main/java/yewdock/daemon/ProcessHandover.java
@@ -16,17 +16,17 @@
 import java.util.concurrent.TimeoutException;
 import umberspread.GenerationRouter;
 import umberspread.Routing;
-import yewdock.desk.BoxMark;
-import yewdock.desk.Desk;
-import yewdock.desk.Effect;
-import yewdock.desk.Event;
-import yewdock.desk.Older;
-import yewdock.desk.OtherNews;
-import yewdock.log.Say;
+import yewdock.core.Effect;
+import yewdock.core.Event;
+import yewdock.core.GenerationMessage;
+import yewdock.core.OlderGeneration;
+import yewdock.core.OperatorOverride;
+import yewdock.core.Reducer;
+import yewdock.logging.EventLog;
 import yewdock.platform.Config;
-import yewdock.platform.Front;
-import yewdock.sockets.Clock;
-import yewdock.sockets.Sockets;
+import yewdock.platform.ConnectionManager;
+import yewdock.sockets.MinaTransport;
+import yewdock.sockets.MonotonicClock;
 import yewdock.upgrade.Stage;
 import yewdock.wire.Frame;
 import yewdock.wire.GiveState;
@@ -43,9 +43,10 @@
  * address and tells it to stop accepting. Both speak the protocol of a daemon's generations.
  *
  * <p>If there is no older process, or it does not respond, the new one serves on its own: nothing that it
- * finds in the folder keeps it from serving. Everything but {@link #find} runs on the reducer's thread.
+ * finds in the folder keeps it from serving. Everything but {@link #fetchPredecessorState} runs on the
+ * reducer's thread.
  */
-public class Succession {
+public class ProcessHandover {
     private static final int PREDECESSOR = 1;
     private static final int SUCCESSOR = 2;
     /** Timeouts for the older process to send its state, and then its open requests. */
@@ -74,19 +75,19 @@
     private final Config config;
     /** Null if the processes have no common folder, or its path is too long for a Unix socket. */
     private final Path socket;
-    private final MarksFile overridesFile;
+    private final OperatorOverridesFile overridesFile;
     private final CompletableFuture<State> state = new CompletableFuture<>();
     private volatile Marks inheritedOverrides;
-    private Link older;
-    private States.Left inherited;
+    private ControlConnection predecessor;
+    private StateCodec.InheritedState inherited;
     private GenerationRouter router;
     private final List<Runnable> queuedWork = new ArrayList<>();
-    private Sockets sockets;
-    private Front front;
-    private Desk desk;
+    private MinaTransport sockets;
+    private ConnectionManager front;
+    private Reducer desk;
     private ServerSocketChannel successorListener;
     /** Written on the reducer's thread only. */
-    private Link successor;
+    private ControlConnection successor;
     /** The address on which clients connect; the port stays the same when this process listens again. */
     private String address;
     private boolean tookOver;
@@ -95,54 +96,54 @@
     private boolean toldToLetGo;
 
     /** Creates the handover of a router whose processes share this folder; "" if they have none. */
-    public Succession(String folder, Config config) {
+    public ProcessHandover(String folder, Config config) {
         this.config = config;
-        this.address = config.listen();
+        this.address = config.listenAddress();
         Path base = folder.isEmpty() ? null : Path.of(folder).toAbsolutePath()
                 .resolve("yewdock-" + config.name().replaceAll("[^A-Za-z0-9_-]", "_"));
         this.overridesFile = base == null ? null
-                : new MarksFile(base.resolveSibling(base.getFileName() + ".marks"));
+                : new OperatorOverridesFile(base.resolveSibling(base.getFileName() + ".marks"));
         this.socket = base == null || base.toString().length() > MAX_SOCKET_PATH ? null
                 : base.resolveSibling(base.getFileName() + ".sock");
     }
 
     /** Called when a stage of taking over is reached; overridden for fault injection. */
-    protected void reached(Stage stage) {
+    protected void stageReached(Stage stage) {
         // no fault here
     }
 
     /** The connection to the older process; null if there is none. */
-    protected final Link older() {
-        return older;
+    protected final ControlConnection predecessor() {
+        return predecessor;
     }
 
     /**
      * Connects to an older process and reads its state. To be called once, before all else, on any thread.
      */
-    public final void find() {
+    public final void fetchPredecessorState() {
         if (socket == null || !Files.exists(socket)) {
             return;
         }
         try {
-            older = Link.at(socket);
+            predecessor = ControlConnection.connectTo(socket);
         } catch (IOException | RuntimeException e) {
-            Say.info("succession.nobody", "why", e.getMessage());
+            EventLog.info("succession.nobody", "why", e.getMessage());
             return;
         }
-        reached(Stage.CHECK);
-        older.start("older", this::predecessorFrameReceived, why -> {
+        stageReached(Stage.CHECK);
+        predecessor.start("older", this::predecessorFrameReceived, why -> {
             state.complete(State.getDefaultInstance());
             runOnReducerThread(() -> predecessorGone(why));
         });
-        older.send(Frame.newBuilder().setHello(Hello.newBuilder().setProgram(
+        predecessor.send(Frame.newBuilder().setHello(Hello.newBuilder().setProgram(
                 String.valueOf(getClass().getPackage().getImplementationVersion()))).build());
-        older.send(Frame.newBuilder().setGiveState(GiveState.getDefaultInstance()).build());
+        predecessor.send(Frame.newBuilder().setGiveState(GiveState.getDefaultInstance()).build());
         try {
-            inherited = States.read(state.get(STATE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS),
-                    new Clock().getAsLong(), System.nanoTime());
-            reached(Stage.STATE);
+            inherited = StateCodec.read(state.get(STATE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS),
+                    new MonotonicClock().getAsLong(), System.nanoTime());
+            stageReached(Stage.STATE);
         } catch (TimeoutException | ExecutionException | UnreadableStateException e) {
-            Say.warn("succession.no_state", "why", e.toString(), "now", "continuing without");
+            EventLog.warn("succession.no_state", "why", e.toString(), "now", "continuing without");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -155,7 +156,7 @@
     }
 
     /** Serves until the process is told to stop. */
-    public final void serve(Sockets transport, Front connectionManager, Desk reducer) {
+    public final void serve(MinaTransport transport, ConnectionManager connectionManager, Reducer reducer) {
         synchronized (this) {
             sockets = transport;
             queuedWork.forEach(transport::post);
@@ -163,8 +164,8 @@
         }
         front = connectionManager;
         desk = reducer;
-        front.tellOthersBy(this::sendToOthers);
-        sockets.serveLater(this::start, front, desk);
+        front.forwardGenerationEffectsTo(this::sendToOthers);
+        sockets.serveWithoutListening(this::start, front, desk);
         if (successor == null && successorListener != null) {
             deleteSocket();
         }
@@ -183,32 +184,33 @@
 
     private void start() {
         Generation.startReducer(front, desk, config, inherited);
-        Map<String, BoxMark> overrides = inheritedOverrides != null ? States.overrides(inheritedOverrides)
+        Map<String, OperatorOverride> overrides = inheritedOverrides != null
+                ? StateCodec.overrides(inheritedOverrides)
                 : readOverrides();
         if (!overrides.isEmpty()) {
-            front.happened(new Event.Marked(overrides));
-            Say.info("succession.marks", "boxes", overrides.size());
+            front.dispatch(new Event.OverridesReplaced(overrides));
+            EventLog.info("succession.marks", "boxes", overrides.size());
         }
-        if (older == null) {
+        if (predecessor == null) {
             takeOver();
             return;
         }
-        front.happened(new Event.Beside(Older.SERVES));
-        reached(Stage.READY);
-        older.send(Frame.newBuilder().setShare(Share.getDefaultInstance()).build());
-        sockets.postAfter(SHARE_TIMEOUT_MILLIS, () -> {
+        front.dispatch(new Event.OlderGenerationChanged(OlderGeneration.SERVING));
+        stageReached(Stage.READY);
+        predecessor.send(Frame.newBuilder().setShare(Share.getDefaultInstance()).build());
+        sockets.postDelayed(SHARE_TIMEOUT_MILLIS, () -> {
             if (!tookOver) {
-                Say.warn("succession.silent", "now", "taking over anyway");
+                EventLog.warn("succession.silent", "now", "taking over anyway");
                 takeOver();
             }
         });
     }
 
-    private Map<String, BoxMark> readOverrides() {
+    private Map<String, OperatorOverride> readOverrides() {
         try {
             return overridesFile == null ? Map.of() : overridesFile.read();
         } catch (IOException e) {
-            Say.warn("succession.marks_unreadable", "why", e.getMessage(), "now", "continuing without");
+            EventLog.warn("succession.marks_unreadable", "why", e.getMessage(), "now", "continuing without");
             return Map.of();
         }
     }
@@ -224,13 +226,15 @@
         tookOver = true;
         listen();
         awaitSuccessor();
-        front.happened(new Event.Beside(older == null ? Older.NONE : Older.FINISHES));
-        if (older != null) {
-            sockets.postAfter(Math.max(0, READY_AGE_MILLIS - ageMillis()),
-                    () -> front.happened(new Event.Beside(Older.NONE)));
-            older.send(Frame.newBuilder().setLetGo(LetGo.newBuilder()
+        front.dispatch(new Event.OlderGenerationChanged(predecessor == null ? OlderGeneration.NONE
+                : OlderGeneration.FINISHING));
+        if (predecessor != null) {
+            sockets.postDelayed(Math.max(0, READY_AGE_MILLIS - ageMillis()),
+                    () -> front.dispatch(new Event.OlderGenerationChanged(OlderGeneration.NONE)));
+            predecessor.send(Frame.newBuilder().setLetGo(LetGo.newBuilder()
                     .setLimitMicros(FINISH_LIMIT_MICROS)).build());
-            Say.info("succession.took_over", "boxes", desk.holdings().boxes().boxes().size());
+            EventLog.info("succession.took_over", "boxes",
+                    desk.generationState().endpointList().servers().size());
         }
     }
 
@@ -251,10 +255,10 @@
 
     private void listen() {
         try {
-            address = sockets.listenBeside(address);
+            address = sockets.listenShared(address);
             listening = true;
         } catch (IOException e) {
-            Say.warn("succession.no_listener", "address", address, "why", e.getMessage());
+            EventLog.warn("succession.no_listener", "address", address, "why", e.getMessage());
             Runtime.getRuntime().halt(1);
         }
     }
@@ -272,22 +276,22 @@
     private void handlePredecessorFrame(Frame frame) {
         switch (frame.getWhatCase()) {
             case SHARING -> {
-                reached(Stage.SHARE);
-                front.happened(new Event.Adopt(PREDECESSOR,
-                        States.decodeGenerationState(frame.getSharing())));
+                stageReached(Stage.SHARE);
+                front.dispatch(new Event.GenerationStateReceived(PREDECESSOR,
+                        StateCodec.decodeGenerationState(frame.getSharing())));
                 takeOver();
             }
             case NEWS -> messageReceived(PREDECESSOR, frame.getNews());
             case MARKS -> overridesChanged(frame.getMarks());
-            default -> Say.warn("frame.unknown", "from", "older", "frame", frame.getWhatCase());
+            default -> EventLog.warn("frame.unknown", "from", "older", "frame", frame.getWhatCase());
         }
     }
 
     private void predecessorGone(String reason) {
-        Say.info("succession.older_gone", "why", reason);
-        older = null;
-        front.happened(new Event.OtherGone(PREDECESSOR));
-        front.happened(new Event.Beside(Older.NONE));
+        EventLog.info("succession.older_gone", "why", reason);
+        predecessor = null;
+        front.dispatch(new Event.GenerationGone(PREDECESSOR));
+        front.dispatch(new Event.OlderGenerationChanged(OlderGeneration.NONE));
         takeOver();
     }
 
@@ -304,7 +308,7 @@
             successorListener.bind(UnixDomainSocketAddress.of(socket));
         } catch (IOException | RuntimeException e) {
             // if Unix sockets are not permitted, the process can still be replaced, but without its state
-            Say.warn("succession.no_socket", "why", e.getMessage());
+            EventLog.warn("succession.no_socket", "why", e.getMessage());
             successorListener = null;
             return;
         }
@@ -312,13 +316,13 @@
         Thread acceptor = new Thread(() -> {
             try {
                 while (true) {
-                    Link connection = new Link(listener.accept());
+                    ControlConnection connection = new ControlConnection(listener.accept());
                     runOnReducerThread(() -> successorConnected(connection));
                 }
             } catch (ClosedChannelException e) {
                 // the listener was closed
             } catch (IOException e) {
-                Say.warn("succession.no_socket", "why", e.getMessage());
+                EventLog.warn("succession.no_socket", "why", e.getMessage());
             }
         }, "succession");
         acceptor.setDaemon(true);
@@ -329,13 +333,13 @@
         try {
             Files.deleteIfExists(socket);
         } catch (IOException e) {
-            Say.warn("succession.leftover", "file", socket, "why", e.getMessage());
+            EventLog.warn("succession.leftover", "file", socket, "why", e.getMessage());
         }
     }
 
-    private void successorConnected(Link connection) {
+    private void successorConnected(ControlConnection connection) {
         if (successor != null) {
-            Say.warn("succession.second", "now", "rejected: another process is already taking over");
+            EventLog.warn("succession.second", "now", "rejected: another process is already taking over");
             connection.close();
             return;
         }
@@ -344,16 +348,18 @@
                 why -> runOnReducerThread(() -> successorGone(connection, why)));
     }
 
-    private void handleSuccessorFrame(Link connection, Frame frame) {
+    private void handleSuccessorFrame(ControlConnection connection, Frame frame) {
         if (connection != successor) {
             return;
         }
         switch (frame.getWhatCase()) {
-            case HELLO -> Say.info("succession.newer", "program", frame.getHello().getProgram());
+            case HELLO -> EventLog.info("succession.newer", "program", frame.getHello().getProgram());
             case GIVE_STATE -> {
-                successor.send(Frame.newBuilder().setMarks(States.overrides(desk.marks(), false)).build());
+                successor.send(Frame.newBuilder().setMarks(StateCodec.overrides(desk.operatorOverrides(),
+                        false)).build());
                 // no counters: each process counts from 0
-                successor.send(Frame.newBuilder().setState(States.write(desk.holdings(), router.memory(),
+                successor.send(Frame.newBuilder().setState(StateCodec.write(desk.generationState(),
+                        router.learnedState(),
                         Map.of(), sockets.clock().getAsLong(), System.nanoTime())).build());
             }
             case SHARE -> shareRequestIds(connection, System.nanoTime());
@@ -365,10 +371,10 @@
                     listening = false;
                     sockets.stopAccepting();
                 }
-                Say.info("succession.lets_go", "open", desk.holdings().ids().size());
-                front.happened(new Event.LetGo(frame.getLetGo().getLimitMicros()));
+                EventLog.info("succession.lets_go", "open", desk.generationState().requestIds().size());
+                front.dispatch(new Event.HandedOver(frame.getLetGo().getLimitMicros()));
             }
-            default -> Say.warn("frame.unknown", "from", "newer", "frame", frame.getWhatCase());
+            default -> EventLog.warn("frame.unknown", "from", "newer", "frame", frame.getWhatCase());
         }
     }
 
@@ -376,21 +382,21 @@
      * Hands the request ids over. With a third, still older process, waits for it up to {@link
      * #FINISH_TIMEOUT_MILLIS} first, because this process doesn't know its open requests.
      */
-    private void shareRequestIds(Link connection, long sinceNanos) {
+    private void shareRequestIds(ControlConnection connection, long sinceNanos) {
         if (connection != successor) {
             return;
         }
-        if (older != null && System.nanoTime() - sinceNanos
+        if (predecessor != null && System.nanoTime() - sinceNanos
                 < TimeUnit.MILLISECONDS.toNanos(FINISH_TIMEOUT_MILLIS)) {
-            sockets.postAfter(POLL_MILLIS, () -> shareRequestIds(connection, sinceNanos));
+            sockets.postDelayed(POLL_MILLIS, () -> shareRequestIds(connection, sinceNanos));
             return;
         }
-        if (older != null) {
-            older.close();
+        if (predecessor != null) {
+            predecessor.close();
         }
         idsShared = true;
-        front.happened(new Event.Share());
-        sockets.postAfter(TAKE_OVER_TIMEOUT_MILLIS, () -> {
+        front.dispatch(new Event.HandoverStarted());
+        sockets.postDelayed(TAKE_OVER_TIMEOUT_MILLIS, () -> {
             if (connection == successor && !toldToLetGo) {
                 connection.close();
                 successorGone(connection, "it took over the request ids but did not start serving in time");
@@ -399,20 +405,20 @@
     }
 
     /** Serves again after the newer process has died, unless this one is shutting down itself. */
-    private void successorGone(Link connection, String reason) {
+    private void successorGone(ControlConnection connection, String reason) {
         if (connection != successor) {
             return;
         }
-        Say.warn("succession.newer_gone", "why", reason, "shared", idsShared);
+        EventLog.warn("succession.newer_gone", "why", reason, "shared", idsShared);
         successor = null;
         toldToLetGo = false;
         if (!idsShared) {
             return;
         }
         idsShared = false;
-        front.happened(new Event.OtherGone(SUCCESSOR));
-        front.happened(new Event.TakeBack());
-        if (!listening && !desk.leaving()) {
+        front.dispatch(new Event.GenerationGone(SUCCESSOR));
+        front.dispatch(new Event.HandoverAborted());
+        if (!listening && !desk.isShuttingDown()) {
             listen();
             awaitSuccessor();
         }
@@ -421,41 +427,41 @@
     // ---- in both roles
 
     private void messageReceived(int generation, News encoded) {
-        OtherNews message = States.message(encoded);
+        GenerationMessage message = StateCodec.message(encoded);
         if (message != null) {
-            front.happened(new Event.FromOther(generation, message));
+            front.dispatch(new Event.GenerationMessageReceived(generation, message));
         }
     }
 
     private void overridesChanged(Marks overrides) {
-        States.overrides(overrides).forEach((server, override) ->
-                front.happened(new Event.MarkChanged(server, override)));
+        StateCodec.overrides(overrides).forEach((server, override) ->
+                front.dispatch(new Event.OverrideChanged(server, override)));
         storeOverrides();
     }
 
     private void sendToOthers(Effect effect) {
-        if (effect instanceof Effect.ShareOut e) {
-            send(successor, Frame.newBuilder().setSharing(States.encodeGenerationState(e.held())).build());
-        } else if (effect instanceof Effect.MarkChanged e) {
-            Frame frame = Frame.newBuilder().setMarks(States.overrides(Map.of(e.box(), e.mark()),
+        if (effect instanceof Effect.SendGenerationState e) {
+            send(successor, Frame.newBuilder().setSharing(StateCodec.encodeGenerationState(e.state())).build());
+        } else if (effect instanceof Effect.PublishOverride e) {
+            Frame frame = Frame.newBuilder().setMarks(StateCodec.overrides(Map.of(e.server(), e.override()),
                     true)).build();
             send(successor, frame);
-            send(older, frame);
+            send(predecessor, frame);
             storeOverrides();
-        } else if (effect instanceof Effect.TellOthers e) {
-            Frame frame = Frame.newBuilder().setNews(States.message(e.news())).build();
-            if (e.news() instanceof OtherNews.Claimed c) {
-                send(c.to() == PREDECESSOR ? older : successor, frame);
-            } else if (e.news() instanceof OtherNews.Told) {
+        } else if (effect instanceof Effect.SendToGenerations e) {
+            Frame frame = Frame.newBuilder().setNews(StateCodec.message(e.message())).build();
+            if (e.message() instanceof GenerationMessage.ClaimAnswer c) {
+                send(c.generation() == PREDECESSOR ? predecessor : successor, frame);
+            } else if (e.message() instanceof GenerationMessage.EndpointListRelayed) {
                 send(successor, frame);
-                send(older, frame);
+                send(predecessor, frame);
             } else {
                 send(successor, frame);
             }
         }
     }
 
-    private static void send(Link to, Frame frame) {
+    private static void send(ControlConnection to, Frame frame) {
         if (to != null) {
             to.send(frame);
         }
@@ -466,9 +472,9 @@
             return;
         }
         try {
-            overridesFile.write(desk.marks());
+            overridesFile.write(desk.operatorOverrides());
         } catch (IOException e) {
-            Say.warn("succession.marks_unwritten", "why", e.getMessage());
+            EventLog.warn("succession.marks_unwritten", "why", e.getMessage());
         }
     }
 }
--- a/src/main/java/yewdock/daemon/Serve.java
+++ b/src/main/java/yewdock/daemon/StandaloneRouter.java
@@ -8,26 +8,26 @@
 import org.tinylog.Logger;
 import org.tinylog.provider.ProviderRegistry;
 import umberspread.BoundedLoadRouter;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Terms;
-import yewdock.door.Door;
+import yewdock.admin.AdminInterface;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Reducer;
 import yewdock.platform.Config;
-import yewdock.platform.Front;
-import yewdock.sockets.Sockets;
+import yewdock.platform.ConnectionManager;
+import yewdock.sockets.MinaTransport;
 
 /** Runs a single router in this process, without supervisor and store. */
-public final class Serve {
+public final class StandaloneRouter {
     /** Creates the handover with a process that runs alongside this one. */
-    public interface Maker {
-        Succession make(String folder, Config config);
+    public interface HandoverFactory {
+        ProcessHandover make(String folder, Config config);
     }
 
-    private Serve() {
+    private StandaloneRouter() {
     }
 
     /** Serves with the configuration in this file until the process ends; returns the exit code. */
-    public static int run(String file, Maker maker) {
+    public static int run(String file, HandoverFactory maker) {
         Consumer<String> log = line -> Logger.info("{}", line);
         if (file == null) {
             Logger.error("the configuration can't be read: PROXY_CONFIG is not set");
@@ -42,25 +42,27 @@
             Logger.error("the configuration can't be read: {}", e.toString());
             return 1;
         }
-        String operatorAddress = config.operator().isEmpty()
-                ? Objects.requireNonNullElse(System.getenv("PROXY_OPERATOR"), "") : config.operator();
+        String operatorAddress = config.operatorAddress().isEmpty()
+                ? Objects.requireNonNullElse(System.getenv("PROXY_OPERATOR"), "") : config.operatorAddress();
         Counters counters = new Counters();
         // only a router with an admin interface can be replaced by a process that runs alongside it
-        Succession handover = operatorAddress.isEmpty() ? null
+        ProcessHandover handover = operatorAddress.isEmpty() ? null
                 : maker.make(Objects.requireNonNullElse(System.getenv("TMPDIR"), ""), config);
         if (handover != null) {
-            handover.find();
+            handover.fetchPredecessorState();
         }
-        Desk desk = new Desk(Terms.of(config.settings(), config.keepalive()), config.bounds(), counters,
+        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
+                config.bounds(), counters,
                 actions -> handover == null
                         ? new BoundedLoadRouter(config.settings(), config.seed(), actions)
                         : handover.router(actions));
-        Sockets sockets = new Sockets(config.bounds().clients(),
+        MinaTransport sockets = new MinaTransport(config.bounds().maxClientConnections(),
                 config.settings().contract().drainGrace());
-        Front front = new Front(config, desk, counters, sockets, sockets.clock(), log);
+        ConnectionManager front = new ConnectionManager(config, desk, counters, sockets, sockets.clock(),
+                log);
         // The JVM exits when its shutdown hooks have finished; this one waits for all open requests.
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            sockets.leave();
+            sockets.shutDownGracefully();
             Logger.info("counters at exit:\n{}", counters);
             shutDownLogger();
         }, "leave"));
@@ -71,8 +73,9 @@
         }
         try {
             if (handover != null) {
-                Door adminInterface = new Door(front);
-                sockets.listenAlso(operatorAddress, Door.MOST_ACCEPTED, Door.PATIENCE_SECONDS,
+                AdminInterface adminInterface = new AdminInterface(front);
+                sockets.listenForOperators(operatorAddress, AdminInterface.MAX_ACCEPTED_CONNECTIONS,
+                        AdminInterface.IDLE_TIMEOUT_SECONDS,
                         adminInterface::accept);
             }
         } catch (IOException | IllegalArgumentException e) {
@@ -81,18 +84,18 @@
         }
         try {
             if (handover == null) {
-                sockets.serve(config.listen(), front, desk);
+                sockets.serve(config.listenAddress(), front, desk);
             } else {
                 handover.serve(sockets, front, desk);
             }
         } catch (IOException e) {
-            Logger.error("can't listen on {}: {}", config.listen(), e.getMessage());
+            Logger.error("can't listen on {}: {}", config.listenAddress(), e.getMessage());
             Runtime.getRuntime().halt(1);
         }
         return 0;
     }
 
-    private static boolean reconfigure(Sockets sockets, String file, Consumer<String> log) {
+    private static boolean reconfigure(MinaTransport sockets, String file, Consumer<String> log) {
         try {
             sockets.reconfigure(read(file, log));
             return true;
--- a/src/main/java/yewdock/daemon/States.java
+++ b/src/main/java/yewdock/daemon/StateCodec.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import java.util.Map;
 import umberspread.Routing.Lifecycle;
-import umberspread.Routing.Replica;
-import yewdock.desk.BoxMark;
-import yewdock.desk.EndpointList;
-import yewdock.desk.Holdings;
-import yewdock.desk.ModelServer;
-import yewdock.desk.OtherNews;
+import umberspread.Routing.ServerState;
+import yewdock.core.EndpointList;
+import yewdock.core.GenerationMessage;
+import yewdock.core.GenerationState;
+import yewdock.core.ModelServer;
+import yewdock.core.OperatorOverride;
 import yewdock.wire.Box;
 import yewdock.wire.Boxes;
 import yewdock.wire.Keep;
@@ -25,14 +25,14 @@
 import yewdock.wire.State;
 
 /** Converts the state and messages that generations exchange to protobuf and back. No I/O. */
-public final class States {
+public final class StateCodec {
     /** Version of the state format that is written, and the oldest that can be read. */
     static final int VERSION = 1;
     static final int OLDEST_READABLE_VERSION = 1;
     /** Lowest format version that a reader must support to read what is written now. */
     static final int MIN_READER_VERSION = 1;
 
-    private States() {
+    private StateCodec() {
     }
 
     /**
@@ -40,23 +40,26 @@
      * toldAt the time at which each server's state was reported, by server id in microseconds on the reader's
      * clock; shift the offset in microseconds from the writer's clock to the reader's.
      */
-    public record Left(EndpointList boxes, String listAddress, Map<Long, Long> toldAt,
-            umberspread.Memory memory,
-            long shift, Map<String, Long> counters, boolean afterRestart) {
+    public record InheritedState(EndpointList endpointList, String listAddress, Map<Long,
+            Long> stateReportedAt,
+            umberspread.LearnedState memory,
+            long clockShiftMicros, Map<String, Long> counters, boolean afterRestart) {
     }
 
     /** Encodes the state of a generation at this time on its clock (microseconds) and the monotonic clock. */
-    public static State write(Holdings generation, umberspread.Memory memory, Map<String, Long> counters,
+    public static State write(GenerationState generation, umberspread.LearnedState memory, Map<String,
+            Long> counters,
             long clockMicros, long monoNanos) {
         return State.newBuilder().setVersion(VERSION).setLeastReader(MIN_READER_VERSION).setClock(clockMicros)
                 .setMonoNanos(monoNanos)
-                .setBoxes(encodeEndpointList(generation.boxes(), generation.listAddress(),
+                .setBoxes(encodeEndpointList(generation.endpointList(), generation.discoveryAddress(),
                         generation.toldAt()))
                 .setModule(learnedState(memory)).putAllCounters(counters).build();
     }
 
     /** Decodes a state at this time on the reader's clock in microseconds; null if the state is empty. */
-    public static Left read(State encoded, long clockMicros, long monoNanos) throws UnreadableStateException {
+    public static InheritedState read(State encoded, long clockMicros, long monoNanos)
+            throws UnreadableStateException {
         if (encoded.getVersion() == 0 && encoded.getLeastReader() == 0 && !encoded.hasModule()) {
             return null;
         }
@@ -82,7 +85,8 @@
                     toldAt.put(box.getId(), box.getToldAt() + shiftMicros);
                 }
             }
-            return new Left(decodeEndpointList(encoded.getBoxes()), encoded.getBoxes().getAddress(), toldAt,
+            return new InheritedState(decodeEndpointList(encoded.getBoxes()), encoded.getBoxes().getAddress(),
+                    toldAt,
                     encoded.hasModule() ? learnedState(encoded.getModule()) : null, shiftMicros,
                     Map.copyOf(encoded.getCountersMap()), encoded.getAfterRestart());
         } catch (IllegalArgumentException e) {
@@ -91,13 +95,15 @@
     }
 
     /** Decodes operator overrides. */
-    static Map<String, BoxMark> overrides(Marks encoded) {
-        Map<String, BoxMark> overrides = new HashMap<>();
+    static Map<String, OperatorOverride> overrides(Marks encoded) {
+        Map<String, OperatorOverride> overrides = new HashMap<>();
         encoded.getByBoxMap().forEach((server, override) -> {
             switch (override.getKind()) {
-                case DRAIN -> overrides.put(server, BoxMark.DRAINS);
-                case GONE -> overrides.put(server, new BoxMark(BoxMark.Kind.GONE, override.getStartedAt()));
-                case BACK -> overrides.put(server, new BoxMark(BoxMark.Kind.BACK, override.getStartedAt()));
+                case DRAIN -> overrides.put(server, OperatorOverride.DRAINS);
+                case GONE -> overrides.put(server, new OperatorOverride(OperatorOverride.Kind.GONE,
+                        override.getStartedAt()));
+                case BACK -> overrides.put(server, new OperatorOverride(OperatorOverride.Kind.BACK,
+                        override.getStartedAt()));
                 default -> { }
             }
         });
@@ -105,14 +111,14 @@
     }
 
     /** Encodes operator overrides; with changes set, the overrides of servers not named stay as they are. */
-    static Marks overrides(Map<String, BoxMark> overrides, boolean changes) {
+    static Marks overrides(Map<String, OperatorOverride> overrides, boolean changes) {
         Marks.Builder encoded = Marks.newBuilder().setChanges(changes);
         overrides.forEach((server, override) -> encoded.putByBox(server,
-                Mark.newBuilder().setKind(kind(override)).setStartedAt(override.at()).build()));
+                Mark.newBuilder().setKind(kind(override)).setStartedAt(override.atEpochMicros()).build()));
         return encoded.build();
     }
 
-    private static Mark.Kind kind(BoxMark override) {
+    private static Mark.Kind kind(OperatorOverride override) {
         return switch (override.kind()) {
             case DRAINS -> Mark.Kind.DRAIN;
             case GONE -> Mark.Kind.GONE;
@@ -121,61 +127,64 @@
     }
 
     /** Encodes the module's learned state for the supervisor to store. */
-    static Keep encodeLearnedState(umberspread.Memory memory, long clockMicros) {
+    static Keep encodeLearnedState(umberspread.LearnedState memory, long clockMicros) {
         return Keep.newBuilder().setClock(clockMicros).setModule(learnedState(memory)).build();
     }
 
     /** Encodes what a generation holds: open request ids, attempts in flight and the endpoint list. */
-    static Sharing encodeGenerationState(Holdings generation) {
-        Sharing.Builder encoded = Sharing.newBuilder().addAllIds(generation.ids())
-                .setBoxes(encodeEndpointList(generation.boxes(), generation.listAddress(),
+    static Sharing encodeGenerationState(GenerationState generation) {
+        Sharing.Builder encoded = Sharing.newBuilder().addAllIds(generation.requestIds())
+                .setBoxes(encodeEndpointList(generation.endpointList(), generation.discoveryAddress(),
                         generation.toldAt()));
-        generation.out().forEach(o -> encoded.addOuts(Out.newBuilder().setToken(o.token()).setBox(o.box())));
+        generation.attemptsInFlight().forEach(o ->
+                encoded.addOuts(Out.newBuilder().setToken(o.token()).setBox(o.server())));
         return encoded.build();
     }
 
     /** Decodes what another generation holds; without the report times of server states. */
-    static Holdings decodeGenerationState(Sharing encoded) {
-        List<OtherNews.Sent> attempts = new ArrayList<>();
-        encoded.getOutsList().forEach(o -> attempts.add(new OtherNews.Sent(o.getToken(), o.getBox())));
-        return new Holdings(encoded.getIdsList(), attempts, decodeEndpointList(encoded.getBoxes()),
+    static GenerationState decodeGenerationState(Sharing encoded) {
+        List<GenerationMessage.AttemptSent> attempts = new ArrayList<>();
+        encoded.getOutsList().forEach(o ->
+                attempts.add(new GenerationMessage.AttemptSent(o.getToken(), o.getBox())));
+        return new GenerationState(encoded.getIdsList(), attempts, decodeEndpointList(encoded.getBoxes()),
                 encoded.getBoxes().getAddress(), Map.of());
     }
 
     /** Encodes a message to other generations. */
-    static News message(OtherNews n) {
+    static News message(GenerationMessage n) {
         News.Builder news = News.newBuilder();
-        if (n instanceof OtherNews.Claim c) {
-            news.setClaim(c.id()).setNumber(c.number());
-        } else if (n instanceof OtherNews.Claimed c) {
-            news.setOf(c.to()).setNumber(c.number());
+        if (n instanceof GenerationMessage.Claim c) {
+            news.setClaim(c.id()).setNumber(c.claimNumber());
+        } else if (n instanceof GenerationMessage.ClaimAnswer c) {
+            news.setOf(c.generation()).setNumber(c.claimNumber());
             if (c.granted()) {
                 news.setGranted(c.id());
             } else {
                 news.setDenied(c.id());
             }
-        } else if (n instanceof OtherNews.Released r) {
+        } else if (n instanceof GenerationMessage.RequestReleased r) {
             news.setReleased(r.id());
-        } else if (n instanceof OtherNews.Sent s) {
-            news.setSent(Out.newBuilder().setToken(s.token()).setBox(s.box()));
-        } else if (n instanceof OtherNews.Ended e) {
+        } else if (n instanceof GenerationMessage.AttemptSent s) {
+            news.setSent(Out.newBuilder().setToken(s.token()).setBox(s.server()));
+        } else if (n instanceof GenerationMessage.AttemptEnded e) {
             news.setEnded(e.token());
-        } else if (n instanceof OtherNews.Told t) {
-            news.setBoxes(encodeEndpointList(t.list(), t.address(), Map.of()));
+        } else if (n instanceof GenerationMessage.EndpointListRelayed t) {
+            news.setBoxes(encodeEndpointList(t.list(), t.discoveryAddress(), Map.of()));
         }
         return news.build();
     }
 
     /** Decodes a message from another generation; null if this version does not know its kind. */
-    static OtherNews message(News n) {
+    static GenerationMessage message(News n) {
         return switch (n.getWhatCase()) {
-            case CLAIM -> new OtherNews.Claim(n.getClaim(), n.getNumber());
-            case GRANTED -> new OtherNews.Claimed(n.getOf(), n.getGranted(), n.getNumber(), true);
-            case DENIED -> new OtherNews.Claimed(n.getOf(), n.getDenied(), n.getNumber(), false);
-            case RELEASED -> new OtherNews.Released(n.getReleased());
-            case SENT -> new OtherNews.Sent(n.getSent().getToken(), n.getSent().getBox());
-            case ENDED -> new OtherNews.Ended(n.getEnded());
-            case BOXES -> new OtherNews.Told(decodeEndpointList(n.getBoxes()), n.getBoxes().getAddress());
+            case CLAIM -> new GenerationMessage.Claim(n.getClaim(), n.getNumber());
+            case GRANTED -> new GenerationMessage.ClaimAnswer(n.getOf(), n.getGranted(), n.getNumber(), true);
+            case DENIED -> new GenerationMessage.ClaimAnswer(n.getOf(), n.getDenied(), n.getNumber(), false);
+            case RELEASED -> new GenerationMessage.RequestReleased(n.getReleased());
+            case SENT -> new GenerationMessage.AttemptSent(n.getSent().getToken(), n.getSent().getBox());
+            case ENDED -> new GenerationMessage.AttemptEnded(n.getEnded());
+            case BOXES -> new GenerationMessage.EndpointListRelayed(decodeEndpointList(n.getBoxes()),
+                    n.getBoxes().getAddress());
             default -> null;
         };
     }
@@ -183,8 +192,8 @@
     private static Boxes encodeEndpointList(EndpointList list, String address, Map<Long, Long> toldAt) {
         Boxes.Builder encoded = Boxes.newBuilder().setVersion(list.version()).setFull(list.full())
                 .setAddress(address == null ? "" : address);
-        for (ModelServer server : list.boxes()) {
-            Replica state = server.replica();
+        for (ModelServer server : list.servers()) {
+            ServerState state = server.replica();
             encoded.addBoxes(Box.newBuilder().setName(server.name()).setAddress(server.address())
                     .setId(state.id()).setSite(state.zone()).setKind(state.kind()).setCell(state.cell())
                     .setWeight(state.weight()).setLifecycle(state.lifecycle().ordinal())
@@ -199,48 +208,48 @@
             if (server.getLifecycle() < 0 || server.getLifecycle() >= Lifecycle.values().length) {
                 throw new IllegalArgumentException("server " + server.getName() + " is in an unknown state");
             }
-            servers.add(new ModelServer(server.getName(), server.getAddress(), new Replica(server.getId(),
+            servers.add(new ModelServer(server.getName(), server.getAddress(), new ServerState(server.getId(),
                     server.getSite(), server.getKind(), server.getCell(), server.getWeight(),
                     Lifecycle.values()[server.getLifecycle()], server.getStartedAt())));
         }
         return new EndpointList(encoded.getVersion(), encoded.getFull(), servers);
     }
 
-    private static Memory learnedState(umberspread.Memory m) {
-        Memory.Builder encoded = Memory.newBuilder().setUnitWeight(m.unitWeight())
-                .setAverageWorth(m.averageWorth()).setSendTally(m.firstTokenTally()).setReadRate(m.readRate())
-                .setUnnamed(m.unnamed()).setPlannedAt(m.plannedAt()).addAllClassTime(m.classTime())
-                .putAllKindTime(m.kindTime()).addAllMunicipalityTally(m.tenantTally())
-                .addAllTaken(m.taken()).addAllFurther(m.further()).addAllPoolArrivals(m.poolArrivals());
-        for (umberspread.Memory.OfReplica server : m.replicas()) {
+    private static Memory learnedState(umberspread.LearnedState m) {
+        Memory.Builder encoded = Memory.newBuilder().setUnitWeight(m.referenceWeight())
+                .setAverageWorth(m.averageWorth()).setSendTally(m.recentFirstTokens()).setReadRate(m.prefillRate())
+                .setUnnamed(m.unkeyedRequests()).setPlannedAt(m.plannedAt()).addAllClassTime(m.classLatency())
+                .putAllKindTime(m.kindLatencyRatio()).addAllMunicipalityTally(m.tenantRequests())
+                .addAllTaken(m.recentArrivals()).addAllFurther(m.recentExtraAttempts()).addAllPoolArrivals(m.poolArrivals());
+        for (umberspread.LearnedState.LearnedServer server : m.servers()) {
             encoded.addNodes(NodeMemory.newBuilder().setId(server.id()).setPoints(server.points())
-                    .addAllRestUntil(server.restUntil()).addAllStrikes(server.strikes())
+                    .addAllRestUntil(server.classBackoffUntil()).addAllStrikes(server.classFailures())
                     .setEjectedUntil(server.ejectedUntil()).setEjections(server.ejections())
-                    .setBreaks(server.breaks()).setSlowUntil(server.slowUntil())
-                    .setLastDelay(server.lastDelay())
-                    .setColdBudgetAt(server.coldBudgetAt()).setBudgetedStart(server.budgetedStart()));
+                    .setBreaks(server.consecutiveResets()).setSlowUntil(server.slowUntil())
+                    .setLastDelay(server.lastFirstTokenDelay())
+                    .setColdBudgetAt(server.nextColdSendAt()).setBudgetedStart(server.coldBudgetStart()));
         }
-        for (umberspread.Memory.OfKey key : m.keys()) {
-            encoded.addKeys(KeyMemory.newBuilder().setKey(key.key()).setTally(key.tally())
-                    .setSpread(key.spread()).setPool(key.pool()));
+        for (umberspread.LearnedState.LearnedKey key : m.keys()) {
+            encoded.addKeys(KeyMemory.newBuilder().setKey(key.key()).setTally(key.recentRequests())
+                    .setSpread(key.spread()).setPool(key.poolIndex()));
         }
         return encoded.build();
     }
 
-    private static umberspread.Memory learnedState(Memory m) {
-        List<umberspread.Memory.OfReplica> replicas = new ArrayList<>();
+    private static umberspread.LearnedState learnedState(Memory m) {
+        List<umberspread.LearnedState.LearnedServer> replicas = new ArrayList<>();
         for (NodeMemory server : m.getNodesList()) {
-            replicas.add(new umberspread.Memory.OfReplica(server.getId(), server.getPoints(),
+            replicas.add(new umberspread.LearnedState.LearnedServer(server.getId(), server.getPoints(),
                     server.getRestUntilList(), server.getStrikesList(), server.getEjectedUntil(),
                     server.getEjections(), server.getBreaks(), server.getSlowUntil(), server.getLastDelay(),
                     server.getColdBudgetAt(), server.getBudgetedStart()));
         }
-        List<umberspread.Memory.OfKey> keys = new ArrayList<>();
+        List<umberspread.LearnedState.LearnedKey> keys = new ArrayList<>();
         for (KeyMemory key : m.getKeysList()) {
-            keys.add(new umberspread.Memory.OfKey(key.getKey(), key.getTally(), key.getSpread(),
+            keys.add(new umberspread.LearnedState.LearnedKey(key.getKey(), key.getTally(), key.getSpread(),
                     key.getPool()));
         }
-        return new umberspread.Memory(m.getUnitWeight(), m.getAverageWorth(), m.getSendTally(),
+        return new umberspread.LearnedState(m.getUnitWeight(), m.getAverageWorth(), m.getSendTally(),
                 m.getReadRate(), m.getUnnamed(),
                 m.getPlannedAt(), m.getClassTimeList(), m.getKindTimeMap(), m.getMunicipalityTallyList(),
                 m.getTakenList(), m.getFurtherList(), replicas, keys, m.getPoolArrivalsList());
--- a/src/main/java/yewdock/daemon/Archive.java
+++ b/src/main/java/yewdock/daemon/StateService.java
@@ -14,18 +14,18 @@
 import java.util.TreeSet;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import yewdock.log.Say;
-import yewdock.replica.Replica;
-import yewdock.replica.ReplicaEffect;
-import yewdock.replica.ReplicaEvent;
+import yewdock.logging.EventLog;
+import yewdock.replication.ReplicationEffect;
+import yewdock.replication.ReplicationEvent;
+import yewdock.replication.Replicator;
 import yewdock.settings.OperatorSettings;
-import yewdock.sockets.Clock;
-import yewdock.state.Keeping;
-import yewdock.state.Keys;
-import yewdock.state.Records;
+import yewdock.sockets.MonotonicClock;
+import yewdock.state.RecordKeys;
+import yewdock.state.ReplicatedRecords;
+import yewdock.state.StateRecorder;
 import yewdock.store.Committer;
-import yewdock.store.Shelf;
-import yewdock.store.Store;
+import yewdock.store.KeyValueStore;
+import yewdock.store.RecordFile;
 import yewdock.store.StoreException;
 import yewdock.wire.Answer;
 import yewdock.wire.Boxes;
@@ -42,62 +42,63 @@
  * other instances. It lives in the supervisor, which upgrades don't replace, so there is a single writer
  * whichever generation serves. All methods run under one lock and never wait for a disk or a peer under it.
  */
-final class Archive implements Closeable, Peers.Hearer {
+final class StateService implements Closeable, PeerConnections.PeerHandler {
     private static final String JOINED_KEY = "joined";
     private static final String HORIZON_KEY = "horizon";
     private static final long TICK_MILLIS = 100;
     private static final long DURABLE_TIMEOUT_MILLIS = 5_000;
     private static final double MICROS_PER_SECOND = 1e6;
 
-    private final OperatorSettings.Store settings;
-    private final Clock clock = new Clock();
-    private final Records records;
-    private final Keeping keeping;
-    private final Replica replica;
+    private final OperatorSettings.StoreSettings settings;
+    private final MonotonicClock clock = new MonotonicClock();
+    private final ReplicatedRecords records;
+    private final StateRecorder keeping;
+    private final Replicator replica;
     private final Committer committer;
     private final Consumer<Frame> broadcast;
     private Set<String> drainedByConsensus = Set.of();
     private final Map<String, Long> storedMetadata = new HashMap<>();
-    private Peers peers;
+    private PeerConnections peers;
     /** Null if consensus is not configured. */
-    private Agreement consensus;
+    private ConsensusService consensus;
 
     /**
      * Opens the store, which no other process may have open, and starts replication. Broadcast takes frames
      * for all generations.
      */
-    Archive(OperatorSettings all, Consumer<Frame> broadcast) throws IOException {
+    StateService(OperatorSettings all, Consumer<Frame> broadcast) throws IOException {
         this.settings = all.store();
         this.broadcast = broadcast;
-        String instance = all.copies().instance();
-        records = new Records(instance, settings.mostRecords());
-        Shelf.Opening opening = () -> open(settings.folder());
-        Committer.Pace pace = new Committer.Pace(settings.gather() / 1000, settings.retry() / 1000);
+        String instance = all.replication().instance();
+        records = new ReplicatedRecords(instance, settings.maxRecords());
+        KeyValueStore.StoreOpener opening = () -> open(settings.folder());
+        Committer.CommitTiming pace = new Committer.CommitTiming(settings.batchMicros() / 1000,
+                settings.reopenMicros() / 1000);
         Committer made;
         try {
             long began = System.nanoTime();
-            Shelf shelf = opening.open();
+            KeyValueStore shelf = opening.open();
             load(shelf);
-            Say.info("store.opened", "folder", settings.folder(), "records", records.size(), "ms",
+            EventLog.info("store.opened", "folder", settings.folder(), "records", records.size(), "ms",
                     (System.nanoTime() - began) / 1_000_000);
             made = new Committer(shelf, opening, pace, this::health);
         } catch (StoreException e) {
             if (e.kind() == StoreException.Kind.LOCKED) {
                 throw new IOException(e.getMessage(), e);
             }
-            Say.warn("store.unusable", "kind", e.kind(), "why", e.getMessage(), "now",
+            EventLog.warn("store.unusable", "kind", e.kind(), "why", e.getMessage(), "now",
                     "continuing from memory");
             made = new Committer(e, opening, pace, this::health);
         }
         committer = made;
-        keeping = new Keeping(records, settings.doubt());
-        replica = new Replica(all.copies().cluster(), all.copies().peers().keySet(), records,
-                storedMetadata.getOrDefault(JOINED_KEY, 0L), all.copies().mostRemovals());
-        if (!all.copies().peers().isEmpty()) {
-            if (all.agreement().on()) {
-                consensus = new Agreement(all, this::setDrainedByConsensus);
+        keeping = new StateRecorder(records, settings.unconfirmedDrainMicros());
+        replica = new Replicator(all.replication().cluster(), all.replication().peers().keySet(), records,
+                storedMetadata.getOrDefault(JOINED_KEY, 0L), all.replication().maxTombstones());
+        if (!all.replication().peers().isEmpty()) {
+            if (all.consensus().enabled()) {
+                consensus = new ConsensusService(all, this::setDrainedByConsensus);
             }
-            peers = new Peers(all.copies(), this);
+            peers = new PeerConnections(all.replication(), this);
             if (consensus != null) {
                 consensus.start(peers);
             }
@@ -108,12 +109,13 @@
     }
 
     /** Opens the store; a damaged one is moved aside whole, and its records return from memory or peers. */
-    private static Shelf open(Path folder) throws StoreException {
+    private static KeyValueStore open(Path folder) throws StoreException {
         try {
-            Store store = Store.open(folder);
-            if (store.missing() > 0) {
-                Say.warn("store.rolled_back", "missing", store.missing(), "now", "state of commit "
-                        + store.number());
+            RecordFile store = RecordFile.open(folder);
+            if (store.missingCommits() > 0) {
+                EventLog.warn("store.rolled_back", "missing", store.missingCommits(), "now",
+                        "state of commit "
+                        + store.lastCommitNumber());
             }
             return store;
         } catch (StoreException e) {
@@ -121,39 +123,40 @@
                 throw e;
             }
             try {
-                Say.warn("store.damaged", "why", e.getMessage(), "kept_as", Store.setAside(folder));
+                EventLog.warn("store.damaged", "why", e.getMessage(), "kept_as",
+                        RecordFile.moveAside(folder));
             } catch (IOException moved) {
                 throw e;
             }
-            return Store.open(folder);
+            return RecordFile.open(folder);
         }
     }
 
-    private void load(Shelf shelf) {
+    private void load(KeyValueStore shelf) {
         Map<String, byte[]> all = shelf.all();
         all.forEach((key, bytes) -> {
-            if (!key.startsWith(Keys.STORED)) {
+            if (!key.startsWith(RecordKeys.STORE_PREFIX)) {
                 storedMetadata.put(key, ByteBuffer.wrap(bytes).getLong());
             }
         });
         // set before the records are merged: tombstones up to the horizon are no longer needed
-        records.forget(storedMetadata.getOrDefault(HORIZON_KEY, 0L));
+        records.purgeTombstones(storedMetadata.getOrDefault(HORIZON_KEY, 0L));
         all.forEach((key, bytes) -> {
-            if (key.startsWith(Keys.STORED)) {
+            if (key.startsWith(RecordKeys.STORE_PREFIX)) {
                 try {
-                    records.merge(Records.read(bytes));
+                    records.merge(ReplicatedRecords.parse(bytes));
                 } catch (InvalidProtocolBufferException e) {
-                    Say.warn("record.unreadable", "key", key, "why", e.getMessage());
+                    EventLog.warn("record.unreadable", "key", key, "why", e.getMessage());
                 }
             }
         });
     }
 
-    private void health(Committer.Health health) {
+    private void health(Committer.StoreHealth health) {
         if (health.open()) {
-            Say.info("store.recovered", "commits", health.commits());
+            EventLog.info("store.recovered", "commits", health.commits());
         } else {
-            Say.warn("store.failed", "kind", health.kind(), "why", health.why(), "now",
+            EventLog.warn("store.failed", "kind", health.kind(), "why", health.why(), "now",
                     "continuing from memory");
         }
     }
@@ -170,23 +173,24 @@
             endpointListReported(frame.getNews().getBoxes());
         } else if (frame.hasKeep()) {
             Keep keep = frame.getKeep();
-            storeAndReplicate(keeping.learnt(keep.getModule(), wallMicros() - keep.getClock(), wallMicros()));
+            storeAndReplicate(keeping.recordModuleMemory(keep.getModule(), wallMicros() - keep.getClock(),
+                    wallMicros()));
         }
     }
 
     private void endpointListReported(Boxes reported) {
-        Kept stored = records.get(Keys.list(records.instance()));
+        Kept stored = records.get(RecordKeys.endpointList(records.instance()));
         boolean older = stored != null && stored.getList().getAddress().equals(reported.getAddress())
                 && reported.getVersion() < stored.getList().getVersion();
         if (older && !reported.getFull()) {
             // from a finishing generation, which receives the list later than the serving one
             return;
         }
-        storeAndReplicate(keeping.told(reported, 0, wallMicros()));
+        storeAndReplicate(keeping.recordEndpointList(reported, 0, wallMicros()));
         if (consensus != null) {
             consensus.applyingListVersion(reported.getAddress(), reported.getVersion());
         }
-        List<Kept> expired = keeping.dropOutlived(wallMicros());
+        List<Kept> expired = keeping.dropOutdatedOverrides(wallMicros());
         if (!expired.isEmpty()) {
             storeAndReplicate(expired);
             sendOverrides();
@@ -195,7 +199,7 @@
 
     /** Records the configuration text that is in force. */
     synchronized void configurationApplied(String text) {
-        Kept kept = keeping.applied(text, wallMicros());
+        Kept kept = keeping.recordSettings(text, wallMicros());
         if (kept != null) {
             storeAndReplicate(List.of(kept));
         }
@@ -207,17 +211,17 @@
         }
         List<String> keys = changed.stream().map(Kept::getKey).toList();
         long ticket = store(keys);
-        reduce(new ReplicaEvent.Changed(keys));
+        reduce(new ReplicationEvent.RecordsChanged(keys));
         return ticket;
     }
 
     private long store(List<String> keys) {
         Map<String, byte[]> changes = new HashMap<>();
         for (String key : keys) {
-            Kept kept = records.raw(key);
-            changes.put(Keys.STORED + key, kept == null ? null : Records.bytes(kept));
+            Kept kept = records.getWithTombstones(key);
+            changes.put(RecordKeys.STORE_PREFIX + key, kept == null ? null : ReplicatedRecords.bytes(kept));
         }
-        putMetadata(JOINED_KEY, replica.joined(), changes);
+        putMetadata(JOINED_KEY, replica.lastSyncedStamp(), changes);
         putMetadata(HORIZON_KEY, records.horizon(), changes);
         return committer.put(changes);
     }
@@ -233,7 +237,7 @@
 
     /** The state for a generation that has no predecessor to take it from; null if nothing is stored. */
     synchronized State initialState() {
-        State state = keeping.state(States.VERSION, States.MIN_READER_VERSION, wallMicros(),
+        State state = keeping.restartState(StateCodec.VERSION, StateCodec.MIN_READER_VERSION, wallMicros(),
                 System.nanoTime());
         return state == null ? null : state.toBuilder().setAfterRestart(true).build();
     }
@@ -245,7 +249,7 @@
 
     /** The local operator overrides, with those decided by consensus taking precedence. */
     private Frame overridesFrame() {
-        Map<String, Mark> all = new HashMap<>(keeping.marks());
+        Map<String, Mark> all = new HashMap<>(keeping.overrides());
         drainedByConsensus.forEach(server -> all.put(server,
                 Mark.newBuilder().setKind(Mark.Kind.DRAIN).setBy("agreement").build()));
         return Frame.newBuilder().setMarks(Marks.newBuilder().putAllByBox(all)).build();
@@ -258,7 +262,7 @@
     }
 
     /** Passes a frame from a generation to consensus, if that is configured. */
-    void consensus(int generation, Link link, Frame frame) {
+    void consensus(int generation, ControlConnection link, Frame frame) {
         if (consensus != null) {
             consensus.handleFrame(generation, link, frame);
         }
@@ -292,7 +296,7 @@
             return false;
         }
         boolean localOnly = consensus != null && arguments.size() == 2
-                && arguments.get(1).equals(Agreement.LOCAL_ONLY);
+                && arguments.get(1).equals(ConsensusService.LOCAL_ONLY);
         if (arguments.size() != 1 && !localOnly) {
             answer.accept(lastAnswerLine("exactly one server must be named" + (consensus == null
                     ? ", and nothing else: consensus is not configured here" : ""), 1));
@@ -303,11 +307,11 @@
     }
 
     private synchronized boolean isKnown(String server) {
-        return !keeping.known(server).isEmpty();
+        return !keeping.knownServers(server).isEmpty();
     }
 
     private synchronized void setOverride(String server, Mark.Kind kind, Consumer<Answer> answer) {
-        Mark previous = keeping.marks().get(server);
+        Mark previous = keeping.overrides().get(server);
         if (kind == Mark.Kind.NONE && previous == null) {
             answer.accept(lastAnswerLine(server + " has no mark", 1));
             return;
@@ -316,7 +320,7 @@
             answer.accept(lastAnswerLine("no server named " + server + " is known", 1));
             return;
         }
-        long ticket = storeAndReplicate(List.of(keeping.mark(server, kind, records.instance(),
+        long ticket = storeAndReplicate(List.of(keeping.recordOverride(server, kind, records.instance(),
                 wallMicros())));
         sendOverrides();
         String result = switch (kind) {
@@ -324,7 +328,7 @@
             case GONE -> "is marked gone";
             default -> "has no mark any more";
         };
-        Say.info("box.marked", "box", server, "mark", kind);
+        EventLog.info("box.marked", "box", server, "mark", kind);
         committer.durable(ticket).orTimeout(DURABLE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
                 .whenComplete((done, failed) -> answer.accept(failed == null
                         ? lastAnswerLine(server + " " + result, 0)
@@ -339,25 +343,26 @@
     /** Status lines for an operator: stored records, their age and origin, and the state of replication. */
     synchronized List<String> status() {
         List<String> lines = new ArrayList<>(consensus == null ? List.of() : consensus.status());
-        Committer.Health health = committer.health();
+        Committer.StoreHealth health = committer.health();
         lines.add("store: " + (health.open() ? "open" : "failed (" + health.kind() + "): " + health.why())
                 + "; records " + (records.size() - records.tombstones()) + ", removed "
                 + records.tombstones() + ", bytes " + records.bytes() + "; commits " + health.commits()
                 + ", failures " + health.failures() + ", waiting " + health.waiting());
-        Kept list = records.get(Keys.list(records.instance()));
+        Kept list = records.get(RecordKeys.endpointList(records.instance()));
         if (list != null) {
             lines.add("list: version " + list.getList().getVersion() + " of " + list.getList().getAddress()
                     + ", told " + formatAge(list.getWall()));
         }
-        keeping.marks().forEach((server, mark) -> {
-            Kept kept = records.raw(Keys.mark(server));
+        keeping.overrides().forEach((server, mark) -> {
+            Kept kept = records.getWithTombstones(RecordKeys.override(server));
             lines.add("mark: " + server + " " + mark.getKind().name().toLowerCase(Locale.ROOT) + ", by "
                     + mark.getBy() + " " + formatAge(kept.getWall()));
         });
         for (String instance : instances()) {
-            lines.add("boxes told to " + instance + ": " + records.prefix(Keys.boxes(instance)).size());
+            lines.add("boxes told to " + instance + ": "
+                    + records.withPrefix(RecordKeys.serversPrefix(instance)).size());
         }
-        for (Replica.Standing s : replica.standings()) {
+        for (Replicator.PeerStatus s : replica.peerStatuses()) {
             lines.add("peer " + s.peer() + ": " + (s.up() ? "up" : "down (" + s.trouble() + ")")
                     + ", equal " + (s.equalAt() == 0 ? "never" : formatAge(s.equalAt())) + ", waiting "
                     + s.waiting() + ", sent " + s.sent() + ", got " + s.got());
@@ -367,7 +372,7 @@
 
     private TreeSet<String> instances() {
         TreeSet<String> found = new TreeSet<>();
-        records.prefix(Keys.allBoxes()).forEach(k -> found.add(k.getKey().split("/")[1]));
+        records.withPrefix(RecordKeys.allServersPrefix()).forEach(k -> found.add(k.getKey().split("/")[1]));
         return found;
     }
 
@@ -380,7 +385,7 @@
 
     @Override
     public synchronized void connected(String peer) {
-        reduce(new ReplicaEvent.Up(peer));
+        reduce(new ReplicationEvent.PeerConnected(peer));
     }
 
     @Override
@@ -393,12 +398,12 @@
     }
 
     private synchronized void replicate(String peer, PeerFrame frame) {
-        reduce(new ReplicaEvent.Heard(peer, frame));
+        reduce(new ReplicationEvent.PeerFrameReceived(peer, frame));
     }
 
     @Override
     public synchronized void disconnected(String peer, String why) {
-        reduce(new ReplicaEvent.Down(peer, why));
+        reduce(new ReplicationEvent.PeerDisconnected(peer, why));
     }
 
     private void runTimer() {
@@ -406,8 +411,8 @@
             while (true) {
                 TimeUnit.MILLISECONDS.sleep(TICK_MILLIS);
                 synchronized (this) {
-                    if (wallMicros() >= replica.nextDue()) {
-                        reduce(new ReplicaEvent.Tick());
+                    if (wallMicros() >= replica.nextTickDue()) {
+                        reduce(new ReplicationEvent.Tick());
                         store(List.of());
                     }
                 }
@@ -417,19 +422,19 @@
         }
     }
 
-    private void reduce(ReplicaEvent event) {
-        for (ReplicaEffect effect : replica.reduce(event, wallMicros())) {
-            if (effect instanceof ReplicaEffect.Send e) {
+    private void reduce(ReplicationEvent event) {
+        for (ReplicationEffect effect : replica.reduce(event, wallMicros())) {
+            if (effect instanceof ReplicationEffect.SendToPeer e) {
                 peers.send(e.peer(), e.frame());
-            } else if (effect instanceof ReplicaEffect.Close e) {
+            } else if (effect instanceof ReplicationEffect.ClosePeer e) {
                 peers.close(e.peer());
-            } else if (effect instanceof ReplicaEffect.Store e) {
+            } else if (effect instanceof ReplicationEffect.StoreRecords e) {
                 store(e.keys());
-                if (e.keys().stream().anyMatch(k -> k.startsWith(Keys.marks()))) {
+                if (e.keys().stream().anyMatch(k -> k.startsWith(RecordKeys.overridesPrefix()))) {
                     sendOverrides();
                 }
-            } else if (effect instanceof ReplicaEffect.Note e) {
-                Say.info(e.event(), e.fields());
+            } else if (effect instanceof ReplicationEffect.LogEvent e) {
+                EventLog.info(e.event(), e.fields());
             }
         }
     }
--- a/src/main/java/yewdock/daemon/Keeper.java
+++ b/src/main/java/yewdock/daemon/Supervisor.java
@@ -22,16 +22,16 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import yewdock.log.Say;
+import yewdock.logging.EventLog;
 import yewdock.platform.Addresses;
 import yewdock.platform.Config;
 import yewdock.settings.OperatorSettings;
-import yewdock.sockets.Clock;
-import yewdock.upgrade.KeeperEffect;
-import yewdock.upgrade.KeeperEvent;
-import yewdock.upgrade.Limits;
+import yewdock.sockets.MonotonicClock;
 import yewdock.upgrade.Stage;
-import yewdock.upgrade.Upgrade;
+import yewdock.upgrade.SupervisorEffect;
+import yewdock.upgrade.SupervisorEvent;
+import yewdock.upgrade.SupervisorReducer;
+import yewdock.upgrade.UpgradeLimits;
 import yewdock.wire.Answer;
 import yewdock.wire.Frame;
 import yewdock.wire.Hello;
@@ -39,9 +39,9 @@
 
 /**
  * The daemon's parent process. It holds the listener, starts generations that inherit it as standard input,
- * and executes the effects of {@link Upgrade}. It never accepts or reads a client connection.
+ * and executes the effects of {@link SupervisorReducer}. It never accepts or reads a client connection.
  */
-public final class Keeper {
+public final class Supervisor {
     static final String GENERATION_VARIABLE = "YEWDOCK_GENERATION";
     static final String CONTROL_VARIABLE = "YEWDOCK_CONTROL";
     static final String SECRET_VARIABLE = "YEWDOCK_SECRET";
@@ -53,21 +53,21 @@
     private static final Set<String> OVERRIDE_COMMANDS = Set.of("drain", "undrain", "mark-gone");
 
     private final OperatorSettings settings;
-    private final List<String> usual;
-    private final Upgrade reducer;
-    private final Clock clock = new Clock();
-    private final BlockingQueue<KeeperEvent> events = new LinkedBlockingQueue<>();
-    private final Map<Integer, Link> generationConnections = new ConcurrentHashMap<>();
+    private final List<String> defaultMainCommand;
+    private final SupervisorReducer reducer;
+    private final MonotonicClock clock = new MonotonicClock();
+    private final BlockingQueue<SupervisorEvent> events = new LinkedBlockingQueue<>();
+    private final Map<Integer, ControlConnection> generationConnections = new ConcurrentHashMap<>();
     private final Map<Integer, String> secrets = new ConcurrentHashMap<>();
     private final Map<Integer, Process> processes = new HashMap<>();
-    private final Map<Long, Link> operatorConnections = new ConcurrentHashMap<>();
+    private final Map<Long, ControlConnection> operatorConnections = new ConcurrentHashMap<>();
     private final AtomicLong lastCommandId = new AtomicLong();
     private final SecureRandom random = new SecureRandom();
     private final CountDownLatch ended = new CountDownLatch(1);
     private ServerSocketChannel listener;
     private ServerSocketChannel controlListener;
     /** Null if no store is configured. */
-    private Archive stateService;
+    private StateService stateService;
     private int exitCode = -1;
 
     /**
@@ -75,45 +75,46 @@
      *
      * @param usual main class and arguments of a generation, unless an upgrade names others
      */
-    public Keeper(OperatorSettings settings, List<String> usual) {
+    public Supervisor(OperatorSettings settings, List<String> usual) {
         this.settings = settings;
-        this.usual = List.copyOf(usual);
-        OperatorSettings.Upgrade upgradeSettings = settings.upgrade();
-        Limits limits = new Limits(Map.of(Stage.START, upgradeSettings.start(),
-                Stage.CHECK, upgradeSettings.check(), Stage.STATE, upgradeSettings.state(),
-                Stage.READY, upgradeSettings.ready(), Stage.SHARE, upgradeSettings.share(),
-                Stage.TAKE, upgradeSettings.take(), Stage.GO, upgradeSettings.go(),
-                Stage.LET_GO, upgradeSettings.letGo()),
-                upgradeSettings.finish(), upgradeSettings.mostFinishing());
-        this.reducer = new Upgrade(limits);
+        this.defaultMainCommand = List.copyOf(usual);
+        OperatorSettings.UpgradeSettings upgradeSettings = settings.upgrade();
+        UpgradeLimits limits = new UpgradeLimits(Map.of(Stage.START, upgradeSettings.startMicros(),
+                Stage.CHECK, upgradeSettings.checkMicros(), Stage.STATE, upgradeSettings.stateMicros(),
+                Stage.READY, upgradeSettings.readyMicros(), Stage.SHARE, upgradeSettings.shareMicros(),
+                Stage.TAKE, upgradeSettings.takeMicros(), Stage.GO, upgradeSettings.goMicros(),
+                Stage.LET_GO, upgradeSettings.letGoMicros()),
+                upgradeSettings.finishMicros(), upgradeSettings.maxFinishing());
+        this.reducer = new SupervisorReducer(limits);
     }
 
     /** Listens, starts the first generation and runs until the last has ended; returns the exit code. */
     public int run() throws IOException {
-        Config config = Config.read(Files.readString(settings.daemon().config()), line -> { });
+        Config config = Config.read(Files.readString(settings.daemon().configFile()), line -> { });
         openControl();
-        if (settings.store().on()) {
-            stateService = new Archive(settings, frame ->
+        if (settings.store().enabled()) {
+            stateService = new StateService(settings, frame ->
                     generationConnections.values().forEach(connection -> connection.send(frame)));
-            stateService.configurationApplied(Files.readString(settings.daemon().config()));
+            stateService.configurationApplied(Files.readString(settings.daemon().configFile()));
         }
-        listener = Listener.asStandardInput(Addresses.of(config.listen()));
-        Say.info("keeper.listens", "address", listener.getLocalAddress(), "control",
-                Link.socketIn(settings.daemon().control()));
+        listener = InheritedListener.asStandardInput(Addresses.parse(config.listenAddress()));
+        EventLog.info("keeper.listens", "address", listener.getLocalAddress(), "control",
+                ControlConnection.socketIn(settings.daemon().controlFolder()));
         Thread accepting = new Thread(this::acceptControl, "control");
         accepting.setDaemon(true);
         accepting.start();
-        ConfigurationFile configurationFile = ConfigurationFile.at(settings.daemon().config());
+        ConfigurationFile configurationFile = ConfigurationFile.at(settings.daemon().configFile());
         configurationFile.setReader(() -> {
-            events.add(new KeeperEvent.HungUp());
-            return Serve.isReadable(settings.daemon().config());
+            events.add(new SupervisorEvent.ReloadRequested());
+            return StandaloneRouter.isReadable(settings.daemon().configFile());
         });
         if (!configurationFile.handlesSignal()) {
-            Say.warn("configuration.looked_at", "why", "SIGHUP was ignored when this process was started",
-                    "file", settings.daemon().config());
+            EventLog.warn("configuration.looked_at", "why",
+                    "SIGHUP was ignored when this process was started",
+                    "file", settings.daemon().configFile());
         }
         Thread leave = new Thread(() -> {
-            events.add(new KeeperEvent.Leave());
+            events.add(new SupervisorEvent.ShutdownRequested());
             try {
                 ended.await();
             } catch (InterruptedException e) {
@@ -121,40 +122,41 @@
             }
         }, "leave");
         Runtime.getRuntime().addShutdownHook(leave);
-        String program = settings.daemon().program();
-        events.add(new KeeperEvent.Begun(List.of(program.isEmpty() ? ownClassPath() : program)));
+        String program = settings.daemon().classPath();
+        events.add(new SupervisorEvent.ListenerOpened(List.of(program.isEmpty() ? ownClassPath() : program)));
         while (exitCode < 0) {
             runOnce();
         }
         controlListener.close();
-        Files.deleteIfExists(Link.socketIn(settings.daemon().control()));
+        Files.deleteIfExists(ControlConnection.socketIn(settings.daemon().controlFolder()));
         if (stateService != null) {
             stateService.close();
         }
-        Say.info("keeper.ends", "exit", exitCode);
+        EventLog.info("keeper.ends", "exit", exitCode);
         ended.countDown();
         return exitCode;
     }
 
     private void runOnce() {
         try {
-            long waitMicros = Math.max(0, Math.min(reducer.nextDue() - clock.getAsLong(), MAX_SLEEP_MICROS));
-            KeeperEvent event = events.poll(waitMicros, TimeUnit.MICROSECONDS);
-            if (event instanceof KeeperEvent.Ended exited) {
+            long waitMicros = Math.max(0, Math.min(reducer.nextTimerDue() - clock.getAsLong(),
+                    MAX_SLEEP_MICROS));
+            SupervisorEvent event = events.poll(waitMicros, TimeUnit.MICROSECONDS);
+            if (event instanceof SupervisorEvent.ProcessEnded exited) {
                 processes.remove(exited.generation());
                 secrets.remove(exited.generation());
             }
-            if (event instanceof KeeperEvent.HungUp) {
+            if (event instanceof SupervisorEvent.ReloadRequested) {
                 configurationReloaded();
             }
             if (event != null) {
                 reducer.reduce(event, clock.getAsLong()).forEach(this::execute);
             }
-            if (reducer.nextDue() <= clock.getAsLong()) {
-                reducer.reduce(new KeeperEvent.Tick(), clock.getAsLong()).forEach(this::execute);
+            if (reducer.nextTimerDue() <= clock.getAsLong()) {
+                reducer.reduce(new SupervisorEvent.Tick(), clock.getAsLong()).forEach(this::execute);
             }
         } catch (InterruptedException e) {
-            Say.warn("keeper.interrupted");
+            EventLog.warn("keeper.interrupted");
         }
     }
 
@@ -162,11 +164,11 @@
     private void configurationReloaded() {
         if (stateService != null) {
             try {
-                String text = Files.readString(settings.daemon().config());
+                String text = Files.readString(settings.daemon().configFile());
                 Config.read(text, line -> { });
                 stateService.configurationApplied(text);
             } catch (IOException | IllegalArgumentException e) {
-                Say.warn("configuration.not_kept", "why", e.getMessage());
+                EventLog.warn("configuration.not_kept", "why", e.getMessage());
             }
         }
     }
@@ -183,14 +185,14 @@
     // ---- the control socket
 
     private void openControl() throws IOException {
-        Path folder = settings.daemon().control();
+        Path folder = settings.daemon().controlFolder();
         Files.createDirectories(folder);
         Files.setPosixFilePermissions(folder, PosixFilePermissions.fromString("rwx------"));
-        Path socket = Link.socketIn(folder);
+        Path socket = ControlConnection.socketIn(folder);
         if (Files.exists(socket)) {
             // left over from a daemon that was killed, or in use by a running one
             try {
-                Link.to(folder).close();
+                ControlConnection.inFolder(folder).close();
                 throw new IOException("a daemon runs already, its control socket is " + socket);
             } catch (IOException e) {
                 if (e.getMessage().startsWith("a daemon runs")) {
@@ -210,7 +212,7 @@
                 new ControlClient(controlListener.accept()).start();
             } catch (IOException e) {
                 if (controlListener.isOpen()) {
-                    Say.warn("control.broken", "why", e.getMessage());
+                    EventLog.warn("control.broken", "why", e.getMessage());
                 }
             }
         }
@@ -220,12 +222,12 @@
      * A connection of the control socket; the first frame tells whether a generation or operator opened it.
      */
     private final class ControlClient {
-        private final Link connection;
+        private final ControlConnection connection;
         private int generation;
         private long commandId;
 
         ControlClient(SocketChannel channel) {
-            connection = new Link(channel);
+            connection = new ControlConnection(channel);
         }
 
         void start() {
@@ -239,7 +241,7 @@
                     stateService.consensus(generation, connection, frame);
                 }
                 if (!frame.hasKeep() && !frame.hasTakenUp()) {
-                    events.add(new KeeperEvent.Heard(generation, frame));
+                    events.add(new SupervisorEvent.FrameReceived(generation, frame));
                 }
             } else if (commandId != 0) {
                 connection.close();
@@ -266,8 +268,8 @@
                     stateService.status().forEach(l -> answer(Answer.newBuilder().setLine(l).build()));
                 }
                 events.add(frame.getAsk().getCommand().equals("upgrade")
-                        ? new KeeperEvent.Asked(commandId, frame.getAsk().getWordsList())
-                        : new KeeperEvent.StatusAsked(commandId));
+                        ? new SupervisorEvent.UpgradeRequested(commandId, frame.getAsk().getWordsList())
+                        : new SupervisorEvent.StatusRequested(commandId));
             } else {
                 connection.close();
             }
@@ -285,7 +287,7 @@
             }
             generation = hello.getGeneration();
             generationConnections.put(generation, connection);
-            events.add(new KeeperEvent.Heard(generation, frame));
+            events.add(new SupervisorEvent.FrameReceived(generation, frame));
         }
 
         private void connectionLost(String why) {
@@ -294,7 +296,7 @@
                 if (stateService != null) {
                     stateService.generationGone(generation);
                 }
-                events.add(new KeeperEvent.Lost(generation, why));
+                events.add(new SupervisorEvent.ConnectionLost(generation, why));
             } else if (commandId != 0) {
                 operatorConnections.remove(commandId);
             }
@@ -303,37 +305,38 @@
 
     // ---- effects
 
-    private void execute(KeeperEffect effect) {
-        if (effect instanceof KeeperEffect.Tell e) {
-            Link connection = generationConnections.get(e.generation());
+    private void execute(SupervisorEffect effect) {
+        if (effect instanceof SupervisorEffect.SendFrame e) {
+            ControlConnection connection = generationConnections.get(e.generation());
             if (connection != null && e.frame().hasState() && stateService != null) {
                 sendStateAndOverrides(connection, e.frame());
             } else if (connection != null) {
                 connection.send(e.frame());
             }
-        } else if (effect instanceof KeeperEffect.Start e) {
+        } else if (effect instanceof SupervisorEffect.StartProcess e) {
             start(e.generation(), e.program());
-        } else if (effect instanceof KeeperEffect.Kill e) {
+        } else if (effect instanceof SupervisorEffect.KillProcess e) {
             Process process = processes.get(e.generation());
             if (process != null) {
                 process.destroyForcibly();
             }
-        } else if (effect instanceof KeeperEffect.Reply e) {
-            Link connection = operatorConnections.get(e.command());
+        } else if (effect instanceof SupervisorEffect.Reply e) {
+            ControlConnection connection = operatorConnections.get(e.command());
             if (connection != null) {
                 connection.send(Frame.newBuilder().setAnswer(Answer.newBuilder().setLine(e.line())
                         .setLast(e.last()).setExit(e.exit())).build());
             }
-        } else if (effect instanceof KeeperEffect.Note e) {
-            Say.info(e.event(), e.fields());
-        } else if (effect instanceof KeeperEffect.Stop e) {
+        } else if (effect instanceof SupervisorEffect.WriteLog e) {
+            EventLog.info(e.event(), e.fields());
+        } else if (effect instanceof SupervisorEffect.ExitSupervisor e) {
             exitCode = e.exit();
-            operatorConnections.values().forEach(connection -> connection.finish(FLUSH_TIMEOUT_MILLIS));
+            operatorConnections.values().forEach(connection ->
+                    connection.flushAndClose(FLUSH_TIMEOUT_MILLIS));
         }
     }
 
     /** Sends a generation its state, or the stored one if no predecessor gave any, then the overrides. */
-    private void sendStateAndOverrides(Link connection, Frame frame) {
+    private void sendStateAndOverrides(ControlConnection connection, Frame frame) {
         State stored = frame.getState().hasModule() ? null : stateService.initialState();
         connection.send(stored == null ? frame : Frame.newBuilder().setState(stored).build());
         stateService.withOverrides(connection::send);
@@ -345,32 +348,34 @@
     private void start(int number, List<String> program) {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        command.addAll(settings.daemon().java());
+        command.addAll(settings.daemon().jvmFlags());
         command.addAll(List.of("-cp", program.get(0)));
         command.addAll(program.size() > 1 ? program.subList(1, program.size())
-                : usual);
+                : defaultMainCommand);
         byte[] secret = new byte[SECRET_BYTES];
         random.nextBytes(secret);
         secrets.put(number, HexFormat.of().formatHex(secret));
         ProcessBuilder builder = new ProcessBuilder(command).inheritIO();
         builder.environment().put(GENERATION_VARIABLE, Integer.toString(number));
         builder.environment().put(SECRET_VARIABLE, secrets.get(number));
-        builder.environment().put(CONTROL_VARIABLE, settings.daemon().control().toAbsolutePath().toString());
+        builder.environment().put(CONTROL_VARIABLE,
+                settings.daemon().controlFolder().toAbsolutePath().toString());
         if (stateService != null) {
             builder.environment().put(STORE_VARIABLE, "1");
         }
-        if (settings.agreement().on()) {
+        if (settings.consensus().enabled()) {
             builder.environment().put(CONSENSUS_VARIABLE, "1");
         }
-        builder.environment().put("PROXY_CONFIG", settings.daemon().config().toString());
+        builder.environment().put("PROXY_CONFIG", settings.daemon().configFile().toString());
         builder.environment().put("YEWDOCK_LOG", settings.log().form());
         try {
             Process process = builder.start();
             processes.put(number, process);
-            process.onExit().thenAccept(done -> events.add(new KeeperEvent.Ended(number,
+            process.onExit().thenAccept(done -> events.add(new SupervisorEvent.ProcessEnded(number,
                     "the process exited with " + done.exitValue())));
         } catch (IOException e) {
-            events.add(new KeeperEvent.Ended(number, "the process can't be started: " + e.getMessage()));
+            events.add(new SupervisorEvent.ProcessEnded(number, "the process can't be started: "
+                    + e.getMessage()));
         }
     }
 }
--- a/src/main/java/yewdock/experiment/Experiment.java
+++ b/src/main/java/yewdock/experiment/Experiment.java
@@ -12,7 +12,7 @@
 import java.util.function.IntConsumer;
 import yewdock.model.Scenario;
 import yewdock.model.World;
-import yewdock.settings.BadSettingsException;
+import yewdock.settings.InvalidSettingsException;
 
 /** Runs what a plan asks for that was not run yet, on several threads, and writes tables and a page. */
 public final class Experiment {
@@ -38,7 +38,7 @@
     }
 
     /** Runs the rest; each run's end is told. What is done stays done if this is interrupted. */
-    public void run(int threads, IntConsumer ended) throws IOException, BadSettingsException {
+    public void run(int threads, IntConsumer ended) throws IOException, InvalidSettingsException {
         List<Scenario> scenarios = new ArrayList<>();
         for (var cell : plan.cells()) {
             scenarios.add(plan.scenario(cell));
--- a/src/main/java/yewdock/experiment/Plan.java
+++ b/src/main/java/yewdock/experiment/Plan.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import yewdock.model.Scenario;
 import yewdock.scenario.ScenarioFile;
-import yewdock.settings.BadSettingsException;
+import yewdock.settings.InvalidSettingsException;
 import yewdock.settings.Section;
 
 /**
@@ -37,23 +37,23 @@
     }
 
     /** Reads a file and the scenario that it names, beside it; throws with one line for each mistake. */
-    public static Plan read(Path file) throws IOException, BadSettingsException {
+    public static Plan read(Path file) throws IOException, InvalidSettingsException {
         String text = Files.readString(file);
         List<String> mistakes = new ArrayList<>();
         Section all = Section.read(file.toString(), text, mistakes);
         Section e = all.section("experiment");
-        String title = e.text("title", file.getFileName().toString());
-        String name = e.text("scenario", "");
-        int first = e.whole("first_seed", 1, 0, 1_000_000_000);
-        int count = e.whole("seeds", 12, 1, MOST_SEEDS);
-        Map<String, Object> set = e.section("set").everything();
+        String title = e.string("title", file.getFileName().toString());
+        String name = e.string("scenario", "");
+        int first = e.integer("first_seed", 1, 0, 1_000_000_000);
+        int count = e.integer("seeds", 12, 1, MOST_SEEDS);
+        Map<String, Object> set = e.section("set").allValues();
         Map<String, List<Object>> vary = new LinkedHashMap<>();
         Section varied = e.section("vary");
-        varied.everything().forEach((key, values) -> {
+        varied.allValues().forEach((key, values) -> {
             if (values instanceof List<?> list && !list.isEmpty()) {
                 vary.put(key, List.copyOf(list));
             } else {
-                varied.wrong(key, "a list of values, not " + values);
+                varied.addError(key, "a list of values, not " + values);
             }
         });
         List<Plot> plots = new ArrayList<>();
@@ -61,22 +61,22 @@
             plots.add(new Plot(label, p.oneOf("y", Measures.NAMES.get(0), Measures.NAMES),
                     p.oneOf("x", vary.isEmpty() ? "" : vary.keySet().iterator().next(),
                     List.copyOf(vary.keySet())),
-                    p.text("by", ""), p.flag("log_x", false), p.flag("log_y", false)));
-            p.nothingElse();
+                    p.string("by", ""), p.bool("log_x", false), p.bool("log_y", false)));
+            p.rejectUnknownKeys();
         });
-        e.nothingElse();
-        all.nothingElse();
+        e.rejectUnknownKeys();
+        all.rejectUnknownKeys();
         Path scenario = file.resolveSibling(name);
         if (name.isEmpty() || !Files.isReadable(scenario)) {
-            e.wrong("scenario", "the name of a file beside this one, not \"" + name + "\"");
+            e.addError("scenario", "the name of a file beside this one, not \"" + name + "\"");
         }
         if (!mistakes.isEmpty()) {
-            throw new BadSettingsException(mistakes);
+            throw new InvalidSettingsException(mistakes);
         }
         String scenarioText = Files.readString(scenario);
         List<Map<String, Object>> cells = grid(set, vary);
         if (cells.size() > MOST_CELLS) {
-            throw new BadSettingsException(List.of(file + ": " + cells.size() + " cells, at most "
+            throw new InvalidSettingsException(List.of(file + ": " + cells.size() + " cells, at most "
                     + MOST_CELLS));
         }
         List<Long> seeds = new ArrayList<>();
@@ -115,7 +115,7 @@
     }
 
     /** The scenario of a cell. */
-    public Scenario scenario(Map<String, Object> cell) throws BadSettingsException {
+    public Scenario scenario(Map<String, Object> cell) throws InvalidSettingsException {
         return ScenarioFile.parse(scenarioName, scenarioText, cell);
     }
 
--- a/src/main/java/yewdock/http/EventLines.java
+++ b/src/main/java/yewdock/http/EventStreamLineReader.java
@@ -9,7 +9,7 @@
  * Cuts an event stream into its lines, as bytes come; lines over the bound are dropped unseen. A line ends
  * with CR, LF or both; an empty one ends an event.
  */
-public final class EventLines {
+public final class EventStreamLineReader {
     private static final int MOST_LINE = 16 * 1024;
 
     private final Consumer<String> lines;
@@ -19,7 +19,7 @@
     private int length;
 
     /** Where its lines go, and who is told of each empty one. */
-    public EventLines(Consumer<String> lines, Runnable empty) {
+    public EventStreamLineReader(Consumer<String> lines, Runnable empty) {
         this.lines = lines;
         this.empty = empty;
     }
--- a/src/main/java/yewdock/http/Head.java
+++ b/src/main/java/yewdock/http/MessageHead.java
@@ -3,12 +3,13 @@
 import java.util.List;
 
 /** The head of a message: its first line, split at blanks into three parts, and its fields in order. */
-public record Head(String first, String second, String third, List<Field> fields) {
+public record MessageHead(String startLineFirst, String startLineSecond, String startLineThird,
+        List<Field> fields) {
     /** One header field. */
     public record Field(String name, String value) {
     }
 
-    public Head {
+    public MessageHead {
         fields = List.copyOf(fields);
     }
 
@@ -28,7 +29,7 @@
     }
 
     /** Whether a comma-separated field holds this word. */
-    public boolean says(String name, String word) {
+    public boolean hasToken(String name, String word) {
         for (Field f : fields) {
             if (f.name().equalsIgnoreCase(name)) {
                 for (String part : f.value().split(",")) {
@@ -43,22 +44,23 @@
 
     /** A request's method. */
     public String method() {
-        return first;
+        return startLineFirst;
     }
 
     /** A request's path with its query. */
     public String target() {
-        return second;
+        return startLineSecond;
     }
 
     /** An answer's status. */
     public int status() {
-        return Integer.parseInt(second);
+        return Integer.parseInt(startLineSecond);
     }
 
     /** Whether the sender keeps the connection after this message. */
     public boolean keepsAlive() {
-        String version = first.startsWith("HTTP/") ? first : third;
-        return version.equals("HTTP/1.1") ? !says("Connection", "close") : says("Connection", "keep-alive");
+        String version = startLineFirst.startsWith("HTTP/") ? startLineFirst : startLineThird;
+        return version.equals("HTTP/1.1") ? !hasToken("Connection", "close") : hasToken("Connection",
+                "keep-alive");
     }
 }
--- a/src/main/java/yewdock/http/MessageReader.java
+++ b/src/main/java/yewdock/http/MessageReader.java
@@ -8,22 +8,22 @@
 
 /**
  * Reads HTTP/1.1 messages from bytes as they come, cut anywhere. After a message's end it reads nothing
- * more until {@link #next}; what came behind it stays in the caller's buffer.
+ * more until {@link #startNext}; what came behind it stays in the caller's buffer.
  */
 public final class MessageReader {
-    public static final int MOST_HEAD = 32 * 1024;
-    public static final int MOST_BODY = 256 * 1024;
+    public static final int MAX_HEAD_BYTES = 32 * 1024;
+    public static final int MAX_BODY_BYTES = 256 * 1024;
     /** A line that gives a chunk's size, with what may stand behind the size. */
     private static final int MOST_SIZE_LINE = 256;
     private static final String START = "HTTP/1.";
 
     /** Which side's messages come. */
-    public enum Kind { REQUEST, ANSWER }
+    public enum Kind { REQUEST, RESPONSE }
 
     /** Takes what was read. */
     public interface Sink {
         /** The head is whole. */
-        void head(Head head) throws BadMessageException;
+        void head(MessageHead head) throws BadMessageException;
 
         /** A piece of the body, without its framing. */
         void body(ByteBuffer piece) throws BadMessageException;
@@ -50,22 +50,22 @@
     }
 
     /** Whether nothing of the next message has come. */
-    public boolean untouched() {
+    public boolean atMessageStart() {
         return state == State.HEAD && lines.isEmpty() && lineLength == 0;
     }
 
     /** Whether the message is whole. */
-    public boolean done() {
+    public boolean isComplete() {
         return state == State.DONE;
     }
 
     /** Whether the message's body goes on to the end of its connection. */
-    public boolean endsWithConnection() {
+    public boolean readsUntilClose() {
         return state == State.UNTIL_CLOSE;
     }
 
     /** Makes ready for the next message. */
-    public void next() {
+    public void startNext() {
         state = State.HEAD;
         lineLength = 0;
         headLength = 0;
@@ -106,8 +106,8 @@
     private boolean lineRead(ByteBuffer in) throws BadMessageException {
         while (in.hasRemaining()) {
             byte b = in.get();
-            if (++headLength > MOST_HEAD) {
-                throw new BadMessageException(431, "the head is over " + MOST_HEAD + " bytes");
+            if (++headLength > MAX_HEAD_BYTES) {
+                throw new BadMessageException(431, "the head is over " + MAX_HEAD_BYTES + " bytes");
             }
             if (b == '\n') {
                 if (lineLength > 0 && line[lineLength - 1] == '\r') {
@@ -129,7 +129,7 @@
 
     /** What can't become a line that fits is told at once: its sender may send no more, nor close. */
     private void unfit(byte last) throws BadMessageException {
-        if (state == State.HEAD && kind == Kind.ANSWER && lines.isEmpty() && lineLength <= START.length()
+        if (state == State.HEAD && kind == Kind.RESPONSE && lines.isEmpty() && lineLength <= START.length()
                 && last != START.charAt(lineLength - 1) && !(lineLength == 1 && last == '\r')) {
             throw new BadMessageException(400, "the first line is malformed");
         }
@@ -175,7 +175,7 @@
                 || !request && !start[1].matches("[1-5][0-9][0-9]")) {
             throw new BadMessageException(400, "the first line is malformed");
         }
-        List<Head.Field> fields = new ArrayList<>();
+        List<MessageHead.Field> fields = new ArrayList<>();
         for (String row : lines.subList(1, lines.size())) {
             int colon = row.indexOf(':');
             if (colon <= 0 || !row.substring(0, colon).matches("[!#-'*+.^-z|~0-9A-Z-]+")) {
@@ -185,9 +185,9 @@
                 // a lone CR is a line's end to some readers
                 throw new BadMessageException(400, "a header line is malformed");
             }
-            fields.add(new Head.Field(row.substring(0, colon), row.substring(colon + 1).strip()));
+            fields.add(new MessageHead.Field(row.substring(0, colon), row.substring(colon + 1).strip()));
         }
-        Head head = new Head(start[0], start[1], start.length > 2 ? start[2] : "", fields);
+        MessageHead head = new MessageHead(start[0], start[1], start.length > 2 ? start[2] : "", fields);
         lines.clear();
         if (!request && head.status() < 200) {
             // the answer is yet to come; all heads before it together have the bound of one
@@ -197,9 +197,9 @@
     }
 
     /** Tells from the head where the body ends. Two ways of telling would let a second request hide in it. */
-    private void frame(Head head) throws BadMessageException {
+    private void frame(MessageHead head) throws BadMessageException {
         List<String> lengths = head.fields().stream().filter(f -> f.name().equalsIgnoreCase("Content-Length"))
-                .map(Head.Field::value).toList();
+                .map(MessageHead.Field::value).toList();
         String coding = head.field("Transfer-Encoding");
         if (coding != null && !lengths.isEmpty() || lengths.size() > 1
                 || head.count("Transfer-Encoding") > 1) {
@@ -217,13 +217,13 @@
             left = 0;
         }
         grow(left);
-        boolean bare = kind == Kind.ANSWER && (head.status() == 204 || head.status() == 304);
+        boolean bare = kind == Kind.RESPONSE && (head.status() == 204 || head.status() == 304);
         sink.head(head);
         if (coding != null && !bare) {
             state = State.CHUNK_SIZE;
         } else if (left > 0 && !bare) {
             state = State.FIXED;
-        } else if (kind == Kind.ANSWER && lengths.isEmpty() && !bare) {
+        } else if (kind == Kind.RESPONSE && lengths.isEmpty() && !bare) {
             state = State.UNTIL_CLOSE;
         } else {
             finish();
@@ -238,8 +238,8 @@
         }
         headLength = 0;
         left = Integer.parseInt(size, 16);
-        if (left > MOST_BODY) {
-            throw new BadMessageException(413, "a chunk is over " + MOST_BODY + " bytes");
+        if (left > MAX_BODY_BYTES) {
+            throw new BadMessageException(413, "a chunk is over " + MAX_BODY_BYTES + " bytes");
         }
         grow(left);
         state = left == 0 ? State.TRAILERS : State.CHUNK;
@@ -248,8 +248,8 @@
     /** Only requests are kept whole; an answer may stream for as long as it likes. */
     private void grow(long more) throws BadMessageException {
         bodyLength += more;
-        if (kind == Kind.REQUEST && bodyLength > MOST_BODY) {
-            throw new BadMessageException(413, "the body is over " + MOST_BODY + " bytes");
+        if (kind == Kind.REQUEST && bodyLength > MAX_BODY_BYTES) {
+            throw new BadMessageException(413, "the body is over " + MAX_BODY_BYTES + " bytes");
         }
     }
 
--- a/src/main/java/yewdock/lease/Lease.java
+++ b/src/main/java/yewdock/lease/Lease.java
@@ -7,21 +7,21 @@
  * granted, so neither the way nor the council's clock has a say. Pure: times of one monotonic clock go in.
  */
 public final class Lease {
-    private final LeaseTerms terms;
+    private final LeaseTiming terms;
     private final ArrayDeque<Call> calls = new ArrayDeque<>();
     private long numbers;
-    private long until = Long.MIN_VALUE;
+    private long expiresAt = Long.MIN_VALUE;
 
     private record Call(long number, long sentAt) {
     }
 
-    public Lease(LeaseTerms terms) {
+    public Lease(LeaseTiming terms) {
         this.terms = terms;
     }
 
     /** A call for a lease goes out now; returns its number. */
-    public long asks(long now) {
-        calls.removeIf(c -> now - c.sentAt >= terms.length());
+    public long beginRenewal(long now) {
+        calls.removeIf(c -> now - c.sentAt >= terms.lengthMicros());
         calls.add(new Call(++numbers, now));
         return numbers;
     }
@@ -30,19 +30,19 @@
     public void granted(long number) {
         for (Call c : calls) {
             if (c.number == number) {
-                until = Math.max(until, c.sentAt + terms.length());
+                expiresAt = Math.max(expiresAt, c.sentAt + terms.lengthMicros());
             }
         }
         calls.removeIf(c -> c.number <= number);
     }
 
     /** The first moment at which it may act no more. */
-    public long until() {
-        return until;
+    public long expiresAt() {
+        return expiresAt;
     }
 
     /** To be asked at each decision, with the clock read for it: a timer may come late. */
-    public boolean holds(long now) {
-        return now < until;
+    public boolean isValid(long now) {
+        return now < expiresAt;
     }
 }
--- a/src/main/java/yewdock/lease/Grants.java
+++ b/src/main/java/yewdock/lease/LeaseGrantor.java
@@ -15,12 +15,12 @@
  * prepared knows of it, and all other leases are over one length after that. A leader that took over less
  * than one length ago doesn't know who holds leases, and lets that length pass.
  */
-public final class Grants {
-    private final LeaseTerms terms;
-    private final Map<String, Holder> holders = new HashMap<>();
+public final class LeaseGrantor {
+    private final LeaseTiming terms;
+    private final Map<String, Holder> leaseCount = new HashMap<>();
     private final Map<String, Long> seen = new HashMap<>();
-    private List<Ask> waiting = new ArrayList<>();
-    private List<Ask> confirming = List.of();
+    private List<LeaseRequest> waiting = new ArrayList<>();
+    private List<LeaseRequest> confirming = List.of();
     private boolean leading;
     private long since;
 
@@ -36,28 +36,28 @@
      * @param number the call's number
      * @param step the step of the rules that all its parts have taken up
      */
-    public record Ask(String router, long incarnation, long number, long step) {
+    public record LeaseRequest(String router, long incarnation, long number, long step) {
         private String holder() {
             return router + "/" + incarnation;
         }
     }
 
-    public Grants(LeaseTerms terms) {
+    public LeaseGrantor(LeaseTiming terms) {
         this.terms = terms;
     }
 
     /** This instance leads from now on. */
-    public void leads(long now) {
+    public void becomeLeader(long now) {
         leading = true;
         since = now;
-        holders.clear();
+        leaseCount.clear();
         forgetCalls();
     }
 
     /** It leads no more: it grants nothing, and what it knows of leases is worth nothing. */
-    public void follows() {
+    public void stepDown() {
         leading = false;
-        holders.clear();
+        leaseCount.clear();
         forgetCalls();
     }
 
@@ -67,14 +67,14 @@
     }
 
     /** A router asks; answered once a majority has confirmed the leader, in a round that begins later. */
-    public void asked(Ask ask) {
+    public void request(LeaseRequest ask) {
         if (leading) {
             waiting.add(ask);
         }
     }
 
     /** Whether a round of confirming is worth beginning; then it has begun with all that wait. */
-    public boolean beginRound() {
+    public boolean beginConfirmation() {
         if (!leading || !confirming.isEmpty() || waiting.isEmpty()) {
             return false;
         }
@@ -84,7 +84,7 @@
     }
 
     /** The round has failed: its routers ask again by themselves. */
-    public void roundFailed() {
+    public void confirmationFailed() {
         confirming = List.of();
     }
 
@@ -93,12 +93,12 @@
      *
      * @param lastPrepared the step of the last change that was prepared, as the leader's rules have it now
      */
-    public List<Ask> confirmed(long lastPrepared, long now) {
-        List<Ask> granted = new ArrayList<>();
+    public List<LeaseRequest> confirm(long lastPrepared, long now) {
+        List<LeaseRequest> granted = new ArrayList<>();
         if (leading) {
-            for (Ask ask : confirming) {
+            for (LeaseRequest ask : confirming) {
                 if (ask.step >= lastPrepared) {
-                    holders.put(ask.holder(), new Holder(ask.step, now + terms.runOut()));
+                    leaseCount.put(ask.holder(), new Holder(ask.step, now + terms.expiryMicros()));
                     granted.add(ask);
                 }
             }
@@ -112,18 +112,18 @@
      * or not: the time from which a change was known here is what a leader goes by that has just taken
      * over.
      */
-    public List<String> due(Map<String, Long> underWay, long now) {
+    public List<String> changesToApply(Map<String, Long> underWay, long now) {
         seen.keySet().retainAll(underWay.keySet());
         underWay.keySet().forEach(id -> seen.putIfAbsent(id, now));
-        holders.values().removeIf(h -> h.expires <= now);
+        leaseCount.values().removeIf(h -> h.expires <= now);
         List<String> due = new ArrayList<>();
         if (!leading) {
             return due;
         }
-        boolean knowsHolders = now - since >= terms.runOut();
+        boolean knowsHolders = now - since >= terms.expiryMicros();
         underWay.forEach((id, step) -> {
-            boolean allKnow = knowsHolders && holders.values().stream().allMatch(h -> h.step >= step);
-            if (allKnow || now - seen.get(id) >= terms.runOut()) {
+            boolean allKnow = knowsHolders && leaseCount.values().stream().allMatch(h -> h.step >= step);
+            if (allKnow || now - seen.get(id) >= terms.expiryMicros()) {
                 due.add(id);
             }
         });
@@ -131,7 +131,7 @@
     }
 
     /** How many leases may be held. */
-    public int holders() {
-        return holders.size();
+    public int leaseCount() {
+        return leaseCount.size();
     }
 }
--- a/src/main/java/yewdock/log/Say.java
+++ b/src/main/java/yewdock/logging/EventLog.java
@@ -1,4 +1,4 @@
-package yewdock.log;
+package yewdock.logging;
 
 import java.util.Map;
 import org.tinylog.Level;
@@ -10,33 +10,33 @@
  * the name as field=value; in JSON they are fields of the line's object, so that a request or an upgrade can
  * be traced by its number.
  */
-public final class Say {
+public final class EventLog {
     /** The format of log lines. */
-    public enum Form { TEXT, JSON }
+    public enum LogFormat { TEXT, JSON }
 
-    private Say() {
+    private EventLog() {
     }
 
     /** Sets the format of subsequent lines. */
-    public static void as(Form form) {
-        Lines.as(form);
+    public static void setFormat(LogFormat form) {
+        TinylogProvider.setFormat(form);
     }
 
     /**
      * Restricts library output on this thread to errors from now on; one of the libraries logs every step.
      */
-    public static void onlyEvents() {
-        Lines.onlyEvents();
+    public static void muteLibraryLogs() {
+        TinylogProvider.muteLibraryLogs();
     }
 
     /** Logs an event with alternating field names and values. */
     public static void info(String event, Object... fields) {
-        log(Level.INFO, event, Fields.of(fields));
+        log(Level.INFO, event, LogFields.of(fields));
     }
 
     /** Logs a warning with alternating field names and values. */
     public static void warn(String event, Object... fields) {
-        log(Level.WARN, event, Fields.of(fields));
+        log(Level.WARN, event, LogFields.of(fields));
     }
 
     /** Logs an event with these fields. */
--- a/src/main/java/yewdock/log/Fields.java
+++ b/src/main/java/yewdock/logging/LogFields.java
@@ -1,11 +1,11 @@
-package yewdock.log;
+package yewdock.logging;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /** Builds the ordered fields of a log line. */
-public final class Fields {
-    private Fields() {
+public final class LogFields {
+    private LogFields() {
     }
 
     /** The fields of alternating names and values; a name without value is dropped. */
--- a/src/main/java/yewdock/log/Lines.java
+++ b/src/main/java/yewdock/logging/TinylogProvider.java
@@ -1,4 +1,4 @@
-package yewdock.log;
+package yewdock.logging;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -21,8 +21,8 @@
  * outage when a router is killed; and its JSON writer seeks in its file, so it can't write to the pipe that
  * a service manager provides.
  */
-public final class Lines implements LoggingProvider {
-    private static volatile Say.Form format = Say.Form.TEXT;
+public final class TinylogProvider implements LoggingProvider {
+    private static volatile EventLog.LogFormat format = EventLog.LogFormat.TEXT;
     private static final ThreadLocal<Boolean> LIBRARY_LOGS_MUTED = new ThreadLocal<>();
 
     private final PrintStream out = System.out;
@@ -30,12 +30,12 @@
     private final TimeZone zone = TimeZone.getDefault();
 
     /** Sets the format of subsequent lines. */
-    static void as(Say.Form next) {
+    static void setFormat(EventLog.LogFormat next) {
         format = next;
     }
 
     /** Restricts library output on this thread to errors; event lines are still written. */
-    static void onlyEvents() {
+    static void muteLibraryLogs() {
         LIBRARY_LOGS_MUTED.set(true);
     }
 
@@ -75,7 +75,7 @@
         String text = arguments == null || formatter == null ? String.valueOf(message)
                 : formatter.format(String.valueOf(message), arguments);
         long now = System.currentTimeMillis();
-        if (format == Say.Form.JSON) {
+        if (format == EventLog.LogFormat.JSON) {
             out.println(json(now, level, text, exception));
             return;
         }
--- a/src/main/java/yewdock/model/Host.java
+++ b/src/main/java/yewdock/model/Host.java
@@ -10,8 +10,8 @@
 import umberspread.Routing.Lifecycle;
 import umberspread.Routing.ListKind;
 import umberspread.Routing.Outcome;
-import umberspread.Routing.Replica;
-import yewdock.textbook.Sight;
+import umberspread.Routing.ServerState;
+import yewdock.baseline.Sight;
 
 /**
  * A router's machine in the model: it carries out what the routing module asks for, over a network with
@@ -121,7 +121,7 @@
         int began = life;
         router = world.policy(this, Draws.mix(world.day.seed + number * 977L + life));
         tell(() -> router.started(now()));
-        List<Replica> known = world.register.all();
+        List<ServerState> known = world.register.all();
         note(known);
         tellList(ListKind.CACHED, known);
         if (began != life) {
@@ -177,7 +177,7 @@
         world.moduleEvents++;
     }
 
-    private void tellList(ListKind kind, List<Replica> entries) {
+    private void tellList(ListKind kind, List<ServerState> entries) {
         long began = world.timed ? System.nanoTime() : 0;
         router.listReceived(now(), kind, entries);
         if (world.timed) {
@@ -193,7 +193,7 @@
 
     // ---- the list
 
-    void listReceived(ListKind kind, List<Replica> entries) {
+    void listReceived(ListKind kind, List<ServerState> entries) {
         if (router == null) {
             return;
         }
@@ -211,8 +211,8 @@
         tellList(kind, entries);
     }
 
-    private void note(List<Replica> entries) {
-        for (Replica r : entries) {
+    private void note(List<ServerState> entries) {
+        for (ServerState r : entries) {
             if (r.lifecycle() == Lifecycle.READY) {
                 toldOff.remove(r.id());
             } else {
@@ -241,7 +241,7 @@
                         + " its final answer");
                 t.answered = true;
                 open.remove(t.id);
-                tell(() -> router.requestGone(now(), t.id));
+                tell(() -> router.requestAbandoned(now(), t.id));
                 t.client.gone(t);
             }
         });
@@ -448,7 +448,7 @@
     }
 
     @Override
-    public void followList() {
+    public void watchEndpointList() {
         int began = life;
         world.calendar.after(delay(0), () -> {
             if (life == began) {
--- a/src/main/java/yewdock/model/Register.java
+++ b/src/main/java/yewdock/model/Register.java
@@ -8,7 +8,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import umberspread.Routing.Lifecycle;
 import umberspread.Routing.ListKind;
-import umberspread.Routing.Replica;
+import umberspread.Routing.ServerState;
 
 /**
  * The box list: it knows late what runs, answers so many calls a second in turn, and tells those who asked of
@@ -66,7 +66,7 @@
         long next = (world.calendar.now() / period + 1) * period;
         world.calendar.at(next, () -> {
             flushing = false;
-            List<Replica> entries = new ArrayList<>();
+            List<ServerState> entries = new ArrayList<>();
             changed.forEach(b -> entries.add(line(b)));
             changed.clear();
             for (Host h : List.copyOf(followers)) {
@@ -102,8 +102,8 @@
         followers.remove(host);
     }
 
-    List<Replica> all() {
-        List<Replica> entries = new ArrayList<>(told.length);
+    List<ServerState> all() {
+        List<ServerState> entries = new ArrayList<>(told.length);
         for (int b = 0; b < told.length; b++) {
             if (told[b] != Lifecycle.GONE) {
                 entries.add(line(b));
@@ -112,8 +112,8 @@
         return entries;
     }
 
-    private Replica line(int b) {
+    private ServerState line(int b) {
         Box box = world.boxes.get(b);
-        return new Replica(box.id, box.site, box.make.kind(), b / 4, 1, told[b], startedAt[b]);
+        return new ServerState(box.id, box.site, box.make.kind(), b / 4, 1, told[b], startedAt[b]);
     }
 }
--- a/src/main/java/yewdock/model/World.java
+++ b/src/main/java/yewdock/model/World.java
@@ -8,8 +8,8 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import umberspread.Routing;
 import umberspread.Routing.Lifecycle;
-import yewdock.textbook.Options;
-import yewdock.textbook.Policies;
+import yewdock.baseline.Options;
+import yewdock.baseline.Policies;
 
 /** A day of a whole installation in virtual time: clients, routers, boxes, list, and what goes wrong. */
 public final class World {
@@ -171,7 +171,8 @@
         Scenario s = day.scenario;
         List<Routing.RequestClass> classes = new ArrayList<>();
         for (Scenario.AskClass c : s.classes()) {
-            classes.add(new Routing.RequestClass(c.name(), Routing.Effect.RETRYABLE, Routing.DedupGroup.ALL,
+            classes.add(new Routing.RequestClass(c.name(), Routing.RetrySafety.RETRYABLE,
+                    Routing.DedupGroup.ALL,
                     0,
                     micros(c.aimSeconds()), micros(c.aimMillisPerThousand() / 1000),
                     micros(c.tokenMillis() / 1000), micros(c.giveUpSeconds()), c.worth(), c.lateWorth(), true,
--- a/src/main/java/yewdock/platform/Addresses.java
+++ b/src/main/java/yewdock/platform/Addresses.java
@@ -10,7 +10,7 @@
     }
 
     /** The address; throws IllegalArgumentException if it is none. There is no DNS: hosts are numbers. */
-    public static InetSocketAddress of(String text) {
+    public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         if (colon <= 0 || !text.substring(colon + 1).matches("[0-9]{1,5}")
                 || !text.substring(0, colon)
--- a/src/main/java/yewdock/platform/ClientSide.java
+++ b/src/main/java/yewdock/platform/ClientConnectionHandler.java
@@ -6,28 +6,28 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.Locale;
-import yewdock.desk.Event;
-import yewdock.desk.ModelRequest;
+import yewdock.core.Event;
+import yewdock.core.ModelRequest;
 import yewdock.http.BadMessageException;
-import yewdock.http.Head;
+import yewdock.http.MessageHead;
 import yewdock.http.MessageReader;
 
 /** A client's connection: reads one request at a time, writes its answer. */
-final class ClientSide implements Side, MessageReader.Sink {
+final class ClientConnectionHandler implements ConnectionHandler, MessageReader.Sink {
     private static final String LAST_CHUNK = "0\r\n\r\n";
     private static final double MICROS = 1e6;
     /** What a client sends on while its request is open is kept up to so many bytes. */
     private static final int MOST_AHEAD = 64 * 1024;
 
-    private final Front front;
+    private final ConnectionManager front;
     private final long id;
-    private final Wire wire;
+    private final Connection wire;
     private final MessageReader reader = new MessageReader(MessageReader.Kind.REQUEST, this);
     private final Deque<Arrived> ahead = new ArrayDeque<>();
     private int aheadBytes;
     /** When the first byte came of the request that is read: its client's time runs since before that. */
     private Arrival requestArrival;
-    private Head head;
+    private MessageHead head;
     private ByteArrayOutputStream body;
     private ClientRequest request;
     /** Whether a request is open: taken, and not yet answered to its end. */
@@ -46,7 +46,7 @@
     private record Arrived(ByteBuffer bytes, Arrival when) {
     }
 
-    ClientSide(Front front, long id, Wire wire) {
+    ClientConnectionHandler(ConnectionManager front, long id, Connection wire) {
         this.front = front;
         this.id = id;
         this.wire = wire;
@@ -57,17 +57,17 @@
     }
 
     @Override
-    public void up() {
+    public void onConnected() {
         // a client's connection is up from the first
     }
 
     @Override
-    public void received(ByteBuffer bytes) {
-        received(bytes, Arrival.at(front.now()));
+    public void onReceived(ByteBuffer bytes) {
+        onReceived(bytes, Arrival.at(front.now()));
     }
 
     @Override
-    public void received(ByteBuffer bytes, Arrival arrival) {
+    public void onReceived(ByteBuffer bytes, Arrival arrival) {
         if (closing) {
             return;
         }
@@ -87,22 +87,22 @@
         try {
             while (!busy && !closing && !ahead.isEmpty()) {
                 ByteBuffer next = ahead.peek().bytes;
-                boolean fresh = reader.untouched();
+                boolean fresh = reader.atMessageStart();
                 aheadBytes -= next.remaining();
                 try {
                     reader.read(next);
                 } finally {
                     aheadBytes += next.remaining();
-                    if (fresh && !reader.untouched()) {
+                    if (fresh && !reader.atMessageStart()) {
                         requestArrival = ahead.peek().when;
-                        front.happened(new Event.ClientBegan(id));
+                        front.dispatch(new Event.ClientRequestStarted(id));
                     }
                 }
                 if (!next.hasRemaining()) {
                     ahead.poll();
                 }
-                if (reader.done()) {
-                    reader.next();
+                if (reader.isComplete()) {
+                    reader.startNext();
                     whole();
                 }
             }
@@ -138,8 +138,8 @@
     void giveUp() {
         if (closing) {
             wire.close();
-        } else if (reader.untouched()) {
-            closing = wire.closeUnlessUnheard();
+        } else if (reader.atMessageStart()) {
+            closing = wire.closeUnlessUndelivered();
         } else {
             front.counters().add("requests.malformed");
             turnDown(408, "the request did not come in time");
@@ -147,10 +147,10 @@
     }
 
     @Override
-    public void head(Head read) {
+    public void head(MessageHead read) {
         head = read;
         body = new ByteArrayOutputStream();
-        if (read.says("Expect", "100-continue")) {
+        if (read.hasToken("Expect", "100-continue")) {
             write("HTTP/1.1 100 Continue\r\n\r\n");
         }
     }
@@ -186,13 +186,13 @@
             case ClientRequest.PATH -> {
                 if (!head.method().equals("POST")) {
                     answer(405, "POST only\n", "Allow: POST\r\n");
-                } else if (!head.third().equals("HTTP/1.1")) {
+                } else if (!head.startLineThird().equals("HTTP/1.1")) {
                     throw new BadMessageException(505, "streams need HTTP/1.1");
                 } else {
                     request = new ClientRequest(head, body.toByteArray());
                     forgetBody();
                     ModelRequest read = request.read(front.names(), requestArrival, front.now());
-                    front.happened(new Event.Asked(id, read));
+                    front.dispatch(new Event.RequestReceived(id, read));
                 }
             }
             case "/ready" -> {
@@ -275,7 +275,7 @@
         if (closing || overrun) {
             closing = true;
             if (turnedDown || overrun) {
-                wire.linger();
+                wire.closeLingering();
             } else {
                 wire.closeAfterWriting();
             }
@@ -285,18 +285,18 @@
             closeIfIdle();
             return;
         }
-        front.happened(new Event.ClientQuiet(id));
+        front.dispatch(new Event.ClientIdle(id));
         readOn();
     }
 
     /** Whether a request is read in part or may be read already, or is open. */
     boolean midway() {
-        return busy || !closing && (!reader.untouched() || !ahead.isEmpty() || wire.hasUnheard());
+        return busy || !closing && (!reader.atMessageStart() || !ahead.isEmpty() || wire.hasUndelivered());
     }
 
     void closeIfIdle() {
         if (!closing && !midway()) {
-            closing = wire.closeUnlessUnheard();
+            closing = wire.closeUnlessUndelivered();
         }
     }
 
@@ -305,22 +305,22 @@
     }
 
     @Override
-    public void written(int bytes) {
+    public void onWritten(int bytes) {
         if (busy && begun) {
-            front.happened(new Event.ClientTook(id, bytes));
+            front.dispatch(new Event.ClientBytesWritten(id, bytes));
         }
     }
 
     /** It has lingered long enough. */
     @Override
-    public void idle() {
+    public void onIdle() {
         if (closing) {
             wire.close();
         }
     }
 
     @Override
-    public void down() {
+    public void onClosed() {
         closing = true;
         forgetBody();
         front.clientClosed(id);
--- a/src/main/java/yewdock/platform/ClientRequest.java
+++ b/src/main/java/yewdock/platform/ClientRequest.java
@@ -2,12 +2,12 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import yewdock.desk.ModelRequest;
+import yewdock.core.ModelRequest;
 import yewdock.http.BadMessageException;
-import yewdock.http.Head;
+import yewdock.http.MessageHead;
 
 /** A client's request as it came, to be passed on without change. */
-record ClientRequest(Head head, byte[] body) {
+record ClientRequest(MessageHead head, byte[] body) {
     static final String PATH = "/v1/chat/completions";
     private static final int BAD = 400;
     /** What a request costs beside its body. */
@@ -21,10 +21,10 @@
      * What the desk needs to know; a header that is malformed or names nothing known is a bad request. The
      * client's time has run while the request waited to be read.
      */
-    ModelRequest read(Names names, Arrival arrival, long now) throws BadMessageException {
+    ModelRequest read(NameIndexes names, Arrival arrival, long now) throws BadMessageException {
         String id = required("X-Correlation-Id");
         int requestClass = place(names.classes(), "X-Service-Class");
-        int municipality = names.municipalities().isEmpty() ? 0 : place(names.municipalities(), "X-Account");
+        int municipality = names.tenants().isEmpty() ? 0 : place(names.tenants(), "X-Account");
         double seconds = Numbers.decimal(required("X-Time-Left"));
         if (!(seconds <= LONGEST)) {
             throw new BadMessageException(BAD, "X-Time-Left is malformed");
--- a/src/main/java/yewdock/platform/Config.java
+++ b/src/main/java/yewdock/platform/Config.java
@@ -10,15 +10,16 @@
 import org.json.JSONException;
 import org.json.JSONObject;
 import umberspread.Routing;
-import yewdock.desk.Bounds;
-import yewdock.desk.EndpointList;
+import yewdock.core.EndpointList;
+import yewdock.core.ResourceLimits;
 
 /**
  * What the router is told at its start. keepalive is in microseconds; operator is where operators call, or ""
  * where they don't.
  */
-public record Config(String name, String listen, String operator, String discovery, long seed, long keepalive,
-        Routing.Settings settings, Names names, Bounds bounds, EndpointList known) {
+public record Config(String name, String listenAddress, String operatorAddress, String discoveryAddress,
+        long seed, long keepaliveMicros,
+        Routing.Settings settings, NameIndexes names, ResourceLimits bounds, EndpointList cachedEndpoints) {
     private static final double MICROS = 1e6;
     /** What a configuration without limits is taken to allow: the most that a router gets. */
     private static final int SOCKETS = 1024;
@@ -42,10 +43,10 @@
         for (JSONObject org : objects(s.optJSONArray("orgs"))) {
             tenants.add(new Routing.Tenant(org.getString("name"), org.getDouble("quota_rps")));
         }
-        Names names = new Names(Names.places(classes.stream().map(Routing.RequestClass::name).toList()),
-                Names.places(tenants.stream().map(Routing.Tenant::name).toList()),
-                Names.places(strings(s.optJSONArray("zones"))),
-                Names.places(strings(s.optJSONArray("shapes"))));
+        NameIndexes names = new NameIndexes(NameIndexes.places(classes.stream().map(Routing.RequestClass::name).toList()),
+                NameIndexes.places(tenants.stream().map(Routing.Tenant::name).toList()),
+                NameIndexes.places(strings(s.optJSONArray("zones"))),
+                NameIndexes.places(strings(s.optJSONArray("shapes"))));
         JSONObject l = s.getJSONObject("limits");
         Routing.Limits limits = new Routing.Limits(l.getInt("max_attempts"),
                 l.optBoolean("may_duplicate"), l.optBoolean("cancelling"), l.optBoolean("probes"),
@@ -62,27 +63,27 @@
                 s.getInt("zone"), classes, tenants, s.optDouble("over_share_worth", 1),
                 s.getString("discovery").equals("ask"), limits, contract, prices);
         String discovery = all.getString("discovery");
-        Addresses.of(discovery);
-        Addresses.of(all.getString("listen"));
+        Addresses.parse(discovery);
+        Addresses.parse(all.getString("listen"));
         String operator = all.optString("operator", "");
         if (!operator.isEmpty()) {
-            Addresses.of(operator);
+            Addresses.parse(operator);
         }
         JSONObject known = all.optJSONObject("known");
         return new Config(all.getString("name"), all.getString("listen"), operator, discovery,
                 Long.parseUnsignedLong(all.getString("seed"), 16), time(l, "keepalive"), settings, names,
                 bounds(all.optJSONObject("limits", new JSONObject())),
-                known == null ? EndpointList.NOTHING : new EndpointListReader(names, log).read(known));
+                known == null ? EndpointList.UNKNOWN : new EndpointListReader(names, log).read(known));
     }
 
     /** Names what in the next configuration differs from this one and counts only from a start on. */
     List<String> startsAnew(Config next) {
         List<String> waits = new ArrayList<>();
         differs("name", name, next.name, waits);
-        differs("listen", listen, next.listen, waits);
-        differs("operator", operator, next.operator, waits);
+        differs("listen", listenAddress, next.listenAddress, waits);
+        differs("operator", operatorAddress, next.operatorAddress, waits);
         differs("limits", bounds, next.bounds, waits);
-        differs("keepalive", keepalive, next.keepalive, waits);
+        differs("keepalive", keepaliveMicros, next.keepaliveMicros, waits);
         differs("settings", settings, next.settings, waits);
         differs("names in settings", names, next.names, waits);
         return waits;
@@ -94,13 +95,13 @@
         }
     }
 
-    private static Bounds bounds(JSONObject limits) {
+    private static ResourceLimits bounds(JSONObject limits) {
         int sockets = limits.optInt("sockets", SOCKETS);
         int megabytes = limits.optInt("memory_mb", MEMORY_MB);
         if (sockets < LEAST_SOCKETS || megabytes < LEAST_MEMORY_MB) {
             throw new IllegalArgumentException("limits are too small: " + limits);
         }
-        return Bounds.within(sockets, Math.min(megabytes, MEMORY_MB));
+        return ResourceLimits.within(sockets, Math.min(megabytes, MEMORY_MB));
     }
 
     private static List<Routing.RequestClass> classes(JSONObject s) {
@@ -111,7 +112,7 @@
         for (JSONObject c : objects(s.getJSONArray("classes"))) {
             int i = classes.size();
             classes.add(new Routing.RequestClass(c.getString("name"),
-                    named(Routing.Effect.class, c.optString("effect", "retryable")),
+                    named(Routing.RetrySafety.class, c.optString("effect", "retryable")),
                     named(Routing.DedupGroup.class, c.optString("group", "all")), time(c, "window", 0),
                     time(c, "aim"), Math.round(item(domain, "aim_us_per_1000_prompt_tokens", i)),
                     Math.round(item(domain, "token_aim", i) * MICROS), time(c, "give_up"),
--- a/src/main/java/yewdock/platform/Wire.java
+++ b/src/main/java/yewdock/platform/Connection.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 
 /** A connection as the transport gives it. Its calls return at once; what comes of them reaches its side. */
-public interface Wire {
+public interface Connection {
     /** Writes, in the order of the calls. */
     void write(ByteBuffer bytes);
 
@@ -17,21 +17,21 @@
     void closeAfterWriting();
 
     /** Whether bytes have been read of which the side has yet to hear. */
-    boolean hasUnheard();
+    boolean hasUndelivered();
 
     /**
      * Closes a connection on which nothing is asked, unless it has unheard bytes: a request that was read
      * must be answered. Tells whether it closes.
      */
-    boolean closeUnlessUnheard();
+    boolean closeUnlessUndelivered();
 
     /**
      * Ends a connection whose other side may still be sending what was turned down: closing on unread
      * bytes could lose the answer. What still comes is dropped until the other side has closed, or for a
      * second.
      */
-    void linger();
+    void closeLingering();
 
     /** Stops reading, or goes on. */
-    void hold(boolean held);
+    void setReadingPaused(boolean held);
 }
--- a/src/main/java/yewdock/platform/Front.java
+++ b/src/main/java/yewdock/platform/ConnectionManager.java
@@ -8,37 +8,37 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import yewdock.desk.EndpointList;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Effect;
-import yewdock.desk.Event;
+import yewdock.core.Counters;
+import yewdock.core.Effect;
+import yewdock.core.EndpointList;
+import yewdock.core.Event;
+import yewdock.core.Reducer;
 
 /**
  * This platform's front: turns what happens on connections into the desk's events, and the desk's effects
  * into bytes. Not thread-safe: one thread runs it, the desk and all sides.
  */
-public final class Front {
+public final class ConnectionManager {
     /** Bodies that are still coming in may hold this much together; the desk bounds those that are whole. */
     private static final int MOST_COMING = 8 << 20;
 
-    private final Desk desk;
+    private final Reducer desk;
     private Config config;
     private final Counters counters;
-    private final Wires wires;
+    private final Transport wires;
     private final EndpointListReader lists;
-    private final Names names;
+    private final NameIndexes names;
     private final LongSupplier clock;
     private final Consumer<String> log;
     /** Takes the effects that concern other generations; without them there is nobody to tell. */
     private Consumer<Effect> others = effect -> { };
     /** Takes the answers to operators' calls. */
     private Consumer<Effect> calls = effect -> { };
-    private final Map<Long, ClientSide> clients = new LinkedHashMap<>();
-    private final Map<Long, BoxSide> lines = new HashMap<>();
-    private DiscoveryConnection list;
+    private final Map<Long, ClientConnectionHandler> clients = new LinkedHashMap<>();
+    private final Map<Long, ServerConnectionHandler> lines = new HashMap<>();
+    private DiscoveryConnectionHandler list;
     /** Its call was late and has been made anew on the other connection; the one answered first stays. */
-    private DiscoveryConnection listAside;
+    private DiscoveryConnectionHandler listAside;
     /** Whether a call has been answered since that one was set aside. */
     private boolean answeredSinceAside;
     private final Deque<Event> waiting = new ArrayDeque<>();
@@ -48,7 +48,8 @@
     private int coming;
     private boolean closing;
 
-    public Front(Config config, Desk desk, Counters counters, Wires wires, LongSupplier clock,
+    public ConnectionManager(Config config, Reducer desk, Counters counters, Transport wires,
+            LongSupplier clock,
             Consumer<String> log) {
         this.desk = desk;
         this.counters = counters;
@@ -65,40 +66,40 @@
 
     /** The first event: the configuration tells what is known. */
     public void start() {
-        start(config.known());
+        start(config.cachedEndpoints());
     }
 
     /** The first event, with a list that is newer than the configuration's. */
     public void start(EndpointList known) {
         lists.remember(known);
-        happened(new Event.Started(known, config.discovery()));
+        dispatch(new Event.Started(known, config.discoveryAddress()));
     }
 
     /** Where the effects go that concern other generations of this router. */
-    public void tellOthersBy(Consumer<Effect> teller) {
+    public void forwardGenerationEffectsTo(Consumer<Effect> teller) {
         others = teller;
     }
 
     /** Where the answers to operators' calls go. */
-    public void answerCallsBy(Consumer<Effect> answerer) {
+    public void forwardOperatorAnswersTo(Consumer<Effect> answerer) {
         calls = answerer;
     }
 
     /** A new configuration: what can be taken while requests are open is, the rest is named in the log. */
     public void reconfigure(Config next) {
         List<String> waits = config.startsAnew(next);
-        log.accept("new configuration: the box list is at " + next.discovery()
+        log.accept("new configuration: the box list is at " + next.discoveryAddress()
                 + (waits.isEmpty() ? "" : "; not taken before a restart: " + String.join(", ", waits)));
         config = next;
-        happened(new Event.ListMoved(next.discovery()));
+        dispatch(new Event.DiscoveryAddressChanged(next.discoveryAddress()));
     }
 
     /** A client has connected. */
-    public Side accept(Wire wire) {
+    public ConnectionHandler accept(Connection wire) {
         counters.add("clients.accepted");
-        ClientSide side = new ClientSide(this, ++lastClient, wire);
+        ClientConnectionHandler side = new ClientConnectionHandler(this, ++lastClient, wire);
         clients.put(lastClient, side);
-        happened(new Event.ClientCame(lastClient));
+        dispatch(new Event.ClientConnected(lastClient));
         return side;
     }
 
@@ -106,7 +107,7 @@
      * Takes an event to the desk and does what it asks for. What happens while that is being done waits its
      * turn: a client's next request must not overtake the rest of what the last one's end brings.
      */
-    public void happened(Event event) {
+    public void dispatch(Event event) {
         waiting.add(event);
         if (working) {
             return;
@@ -120,9 +121,9 @@
             working = false;
         }
         // A request half read when the desk owes nothing would be lost by stopping now.
-        if (stopAsked && clients.values().stream().noneMatch(ClientSide::midway)) {
+        if (stopAsked && clients.values().stream().noneMatch(ClientConnectionHandler::midway)) {
             stopAsked = false;
-            if (desk.lettingGo()) {
+            if (desk.isHandedOver()) {
                 // what the list tells from now on would be told to nobody
                 hangUpList();
                 hangUpListAside();
@@ -142,71 +143,71 @@
     }
 
     private void perform(Effect effect) {
-        if (effect instanceof Effect.PassOn e) {
+        if (effect instanceof Effect.ForwardChunk e) {
             client(e.client(), c -> c.passOn(e.bytes()));
-        } else if (effect instanceof Effect.SendTry e) {
-            BoxSide line = lines.get(e.line());
-            ClientSide client = clients.get(e.client());
+        } else if (effect instanceof Effect.SendAttempt e) {
+            ServerConnectionHandler line = lines.get(e.connection());
+            ClientConnectionHandler client = clients.get(e.client());
             if (line != null && client != null) {
-                line.send(client.request(), e.patience());
+                line.send(client.request(), e.timeoutMicros());
             }
-        } else if (effect instanceof Effect.EndAnswer e) {
-            client(e.client(), ClientSide::endAnswer);
-        } else if (effect instanceof Effect.OpenLine e) {
+        } else if (effect instanceof Effect.EndResponse e) {
+            client(e.client(), ClientConnectionHandler::endAnswer);
+        } else if (effect instanceof Effect.OpenServerConnection e) {
             wires.connect(e.address(), wire -> {
-                BoxSide side = new BoxSide(this, e.line(), wire);
-                lines.put(e.line(), side);
+                ServerConnectionHandler side = new ServerConnectionHandler(this, e.connection(), wire);
+                lines.put(e.connection(), side);
                 return side;
             });
-        } else if (effect instanceof Effect.CloseLine e) {
-            BoxSide line = lines.get(e.line());
+        } else if (effect instanceof Effect.CloseServerConnection e) {
+            ServerConnectionHandler line = lines.get(e.connection());
             if (line != null) {
                 line.close();
             }
-        } else if (effect instanceof Effect.HoldLine e) {
-            BoxSide line = lines.get(e.line());
+        } else if (effect instanceof Effect.PauseReading e) {
+            ServerConnectionHandler line = lines.get(e.connection());
             if (line != null) {
-                line.hold(e.held());
+                line.hold(e.paused());
             }
-        } else if (effect instanceof Effect.CutOff e) {
-            client(e.client(), ClientSide::cutOff);
+        } else if (effect instanceof Effect.AbortResponse e) {
+            client(e.client(), ClientConnectionHandler::cutOff);
         } else if (effect instanceof Effect.Refuse e) {
-            client(e.client(), c -> c.refuse(e.retryAfter()));
+            client(e.client(), c -> c.refuse(e.retryAfterMicros()));
         } else if (effect instanceof Effect.Fail e) {
-            client(e.client(), ClientSide::fail);
-        } else if (effect instanceof Effect.AskList e) {
+            client(e.client(), ClientConnectionHandler::fail);
+        } else if (effect instanceof Effect.CallDiscovery e) {
             askList(e);
-        } else if (effect instanceof Effect.HangUpList) {
+        } else if (effect instanceof Effect.CancelDiscoveryCall) {
             hangUpList();
-        } else if (effect instanceof Effect.SetListCallAside) {
+        } else if (effect instanceof Effect.SetDiscoveryCallAside) {
             setListCallAside();
         } else if (effect instanceof Effect.CloseClient e) {
-            client(e.client(), ClientSide::giveUp);
-        } else if (effect instanceof Effect.TurnDownTwin e) {
-            client(e.client(), ClientSide::turnDownTwin);
+            client(e.client(), ClientConnectionHandler::giveUp);
+        } else if (effect instanceof Effect.RejectDuplicate e) {
+            client(e.client(), ClientConnectionHandler::turnDownTwin);
         } else if (effect instanceof Effect.CloseIdleClients) {
             closing = true;
-            List.copyOf(clients.values()).forEach(ClientSide::closeIfIdle);
-        } else if (effect instanceof Effect.AnswerCall || effect instanceof Effect.AnswerFigures) {
+            List.copyOf(clients.values()).forEach(ClientConnectionHandler::closeIfIdle);
+        } else if (effect instanceof Effect.AnswerCommand || effect instanceof Effect.AnswerStatistics) {
             calls.accept(effect);
-        } else if (effect instanceof Effect.TellOthers || effect instanceof Effect.ShareOut
-                || effect instanceof Effect.MarkChanged) {
+        } else if (effect instanceof Effect.SendToGenerations || effect instanceof Effect.SendGenerationState
+                || effect instanceof Effect.PublishOverride) {
             others.accept(effect);
         } else if (effect instanceof Effect.Log e) {
-            log.accept(e.line());
+            log.accept(e.message());
         } else if (effect instanceof Effect.Stop) {
             stopAsked = true;
         }
     }
 
-    private void client(long id, Consumer<ClientSide> call) {
-        ClientSide side = clients.get(id);
+    private void client(long id, Consumer<ClientConnectionHandler> call) {
+        ClientConnectionHandler side = clients.get(id);
         if (side != null) {
             call.accept(side);
         }
     }
 
-    private void askList(Effect.AskList e) {
+    private void askList(Effect.CallDiscovery e) {
         if (list != null && !list.leadsTo(e.address())) {
             // between two calls the connection to where the list was before is still there
             hangUpList();
@@ -216,9 +217,9 @@
         }
         if (list == null) {
             list = wires.connectToDiscovery(e.address(),
-                    wire -> new DiscoveryConnection(this, lists, e.address(), wire));
+                    wire -> new DiscoveryConnectionHandler(this, lists, e.address(), wire));
         }
-        list.ask(e.since(), e.longest());
+        list.ask(e.sinceVersion(), e.maxWaitMicros());
     }
 
     private void setListCallAside() {
@@ -246,13 +247,13 @@
      * Of two calls for the list the connection of the first that is answered goes on. The other one is read
      * to its answer all the same: what discovery has written counts as told.
      */
-    void listCame(DiscoveryConnection side, EndpointList answer) {
+    void listCame(DiscoveryConnectionHandler side, EndpointList answer) {
         if (side != listAside) {
             answeredSinceAside = true;
-            happened(new Event.ListCame(answer));
+            dispatch(new Event.EndpointListReceived(answer));
         } else if (answeredSinceAside) {
             hangUpListAside();
-            happened(new Event.LateListCame(answer));
+            dispatch(new Event.LateEndpointListReceived(answer));
         } else {
             counters.add("list.late_answers");
             if (list != null && !list.isAsked()) {
@@ -261,31 +262,31 @@
             listAside = list;
             list = side;
             answeredSinceAside = true;
-            happened(new Event.ListCame(answer));
+            dispatch(new Event.EndpointListReceived(answer));
         }
     }
 
     /** The same where the connection ends with the answer: the next call needs another one. */
-    void listCameLast(DiscoveryConnection side, EndpointList answer) {
+    void listCameLast(DiscoveryConnectionHandler side, EndpointList answer) {
         boolean late = side == listAside && answeredSinceAside;
         listClosed(side);
         if (side == listAside) {
             listAside = null;
         }
         answeredSinceAside = true;
-        happened(late ? new Event.LateListCame(answer) : new Event.ListCame(answer));
+        dispatch(late ? new Event.LateEndpointListReceived(answer) : new Event.EndpointListReceived(answer));
     }
 
     /** A call for the list has failed; where it was set aside, another one is out or will be. */
-    void listFailed(DiscoveryConnection side) {
+    void listFailed(DiscoveryConnectionHandler side) {
         if (side == listAside) {
             hangUpListAside();
         } else {
-            happened(new Event.ListFailed());
+            dispatch(new Event.DiscoveryCallFailed());
         }
     }
 
-    void listClosed(DiscoveryConnection side) {
+    void listClosed(DiscoveryConnectionHandler side) {
         if (list == side) {
             list = null;
         }
@@ -293,12 +294,12 @@
 
     void clientClosed(long id) {
         clients.remove(id);
-        happened(new Event.ClientLeft(id));
+        dispatch(new Event.ClientDisconnected(id));
     }
 
     void lineClosed(long id) {
         lines.remove(id);
-        happened(new Event.LineDown(id));
+        dispatch(new Event.ServerDisconnected(id));
     }
 
     /** Counts more, or with a negative number less, of bodies coming in; false if that is too much. */
@@ -309,7 +310,7 @@
 
     /** Whether answers should tell clients to close, and idle ones be closed. */
     boolean leaving() {
-        return desk.leaving() || desk.lettingGo() || desk.quiesced();
+        return desk.isShuttingDown() || desk.isHandedOver() || desk.isQuiesced();
     }
 
     /** Whether connections end with their answers, also with those that did not say so. */
@@ -319,7 +320,7 @@
 
     /** Why this router is not ready; empty if it is. */
     String unready() {
-        return desk.unready();
+        return desk.notReadyReason();
     }
 
     /** The router's time. */
@@ -331,7 +332,7 @@
         return counters;
     }
 
-    Names names() {
+    NameIndexes names() {
         return names;
     }
 
--- a/src/main/java/yewdock/platform/Deployment.java
+++ b/src/main/java/yewdock/platform/DeploymentSummary.java
@@ -11,7 +11,7 @@
 import umberspread.Routing;
 
 /** What a configuration switches on at a deployment, and what of it this program can't use, line by line. */
-public final class Deployment {
+public final class DeploymentSummary {
     private static final double MICROS = 1e6;
     /** The settings that {@link Config} takes up, by their paths without the places in lists. */
     private static final Set<String> USED = Set.of("instances", "ordinal", "zone", "discovery", "zones",
@@ -28,7 +28,7 @@
             "domain.notes", "domain.report_x0", "domain.report_x1", "goal.whole", "goal.worst_class",
             "goal.worst_tenant", "goal.worst_window", "orgs.share");
 
-    private Deployment() {
+    private DeploymentSummary() {
     }
 
     /** The lines for a configuration's text; throws IllegalArgumentException where it can't be read. */
@@ -39,16 +39,17 @@
         Routing.Limits limits = s.limits();
         Routing.Contract contract = s.contract();
         List<String> lines = new ArrayList<>();
-        lines.add("box list: " + (s.askForList() ? "asked, at least every " + seconds(contract.askWithin())
+        lines.add("box list: " + (s.pullsEndpointList() ? "asked, at least every "
+                + seconds(contract.maxDiscoveryInterval())
                 : "pushed to an agent, watched from the start"));
         lines.add("drain grace: " + seconds(contract.drainGrace()));
-        lines.add("tries of a request: " + limits.maxAttempts() + " at most, " + (limits.mayDuplicate()
+        lines.add("tries of a request: " + limits.maxAttempts() + " at most, " + (limits.allowsHedging()
                 ? "two may be out together for " + copied(s) : "one out at a time"));
-        lines.add("tries beyond the first: " + (contract.attempts().window() == 0
-                ? "no contract, bounded all the same" : "at most " + contract.attempts().free() + " and "
-                + contract.attempts().ratio() + " for each request within "
-                + seconds(contract.attempts().window())));
-        lines.add("giving a try up: " + (limits.cancelling() ? "allowed" : "not allowed"));
+        lines.add("tries beyond the first: " + (contract.attemptBudget().window() == 0
+                ? "no contract, bounded all the same" : "at most " + contract.attemptBudget().free() + " and "
+                + contract.attemptBudget().ratio() + " for each request within "
+                + seconds(contract.attemptBudget().window())));
+        lines.add("giving a try up: " + (limits.allowsCancelling() ? "allowed" : "not allowed"));
         lines.add("advice to refused clients: " + (limits.retryAfterMax() == 0 ? "none"
                 : "up to " + seconds(limits.retryAfterMax())));
         lines.add("late answers: " + late(s));
@@ -67,7 +68,8 @@
     }
 
     private static String copied(Routing.Settings s) {
-        List<String> classes = s.classes().stream().filter(c -> c.effect() != Routing.Effect.FRAGILE)
+        List<String> classes = s.classes().stream().filter(c ->
+                c.retrySafety() != Routing.RetrySafety.FRAGILE)
                 .map(Routing.RequestClass::name).toList();
         return classes.isEmpty() ? "no class" : String.join(", ", classes);
     }
--- a/src/main/java/yewdock/platform/DiscoveryConnection.java
+++ b/src/main/java/yewdock/platform/DiscoveryConnectionHandler.java
@@ -4,30 +4,31 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import org.json.JSONException;
-import yewdock.desk.EndpointList;
-import yewdock.desk.Event;
+import yewdock.core.EndpointList;
+import yewdock.core.Event;
 import yewdock.http.BadMessageException;
-import yewdock.http.Head;
+import yewdock.http.MessageHead;
 import yewdock.http.MessageReader;
 
 /** The connection on which the box list is watched. */
-final class DiscoveryConnection implements Side, MessageReader.Sink {
+final class DiscoveryConnectionHandler implements ConnectionHandler, MessageReader.Sink {
     private static final int MOST_LIST = 4 << 20;
     private static final int OK = 200;
 
-    private final Front front;
+    private final ConnectionManager front;
     private final EndpointListReader lists;
     private final String host;
-    private final Wire wire;
-    private final MessageReader reader = new MessageReader(MessageReader.Kind.ANSWER, this);
+    private final Connection wire;
+    private final MessageReader reader = new MessageReader(MessageReader.Kind.RESPONSE, this);
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-    private Head head;
+    private MessageHead head;
     private String waiting;
     private boolean up;
     private boolean out;
     private boolean gone;
 
-    DiscoveryConnection(Front front, EndpointListReader lists, String host, Wire wire) {
+    DiscoveryConnectionHandler(ConnectionManager front, EndpointListReader lists, String host,
+            Connection wire) {
         this.front = front;
         this.lists = lists;
         this.host = host;
@@ -59,21 +60,21 @@
     }
 
     @Override
-    public void up() {
+    public void onConnected() {
         up = true;
         writeIfUp();
     }
 
     @Override
-    public void received(ByteBuffer bytes) {
+    public void onReceived(ByteBuffer bytes) {
         try {
             while (bytes.hasRemaining() && !gone) {
                 if (!out) {
                     throw new BadMessageException(502, "an answer that nobody asked for");
                 }
                 reader.read(bytes);
-                if (reader.done()) {
-                    reader.next();
+                if (reader.isComplete()) {
+                    reader.startNext();
                     whole();
                 }
             }
@@ -111,7 +112,7 @@
 
     /** What the end of the connection makes of the call: a body without a length is whole, if it reads so. */
     private EndpointList endOfConnection() {
-        if (!reader.endsWithConnection() || head.status() != OK) {
+        if (!reader.readsUntilClose() || head.status() != OK) {
             return null;
         }
         try {
@@ -123,7 +124,7 @@
     }
 
     @Override
-    public void head(Head read) {
+    public void head(MessageHead read) {
         head = read;
         body.reset();
     }
@@ -143,12 +144,12 @@
     }
 
     @Override
-    public void idle() {
+    public void onIdle() {
         // the desk keeps the times of the router's own connections
     }
 
     @Override
-    public void written(int bytes) {
+    public void onWritten(int bytes) {
         // nothing waits for it
     }
 
@@ -159,7 +160,7 @@
 
     /** A close between calls only means that the next call needs a new connection. */
     @Override
-    public void down() {
+    public void onClosed() {
         if (gone) {
             return;
         }
@@ -167,7 +168,7 @@
         EndpointList last = endOfConnection();
         if (last == null) {
             front.listClosed(this);
-            front.happened(new Event.DiscoveryLost());
+            front.dispatch(new Event.DiscoveryConnectionLost());
             if (out) {
                 front.listFailed(this);
             }
--- a/src/main/java/yewdock/platform/EndpointListReader.java
+++ b/src/main/java/yewdock/platform/EndpointListReader.java
@@ -12,9 +12,9 @@
 import org.json.JSONException;
 import org.json.JSONObject;
 import umberspread.Routing.Lifecycle;
-import umberspread.Routing.Replica;
-import yewdock.desk.EndpointList;
-import yewdock.desk.ModelServer;
+import umberspread.Routing.ServerState;
+import yewdock.core.EndpointList;
+import yewdock.core.ModelServer;
 
 /**
  * Reads lists of servers. An entry that can't be used is logged and skipped; the rest of its list counts,
@@ -26,19 +26,19 @@
     private static final List<Lifecycle> BY_SEVERITY =
             List.of(Lifecycle.READY, Lifecycle.DRAINING, Lifecycle.GONE);
 
-    private final Names names;
+    private final NameIndexes names;
     private final Consumer<String> log;
     /** Which id each name has, for as long as it is listed: two names of one number must not be mixed up. */
     private final Map<String, Long> idsByName = new HashMap<>();
 
-    public EndpointListReader(Names names, Consumer<String> log) {
+    public EndpointListReader(NameIndexes names, Consumer<String> log) {
         this.names = names;
         this.log = log;
     }
 
     /** The names in this list have the ids that they have there. */
     public void remember(EndpointList list) {
-        list.boxes().forEach(server -> idsByName.put(server.name(), server.id()));
+        list.servers().forEach(server -> idsByName.put(server.name(), server.id()));
     }
 
     /** The list in a text; throws JSONException if it is none. */
@@ -120,19 +120,19 @@
     }
 
     private static ModelServer withStateOnly(String name, long id, Lifecycle lifecycle) {
-        return new ModelServer(name, "", new Replica(id, 0, 0, 0, 1, lifecycle, 0));
+        return new ModelServer(name, "", new ServerState(id, 0, 0, 0, 1, lifecycle, 0));
     }
 
     private ModelServer whole(JSONObject entry, String name, long id, Lifecycle lifecycle) {
         String address = entry.getString("addr");
-        Addresses.of(address);
+        Addresses.parse(address);
         double weight = entry.optDouble("weight", 1);
         long startedMillis = entry.optLong("started_ms", 0);
         if (!(weight >= 0 && weight <= MOST_WEIGHT) || startedMillis < 0) {
             throw new IllegalArgumentException("impossible weight or start");
         }
-        return new ModelServer(name, address, new Replica(id, place(names.sites(), entry, "zone"),
-                place(names.kinds(), entry, "kind"), entry.optInt("cell", 0), weight, lifecycle,
+        return new ModelServer(name, address, new ServerState(id, place(names.zones(), entry, "zone"),
+                place(names.serverKinds(), entry, "kind"), entry.optInt("cell", 0), weight, lifecycle,
                 startedMillis * 1000));
     }
 
--- a/src/main/java/yewdock/platform/Names.java
+++ b/src/main/java/yewdock/platform/NameIndexes.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /** The names that the settings give to what the module knows by numbers. */
-public record Names(Map<String, Integer> classes, Map<String, Integer> municipalities,
-        Map<String, Integer> sites, Map<String, Integer> kinds) {
+public record NameIndexes(Map<String, Integer> classes, Map<String, Integer> tenants,
+        Map<String, Integer> zones, Map<String, Integer> serverKinds) {
     /** Each name's place in its list. */
     static Map<String, Integer> places(List<String> names) {
         Map<String, Integer> places = new HashMap<>();
