--- a/src/main/java/yewdock/platform/BoxSide.java
+++ b/src/main/java/yewdock/platform/ServerConnectionHandler.java
@@ -9,14 +9,14 @@
 import org.json.JSONObject;
 import umberspread.Routing.LoadReport;
 import umberspread.Routing.Outcome;
-import yewdock.desk.Event;
+import yewdock.core.Event;
 import yewdock.http.BadMessageException;
-import yewdock.http.EventLines;
-import yewdock.http.Head;
+import yewdock.http.EventStreamLineReader;
+import yewdock.http.MessageHead;
 import yewdock.http.MessageReader;
 
 /** A line to a model box: writes one try at a time, reads its answer. */
-final class BoxSide implements Side, MessageReader.Sink {
+final class ServerConnectionHandler implements ConnectionHandler, MessageReader.Sink {
     /** Fields that belong to one connection, or that the router writes itself. */
     private static final Set<String> OWN = Set.of("connection", "keep-alive", "transfer-encoding",
             "content-length", "expect", "te", "trailer", "upgrade", "proxy-connection", "x-time-left");
@@ -24,11 +24,11 @@
     /** A first event longer than this goes to the client before it is whole. */
     private static final int MOST_OPENING = 16 * 1024;
 
-    private final Front front;
+    private final ConnectionManager front;
     private final long line;
-    private final Wire wire;
-    private final MessageReader reader = new MessageReader(MessageReader.Kind.ANSWER, this);
-    private final EventLines events = new EventLines(this::eventLine, this::eventEnd);
+    private final Connection wire;
+    private final MessageReader reader = new MessageReader(MessageReader.Kind.RESPONSE, this);
+    private final EventStreamLineReader events = new EventStreamLineReader(this::eventLine, this::eventEnd);
     /**
      * What has come of a stream whose first event is not whole yet. A client that had a part of that event
      * could only be cut off if the server's connection broke; without it the request may still be tried
@@ -43,21 +43,21 @@
     /** Whether the line has brought an answer before. */
     private boolean used;
     private int toWrite;
-    private Head head;
+    private MessageHead head;
     private LoadReport report;
     private long kept;
     private boolean gone;
 
-    BoxSide(Front front, long line, Wire wire) {
+    ServerConnectionHandler(ConnectionManager front, long line, Connection wire) {
         this.front = front;
         this.line = line;
         this.wire = wire;
     }
 
     @Override
-    public void up() {
+    public void onConnected() {
         if (!gone) {
-            front.happened(new Event.LineUp(line));
+            front.dispatch(new Event.ServerConnected(line));
         }
     }
 
@@ -65,7 +65,7 @@
         StringBuilder text = new StringBuilder(512);
         text.append(request.head().method()).append(' ').append(request.head().target())
                 .append(" HTTP/1.1\r\n");
-        for (Head.Field f : request.head().fields()) {
+        for (MessageHead.Field f : request.head().fields()) {
             if (!OWN.contains(f.name().toLowerCase(Locale.ROOT))) {
                 text.append(f.name()).append(": ").append(f.value()).append("\r\n");
             }
@@ -88,25 +88,25 @@
     }
 
     @Override
-    public void idle() {
+    public void onIdle() {
         // the desk keeps the times of the router's own connections
     }
 
     @Override
-    public void written(int bytes) {
+    public void onWritten(int bytes) {
         toWrite -= bytes;
         if (toWrite == 0) {
-            front.happened(new Event.TrySent(line));
+            front.dispatch(new Event.AttemptWritten(line));
         }
     }
 
     @Override
-    public void notBegun() {
-        front.happened(new Event.NotBegun(line));
+    public void onWriteExpired() {
+        front.dispatch(new Event.AttemptNotStarted(line));
     }
 
     @Override
-    public void received(ByteBuffer bytes) {
+    public void onReceived(ByteBuffer bytes) {
         if (gone) {
             return;
         }
@@ -117,23 +117,23 @@
                     throw new BadMessageException(502, "an answer that nobody asked for");
                 }
                 reader.read(bytes);
-                if (reader.done()) {
-                    reader.next();
+                if (reader.isComplete()) {
+                    reader.startNext();
                     whole(!bytes.hasRemaining());
                 }
             }
-            if (busy && !flowing && !reader.untouched()) {
-                front.happened(new Event.AnswerBegan(line));
+            if (busy && !flowing && !reader.atMessageStart()) {
+                front.dispatch(new Event.ResponseStarted(line));
             }
         } catch (BadMessageException e) {
             front.counters().add("boxes.malformed_answers");
             gone = true;
-            front.happened(new Event.AnswerSpoilt(line));
+            front.dispatch(new Event.ResponseMalformed(line));
         }
     }
 
     @Override
-    public void head(Head read) {
+    public void head(MessageHead read) {
         head = read;
         report = LoadReports.of(read.field(LoadReports.HEADER));
     }
@@ -147,7 +147,7 @@
         boolean first = !flowing;
         events.read(piece);
         if (!first) {
-            front.happened(new Event.Piece(line, piece));
+            front.dispatch(new Event.ResponseChunk(line, piece));
             return;
         }
         byte[] bytes = new byte[piece.remaining()];
@@ -162,7 +162,7 @@
         flowing = true;
         ByteBuffer all = ByteBuffer.wrap(opening.toByteArray());
         opening.reset();
-        front.happened(new Event.Piece(line, all));
+        front.dispatch(new Event.ResponseChunk(line, all));
     }
 
     @Override
@@ -181,7 +181,8 @@
             case 503, 504 -> "1".equals(head.field("X-Unprocessed")) ? Outcome.FULL : Outcome.ERROR;
             default -> Outcome.ERROR;
         };
-        front.happened(new Event.Answered(line, outcome, clean && toWrite == 0 && head.keepsAlive(), kept,
+        front.dispatch(new Event.ResponseCompleted(line, outcome, clean && toWrite == 0 && head.keepsAlive(),
+                kept,
                 report));
     }
 
@@ -207,7 +208,7 @@
     }
 
     void hold(boolean held) {
-        wire.hold(held);
+        wire.setReadingPaused(held);
     }
 
     void close() {
@@ -216,7 +217,7 @@
     }
 
     @Override
-    public void down() {
+    public void onClosed() {
         if (!gone && busy && head != null && head.status() != 200) {
             // The status has said all, even where the body's end was the connection's.
             whole(false);
--- a/src/main/java/yewdock/replica/Replica.java
+++ b/src/main/java/yewdock/replication/Replicator.java
@@ -1,4 +1,4 @@
-package yewdock.replica;
+package yewdock.replication;
 
 import com.google.protobuf.InvalidProtocolBufferException;
 import java.util.ArrayList;
@@ -10,9 +10,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import yewdock.log.Fields;
-import yewdock.state.Keys;
-import yewdock.state.Records;
+import yewdock.logging.LogFields;
+import yewdock.state.RecordKeys;
+import yewdock.state.ReplicatedRecords;
 import yewdock.wire.AskSnapshot;
 import yewdock.wire.Batch;
 import yewdock.wire.Buckets;
@@ -34,7 +34,7 @@
  * <p>To a peer only keys wait, never records, and one batch at most is out: a peer that is slow, silent or
  * stale costs a name for each record and no more.
  */
-public final class Replica {
+public final class Replicator {
     /** The version of the frames that are sent, and the least that a reader must know. */
     public static final int VERSION = 1;
     static final long COMPARE_EVERY = 1_000_000;
@@ -45,17 +45,17 @@
     static final int MOST_ENTRIES = 2_000;
 
     private final String cluster;
-    private final Records records;
+    private final ReplicatedRecords records;
     private final int mostTombstones;
     private final Map<String, Peer> peers = new TreeMap<>();
-    private List<ReplicaEffect> effects = new ArrayList<>();
+    private List<ReplicationEffect> effects = new ArrayList<>();
     private Set<String> toStore = new LinkedHashSet<>();
     private long now;
     /** The stamp known when the records last equalled a peer's. */
-    private long joined;
+    private long lastSyncedStamp;
     private long nextCompare;
     private boolean snapshotAsked;
-    private boolean needsAll;
+    private boolean needsFullSync;
 
     /** A peer of the operator's file, connected or not. */
     private static final class Peer {
@@ -84,64 +84,65 @@
     }
 
     /** How a peer stands: keys that wait, when it was last heard and last equal (microseconds; 0: never). */
-    public record Standing(String peer, boolean up, int waiting, long lastHeard, long equalAt, long sent,
+    public record PeerStatus(String peer, boolean up, int waiting, long lastHeard, long equalAt, long sent,
             long got, String trouble) {
     }
 
     /**
      * Copying for these records, to the peers of these names.
      *
-     * @param joined what {@link #joined()} was when the records were stored, 0 with an empty disk
+     * @param joined what {@link #lastSyncedStamp()} was when the records were stored, 0 with an empty disk
      * @param mostTombstones so many removals are remembered even when all peers know them
      */
-    public Replica(String cluster, Set<String> named, Records records, long joined, int mostTombstones) {
+    public Replicator(String cluster, Set<String> named, ReplicatedRecords records, long joined,
+            int mostTombstones) {
         this.cluster = cluster;
         this.records = records;
-        this.joined = joined;
+        this.lastSyncedStamp = joined;
         this.mostTombstones = mostTombstones;
-        this.needsAll = joined == 0;
+        this.needsFullSync = joined == 0;
         named.forEach(name -> peers.put(name, new Peer(name)));
     }
 
     /** Takes one event and tells what to do about it. */
-    public List<ReplicaEffect> reduce(ReplicaEvent event, long time) {
+    public List<ReplicationEffect> reduce(ReplicationEvent event, long time) {
         now = Math.max(now, time);
         effects = new ArrayList<>();
         toStore = new LinkedHashSet<>();
-        if (event instanceof ReplicaEvent.Heard e) {
+        if (event instanceof ReplicationEvent.PeerFrameReceived e) {
             heard(peers.get(e.peer()), e.frame());
-        } else if (event instanceof ReplicaEvent.Changed e) {
+        } else if (event instanceof ReplicationEvent.RecordsChanged e) {
             spread(e.keys());
-        } else if (event instanceof ReplicaEvent.Up e) {
+        } else if (event instanceof ReplicationEvent.PeerConnected e) {
             up(peers.get(e.peer()));
-        } else if (event instanceof ReplicaEvent.Down e) {
+        } else if (event instanceof ReplicationEvent.PeerDisconnected e) {
             down(peers.get(e.peer()), e.why());
-        } else if (event instanceof ReplicaEvent.Tick) {
+        } else if (event instanceof ReplicationEvent.Tick) {
             tick();
         }
         if (!toStore.isEmpty()) {
-            effects.add(new ReplicaEffect.Store(List.copyOf(toStore)));
+            effects.add(new ReplicationEffect.StoreRecords(List.copyOf(toStore)));
         }
         return effects;
     }
 
-    /** When the next {@link ReplicaEvent.Tick} is due. */
-    public long nextDue() {
+    /** When the next {@link ReplicationEvent.Tick} is due. */
+    public long nextTickDue() {
         return nextCompare;
     }
 
     /** The stamp known when the records last equalled a peer's; to be stored with them. */
-    public long joined() {
-        return joined;
+    public long lastSyncedStamp() {
+        return lastSyncedStamp;
     }
 
     /** Whether the first of the records have yet to be taken from a peer. */
-    public boolean needsAll() {
-        return needsAll;
+    public boolean needsFullSync() {
+        return needsFullSync;
     }
 
-    public List<Standing> standings() {
-        return peers.values().stream().map(p -> new Standing(p.name, p.up && p.greeted, p.dirty.size(),
+    public List<PeerStatus> peerStatuses() {
+        return peers.values().stream().map(p -> new PeerStatus(p.name, p.up && p.greeted, p.dirty.size(),
                 p.lastHeard, p.equalAt, p.sent, p.got, p.trouble)).toList();
     }
 
@@ -164,7 +165,7 @@
 
     private PeerHello.Builder hello(Peer p, boolean again) {
         return PeerHello.newBuilder().setVersion(VERSION).setLeastReader(VERSION).setCluster(cluster)
-                .setInstance(records.instance()).setTo(p.name).setJoined(joined)
+                .setInstance(records.instance()).setTo(p.name).setJoined(lastSyncedStamp)
                 .setHorizon(records.horizon()).setRecords(records.size()).setAgain(again);
     }
 
@@ -186,7 +187,7 @@
 
     private void close(Peer p, String why) {
         send(p, PeerFrame.newBuilder().setRefused(Refused.newBuilder().setWhy(why)));
-        effects.add(new ReplicaEffect.Close(p.name, why));
+        effects.add(new ReplicationEffect.ClosePeer(p.name, why));
         down(p, why);
     }
 
@@ -195,7 +196,7 @@
         for (Peer p : peers.values()) {
             if (p.up && now - p.lastHeard > SILENT_AFTER) {
                 close(p, "silent for " + (now - p.lastHeard) / 1_000_000 + " s");
-            } else if (p.up && p.greeted && needsAll && !snapshotAsked && p.hasRecords) {
+            } else if (p.up && p.greeted && needsFullSync && !snapshotAsked && p.hasRecords) {
                 askSnapshot(p);
             } else if (p.up && p.greeted && leads(p) && p.snapshot == null && !p.takesSnapshot) {
                 compare(p);
@@ -211,7 +212,7 @@
 
     private void compare(Peer p) {
         p.digestClock = records.clock();
-        send(p, PeerFrame.newBuilder().setDigest(Digest.newBuilder().addAllSums(records.sums())
+        send(p, PeerFrame.newBuilder().setDigest(Digest.newBuilder().addAllSums(records.bucketSums())
                 .setHorizon(records.horizon())));
     }
 
@@ -227,7 +228,8 @@
             return;
         }
         if (frame.hasRefused()) {
-            effects.add(new ReplicaEffect.Close(p.name, "refused there: " + frame.getRefused().getWhy()));
+            effects.add(new ReplicationEffect.ClosePeer(p.name, "refused there: "
+                    + frame.getRefused().getWhy()));
             down(p, "refused there: " + frame.getRefused().getWhy());
             return;
         }
@@ -271,7 +273,7 @@
         }
         boolean peerIsNew = hello.getJoined() == 0;
         boolean stale = !peerIsNew && hello.getJoined() < records.horizon();
-        boolean staleHere = joined != 0 && joined < hello.getHorizon();
+        boolean staleHere = lastSyncedStamp != 0 && lastSyncedStamp < hello.getHorizon();
         if (stale && !(staleHere && hello.getHorizon() > records.horizon())) {
             // it has missed removals that are forgotten here: what it has could bring them back
             note("peer.stale", p, "joined", hello.getJoined(), "horizon", records.horizon());
@@ -279,7 +281,7 @@
         } else if (staleHere) {
             // the same the other way round: the peer sends all of what holds
             p.takesSnapshot = true;
-        } else if (needsAll && !snapshotAsked && p.hasRecords) {
+        } else if (needsFullSync && !snapshotAsked && p.hasRecords) {
             askSnapshot(p);
         } else if (leads(p)) {
             compare(p);
@@ -294,12 +296,12 @@
     }
 
     private void digest(Peer p, Digest digest) {
-        if (digest.getSumsCount() != Records.BUCKETS) {
+        if (digest.getSumsCount() != ReplicatedRecords.BUCKETS) {
             close(p, "a digest of " + digest.getSumsCount() + " sums");
             return;
         }
         follow(digest.getHorizon());
-        List<Integer> differing = records.differing(digest.getSumsList());
+        List<Integer> differing = records.differingBuckets(digest.getSumsList());
         if (differing.isEmpty()) {
             equal(p, records.clock());
             // all that is here was there when it sent this
@@ -308,7 +310,7 @@
             return;
         }
         Buckets.Builder answer = Buckets.newBuilder();
-        for (Map.Entry<Integer, List<Kept>> bucket : records.of(differing).entrySet()) {
+        for (Map.Entry<Integer, List<Kept>> bucket : records.recordsInBuckets(differing).entrySet()) {
             List<Kept> of = bucket.getValue();
             if (answer.getEntriesCount() > 0 && answer.getEntriesCount() + of.size() > MOST_ENTRIES) {
                 break;
@@ -324,19 +326,19 @@
     private void equal(Peer p, long stamp) {
         p.equalStamp = Math.max(p.equalStamp, stamp);
         p.equalAt = now;
-        needsAll = false;
-        joined = Math.max(Math.max(1, joined), stamp);
+        needsFullSync = false;
+        lastSyncedStamp = Math.max(Math.max(1, lastSyncedStamp), stamp);
     }
 
     /** Another has forgotten removals that all knew: they are forgotten here too, or the sums never agree. */
     private void follow(long horizon) {
-        if (horizon > records.horizon() && (joined == 0 || horizon <= joined)) {
-            toStore.addAll(records.forget(horizon));
+        if (horizon > records.horizon() && (lastSyncedStamp == 0 || horizon <= lastSyncedStamp)) {
+            toStore.addAll(records.purgeTombstones(horizon));
         }
     }
 
     private void buckets(Peer p, Buckets theirs) {
-        if (theirs.getIndexesList().stream().anyMatch(i -> i < 0 || i >= Records.BUCKETS)) {
+        if (theirs.getIndexesList().stream().anyMatch(i -> i < 0 || i >= ReplicatedRecords.BUCKETS)) {
             close(p, "buckets that there are not");
             return;
         }
@@ -344,12 +346,12 @@
         Map<String, Buckets.Entry> there = new HashMap<>();
         for (Buckets.Entry e : theirs.getEntriesList()) {
             there.put(e.getKey(), e);
-            Kept mine = records.raw(e.getKey());
+            Kept mine = records.getWithTombstones(e.getKey());
             if (mine == null || records.hash(e.getKey()) != e.getHash() && order(e, mine) >= 0) {
                 want.add(e.getKey());
             }
         }
-        records.of(theirs.getIndexesList()).values().forEach(of -> of.forEach(mine -> {
+        records.recordsInBuckets(theirs.getIndexesList()).values().forEach(of -> of.forEach(mine -> {
             Buckets.Entry e = there.get(mine.getKey());
             if (e == null || e.getHash() != records.hash(mine.getKey()) && order(e, mine) <= 0) {
                 p.dirty.add(mine.getKey());
@@ -362,11 +364,11 @@
     }
 
     private static int order(Buckets.Entry theirs, Kept mine) {
-        return Records.order(theirs.getStamp(), theirs.getInstance(), mine);
+        return ReplicatedRecords.compare(theirs.getStamp(), theirs.getInstance(), mine);
     }
 
     private void want(Peer p, Collection<String> keys) {
-        keys.stream().filter(k -> records.raw(k) != null).forEach(p.dirty::add);
+        keys.stream().filter(k -> records.getWithTombstones(k) != null).forEach(p.dirty::add);
         push(p);
     }
 
@@ -397,7 +399,7 @@
         for (Iterator<String> waiting = p.dirty.iterator(); waiting.hasNext()
                 && batch.getRecordsCount() < MOST_BATCH && bytes < BATCH_BYTES;) {
             String key = waiting.next();
-            Kept kept = records.raw(key);
+            Kept kept = records.getWithTombstones(key);
             if (kept != null) {
                 batch.addRecords(kept);
                 bytes += kept.getSerializedSize();
@@ -427,13 +429,13 @@
     private boolean take(Peer p, List<Kept> all) {
         List<String> asserted = new ArrayList<>();
         for (Kept kept : all) {
-            String flaw = Records.flaw(kept);
+            String flaw = ReplicatedRecords.validate(kept);
             if (flaw != null) {
                 close(p, "a record with " + flaw);
                 return false;
             }
-            Kept mine = records.raw(kept.getKey());
-            if (mine != null && Keys.isOf(records.instance(), kept.getKey())
+            Kept mine = records.getWithTombstones(kept.getKey());
+            if (mine != null && RecordKeys.isOwnedBy(records.instance(), kept.getKey())
                     && kept.getStamp() >= mine.getStamp() && !kept.equals(mine)) {
                 // of an earlier life under this name, which this instance does not remember: it knows better
                 Kept.Builder again = mine.toBuilder();
@@ -442,12 +444,12 @@
                 toStore.add(kept.getKey());
                 continue;
             }
-            Records.Merged merged = records.merge(kept);
-            if (merged == Records.Merged.REFUSED) {
+            ReplicatedRecords.MergeResult merged = records.merge(kept);
+            if (merged == ReplicatedRecords.MergeResult.REJECTED) {
                 close(p, "more records than this instance keeps");
                 return false;
             }
-            if (merged == Records.Merged.TAKEN) {
+            if (merged == ReplicatedRecords.MergeResult.APPLIED) {
                 toStore.add(kept.getKey());
                 p.got++;
             }
@@ -480,7 +482,7 @@
     /** References only: the records themselves never change. */
     private List<Kept> listed() {
         List<Kept> all = new ArrayList<>(records.size());
-        records.after("").forEach(all::add);
+        records.recordsAfter("").forEach(all::add);
         return all;
     }
 
@@ -515,12 +517,12 @@
             close(p, "a snapshot that nobody asked for");
             return;
         }
-        if (part.getReplace() && !needsAll) {
+        if (part.getReplace() && !needsFullSync) {
             // first of all: what is here and not there was removed while this instance was away; but what is
             // its own nobody else can have removed
             note("replica.replaced", p, "records", records.size());
-            toStore.addAll(records.clear(key -> Keys.isOf(records.instance(), key)));
-            needsAll = true;
+            toStore.addAll(records.removeExcept(key -> RecordKeys.isOwnedBy(records.instance(), key)));
+            needsFullSync = true;
         }
         if (!take(p, all)) {
             return;
@@ -529,9 +531,9 @@
         if (part.getLast()) {
             p.takesSnapshot = false;
             snapshotAsked = false;
-            needsAll = false;
-            toStore.addAll(records.forget(part.getHorizon()));
-            joined = Math.max(1, records.clock());
+            needsFullSync = false;
+            toStore.addAll(records.purgeTombstones(part.getHorizon()));
+            lastSyncedStamp = Math.max(1, records.clock());
             note("replica.caught_up", p, "records", records.size());
             send(p, PeerFrame.newBuilder().setHello(hello(p, true)));
             for (Peer other : peers.values()) {
@@ -550,15 +552,15 @@
         if (records.tombstones() <= mostTombstones) {
             return;
         }
-        long upTo = Math.min(records.clock(), joined);
+        long upTo = Math.min(records.clock(), lastSyncedStamp);
         for (Peer p : peers.values()) {
             upTo = Math.min(upTo, p.equalStamp);
         }
-        toStore.addAll(records.forget(upTo));
+        toStore.addAll(records.purgeTombstones(upTo));
     }
 
     private void send(Peer p, PeerFrame.Builder frame) {
-        effects.add(new ReplicaEffect.Send(p.name, frame.build()));
+        effects.add(new ReplicationEffect.SendToPeer(p.name, frame.build()));
     }
 
     private void note(String event, Peer p, Object... more) {
@@ -566,6 +568,6 @@
         all[0] = "peer";
         all[1] = p.name;
         System.arraycopy(more, 0, all, 2, more.length);
-        effects.add(new ReplicaEffect.Note(event, Fields.of(all)));
+        effects.add(new ReplicationEffect.LogEvent(event, LogFields.of(all)));
     }
 }
--- a/src/main/java/yewdock/replica/Snapshots.java
+++ b/src/main/java/yewdock/replication/Snapshots.java
@@ -1,4 +1,4 @@
-package yewdock.replica;
+package yewdock.replication;
 
 import com.github.luben.zstd.Zstd;
 import com.github.luben.zstd.ZstdException;
@@ -14,7 +14,7 @@
     /** Records of a part, before compression, take so many bytes, or are one record. */
     static final int PART_BYTES = 256 * 1024;
     /** What a part may say that it takes when it is unpacked. */
-    static final int MOST_PLAIN = 2 * PART_BYTES + yewdock.state.Records.MOST_BYTES;
+    static final int MOST_PLAIN = 2 * PART_BYTES + yewdock.state.ReplicatedRecords.MAX_RECORD_BYTES;
     private static final int LEVEL = 3;
 
     private Snapshots() {
--- a/src/main/java/yewdock/rules/Refusal.java
+++ b/src/main/java/yewdock/rules/ChangeRejection.java
@@ -1,31 +1,31 @@
 package yewdock.rules;
 
 /** Why a change of the rules is refused, and what whoever wants it can do. */
-public enum Refusal {
+public enum ChangeRejection {
     /** The subject has changed since. */
     STALE(1, "the subject has been changed since it was looked at",
             "look at it again, and ask for the change from there"),
     /** Another change of the same subject has not taken force yet. */
-    UNDER_WAY(2, "another change of the same subject is under way",
+    ALREADY_PENDING(2, "another change of the same subject is under way",
             "wait until that one is in force, and ask again"),
     /** No such subject, or a value that it can't have. */
-    UNFIT(3, "the subject or its value is not one that this program knows",
+    INVALID(3, "the subject or its value is not one that this program knows",
             "name a box, a municipality or a setting that is there, with a value in its bounds"),
     /** The bound on subjects is reached. */
-    FULL(4, "there are as many agreed subjects as there may be",
+    TOO_MANY_SUBJECTS(4, "there are as many agreed subjects as there may be",
             "take back what is no longer needed: a subject without a value costs nothing"),
     /** Too much text. */
     TOO_LARGE(5, "the change has more bytes than a change may have", "give a shorter reason or value"),
     /** There is no change of that id under way. */
-    NOT_UNDER_WAY(6, "no change of this id is under way", "see which are, and name one of them"),
+    NOT_PENDING(6, "no change of this id is under way", "see which are, and name one of them"),
     /** The value is what holds. */
-    SAME(7, "that is what holds already", "nothing is to be done");
+    UNCHANGED(7, "that is what holds already", "nothing is to be done");
 
     private final int number;
     private final String why;
     private final String advice;
 
-    Refusal(int number, String why, String advice) {
+    ChangeRejection(int number, String why, String advice) {
         this.number = number;
         this.why = why;
         this.advice = advice;
@@ -37,13 +37,13 @@
     }
 
     /** What was wrong, and after a semicolon what to do. */
-    public String text() {
+    public String message() {
         return why + "; " + advice;
     }
 
     /** The one of this number, null for none that this program knows. */
-    public static Refusal of(int number) {
-        for (Refusal r : values()) {
+    public static ChangeRejection of(int number) {
+        for (ChangeRejection r : values()) {
             if (r.number == number) {
                 return r;
             }
--- a/src/main/java/yewdock/rules/Kind.java
+++ b/src/main/java/yewdock/rules/RuleKind.java
@@ -9,11 +9,11 @@
  * <p>Between a change's preparing and its force a router acts by {@link #between}: by nothing that the old
  * or the new value would contradict.
  */
-public enum Kind {
+public enum RuleKind {
     /** A box that gets no new work by agreement. Compatible: to send it nothing. */
-    BOX("box", true) {
+    SERVER("box", true) {
         @Override
-        boolean fits(RuleValue value) {
+        boolean isValid(RuleValue value) {
             return value.hasOut() && value.getOut();
         }
 
@@ -23,9 +23,9 @@
         }
     },
     /** A municipality's requests a second, of all routers together. Compatible: the smaller of the two. */
-    SHARE("share", true) {
+    RATE_LIMIT("share", true) {
         @Override
-        boolean fits(RuleValue value) {
+        boolean isValid(RuleValue value) {
             return value.hasShare() && value.getShare() >= 0 && value.getShare() <= MOST_SHARE;
         }
 
@@ -42,7 +42,7 @@
      */
     SETTING("setting", false) {
         @Override
-        boolean fits(RuleValue value) {
+        boolean isValid(RuleValue value) {
             return value.hasText();
         }
 
@@ -56,35 +56,35 @@
     private static final RuleValue OUT = RuleValue.newBuilder().setOut(true).build();
     private static final int LONGEST_NAME = 200;
 
-    private final String word;
-    private final boolean hard;
+    private final String prefix;
+    private final boolean requiresLease;
 
-    Kind(String word, boolean hard) {
-        this.word = word;
-        this.hard = hard;
+    RuleKind(String word, boolean hard) {
+        this.prefix = word;
+        this.requiresLease = hard;
     }
 
     /** What its subjects begin with. */
-    public String word() {
-        return word;
+    public String prefix() {
+        return prefix;
     }
 
     /** Whether a router in doubt takes no new work on its subjects; else what holds is kept. */
-    public boolean hard() {
-        return hard;
+    public boolean requiresLease() {
+        return requiresLease;
     }
 
     /** The subject of a name. */
     public String subject(String name) {
-        return word + "/" + name;
+        return prefix + "/" + name;
     }
 
     /** The kind of a subject, or null where this program knows none such. */
-    public static Kind of(String subject) {
+    public static RuleKind of(String subject) {
         int end = subject.indexOf('/');
-        for (Kind k : values()) {
+        for (RuleKind k : values()) {
             if (end > 0 && end < subject.length() - 1 && subject.length() <= LONGEST_NAME
-                    && k.word.equals(subject.substring(0, end))) {
+                    && k.prefix.equals(subject.substring(0, end))) {
                 return k;
             }
         }
@@ -100,12 +100,12 @@
      * Whether the subject is of a kind that is known, and the value one that it may have; null is always
      * one.
      */
-    public static boolean fits(String subject, RuleValue value) {
-        Kind kind = of(subject);
-        return kind != null && (value == null || kind.fits(value));
+    public static boolean isValid(String subject, RuleValue value) {
+        RuleKind kind = of(subject);
+        return kind != null && (value == null || kind.isValid(value));
     }
 
-    abstract boolean fits(RuleValue value);
+    abstract boolean isValid(RuleValue value);
 
     /** What a router acts by between the two; null: as where nothing is agreed. */
     abstract RuleValue between(RuleValue before, RuleValue after);
--- a/src/main/java/yewdock/rules/Rules.java
+++ b/src/main/java/yewdock/rules/RuleStateMachine.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.TreeMap;
-import yewdock.state.Records;
+import yewdock.state.ReplicatedRecords;
 import yewdock.wire.HistoryLine;
 import yewdock.wire.RuleChange;
 import yewdock.wire.RuleCommand;
@@ -30,11 +30,11 @@
  * <p>Each command is a step. The chain is a hash over all of them and their outcomes: two instances at one
  * step with different chains do not hold the same rules, and that is a fault.
  */
-public final class Rules {
+public final class RuleStateMachine {
     /** So many subjects may have a value or a change under way. */
-    public static final int MOST_SUBJECTS = 10_000;
+    public static final int MAX_SUBJECTS = 10_000;
     /** A change with more bytes is refused. */
-    public static final int MOST_BYTES = 16 * 1024;
+    public static final int MAX_CHANGE_BYTES = 16 * 1024;
     /** So many outcomes are remembered, for retries after a lost answer. */
     static final int MOST_OUTCOMES = 4_000;
     static final int MOST_HISTORY = 1_000;
@@ -43,26 +43,26 @@
     private long step;
     private long revision;
     private long chain;
-    private long prepared;
+    private long lastPreparedStep;
     private final TreeMap<String, SubjectState> subjects = new TreeMap<>();
     /** The subjects with a change under way, by its id, oldest first. */
     private final LinkedHashMap<String, String> under = new LinkedHashMap<>();
     private final LinkedHashMap<String, RuleOutcome> outcomes = new LinkedHashMap<>();
     private final ArrayDeque<HistoryLine> history = new ArrayDeque<>();
     private final ArrayDeque<ByteString> unread = new ArrayDeque<>();
-    private View view = View.NOTHING;
+    private RulesView view = RulesView.EMPTY;
 
     /** What is wrong with a change before anybody is asked, or null: kinds are the proposer's to know. */
-    public static Refusal flaw(RuleChange change) {
-        if (change.getSerializedSize() > MOST_BYTES) {
-            return Refusal.TOO_LARGE;
+    public static ChangeRejection validate(RuleChange change) {
+        if (change.getSerializedSize() > MAX_CHANGE_BYTES) {
+            return ChangeRejection.TOO_LARGE;
         }
-        return change.getId().isEmpty() || !Kind.fits(change.getSubject(),
-                change.hasValue() ? change.getValue() : null) ? Refusal.UNFIT : null;
+        return change.getId().isEmpty() || !RuleKind.isValid(change.getSubject(),
+                change.hasValue() ? change.getValue() : null) ? ChangeRejection.INVALID : null;
     }
 
     /** Takes one command; the outcome is that of its change. */
-    public RuleOutcome take(RuleCommand command) {
+    public RuleOutcome apply(RuleCommand command) {
         step++;
         RuleOutcome outcome = switch (command.getWhatCase()) {
             case PREPARE -> prepare(command.getPrepare());
@@ -71,7 +71,7 @@
             default -> unread(command);
         };
         HashStream64 hash = Hashing.xxh3_64().hashStream();
-        byte[] bytes = Records.bytes(command);
+        byte[] bytes = ReplicatedRecords.bytes(command);
         hash.putLong(chain).putBytes(bytes).putInt(bytes.length);
         hash.putInt(outcome.getRefusal()).putLong(outcome.getRevision());
         chain = hash.getAsLong();
@@ -97,34 +97,34 @@
             return before;
         }
         SubjectState state = subjects.get(change.getSubject());
-        Refusal refusal = refusal(change, state);
+        ChangeRejection refusal = refusal(change, state);
         if (refusal == null) {
             SubjectState.Builder next = state == null
                     ? SubjectState.newBuilder().setSubject(change.getSubject()) : state.toBuilder();
             subjects.put(change.getSubject(), next.setPending(change).setPendingStep(step).build());
             under.put(change.getId(), change.getSubject());
-            prepared = step;
+            lastPreparedStep = step;
         }
         return note(RuleOutcome.newBuilder().setId(change.getId()).setStep(step)
                 .setRefusal(refusal == null ? 0 : refusal.number()).build());
     }
 
     /** Nothing here may depend on the kinds that a program knows. */
-    private Refusal refusal(RuleChange change, SubjectState state) {
-        if (change.getSerializedSize() > MOST_BYTES) {
-            return Refusal.TOO_LARGE;
+    private ChangeRejection refusal(RuleChange change, SubjectState state) {
+        if (change.getSerializedSize() > MAX_CHANGE_BYTES) {
+            return ChangeRejection.TOO_LARGE;
         }
         if (state != null && state.hasPending()) {
-            return Refusal.UNDER_WAY;
+            return ChangeRejection.ALREADY_PENDING;
         }
         if (change.getBase() != (state == null ? 0 : state.getRevision())) {
-            return Refusal.STALE;
+            return ChangeRejection.STALE;
         }
         RuleValue now = state != null && state.hasValue() ? state.getValue() : null;
         if (Objects.equals(now, change.hasValue() ? change.getValue() : null)) {
-            return Refusal.SAME;
+            return ChangeRejection.UNCHANGED;
         }
-        return state == null && subjects.size() >= MOST_SUBJECTS ? Refusal.FULL : null;
+        return state == null && subjects.size() >= MAX_SUBJECTS ? ChangeRejection.TOO_MANY_SUBJECTS : null;
     }
 
     /** Once: a second force of the same change, by a leader who did not see the first, changes nothing. */
@@ -162,7 +162,7 @@
     private RuleOutcome notUnderWay(String id) {
         RuleOutcome known = outcomes.get(id);
         return known != null ? known : RuleOutcome.newBuilder().setId(id).setStep(step)
-                .setRefusal(Refusal.NOT_UNDER_WAY.number()).build();
+                .setRefusal(ChangeRejection.NOT_PENDING.number()).build();
     }
 
     /** A change that is under way is never forgotten: its outcome is yet to come. */
@@ -195,8 +195,8 @@
     }
 
     /** The step of the last change that was prepared, whatever has become of it since. */
-    public long prepared() {
-        return prepared;
+    public long lastPreparedStep() {
+        return lastPreparedStep;
     }
 
     /** The revision at which a subject was last changed, 0 for never. */
@@ -216,7 +216,7 @@
     }
 
     /** The changes under way with their steps, oldest first. */
-    public Map<String, Long> underWay() {
+    public Map<String, Long> pendingChanges() {
         Map<String, Long> found = new LinkedHashMap<>();
         under.forEach((id, subject) -> found.put(id, subjects.get(subject).getPendingStep()));
         return found;
@@ -228,9 +228,9 @@
     }
 
     /** What a router acts by. */
-    public View view() {
+    public RulesView view() {
         if (view == null) {
-            view = View.of(step, revision, subjects.values());
+            view = RulesView.of(step, revision, subjects.values());
         }
         return view;
     }
@@ -241,7 +241,7 @@
     public RulesSnapshot snapshot() {
         return RulesSnapshot.newBuilder().setStep(step).setRevision(revision).setChain(chain)
                 .addAllSubjects(subjects.values()).addAllOutcomes(outcomes.values()).addAllHistory(history)
-                .addAllUnread(unread).setPrepared(prepared).build();
+                .addAllUnread(unread).setPrepared(lastPreparedStep).build();
     }
 
     /** Goes on from a snapshot. */
@@ -249,7 +249,7 @@
         step = from.getStep();
         revision = from.getRevision();
         chain = from.getChain();
-        prepared = from.getPrepared();
+        lastPreparedStep = from.getPrepared();
         subjects.clear();
         from.getSubjectsList().forEach(s -> subjects.put(s.getSubject(), s));
         under.clear();
@@ -265,8 +265,8 @@
         view = null;
     }
 
-    /** A command as {@link Records#bytes} wrote it; one of a later program is kept whole. */
-    public static RuleCommand read(byte[] bytes) throws InvalidProtocolBufferException {
+    /** A command as {@link ReplicatedRecords#bytes} wrote it; one of a later program is kept whole. */
+    public static RuleCommand parseCommand(byte[] bytes) throws InvalidProtocolBufferException {
         return RuleCommand.parseFrom(bytes);
     }
 }
--- a/src/main/java/yewdock/rules/View.java
+++ b/src/main/java/yewdock/rules/RulesView.java
@@ -14,21 +14,21 @@
  *
  * @param step the step of the rules
  * @param revision how many changes were in force
- * @param out boxes that get no new work
- * @param shares requests a second, by municipality
+ * @param cordonedServers boxes that get no new work
+ * @param rateLimits requests a second, by municipality
  * @param settings the texts that keys of the operators' files have to have
  */
-public record View(long step, long revision, Set<String> out, Map<String, Double> shares,
+public record RulesView(long step, long revision, Set<String> cordonedServers, Map<String, Double> rateLimits,
         Map<String, String> settings) {
     /** Before anything is agreed. */
-    public static final View NOTHING = new View(0, 0, Set.of(), Map.of(), Map.of());
+    public static final RulesView EMPTY = new RulesView(0, 0, Set.of(), Map.of(), Map.of());
 
-    static View of(long step, long revision, Collection<SubjectState> subjects) {
+    static RulesView of(long step, long revision, Collection<SubjectState> subjects) {
         Set<String> out = new TreeSet<>();
         Map<String, Double> shares = new TreeMap<>();
         Map<String, String> settings = new TreeMap<>();
         for (SubjectState s : subjects) {
-            Kind kind = Kind.of(s.getSubject());
+            RuleKind kind = RuleKind.of(s.getSubject());
             if (kind == null) {
                 continue;
             }
@@ -36,20 +36,20 @@
             if (value == null) {
                 continue;
             }
-            String name = Kind.name(s.getSubject());
+            String name = RuleKind.name(s.getSubject());
             switch (kind) {
-                case BOX -> out.add(name);
-                case SHARE -> shares.put(name, value.getShare());
+                case SERVER -> out.add(name);
+                case RATE_LIMIT -> shares.put(name, value.getShare());
                 case SETTING -> settings.put(name, value.getText());
                 default -> {
                     // of a kind that routers don't act by
                 }
             }
         }
-        return new View(step, revision, Set.copyOf(out), Map.copyOf(shares), Map.copyOf(settings));
+        return new RulesView(step, revision, Set.copyOf(out), Map.copyOf(shares), Map.copyOf(settings));
     }
 
-    private static RuleValue acted(Kind kind, SubjectState s) {
+    private static RuleValue acted(RuleKind kind, SubjectState s) {
         RuleValue now = s.hasValue() ? s.getValue() : null;
         if (!s.hasPending()) {
             return now;
--- a/src/main/java/yewdock/settings/BadSettingsException.java
+++ b/src/main/java/yewdock/settings/InvalidSettingsException.java
@@ -3,19 +3,19 @@
 import java.util.List;
 
 /** Thrown for an invalid settings file; each error is one line with the file, the key and what is allowed. */
-public final class BadSettingsException extends Exception {
+public final class InvalidSettingsException extends Exception {
     private static final long serialVersionUID = 1;
 
-    private final transient List<String> mistakes;
+    private final transient List<String> errors;
 
     /** Creates an exception with these error lines. */
-    public BadSettingsException(List<String> errors) {
+    public InvalidSettingsException(List<String> errors) {
         super(String.join("\n", errors));
-        this.mistakes = List.copyOf(errors);
+        this.errors = List.copyOf(errors);
     }
 
     /** The error lines, in the order in which they were found. */
-    public List<String> mistakes() {
-        return mistakes;
+    public List<String> errors() {
+        return errors;
     }
 }
--- a/src/main/java/yewdock/settings/Section.java
+++ b/src/main/java/yewdock/settings/Section.java
@@ -29,7 +29,7 @@
 
     /** Parses the text of a file; error lines begin with fileName and are added to errors. */
     public static Section read(String fileName, String text, List<String> errors)
-            throws BadSettingsException {
+            throws InvalidSettingsException {
         return read(fileName, text, Map.of(), errors);
     }
 
@@ -38,13 +38,13 @@
      * blocks and of the key, separated by dots.
      */
     public static Section read(String fileName, String text, Map<String, Object> overrides,
-            List<String> errors) throws BadSettingsException {
+            List<String> errors) throws InvalidSettingsException {
         Map<String, Object> values;
         try {
             values = new HCLParser().parse(text);
         } catch (HCLParserException | IOException | RuntimeException e) {
             String reason = String.valueOf(e.getMessage()).lines().findFirst().orElse("").strip();
-            throw new BadSettingsException(List.of(fileName + ": not HCL: " + reason));
+            throw new InvalidSettingsException(List.of(fileName + ": not HCL: " + reason));
         }
         // the parser accepts some texts that are not HCL and returns an empty result for them
         boolean hasContent = text.lines().map(String::strip)
@@ -90,9 +90,9 @@
             return new Section(location + key + ".", map, errors);
         }
         if (value instanceof List<?>) {
-            wrong(key, "one block, not several");
+            addError(key, "one block, not several");
         } else if (value != null) {
-            wrong(key, "a block, not " + value);
+            addError(key, "a block, not " + value);
         }
         return new Section(location + key + ".", Map.of(), errors);
     }
@@ -107,11 +107,11 @@
                     found.put(String.valueOf(label), new Section(location + key + "." + label + ".", inner,
                             errors));
                 } else {
-                    wrong(key + "." + label, "one block with a label of its own, not " + block);
+                    addError(key + "." + label, "one block with a label of its own, not " + block);
                 }
             });
         } else if (value != null) {
-            wrong(key, "blocks with labels, not " + value);
+            addError(key, "blocks with labels, not " + value);
         }
         return found;
     }
@@ -128,17 +128,17 @@
                 && b.doubleValue() <= max) {
             return new double[] {a.doubleValue(), b.doubleValue()};
         }
-        wrong(key, "[from, to], from " + format(min) + " to " + format(max) + ", not " + list);
+        addError(key, "[from, to], from " + format(min) + " to " + format(max) + ", not " + list);
         return new double[] {defaultFrom, defaultTo};
     }
 
     /** A boolean. */
-    public boolean flag(String key, boolean defaultValue) {
+    public boolean bool(String key, boolean defaultValue) {
         Object value = readValue(key);
         if (value == null || value instanceof Boolean) {
             return value == null ? defaultValue : (Boolean) value;
         }
-        wrong(key, "true or false, not " + value);
+        addError(key, "true or false, not " + value);
         return defaultValue;
     }
 
@@ -150,13 +150,13 @@
                 && n.doubleValue() >= min && n.doubleValue() <= max)) {
             list.forEach(v -> all.add(((Number) v).doubleValue()));
         } else if (value != null) {
-            wrong(key, "a list of numbers from " + format(min) + " to " + format(max) + ", not " + value);
+            addError(key, "a list of numbers from " + format(min) + " to " + format(max) + ", not " + value);
         }
         return all;
     }
 
     /** All keys with their values, without type checks. */
-    public Map<String, Object> everything() {
+    public Map<String, Object> allValues() {
         Map<String, Object> all = new LinkedHashMap<>();
         values.keySet().forEach(k -> all.put(String.valueOf(k), readValue(String.valueOf(k))));
         return all;
@@ -168,13 +168,13 @@
     }
 
     /** A string. */
-    public String text(String key, String defaultValue) {
+    public String string(String key, String defaultValue) {
         Object value = readValue(key);
         if (value == null) {
             return defaultValue;
         }
         if (!(value instanceof String)) {
-            wrong(key, "a text, not " + value);
+            addError(key, "a text, not " + value);
             return defaultValue;
         }
         return (String) value;
@@ -182,9 +182,9 @@
 
     /** A string that must be one of the allowed ones. */
     public String oneOf(String key, String defaultValue, List<String> allowed) {
-        String value = text(key, defaultValue);
+        String value = string(key, defaultValue);
         if (!allowed.contains(value)) {
-            wrong(key, String.join(" or ", allowed) + ", not " + value);
+            addError(key, String.join(" or ", allowed) + ", not " + value);
             return defaultValue;
         }
         return value;
@@ -197,7 +197,7 @@
             return defaultValue;
         }
         if (!(value instanceof Number n) || !(n.doubleValue() >= min && n.doubleValue() <= max)) {
-            wrong(key, "a number from " + format(min) + " to " + format(max) + ", not "
+            addError(key, "a number from " + format(min) + " to " + format(max) + ", not "
                     + (value instanceof Number n ? format(n.doubleValue()) : value));
             return defaultValue;
         }
@@ -205,22 +205,22 @@
     }
 
     /** An integer within these bounds. */
-    public int whole(String key, int defaultValue, int min, int max) {
+    public int integer(String key, int defaultValue, int min, int max) {
         double value = number(key, defaultValue, min, max);
         if (value != Math.rint(value)) {
-            wrong(key, "a whole number, not " + value);
+            addError(key, "a whole number, not " + value);
             return defaultValue;
         }
         return (int) value;
     }
 
     /** A duration in microseconds; the default, the bounds and the value in the file are in seconds. */
-    public long seconds(String key, double defaultValue, double min, double max) {
+    public long durationMicros(String key, double defaultValue, double min, double max) {
         return Math.round(number(key, defaultValue, min, max) * 1e6);
     }
 
     /** A list of strings. */
-    public List<String> texts(String key, List<String> defaultValue) {
+    public List<String> strings(String key, List<String> defaultValue) {
         Object value = readValue(key);
         if (value == null) {
             return defaultValue;
@@ -230,15 +230,15 @@
             list.forEach(v -> texts.add((String) v));
             return texts;
         }
-        wrong(key, "a list of texts, not " + value);
+        addError(key, "a list of texts, not " + value);
         return defaultValue;
     }
 
     /** Reports every key that was not read as an error; to be called after all keys were read. */
-    public void nothingElse() {
+    public void rejectUnknownKeys() {
         for (Object key : values.keySet()) {
             if (!readKeys.contains(String.valueOf(key))) {
-                wrong(String.valueOf(key), readKeys.isEmpty() ? "nothing here"
+                addError(String.valueOf(key), readKeys.isEmpty() ? "nothing here"
                         : "no such key; there are " + String.join(", ", readKeys));
             }
         }
@@ -250,7 +250,7 @@
     }
 
     /** Adds an error line for a key; allowed says what the value may be and what it is instead. */
-    public void wrong(String key, String allowed) {
+    public void addError(String key, String allowed) {
         errors.add(location + key + ": " + allowed);
     }
 
--- a/src/main/java/yewdock/sockets/AcceptedSessions.java
+++ b/src/main/java/yewdock/sockets/AcceptedSessions.java
@@ -5,18 +5,18 @@
 import org.apache.mina.core.service.IoHandlerAdapter;
 import org.apache.mina.core.session.IdleStatus;
 import org.apache.mina.core.session.IoSession;
-import yewdock.platform.Side;
-import yewdock.platform.Wire;
+import yewdock.platform.Connection;
+import yewdock.platform.ConnectionHandler;
 
 /** Events of connections that others made: each gets a wire and a side, and takes room until it is closed. */
 final class AcceptedSessions extends IoHandlerAdapter {
     private final SessionEvents events;
     private final ConnectionRoom room;
     private final Supplier<SessionWire> makeWire;
-    private final Function<Wire, Side> greet;
+    private final Function<Connection, ConnectionHandler> greet;
 
     AcceptedSessions(SessionEvents events, ConnectionRoom room, Supplier<SessionWire> makeWire,
-            Function<Wire, Side> greet) {
+            Function<Connection, ConnectionHandler> greet) {
         this.events = events;
         this.room = room;
         this.makeWire = makeWire;
--- a/src/main/java/yewdock/sockets/DispatcherLoop.java
+++ b/src/main/java/yewdock/sockets/DispatcherLoop.java
@@ -3,8 +3,8 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import org.tinylog.Logger;
-import yewdock.desk.Desk;
-import yewdock.desk.Event;
+import yewdock.core.Event;
+import yewdock.core.Reducer;
 import yewdock.platform.Arrival;
 import yewdock.sockets.TaskQueue.Task;
 
@@ -58,7 +58,7 @@
     }
 
     /** Works until it is stopped. */
-    void run(Desk desk) {
+    void run(Reducer desk) {
         decidingSince = clock.getAsLong();
         while (!stopped) {
             try {
@@ -69,8 +69,8 @@
         }
     }
 
-    private void step(Desk desk) throws InterruptedException {
-        long sleep = Math.max(0, Math.min(desk.nextDue() - clock.getAsLong(), LONGEST_SLEEP));
+    private void step(Reducer desk) throws InterruptedException {
+        long sleep = Math.max(0, Math.min(desk.nextTimerDue() - clock.getAsLong(), LONGEST_SLEEP));
         Task task = queue.poll(sleep);
         // counted from before the last task: the process may have stood still in the midst of it
         long unread = clock.getAsLong() - decidingSince;
@@ -85,13 +85,13 @@
         if (task != null) {
             run(task);
         }
-        if (desk.nextDue() <= clock.getAsLong()) {
+        if (desk.nextTimerDue() <= clock.getAsLong()) {
             run(new Task(null, () -> happened.accept(new Event.Tick())));
         }
     }
 
     /** The process may have stood still for so long; negative where it can't have. */
-    private void catchUp(Desk desk, long pause) throws InterruptedException {
+    private void catchUp(Reducer desk, long pause) throws InterruptedException {
         if (pause >= SHORTEST_PAUSE) {
             pausedUntil = clock.getAsLong();
             pausedFrom = pausedUntil - pause;
@@ -106,14 +106,14 @@
      * News of discovery and clients' ends are read before anything else is acted upon. After a pause in which
      * discovery may have had more to tell than one answer holds, it is asked anew first.
      */
-    private void readNewsFirst(Desk desk, long pause) throws InterruptedException {
+    private void readNewsFirst(Reducer desk, long pause) throws InterruptedException {
         processor.awaitRead(READ_MILLIS);
         for (Task urgent = queue.pollUrgent(); urgent != null; urgent = queue.pollUrgent()) {
             run(urgent);
         }
-        run(new Task(null, () -> happened.accept(new Event.Resumed(pause))));
+        run(new Task(null, () -> happened.accept(new Event.ProcessResumed(pause))));
         long until = clock.getAsLong() + CATCH_UP;
-        for (long left = CATCH_UP; desk.catchesUp() && left > 0; left = until - clock.getAsLong()) {
+        for (long left = CATCH_UP; desk.isCatchingUp() && left > 0; left = until - clock.getAsLong()) {
             Task news = queue.pollUrgent(left);
             if (news != null) {
                 run(news);
--- a/src/main/java/yewdock/sockets/Sockets.java
+++ b/src/main/java/yewdock/sockets/MinaTransport.java
@@ -14,21 +14,21 @@
 import org.apache.mina.transport.socket.SocketSessionConfig;
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 import org.tinylog.Logger;
-import yewdock.desk.Desk;
-import yewdock.desk.Event;
+import yewdock.core.Event;
+import yewdock.core.Reducer;
 import yewdock.platform.Addresses;
 import yewdock.platform.Config;
-import yewdock.platform.Front;
-import yewdock.platform.Side;
-import yewdock.platform.Wire;
-import yewdock.platform.Wires;
+import yewdock.platform.Connection;
+import yewdock.platform.ConnectionHandler;
+import yewdock.platform.ConnectionManager;
+import yewdock.platform.Transport;
 import yewdock.sockets.TaskQueue.Task;
 
 /**
  * The transport: MINA's sockets, and the one thread on which the front and the desk run. What MINA's
  * threads see goes into a queue in the order in which they see it; nothing else crosses between the threads.
  */
-public final class Sockets implements Wires {
+public final class MinaTransport implements Transport {
     /**
      * Clients beyond the desk's bound by more than this are not accepted: they wait until the desk has closed
      * others. Out of descriptors, accepting fails and nobody is served.
@@ -56,28 +56,28 @@
     private final ConnectionRoom room;
     private final Semaphore queueRoom = new Semaphore(MOST_QUEUED);
     private final CountDownLatch ended = new CountDownLatch(1);
-    private final Clock clock = new Clock();
+    private final MonotonicClock clock = new MonotonicClock();
     private final long attemptsWait;
     private final DispatcherLoop loop;
     private final SessionEvents events;
-    private volatile Front front;
+    private volatile ConnectionManager front;
 
     /**
      * Sockets for so many clients at once. An attempt of which nothing has been written within half of the
      * time in which drains must be kept, or 0.1 s, is not begun: the process stood still meanwhile.
      */
-    public Sockets(int mostClients, long drainGrace) {
+    public MinaTransport(int mostClients, long drainGrace) {
         this(mostClients, drainGrace, Lingering.SECONDS);
     }
 
     /** The same, lingering for so long. */
-    Sockets(int mostClients, long drainGrace, int lingerSeconds) {
+    MinaTransport(int mostClients, long drainGrace, int lingerSeconds) {
         attemptsWait = Math.max(LEAST_ATTEMPTS_WAIT, Math.min(MOST_ATTEMPTS_WAIT, drainGrace / 2));
         lingering = new Lingering(lingerSeconds);
         room = new ConnectionRoom(mostClients + CLOSING_CLIENTS);
         // One processor for all: the router has one core.
-        processor = new WholeReads(threads, this::tooLate, Sockets::isClient);
-        loop = new DispatcherLoop(queue, processor, clock, event -> front.happened(event));
+        processor = new WholeReads(threads, this::tooLate, MinaTransport::isClient);
+        loop = new DispatcherLoop(queue, processor, clock, event -> front.dispatch(event));
         events = new SessionEvents(processor, lingering, queueRoom, clock, loop::arrival);
         acceptor = acceptor(room, ConnectionPurpose.CLIENT, wire -> front.accept(wire));
         connector = new NioSocketConnector(threads, processor);
@@ -89,7 +89,7 @@
 
     /** Accepts connections that lead to such peers, while there is room. */
     private BoundedAcceptor acceptor(ConnectionRoom space, ConnectionPurpose purpose,
-            Function<Wire, Side> greet) {
+            Function<Connection, ConnectionHandler> greet) {
         BoundedAcceptor made = new BoundedAcceptor(threads, processor, space, lingering);
         made.setHandler(new AcceptedSessions(events, space, () -> wire(purpose), greet));
         configure(made.getSessionConfig());
@@ -105,21 +105,21 @@
         config.setMaxReadBufferSize(LARGEST_READ);
     }
 
-    public Clock clock() {
+    public MonotonicClock clock() {
         return clock;
     }
 
     /** Listens, and serves until told to stop. */
-    public void serve(String address, Front front, Desk desk) throws IOException {
+    public void serve(String address, ConnectionManager front, Reducer desk) throws IOException {
         this.front = front;
         front.start();
-        acceptor.bind(Addresses.of(address));
+        acceptor.bind(Addresses.parse(address));
         Logger.info("listens on {}", acceptor.getLocalAddress());
         work(desk);
     }
 
-    /** Serves until told to stop, but takes no connections before {@link #accept}. */
-    public void serveLater(Runnable start, Front front, Desk desk) {
+    /** Serves until told to stop, but takes no connections before {@link #acceptFrom}. */
+    public void serveWithoutListening(Runnable start, ConnectionManager front, Reducer desk) {
         this.front = front;
         start.run();
         work(desk);
@@ -129,9 +129,9 @@
      * Listens for clients beside another process that does, where both share the address. Called on the
      * desk's thread; returns the address, which a port of 0 has been replaced in.
      */
-    public String listenBeside(String address) throws IOException {
+    public String listenShared(String address) throws IOException {
         acceptor.shareAddress();
-        acceptor.bind(Addresses.of(address));
+        acceptor.bind(Addresses.parse(address));
         Logger.info("listens on {}", acceptor.getLocalAddress());
         return acceptor.getLocalAddress().getAddress().getHostAddress() + ':'
                 + acceptor.getLocalAddress().getPort();
@@ -141,11 +141,12 @@
      * Listens there too, for so many callers at once, each of which is given up when it says nothing for so
      * many seconds. Called before the desk's thread serves.
      */
-    public void listenAlso(String address, int most, int patience, Function<Wire, Side> greet)
+    public void listenForOperators(String address, int most, int patience, Function<Connection,
+            ConnectionHandler> greet)
             throws IOException {
         BoundedAcceptor also = acceptor(new ConnectionRoom(most), ConnectionPurpose.OPERATOR, greet);
         also.getSessionConfig().setReaderIdleTime(patience);
-        also.bind(Addresses.of(address));
+        also.bind(Addresses.parse(address));
         Logger.info("operators call {}", also.getLocalAddress());
     }
 
@@ -170,7 +171,7 @@
     }
 
     /** The same after so long. */
-    public void postAfter(long millis, Runnable work) {
+    public void postDelayed(long millis, Runnable work) {
         Thread timer = new Thread(() -> {
             try {
                 Thread.sleep(millis);
@@ -187,7 +188,7 @@
      * Takes connections from a listener that others may take them from too. Ours to stop with, never to
      * close: what waits in its queue is for whoever accepts next. Called on the desk's thread.
      */
-    public void accept(ServerSocketChannel listener) throws IOException {
+    public void acceptFrom(ServerSocketChannel listener) throws IOException {
         acceptor.use(listener);
         acceptor.bind(listener.getLocalAddress());
     }
@@ -200,7 +201,7 @@
         room.shrink(Short.MAX_VALUE);
     }
 
-    private void work(Desk desk) {
+    private void work(Reducer desk) {
         loop.run(desk);
         writeOut();
         ended.countDown();
@@ -212,8 +213,8 @@
     }
 
     /** Tells the desk to leave, and waits until nothing is owed any more. */
-    public void leave() {
-        queue.add(new Task(null, () -> front.happened(new Event.Leave())));
+    public void shutDownGracefully() {
+        queue.add(new Task(null, () -> front.dispatch(new Event.ShutdownRequested())));
         try {
             ended.await();
         } catch (InterruptedException e) {
@@ -242,19 +243,21 @@
     }
 
     @Override
-    public <S extends Side> S connect(String address, Function<Wire, S> makeSide) {
+    public <S extends ConnectionHandler> S connect(String address, Function<Connection, S> makeSide) {
         return connect(address, makeSide, wire(ConnectionPurpose.SERVER));
     }
 
     @Override
-    public <S extends Side> S connectToDiscovery(String address, Function<Wire, S> makeSide) {
+    public <S extends ConnectionHandler> S connectToDiscovery(String address, Function<Connection,
+            S> makeSide) {
         return connect(address, makeSide, wire(ConnectionPurpose.DISCOVERY));
     }
 
-    private <S extends Side> S connect(String address, Function<Wire, S> makeSide, SessionWire wire) {
+    private <S extends ConnectionHandler> S connect(String address, Function<Connection, S> makeSide,
+            SessionWire wire) {
         S side = makeSide.apply(wire);
         wire.tellTo(side);
-        InetSocketAddress to = Addresses.of(address);
+        InetSocketAddress to = Addresses.parse(address);
         ConnectFuture future = connector.connect(to, (session, connecting) -> wire.attachTo(session));
         wire.connectingAs(future);
         future.addListener(done -> {
@@ -275,7 +278,7 @@
         boolean late = wire.purpose() == ConnectionPurpose.SERVER
                 && clock.getAsLong() - wire.decidedAt() > attemptsWait;
         if (late) {
-            wire.postToSide(Side::notBegun);
+            wire.postToSide(ConnectionHandler::onWriteExpired);
         }
         return late;
     }
--- a/src/main/java/yewdock/sockets/SessionEvents.java
+++ b/src/main/java/yewdock/sockets/SessionEvents.java
@@ -10,7 +10,7 @@
 import org.apache.mina.core.session.IoSession;
 import org.tinylog.Logger;
 import yewdock.platform.Arrival;
-import yewdock.platform.Side;
+import yewdock.platform.ConnectionHandler;
 
 /** Puts what MINA sees on connections into the dispatcher's queue. */
 class SessionEvents extends IoHandlerAdapter {
@@ -33,7 +33,7 @@
 
     @Override
     public void sessionOpened(IoSession session) {
-        SessionWire.of(session).postToSide(Side::up);
+        SessionWire.of(session).postToSide(ConnectionHandler::onConnected);
     }
 
     @Override
@@ -46,7 +46,7 @@
         if (wire.isDeaf()) {
             drop(wire, session, bytes.remaining());
         } else if (wire.purpose() == ConnectionPurpose.DISCOVERY) {
-            wire.postToSide(side -> side.received(bytes));
+            wire.postToSide(side -> side.onReceived(bytes));
         } else {
             handOn(wire, bytes);
         }
@@ -68,19 +68,20 @@
         long readAt = clock.getAsLong();
         wire.messageRead();
         queueRoom.acquireUninterruptibly(size);
-        wire.postMessage(side -> side.received(bytes, arrival.apply(readAt)), () -> queueRoom.release(size));
+        wire.postMessage(side -> side.onReceived(bytes, arrival.apply(readAt)), () ->
+                queueRoom.release(size));
     }
 
     @Override
     public void messageSent(IoSession session, Object message) {
         int bytes = ((IoBuffer) message).limit();
-        SessionWire.of(session).postToSide(side -> side.written(bytes));
+        SessionWire.of(session).postToSide(side -> side.onWritten(bytes));
     }
 
     /** Only a connection that lingers has an idle time, and one that operators made. */
     @Override
     public void sessionIdle(IoSession session, IdleStatus status) {
-        SessionWire.of(session).postToSide(Side::idle);
+        SessionWire.of(session).postToSide(ConnectionHandler::onIdle);
     }
 
     @Override
--- a/src/main/java/yewdock/sockets/SessionWire.java
+++ b/src/main/java/yewdock/sockets/SessionWire.java
@@ -10,15 +10,15 @@
 import org.apache.mina.core.future.WriteFuture;
 import org.apache.mina.core.session.AttributeKey;
 import org.apache.mina.core.session.IoSession;
-import yewdock.platform.Side;
-import yewdock.platform.Wire;
+import yewdock.platform.Connection;
+import yewdock.platform.ConnectionHandler;
 import yewdock.sockets.TaskQueue.Task;
 
 /**
  * A connection of MINA's. Its calls come from the dispatcher's thread, its session from MINA's. What MINA
  * sees reaches its side as tasks in the dispatcher's queue.
  */
-final class SessionWire implements Wire {
+final class SessionWire implements Connection {
     private static final AttributeKey WIRE = new AttributeKey(SessionWire.class, "wire");
 
     private final ConnectionPurpose purpose;
@@ -30,7 +30,7 @@
     private volatile long decidedAt;
     private volatile IoSession session;
     private ConnectFuture connecting;
-    private Side side;
+    private ConnectionHandler side;
     private boolean isDown;
     /** What was written last; null if nothing was. */
     private WriteFuture last;
@@ -59,7 +59,7 @@
     }
 
     /** Its side hears of what comes; done on the dispatcher's thread or before anything can come. */
-    void tellTo(Side hears) {
+    void tellTo(ConnectionHandler hears) {
         side = hears;
     }
 
@@ -97,11 +97,11 @@
     }
 
     /** Has the dispatcher do this for the connection's side, unless it is down by then. */
-    void postToSide(Consumer<Side> work) {
+    void postToSide(Consumer<ConnectionHandler> work) {
         post(() -> tell(work));
     }
 
-    private void tell(Consumer<Side> work) {
+    private void tell(Consumer<ConnectionHandler> work) {
         if (!isDown && side != null) {
             work.accept(side);
         }
@@ -113,7 +113,7 @@
     }
 
     /** Has the dispatcher hand on the message, after this. */
-    void postMessage(Consumer<Side> work, Runnable before) {
+    void postMessage(Consumer<ConnectionHandler> work, Runnable before) {
         post(() -> {
             before.run();
             unheard.decrementAndGet();
@@ -122,7 +122,7 @@
     }
 
     /** Its side hears that the connection has come, if it has not gone by then. */
-    void postGreeting(Function<Wire, Side> greet) {
+    void postGreeting(Function<Connection, ConnectionHandler> greet) {
         post(() -> {
             if (!isDown) {
                 side = greet.apply(this);
@@ -170,15 +170,15 @@
     }
 
     @Override
-    public boolean hasUnheard() {
+    public boolean hasUndelivered() {
         return unheard.get() > 0;
     }
 
     @Override
-    public boolean closeUnlessUnheard() {
+    public boolean closeUnlessUndelivered() {
         // what is not read from now on meets the close
         session.suspendRead();
-        if (hasUnheard()) {
+        if (hasUndelivered()) {
             session.resumeRead();
             return false;
         }
@@ -187,7 +187,7 @@
     }
 
     @Override
-    public void linger() {
+    public void closeLingering() {
         if (!deaf) {
             deaf = true;
             lingering.begin(session, last);
@@ -195,7 +195,7 @@
     }
 
     @Override
-    public void hold(boolean held) {
+    public void setReadingPaused(boolean held) {
         if (held) {
             session.suspendRead();
         } else {
@@ -207,7 +207,7 @@
         if (!isDown) {
             isDown = true;
             if (side != null) {
-                side.down();
+                side.onClosed();
             }
         }
     }
--- a/src/main/java/yewdock/state/Records.java
+++ b/src/main/java/yewdock/state/ReplicatedRecords.java
@@ -24,17 +24,17 @@
  * bytes; so merging gives the same in any order and however often, and no clock of a machine has a say. Pure:
  * no I/O, no clock. Not thread-safe.
  */
-public final class Records {
+public final class ReplicatedRecords {
     /** Keys are dealt out to so many buckets; each has a sum, so that a difference is found by them. */
     public static final int BUCKETS = 256;
     /** A record with more bytes than this is refused. */
-    public static final int MOST_BYTES = 256 * 1024;
+    public static final int MAX_RECORD_BYTES = 256 * 1024;
     private static final int LONGEST_KEY = 300;
 
     private final String instance;
     private final int most;
     private final TreeMap<String, Entry> entries = new TreeMap<>();
-    private final long[] sums = new long[BUCKETS];
+    private final long[] bucketSums = new long[BUCKETS];
     private long clock;
     private long horizon;
     private long bytes;
@@ -45,10 +45,10 @@
     }
 
     /** What became of a record that came. */
-    public enum Merged { TAKEN, KNOWN, OLDER, REFUSED }
+    public enum MergeResult { APPLIED, UNCHANGED, OUTDATED, REJECTED }
 
     /** Records of this instance, so many of them at most. */
-    public Records(String instance, int most) {
+    public ReplicatedRecords(String instance, int most) {
         this.instance = instance;
         this.most = most;
     }
@@ -65,39 +65,39 @@
     }
 
     /** Notes that a key holds nothing any more; null if it held nothing. */
-    public Kept drop(String key, long wall) {
+    public Kept delete(String key, long wall) {
         Kept before = get(key);
         return before == null ? null : write(key, Kept.newBuilder().setDropped(Dropped.getDefaultInstance()),
                 wall);
     }
 
     /** Takes a record that another instance, or the disk, has brought. */
-    public Merged merge(Kept kept) {
-        String why = flaw(kept);
+    public MergeResult merge(Kept kept) {
+        String why = validate(kept);
         if (why != null) {
-            return Merged.REFUSED;
+            return MergeResult.REJECTED;
         }
         Entry before = entries.get(kept.getKey());
         if (before == null && kept.hasDropped() && kept.getStamp() <= horizon) {
-            return Merged.KNOWN;
+            return MergeResult.UNCHANGED;
         }
         if (before == null && entries.size() >= most) {
-            return Merged.REFUSED;
+            return MergeResult.REJECTED;
         }
         clock = Math.max(clock, kept.getStamp());
         Entry after = entry(kept);
         if (before != null) {
-            int order = order(before, after);
+            int order = compare(before, after);
             if (order >= 0) {
-                return order == 0 ? Merged.KNOWN : Merged.OLDER;
+                return order == 0 ? MergeResult.UNCHANGED : MergeResult.OUTDATED;
             }
         }
         put(after);
-        return Merged.TAKEN;
+        return MergeResult.APPLIED;
     }
 
     /** What is wrong with a record, or null. A stamp near the end of the numbers would end all order. */
-    public static String flaw(Kept kept) {
+    public static String validate(Kept kept) {
         if (kept.getKey().isEmpty() || kept.getKey().length() > LONGEST_KEY) {
             return "a key of " + kept.getKey().length() + " characters";
         }
@@ -110,17 +110,18 @@
         if (kept.getWhatCase() == Kept.WhatCase.WHAT_NOT_SET) {
             return "nothing in it that this program knows";
         }
-        return kept.getSerializedSize() > MOST_BYTES ? "a size of " + kept.getSerializedSize() + " bytes"
+        return kept.getSerializedSize() > MAX_RECORD_BYTES ? "a size of " + kept.getSerializedSize()
+                + " bytes"
                 : null;
     }
 
-    private static int order(Entry a, Entry b) {
-        int order = order(a.kept.getStamp(), a.kept.getInstance(), b.kept);
+    private static int compare(Entry a, Entry b) {
+        int order = compare(a.kept.getStamp(), a.kept.getInstance(), b.kept);
         return order != 0 ? order : Arrays.compare(a.bytes, b.bytes);
     }
 
     /** Which comes later, one with this stamp, of this instance, or that: 0 if only their bytes can tell. */
-    public static int order(long stamp, String instance, Kept that) {
+    public static int compare(long stamp, String instance, Kept that) {
         int order = Long.compare(stamp, that.getStamp());
         return order != 0 ? order : instance.compareTo(that.getInstance());
     }
@@ -128,7 +129,7 @@
     private void put(Entry entry) {
         remove(entry.kept.getKey());
         entries.put(entry.kept.getKey(), entry);
-        sums[entry.bucket] += entry.hash;
+        bucketSums[entry.bucket] += entry.hash;
         bytes += entry.bytes.length;
         tombstones += entry.kept.hasDropped() ? 1 : 0;
     }
@@ -136,7 +137,7 @@
     private void remove(String key) {
         Entry before = entries.remove(key);
         if (before != null) {
-            sums[before.bucket] -= before.hash;
+            bucketSums[before.bucket] -= before.hash;
             bytes -= before.bytes.length;
             tombstones -= before.kept.hasDropped() ? 1 : 0;
         }
@@ -162,7 +163,7 @@
     }
 
     /** Reads what {@link #bytes(Kept)} has written. */
-    public static Kept read(byte[] bytes) throws InvalidProtocolBufferException {
+    public static Kept parse(byte[] bytes) throws InvalidProtocolBufferException {
         return Kept.parseFrom(bytes);
     }
 
@@ -179,13 +180,13 @@
     }
 
     /** What a key holds, tombstones too, or null. */
-    public Kept raw(String key) {
+    public Kept getWithTombstones(String key) {
         Entry entry = entries.get(key);
         return entry == null ? null : entry.kept;
     }
 
     /** All whose keys begin so, without tombstones, in the order of the keys. */
-    public List<Kept> prefix(String beginning) {
+    public List<Kept> withPrefix(String beginning) {
         List<Kept> found = new ArrayList<>();
         for (Entry e : entries.tailMap(beginning, true).values()) {
             if (!e.kept.getKey().startsWith(beginning)) {
@@ -199,7 +200,7 @@
     }
 
     /** All records after this key, tombstones too, in the order of the keys; "" for all. */
-    public Iterable<Kept> after(String key) {
+    public Iterable<Kept> recordsAfter(String key) {
         NavigableMap<String, Entry> tail = entries.tailMap(key, false);
         return () -> tail.values().stream().map(Entry::kept).iterator();
     }
@@ -225,15 +226,15 @@
     // ---- comparing with another instance's
 
     /** A sum for each bucket. */
-    public List<Long> sums() {
-        return Arrays.stream(sums).boxed().toList();
+    public List<Long> bucketSums() {
+        return Arrays.stream(bucketSums).boxed().toList();
     }
 
     /** Buckets whose sums are not those. */
-    public List<Integer> differing(List<Long> others) {
+    public List<Integer> differingBuckets(List<Long> others) {
         List<Integer> found = new ArrayList<>();
         for (int i = 0; i < BUCKETS; i++) {
-            if (others.size() != BUCKETS || others.get(i) != sums[i]) {
+            if (others.size() != BUCKETS || others.get(i) != bucketSums[i]) {
                 found.add(i);
             }
         }
@@ -241,7 +242,7 @@
     }
 
     /** The records of each of these buckets, in one pass over all. */
-    public SortedMap<Integer, List<Kept>> of(Collection<Integer> buckets) {
+    public SortedMap<Integer, List<Kept>> recordsInBuckets(Collection<Integer> buckets) {
         SortedMap<Integer, List<Kept>> found = new TreeMap<>();
         buckets.forEach(b -> found.put(b, new ArrayList<>()));
         for (Entry e : entries.values()) {
@@ -270,7 +271,7 @@
      * Forgets the tombstones up to this stamp; to be called with a stamp at which every named instance is
      * known to have had them, or with the horizon of another instance. Returns the keys forgotten.
      */
-    public List<String> forget(long upTo) {
+    public List<String> purgeTombstones(long upTo) {
         if (upTo <= horizon) {
             return List.of();
         }
@@ -293,7 +294,7 @@
      * Removes all but the keys to be kept, and returns which; the clock stays, so that nothing written from
      * now on counts as old.
      */
-    public List<String> clear(Predicate<String> keep) {
+    public List<String> removeExcept(Predicate<String> keep) {
         List<String> keys = entries.keySet().stream().filter(keep.negate()).toList();
         keys.forEach(this::remove);
         return keys;
--- a/src/main/java/yewdock/state/Keeping.java
+++ b/src/main/java/yewdock/state/StateRecorder.java
@@ -21,20 +21,20 @@
  * are microseconds since 1970 as this machine has them; they serve for ages, and an age below zero, of a
  * clock that was moved back, counts as zero.
  */
-public final class Keeping {
+public final class StateRecorder {
     /** What the module has learnt is worth nothing after so long. */
     static final long MODULE_HOLDS = 3_600_000_000L;
     /** A kept ejection or rest that would last longer than this from now is of a clock that was moved. */
     static final long LONGEST_REST = 600_000_000L;
 
-    private final Records records;
+    private final ReplicatedRecords records;
     private final long doubt;
 
     /**
      * Over these records. doubt: a drain that the list told so long ago, and that no list has told again, is
      * no longer believed at a start.
      */
-    public Keeping(Records records, long doubt) {
+    public StateRecorder(ReplicatedRecords records, long doubt) {
         this.records = records;
         this.doubt = doubt;
     }
@@ -42,17 +42,17 @@
     // ---- what is told
 
     /** The list has told a generation this; returns what changed. toldAt of the boxes are moved by shift. */
-    public List<Kept> told(Boxes news, long shift, long wall) {
+    public List<Kept> recordEndpointList(Boxes news, long shift, long wall) {
         String me = records.instance();
         List<Kept> changed = new ArrayList<>();
         Map<String, Box> named = new LinkedHashMap<>();
         for (Box box : news.getBoxesList()) {
-            named.put(Keys.box(me, box.getId()), box);
+            named.put(RecordKeys.server(me, box.getId()), box);
         }
         if (news.getFull()) {
-            for (Kept kept : records.prefix(Keys.boxes(me))) {
+            for (Kept kept : records.withPrefix(RecordKeys.serversPrefix(me))) {
                 if (!named.containsKey(kept.getKey())) {
-                    changed.add(records.drop(kept.getKey(), wall));
+                    changed.add(records.delete(kept.getKey(), wall));
                     forgetNode(kept.getBox().getId(), wall, changed);
                 }
             }
@@ -61,7 +61,7 @@
             Kept before = records.get(key);
             if (box.getLifecycle() == Lifecycle.GONE.ordinal()) {
                 if (before != null) {
-                    changed.add(records.drop(key, wall));
+                    changed.add(records.delete(key, wall));
                     forgetNode(box.getId(), wall, changed);
                 }
                 return;
@@ -81,29 +81,29 @@
         });
         ListHead head = ListHead.newBuilder().setAddress(news.getAddress()).setVersion(news.getVersion())
                 .build();
-        Kept before = records.get(Keys.list(me));
+        Kept before = records.get(RecordKeys.endpointList(me));
         if (before == null || !before.getList().equals(head)) {
-            changed.add(records.write(Keys.list(me), Kept.newBuilder().setList(head), wall));
+            changed.add(records.write(RecordKeys.endpointList(me), Kept.newBuilder().setList(head), wall));
         }
         return changed;
     }
 
     private void forgetNode(long box, long wall, List<Kept> changed) {
-        Kept dropped = records.drop(Keys.node(records.instance(), box), wall);
+        Kept dropped = records.delete(RecordKeys.serverMemory(records.instance(), box), wall);
         if (dropped != null) {
             changed.add(dropped);
         }
     }
 
     /** What a generation's module has learnt; its times are moved by shift. Returns what changed. */
-    public List<Kept> learnt(Memory module, long shift, long wall) {
+    public List<Kept> recordModuleMemory(Memory module, long shift, long wall) {
         String me = records.instance();
         List<Kept> changed = new ArrayList<>();
         for (NodeMemory node : module.getNodesList()) {
-            if (records.get(Keys.box(me, node.getId())) == null) {
+            if (records.get(RecordKeys.server(me, node.getId())) == null) {
                 continue;
             }
-            String key = Keys.node(me, node.getId());
+            String key = RecordKeys.serverMemory(me, node.getId());
             NodeMemory now = moved(node, shift).clearLastDelay().build();
             Kept before = records.get(key);
             if (before == null ? tells(now) : !sameTrouble(before.getNode(), now)) {
@@ -111,9 +111,9 @@
             }
         }
         Memory rest = module.toBuilder().clearNodes().clearKeys().clearTaken().clearFurther().build();
-        Kept before = records.get(Keys.module(me));
+        Kept before = records.get(RecordKeys.moduleMemory(me));
         if (before == null || wall - before.getWall() > MODULE_HOLDS / 360 || before.getWall() > wall) {
-            changed.add(records.write(Keys.module(me), Kept.newBuilder().setModule(rest), wall));
+            changed.add(records.write(RecordKeys.moduleMemory(me), Kept.newBuilder().setModule(rest), wall));
         }
         return changed;
     }
@@ -143,49 +143,51 @@
     }
 
     /** The configuration that is in force; null if it is the one kept. */
-    public Kept applied(String text, long wall) {
-        Kept before = records.get(Keys.settings(records.instance()));
+    public Kept recordSettings(String text, long wall) {
+        Kept before = records.get(RecordKeys.settings(records.instance()));
         if (before != null && before.getApplied().getText().equals(text)) {
             return null;
         }
-        return records.write(Keys.settings(records.instance()), Kept.newBuilder()
+        return records.write(RecordKeys.settings(records.instance()), Kept.newBuilder()
                 .setApplied(Applied.newBuilder().setText(text)), wall);
     }
 
     /** An operator marks a box, or with NONE takes the mark back. */
-    public Kept mark(String box, Mark.Kind kind, String by, long wall) {
-        String key = Keys.mark(box);
+    public Kept recordOverride(String box, Mark.Kind kind, String by, long wall) {
+        String key = RecordKeys.override(box);
         if (kind == Mark.Kind.NONE) {
-            return records.drop(key, wall);
+            return records.delete(key, wall);
         }
-        long started = known(box).stream().mapToLong(Box::getStartedAt).max().orElse(0);
+        long started = knownServers(box).stream().mapToLong(Box::getStartedAt).max().orElse(0);
         return records.write(key, Kept.newBuilder().setMark(Mark.newBuilder().setKind(kind)
                 .setStartedAt(started).setBy(by)), wall);
     }
 
     /** What is known of a box of this name, by whichever instance. */
-    public List<Box> known(String box) {
-        return records.prefix(Keys.allBoxes()).stream().map(Kept::getBox)
+    public List<Box> knownServers(String box) {
+        return records.withPrefix(RecordKeys.allServersPrefix()).stream().map(Kept::getBox)
                 .filter(b -> b.getName().equals(box)).toList();
     }
 
     /** The marks that hold, by the boxes' names. */
-    public Map<String, Mark> marks() {
+    public Map<String, Mark> overrides() {
         Map<String, Mark> marks = new LinkedHashMap<>();
-        records.prefix(Keys.marks()).forEach(k -> marks.put(Keys.markedBox(k.getKey()), k.getMark()));
+        records.withPrefix(RecordKeys.overridesPrefix()).forEach(k ->
+                marks.put(RecordKeys.overriddenServer(k.getKey()), k.getMark()));
         return marks;
     }
 
     /** A mark of GONE is for one start of a box: when the list tells of a later one it is dropped. */
-    public List<Kept> dropOutlived(long wall) {
+    public List<Kept> dropOutdatedOverrides(long wall) {
         List<Kept> dropped = new ArrayList<>();
         Map<String, Long> starts = new HashMap<>();
-        records.prefix(Keys.boxes(records.instance())).forEach(k -> starts.merge(k.getBox().getName(),
+        records.withPrefix(RecordKeys.serversPrefix(records.instance())).forEach(k ->
+                starts.merge(k.getBox().getName(),
                 k.getBox().getStartedAt(), Math::max));
-        marks().forEach((box, mark) -> {
+        overrides().forEach((box, mark) -> {
             if (mark.getKind() == Mark.Kind.GONE
                     && starts.getOrDefault(box, Long.MIN_VALUE) > mark.getStartedAt()) {
-                dropped.add(records.drop(Keys.mark(box), wall));
+                dropped.add(records.delete(RecordKeys.override(box), wall));
             }
         });
         return dropped;
@@ -197,10 +199,10 @@
      * What a generation goes on with after a restart, as if one before it had left it; null if nothing is
      * kept. clock is what the reader will take this moment for on its own clock.
      */
-    public State state(int version, int leastReader, long wall, long monoNanos) {
+    public State restartState(int version, int leastReader, long wall, long monoNanos) {
         String me = records.instance();
-        Kept head = records.get(Keys.list(me));
-        List<Kept> mine = records.prefix(Keys.boxes(me));
+        Kept head = records.get(RecordKeys.endpointList(me));
+        List<Kept> mine = records.withPrefix(RecordKeys.serversPrefix(me));
         boolean own = !mine.isEmpty();
         List<Kept> boxes = own ? mine : newestOfOthers();
         if (boxes.isEmpty()) {
@@ -218,7 +220,7 @@
         }
         State.Builder state = State.newBuilder().setVersion(version).setLeastReader(leastReader)
                 .setClock(wall).setMonoNanos(monoNanos).setBoxes(all);
-        Kept module = records.get(Keys.module(me));
+        Kept module = records.get(RecordKeys.moduleMemory(me));
         if (module != null && wall - module.getWall() <= MODULE_HOLDS) {
             state.setModule(memory(module.getModule(), wall));
         }
@@ -227,7 +229,7 @@
 
     private Memory memory(Memory module, long wall) {
         Memory.Builder memory = module.toBuilder();
-        for (Kept kept : records.prefix(Keys.nodes(records.instance()))) {
+        for (Kept kept : records.withPrefix(RecordKeys.serverMemoryPrefix(records.instance()))) {
             NodeMemory node = kept.getNode();
             if (node.getEjectedUntil() < wall + LONGEST_REST && node.getColdBudgetAt() < wall
                     + LONGEST_REST) {
@@ -240,7 +242,7 @@
     /** With an empty disk: what the other instances knew, a drain that any of them knew included. */
     private List<Kept> newestOfOthers() {
         Map<String, Kept> found = new LinkedHashMap<>();
-        for (Kept kept : records.prefix(Keys.allBoxes())) {
+        for (Kept kept : records.withPrefix(RecordKeys.allServersPrefix())) {
             found.merge(kept.getBox().getName(), kept, (a, b) -> {
                 if (a.getBox().getStartedAt() != b.getBox().getStartedAt()) {
                     return a.getBox().getStartedAt() > b.getBox().getStartedAt() ? a : b;
--- a/src/main/java/yewdock/store/Committer.java
+++ b/src/main/java/yewdock/store/Committer.java
@@ -23,17 +23,17 @@
     private static final int TIDY_MILLIS = 200;
 
     /** How the store is: open, or why not (null: open). */
-    public record Health(boolean open, StoreException.Kind kind, String why, long commits, long failures,
+    public record StoreHealth(boolean open, StoreException.Kind kind, String why, long commits, long failures,
             long waiting) {
     }
 
     /** Times in milliseconds: how long changes are gathered, and after how long a failed store is tried. */
-    public record Pace(long gather, long retry) {
+    public record CommitTiming(long gatherMillis, long retryMillis) {
     }
 
-    private final Shelf.Opening opening;
-    private final Pace pace;
-    private final Consumer<Health> changed;
+    private final KeyValueStore.StoreOpener opening;
+    private final CommitTiming pace;
+    private final Consumer<StoreHealth> changed;
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition work = lock.newCondition();
     /** What the records are, as told to this; the store follows. */
@@ -46,21 +46,24 @@
     private long failures;
     private StoreException trouble;
     private boolean closing;
-    private Shelf shelf;
+    private KeyValueStore shelf;
     private final Thread thread;
 
     /** A committer for a store that is open already. */
-    public Committer(Shelf shelf, Shelf.Opening opening, Pace pace, Consumer<Health> changed) {
+    public Committer(KeyValueStore shelf, KeyValueStore.StoreOpener opening, CommitTiming pace,
+            Consumer<StoreHealth> changed) {
         this(shelf, null, opening, pace, changed);
     }
 
     /** A committer for a store that could not be opened, and why. */
-    public Committer(StoreException trouble, Shelf.Opening opening, Pace pace, Consumer<Health> changed) {
+    public Committer(StoreException trouble, KeyValueStore.StoreOpener opening, CommitTiming pace,
+            Consumer<StoreHealth> changed) {
         this(null, trouble, opening, pace, changed);
     }
 
-    private Committer(Shelf shelf, StoreException trouble, Shelf.Opening opening, Pace pace,
-            Consumer<Health> changed) {
+    private Committer(KeyValueStore shelf, StoreException trouble, KeyValueStore.StoreOpener opening,
+            CommitTiming pace,
+            Consumer<StoreHealth> changed) {
         this.shelf = shelf;
         this.trouble = trouble;
         this.opening = opening;
@@ -107,10 +110,10 @@
         }
     }
 
-    public Health health() {
+    public StoreHealth health() {
         lock.lock();
         try {
-            return new Health(trouble == null, trouble == null ? null : trouble.kind(),
+            return new StoreHealth(trouble == null, trouble == null ? null : trouble.kind(),
                     trouble == null ? "" : trouble.getMessage(), commits, failures, waiting.size());
         } finally {
             lock.unlock();
@@ -123,12 +126,12 @@
             lock.lock();
             try {
                 if (trouble != null) {
-                    waitOut(pace.retry());
+                    waitOut(pace.retryMillis());
                 } else {
                     while (waiting.isEmpty() && put == durable && !closing) {
                         work.await();
                     }
-                    waitOut(pace.gather());
+                    waitOut(pace.gatherMillis());
                 }
                 last = closing;
             } catch (InterruptedException e) {
@@ -177,14 +180,14 @@
             shelf.write(group);
             commits++;
             if (commits % TIDY_EVERY == 0) {
-                shelf.tidy(TIDY_MILLIS);
+                shelf.compactIfLarge(TIDY_MILLIS);
             }
         }
         done(upTo);
     }
 
     private void reopen() throws StoreException {
-        Shelf next = opening.open();
+        KeyValueStore next = opening.open();
         try {
             Map<String, byte[]> changes = new LinkedHashMap<>();
             long upTo;
--- a/src/main/java/yewdock/store/Shelf.java
+++ b/src/main/java/yewdock/store/KeyValueStore.java
@@ -4,11 +4,13 @@
 import java.util.Map;
 import java.util.SortedMap;
 
-/** Where records lie, as the committer sees it: a {@link Store}, or in tests one that fails when told. */
-public interface Shelf extends Closeable {
+/**
+ * Where records lie, as the committer sees it: a {@link RecordFile}, or in tests one that fails when told.
+ */
+public interface KeyValueStore extends Closeable {
     /** Opens it. */
-    interface Opening {
-        Shelf open() throws StoreException;
+    interface StoreOpener {
+        KeyValueStore open() throws StoreException;
     }
 
     /** All that is kept, in the order of the keys. */
@@ -21,7 +23,7 @@
     long write(Map<String, byte[]> changes) throws StoreException;
 
     /** Gives room back that old commits take, in so many milliseconds at most. */
-    void tidy(int mostMillis) throws StoreException;
+    void compactIfLarge(int mostMillis) throws StoreException;
 
     /** How many bytes it takes. */
     long bytes();
--- a/src/main/java/yewdock/store/Store.java
+++ b/src/main/java/yewdock/store/RecordFile.java
@@ -24,7 +24,7 @@
  * hash of its key and bytes, and every commit holds the number and the sum of all seals. A file whose records
  * don't add up to a sum that was committed is refused and left as it is.
  */
-public final class Store implements Shelf {
+public final class RecordFile implements KeyValueStore {
     /** The layout that is written. 1: records without seals; 2: sealed, with their sum. */
     static final int VERSION = 2;
     private static final String FILE = "records.mv";
@@ -42,10 +42,10 @@
     private final MVMap<String, Long> head;
     private long count;
     private long sum;
-    private long missing;
-    private volatile long number;
+    private long missingCommits;
+    private volatile long lastCommitNumber;
 
-    private Store(Path file, MVStore store) {
+    private RecordFile(Path file, MVStore store) {
         this.file = file;
         this.store = store;
         this.records = store.openMap(RECORDS);
@@ -53,8 +53,8 @@
     }
 
     /** Opens the store in this folder, or makes one; brings one of an older version up in one commit. */
-    public static Store open(Path folder) throws StoreException {
-        Path file = fileIn(folder);
+    public static RecordFile open(Path folder) throws StoreException {
+        Path file = fileInFolder(folder);
         try {
             if (!Files.exists(folder)) {
                 Files.createDirectories(folder, PosixFilePermissions.asFileAttribute(
@@ -80,13 +80,13 @@
         }
         if (Files.exists(file)) {
             // looked at without writing first: what is refused must be left as it is
-            look(folder).close();
+            openReadOnly(folder).close();
         }
         if (!Files.isWritable(folder) || Files.exists(file) && !Files.isWritable(file)) {
             throw new StoreException(StoreException.Kind.READ_ONLY, file + " can't be written");
         }
         return guarded(file, () -> {
-            Store opened = new Store(file, builder(file).autoCommitDisabled().open());
+            RecordFile opened = new RecordFile(file, builder(file).autoCommitDisabled().open());
             try {
                 opened.check();
                 opened.compareNumber();
@@ -100,13 +100,13 @@
     }
 
     /** Opens it for reading only, and checks all of it. */
-    public static Store look(Path folder) throws StoreException {
-        Path file = fileIn(folder);
+    public static RecordFile openReadOnly(Path folder) throws StoreException {
+        Path file = fileInFolder(folder);
         if (!Files.exists(file)) {
             throw new StoreException(StoreException.Kind.UNWRITABLE, "there is no store in " + folder);
         }
         return guarded(file, () -> {
-            Store opened = new Store(file, builder(file).readOnly().open());
+            RecordFile opened = new RecordFile(file, builder(file).readOnly().open());
             try {
                 opened.check();
                 opened.compareNumber();
@@ -119,8 +119,8 @@
     }
 
     /** Puts a damaged store out of the way, whole, so that a new one can begin; returns where it is. */
-    public static Path setAside(Path folder) throws IOException {
-        Path file = fileIn(folder);
+    public static Path moveAside(Path folder) throws IOException {
+        Path file = fileInFolder(folder);
         Path aside = file.resolveSibling(FILE + ".damaged");
         for (int i = 1; Files.exists(aside); i++) {
             aside = file.resolveSibling(FILE + ".damaged-" + i);
@@ -130,7 +130,7 @@
     }
 
     /** The one file of the store in this folder. */
-    public static Path fileIn(Path folder) {
+    public static Path fileInFolder(Path folder) {
         return folder.resolve(FILE);
     }
 
@@ -170,12 +170,12 @@
 
     private void check() throws StoreException {
         long version = head.getOrDefault("version", 0L);
-        number = head.getOrDefault("number", 0L);
+        lastCommitNumber = head.getOrDefault("number", 0L);
         if (version > VERSION) {
             throw new StoreException(StoreException.Kind.NEWER, file + " has version " + version
                     + "; this program knows versions up to " + VERSION);
         }
-        if (version == 0 && (!records.isEmpty() || number != 0)) {
+        if (version == 0 && (!records.isEmpty() || lastCommitNumber != 0)) {
             throw damaged("it has records and no version");
         }
         if (version < 2) {
@@ -201,9 +201,9 @@
      * are all destroyed as an empty one: that must not pass for what was committed last.
      */
     private void compareNumber() throws StoreException {
-        missing = Math.max(0, surely(file) - number);
-        if (missing > 0 && number == 0) {
-            throw damaged("nothing of its " + missing + " commits can be found in it");
+        missingCommits = Math.max(0, surely(file) - lastCommitNumber);
+        if (missingCommits > 0 && lastCommitNumber == 0) {
+            throw damaged("nothing of its " + missingCommits + " commits can be found in it");
         }
     }
 
@@ -224,8 +224,8 @@
 
     /** Never before the commit is on the disk; not synced itself, for being behind does no harm. */
     private void noteNumber() {
-        ByteBuffer bytes = ByteBuffer.allocate(2 * Long.BYTES).putLong(number)
-                .putLong(sealOf(number));
+        ByteBuffer bytes = ByteBuffer.allocate(2 * Long.BYTES).putLong(lastCommitNumber)
+                .putLong(sealOf(lastCommitNumber));
         try {
             Files.write(file.resolveSibling(NUMBER), bytes.array());
         } catch (IOException e) {
@@ -255,7 +255,7 @@
     }
 
     private long headSeal() {
-        return Hashing.xxh3_64().hashStream().putLong(VERSION).putLong(number).putLong(count).putLong(sum)
+        return Hashing.xxh3_64().hashStream().putLong(VERSION).putLong(lastCommitNumber).putLong(count).putLong(sum)
                 .getAsLong();
     }
 
@@ -290,7 +290,7 @@
             commit(changes);
             store.sync();
             noteNumber();
-            return number;
+            return lastCommitNumber;
         });
     }
 
@@ -304,8 +304,8 @@
             count += (after == null ? 0 : 1) - (before == null ? 0 : 1);
             sum += (after == null ? 0 : sealIn(after)) - (before == null ? 0 : sealIn(before));
         }
-        number++;
-        head.put("number", number);
+        lastCommitNumber++;
+        head.put("number", lastCommitNumber);
         head.put("count", count);
         head.put("sum", sum);
         head.put("seal", headSeal());
@@ -313,7 +313,7 @@
     }
 
     @Override
-    public void tidy(int mostMillis) throws StoreException {
+    public void compactIfLarge(int mostMillis) throws StoreException {
         if (bytes() > TIDY_FROM) {
             compact(mostMillis);
         }
@@ -330,13 +330,13 @@
     // ---- reading
 
     /** The number of the last commit; all up to it are on the disk. */
-    public long number() {
-        return number;
+    public long lastCommitNumber() {
+        return lastCommitNumber;
     }
 
     /** How many commits were on the disk and are there no more: what is here was committed before them. */
-    public long missing() {
-        return missing;
+    public long missingCommits() {
+        return missingCommits;
     }
 
     /** The layout that the file has. */
--- a/src/main/java/yewdock/standin/BoxStandin.java
+++ b/src/main/java/yewdock/testbed/BoxStandin.java
@@ -1,11 +1,11 @@
-package yewdock.standin;
+package yewdock.testbed;
 
 import java.io.IOException;
 import java.net.Socket;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import yewdock.http.Head;
+import yewdock.http.MessageHead;
 import yewdock.http.MessageReader;
 
 /**
@@ -60,7 +60,7 @@
     void serve(Socket socket) throws IOException {
         Conversation talk = new Conversation(socket, MessageReader.Kind.REQUEST);
         while (true) {
-            Head head = talk.next();
+            MessageHead head = talk.next();
             long began = System.nanoTime();
             String id = head.field("X-Correlation-Id");
             if (id == null) {
--- a/src/main/java/yewdock/standin/Conversation.java
+++ b/src/main/java/yewdock/testbed/Conversation.java
@@ -1,4 +1,4 @@
-package yewdock.standin;
+package yewdock.testbed;
 
 import java.io.ByteArrayOutputStream;
 import java.io.EOFException;
@@ -7,7 +7,7 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import yewdock.http.BadMessageException;
-import yewdock.http.Head;
+import yewdock.http.MessageHead;
 import yewdock.http.MessageReader;
 
 /** A stand-in's end of a connection, blocking: reads whole messages, one after the other. */
@@ -19,7 +19,7 @@
     private final byte[] buffer = new byte[BUFFER];
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private ByteBuffer left = ByteBuffer.allocate(0);
-    private Head head;
+    private MessageHead head;
     private boolean touched;
     private long firstBody;
 
@@ -29,7 +29,7 @@
     }
 
     /** Reads the next message; EOFException if the connection ends before its end. */
-    Head next() throws IOException {
+    MessageHead next() throws IOException {
         head = null;
         touched = false;
         firstBody = 0;
@@ -45,8 +45,8 @@
                     touched = true;
                 }
                 reader.read(left);
-                if (reader.done()) {
-                    reader.next();
+                if (reader.isComplete()) {
+                    reader.startNext();
                     return head;
                 }
             }
@@ -61,7 +61,7 @@
     }
 
     /** The message's head, once it has come. */
-    Head head() {
+    MessageHead head() {
         return head;
     }
 
@@ -79,7 +79,7 @@
     }
 
     @Override
-    public void head(Head read) {
+    public void head(MessageHead read) {
         head = read;
     }
 
--- a/src/main/java/yewdock/standin/Faults.java
+++ b/src/main/java/yewdock/testbed/Faults.java
@@ -1,9 +1,9 @@
-package yewdock.standin;
+package yewdock.testbed;
 
 import java.io.IOException;
 import java.util.Arrays;
-import yewdock.daemon.Link;
-import yewdock.standin.FaultyGeneration.Fault;
+import yewdock.daemon.ControlConnection;
+import yewdock.testbed.FaultyGeneration.Fault;
 
 /** How a process fails on purpose. */
 final class Faults {
@@ -14,7 +14,7 @@
     }
 
     /** Fails in this way; link is where nonsense goes. */
-    static void happen(Fault fault, Link link) {
+    static void happen(Fault fault, ControlConnection link) {
         try {
             switch (fault) {
                 case EXIT -> Runtime.getRuntime().halt(EXIT_CODE);
--- a/src/main/java/yewdock/standin/FaultyGeneration.java
+++ b/src/main/java/yewdock/testbed/FaultyGeneration.java
@@ -1,4 +1,4 @@
-package yewdock.standin;
+package yewdock.testbed;
 
 import java.nio.file.Path;
 import yewdock.daemon.Generation;
@@ -22,14 +22,14 @@
     public static void main(String[] args) {
         at = Stage.valueOf(args[0]);
         fault = Fault.valueOf(args[1]);
-        System.exit(Generation.of(System.getenv(), FaultyGeneration::new).run());
+        System.exit(Generation.fromEnvironment(System.getenv(), FaultyGeneration::new).run());
     }
 
     @Override
-    protected void reached(Stage stage) {
+    protected void stageReached(Stage stage) {
         if (stage != at) {
             return;
         }
-        Faults.happen(fault, link());
+        Faults.happen(fault, supervisorConnection());
     }
 }
--- a/src/main/java/yewdock/standin/FaultySuccession.java
+++ b/src/main/java/yewdock/testbed/FaultySuccession.java
@@ -1,13 +1,13 @@
-package yewdock.standin;
+package yewdock.testbed;
 
-import yewdock.daemon.Serve;
-import yewdock.daemon.Succession;
+import yewdock.daemon.ProcessHandover;
+import yewdock.daemon.StandaloneRouter;
 import yewdock.platform.Config;
-import yewdock.standin.FaultyGeneration.Fault;
+import yewdock.testbed.FaultyGeneration.Fault;
 import yewdock.upgrade.Stage;
 
 /** A router's second process that fails on purpose as it reaches a stage of taking over. */
-public final class FaultySuccession extends Succession {
+public final class FaultySuccession extends ProcessHandover {
     private final Stage at;
     private final Fault fault;
 
@@ -19,14 +19,15 @@
 
     /** Runs it; the words are the stage and the fault. */
     public static void main(String[] args) {
-        System.exit(Serve.run(System.getenv("PROXY_CONFIG"), (folder, config) -> new FaultySuccession(folder,
+        System.exit(StandaloneRouter.run(System.getenv("PROXY_CONFIG"), (folder, config) ->
+                new FaultySuccession(folder,
                 config, Stage.valueOf(args[0]), Fault.valueOf(args[1]))));
     }
 
     @Override
-    protected void reached(Stage stage) {
+    protected void stageReached(Stage stage) {
         if (stage == at) {
-            Faults.happen(fault, older());
+            Faults.happen(fault, predecessor());
         }
     }
 }
--- a/src/main/java/yewdock/standin/Fleet.java
+++ b/src/main/java/yewdock/testbed/Fleet.java
@@ -1,4 +1,4 @@
-package yewdock.standin;
+package yewdock.testbed;
 
 import java.io.Closeable;
 import java.io.IOException;
--- a/src/main/java/yewdock/standin/FloodingPeer.java
+++ b/src/main/java/yewdock/testbed/FloodingPeer.java
@@ -1,4 +1,4 @@
-package yewdock.standin;
+package yewdock.testbed;
 
 import java.io.Closeable;
 import java.io.DataInputStream;
@@ -9,8 +9,8 @@
 import java.net.Socket;
 import java.util.SplittableRandom;
 import java.util.concurrent.atomic.AtomicLong;
-import yewdock.replica.Replica;
-import yewdock.state.Keys;
+import yewdock.replication.Replicator;
+import yewdock.state.RecordKeys;
 import yewdock.wire.Batch;
 import yewdock.wire.Box;
 import yewdock.wire.Kept;
@@ -63,8 +63,8 @@
         DataInputStream in = new DataInputStream(socket.getInputStream());
         DataOutputStream out = new DataOutputStream(socket.getOutputStream());
         in.readFully(new byte[in.readInt()]);
-        write(out, PeerFrame.newBuilder().setHello(PeerHello.newBuilder().setVersion(Replica.VERSION)
-                .setLeastReader(Replica.VERSION).setCluster("yewdock").setInstance(name).setTo(to)
+        write(out, PeerFrame.newBuilder().setHello(PeerHello.newBuilder().setVersion(Replicator.VERSION)
+                .setLeastReader(Replicator.VERSION).setCluster("yewdock").setInstance(name).setTo(to)
                 .setJoined(1)).build());
         SplittableRandom random = new SplittableRandom(1);
         long began = System.nanoTime();
@@ -73,7 +73,7 @@
             Batch.Builder batch = Batch.newBuilder().setNumber(number);
             for (int i = 0; i < RECORDS; i++) {
                 int box = random.nextInt(KEYS);
-                batch.addRecords(Kept.newBuilder().setKey(Keys.box(name, box)).setStamp(number)
+                batch.addRecords(Kept.newBuilder().setKey(RecordKeys.server(name, box)).setStamp(number)
                         .setInstance(name).setBox(Box.newBuilder().setName("s-" + box)
                         .setAddress("10.0.0.1:8000").setId(box).setToldAt(number)));
             }
--- a/src/main/java/yewdock/standin/Ledger.java
+++ b/src/main/java/yewdock/testbed/Ledger.java
@@ -1,4 +1,4 @@
-package yewdock.standin;
+package yewdock.testbed;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/yewdock/standin/ListStandin.java
+++ b/src/main/java/yewdock/testbed/ListStandin.java
@@ -1,4 +1,4 @@
-package yewdock.standin;
+package yewdock.testbed;
 
 import java.io.IOException;
 import java.net.Socket;
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import yewdock.http.Head;
+import yewdock.http.MessageHead;
 import yewdock.http.MessageReader;
 
 /** The box list: the whole of it, or a watch that waits for what is newer than a version. */
@@ -53,7 +53,7 @@
     void serve(Socket socket) throws IOException {
         Conversation talk = new Conversation(socket, MessageReader.Kind.REQUEST);
         while (true) {
-            Head head = talk.next();
+            MessageHead head = talk.next();
             if (!head.target().startsWith("/v1/endpoints")) {
                 talk.write("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
                 continue;
--- a/src/main/java/yewdock/standin/ListenPorts.java
+++ b/src/main/java/yewdock/testbed/ListenPorts.java
@@ -1,4 +1,4 @@
-package yewdock.standin;
+package yewdock.testbed;
 
 import java.io.IOException;
 import java.net.BindException;
--- a/src/main/java/yewdock/standin/LiveBox.java
+++ b/src/main/java/yewdock/testbed/LiveBox.java
@@ -1,4 +1,4 @@
-package yewdock.standin;
+package yewdock.testbed;
 
 import java.io.IOException;
 import java.net.Socket;
@@ -7,7 +7,7 @@
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.BlockingQueue;
 import java.util.function.LongFunction;
-import yewdock.http.Head;
+import yewdock.http.MessageHead;
 import yewdock.http.MessageReader;
 import yewdock.model.Ask;
 import yewdock.model.Live;
@@ -39,7 +39,7 @@
     void serve(Socket socket) throws IOException {
         Conversation talk = new Conversation(socket, MessageReader.Kind.REQUEST);
         while (true) {
-            Head head = talk.next();
+            MessageHead head = talk.next();
             String id = head.field("X-Correlation-Id");
             Ask ask = id == null ? null : asks.apply(askOf(id));
             if (ask == null) {
--- a/src/main/java/yewdock/standin/LiveDay.java
+++ b/src/main/java/yewdock/testbed/LiveDay.java
@@ -1,4 +1,4 @@
-package yewdock.standin;
+package yewdock.testbed;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
-import yewdock.http.Head;
+import yewdock.http.MessageHead;
 import yewdock.http.MessageReader;
 import yewdock.model.Ask;
 import yewdock.model.Live;
@@ -131,9 +131,9 @@
                 socket.setTcpNoDelay(true);
                 socket.setSoTimeout((int) (MOST_MICROS / 1000));
                 socket.connect(router);
-                Conversation talk = new Conversation(socket, MessageReader.Kind.ANSWER);
+                Conversation talk = new Conversation(socket, MessageReader.Kind.RESPONSE);
                 talk.write(request(ask, made, patience));
-                Head head = talk.next();
+                MessageHead head = talk.next();
                 if (head.status() == 200) {
                     long first = (talk.firstBody() - began) / 1000;
                     long all = (System.nanoTime() - began) / 1000;
--- a/src/main/java/yewdock/standin/Load.java
+++ b/src/main/java/yewdock/testbed/Load.java
@@ -1,4 +1,4 @@
-package yewdock.standin;
+package yewdock.testbed;
 
 import java.io.EOFException;
 import java.io.IOException;
@@ -13,7 +13,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.HdrHistogram.Histogram;
-import yewdock.http.Head;
+import yewdock.http.MessageHead;
 import yewdock.http.MessageReader;
 
 /**
@@ -103,7 +103,7 @@
                         connect();
                     }
                     talk.write(request(id, tokens, pace, topic));
-                    Head head = talk.next();
+                    MessageHead head = talk.next();
                     Ledger.AtClient record = whole(id, tokens, began, head, crossed);
                     if (!head.keepsAlive()) {
                         close();
@@ -136,10 +136,10 @@
             socket.setTcpNoDelay(true);
             socket.setSoTimeout(PATIENCE_MILLIS);
             socket.connect(plan.to(), CONNECT_MILLIS);
-            talk = new Conversation(socket, MessageReader.Kind.ANSWER);
+            talk = new Conversation(socket, MessageReader.Kind.RESPONSE);
         }
 
-        private Ledger.AtClient whole(String id, int tokens, long began, Head head, boolean crossed) {
+        private Ledger.AtClient whole(String id, int tokens, long began, MessageHead head, boolean crossed) {
             long now = System.nanoTime();
             int status = head.status();
             if (status == 200) {
--- a/src/main/java/yewdock/upgrade/Upgrade.java
+++ b/src/main/java/yewdock/upgrade/SupervisorReducer.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import yewdock.log.Fields;
+import yewdock.logging.LogFields;
 import yewdock.wire.Boxes;
 import yewdock.wire.Frame;
 import yewdock.wire.GiveState;
@@ -32,7 +32,7 @@
  * its process has died. A new generation that fails at any stage is killed, and the old one is told to take
  * back what it had handed over.
  */
-public final class Upgrade {
+public final class SupervisorReducer {
     /** Restart backoff of a serving process that died, in microseconds; doubles with each death in a row. */
     static final long RESTART_BACKOFF_MICROS = 100_000;
     static final int MAX_BACKOFF_DOUBLINGS = 6;
@@ -42,13 +42,13 @@
     static final long FINISH_SLACK_MICROS = 5_000_000;
     private static final double MICROS_PER_MILLI = 1000.0;
 
-    private final Limits limits;
-    private final Map<Integer, Generation> generations = new TreeMap<>();
-    private List<KeeperEffect> effects = new ArrayList<>();
+    private final UpgradeLimits limits;
+    private final Map<Integer, SupervisedGeneration> generations = new TreeMap<>();
+    private List<SupervisorEffect> effects = new ArrayList<>();
     private long now;
     private int lastNumber;
-    private Generation serving;
-    private Generation upcoming;
+    private SupervisedGeneration servingGeneration;
+    private SupervisedGeneration upcoming;
     private Stage stage;
     private long stageBegan;
     private long upgradeBegan;
@@ -68,7 +68,7 @@
     private String lastFailure = "";
 
     /** The state of a generation's process; killAt and the other times are in microseconds. */
-    private static final class Generation {
+    private static final class SupervisedGeneration {
         private final int number;
         private final List<String> program;
         private final long startedAt;
@@ -77,7 +77,7 @@
         private long servesSince;
         private long killAt = Long.MAX_VALUE;
 
-        Generation(int number, List<String> program, long startedAt) {
+        SupervisedGeneration(int number, List<String> program, long startedAt) {
             this.number = number;
             this.program = program;
             this.startedAt = startedAt;
@@ -85,12 +85,12 @@
     }
 
     /** Creates a reducer without any generation. */
-    public Upgrade(Limits limits) {
+    public SupervisorReducer(UpgradeLimits limits) {
         this.limits = limits;
     }
 
     /** Applies one event at this time in microseconds; returns the effects to execute, in order. */
-    public List<KeeperEffect> reduce(KeeperEvent event, long time) {
+    public List<SupervisorEffect> reduce(SupervisorEvent event, long time) {
         now = Math.max(now, time);
         effects = new ArrayList<>();
         handle(event);
@@ -100,75 +100,75 @@
         return effects;
     }
 
-    /** When the next {@link KeeperEvent.Tick} is due, in microseconds; Long.MAX_VALUE if none is. */
-    public long nextDue() {
-        long due = upcoming == null ? restartAt : stageBegan + limits.stages().get(stage);
-        for (Generation g : generations.values()) {
+    /** When the next {@link SupervisorEvent.Tick} is due, in microseconds; Long.MAX_VALUE if none is. */
+    public long nextTimerDue() {
+        long due = upcoming == null ? restartAt : stageBegan + limits.stageTimeoutMicros().get(stage);
+        for (SupervisedGeneration g : generations.values()) {
             due = Math.min(due, g.killAt);
         }
         return due;
     }
 
     /** The number of the serving generation, or 0. */
-    public int serving() {
-        return serving == null ? 0 : serving.number;
+    public int servingGeneration() {
+        return servingGeneration == null ? 0 : servingGeneration.number;
     }
 
     /** The number of the generation that is being started, or 0. */
-    public int coming() {
+    public int upcomingGeneration() {
         return upcoming == null ? 0 : upcoming.number;
     }
 
-    private void handle(KeeperEvent event) {
-        if (event instanceof KeeperEvent.Heard e) {
+    private void handle(SupervisorEvent event) {
+        if (event instanceof SupervisorEvent.FrameReceived e) {
             frameReceived(e.generation(), e.frame());
-        } else if (event instanceof KeeperEvent.Begun e) {
+        } else if (event instanceof SupervisorEvent.ListenerOpened e) {
             program = List.copyOf(e.program());
             startGeneration(program, 0);
-        } else if (event instanceof KeeperEvent.Asked e) {
+        } else if (event instanceof SupervisorEvent.UpgradeRequested e) {
             upgradeRequested(e);
-        } else if (event instanceof KeeperEvent.StatusAsked e) {
+        } else if (event instanceof SupervisorEvent.StatusRequested e) {
             replyStatus(e.command());
-        } else if (event instanceof KeeperEvent.Lost e) {
+        } else if (event instanceof SupervisorEvent.ConnectionLost e) {
             connectionLost(e);
-        } else if (event instanceof KeeperEvent.Ended e) {
-            processEnded(e.generation(), e.how());
-        } else if (event instanceof KeeperEvent.HungUp) {
+        } else if (event instanceof SupervisorEvent.ProcessEnded e) {
+            processEnded(e.generation(), e.reason());
+        } else if (event instanceof SupervisorEvent.ReloadRequested) {
             generations.values().stream().filter(g -> g.connected).forEach(g -> send(g,
                     Frame.newBuilder().setReconfigure(Reconfigure.getDefaultInstance())));
-        } else if (event instanceof KeeperEvent.Leave) {
+        } else if (event instanceof SupervisorEvent.ShutdownRequested) {
             shutDown();
-        } else if (event instanceof KeeperEvent.Tick) {
+        } else if (event instanceof SupervisorEvent.Tick) {
             tick();
         }
     }
 
     // ---- an upgrade, stage by stage
 
-    private void upgradeRequested(KeeperEvent.Asked e) {
+    private void upgradeRequested(SupervisorEvent.UpgradeRequested e) {
         String refusal = null;
         if (shuttingDown) {
             refusal = "the router is shutting down";
         } else if (upcoming != null) {
             refusal = "generation " + upcoming.number + " is on its way, at stage " + stage;
-        } else if (serving == null) {
+        } else if (servingGeneration == null) {
             refusal = "no generation serves yet: one is being started";
-        } else if (countFinishing() >= limits.mostFinishing()) {
+        } else if (countFinishing() >= limits.maxFinishing()) {
             refusal = countFinishing() + " older generations are still finishing their requests";
         }
         if (refusal != null) {
-            effects.add(new KeeperEffect.Reply(e.command(), "not now: " + refusal, true, 1));
+            effects.add(new SupervisorEffect.Reply(e.command(), "not now: " + refusal, true, 1));
             return;
         }
         startGeneration(e.program().isEmpty() ? program : List.copyOf(e.program()), e.command());
     }
 
     private long countFinishing() {
-        return generations.values().stream().filter(g -> g != serving && !g.failed).count();
+        return generations.values().stream().filter(g -> g != servingGeneration && !g.failed).count();
     }
 
     private void startGeneration(List<String> newProgram, long commandId) {
-        upcoming = new Generation(++lastNumber, newProgram, now);
+        upcoming = new SupervisedGeneration(++lastNumber, newProgram, now);
         generations.put(lastNumber, upcoming);
         upgradeCommand = commandId;
         restartAt = Long.MAX_VALUE;
@@ -179,7 +179,7 @@
         stage = Stage.START;
         stageBegan = now;
         log("generation.start", "generation", lastNumber, "program", String.join(" ", newProgram));
-        effects.add(new KeeperEffect.Start(lastNumber, newProgram));
+        effects.add(new SupervisorEffect.StartProcess(lastNumber, newProgram));
     }
 
     private void enterStage(Stage newStage) {
@@ -190,7 +190,7 @@
     }
 
     private void frameReceived(int number, Frame frame) {
-        Generation generation = generations.get(number);
+        SupervisedGeneration generation = generations.get(number);
         if (generation == null) {
             return;
         }
@@ -200,12 +200,13 @@
             log("generation.says", "generation", number, "line", frame.getSay().getLine());
         } else if (generation == upcoming) {
             handleUpcomingFrame(frame);
-        } else if (frame.hasState() && generation == serving && stage == Stage.STATE && upcoming != null) {
+        } else if (frame.hasState() && generation == servingGeneration && stage == Stage.STATE
+                && upcoming != null) {
             send(upcoming, Frame.newBuilder().setState(frame.getState()));
             enterStage(Stage.READY);
         } else if (frame.hasSharing()) {
             forwardShared(generation, frame.getSharing());
-        } else if (frame.hasLetGoDone() && generation == serving && upcoming != null
+        } else if (frame.hasLetGoDone() && generation == servingGeneration && upcoming != null
                 && stage == Stage.LET_GO) {
             completeUpgrade("");
         }
@@ -218,9 +219,9 @@
             upcoming.connected = true;
             enterStage(Stage.CHECK);
         } else if (frame.hasChecked() && stage == Stage.CHECK) {
-            if (serving != null) {
+            if (servingGeneration != null) {
                 enterStage(Stage.STATE);
-                send(serving, Frame.newBuilder().setGiveState(GiveState.getDefaultInstance()));
+                send(servingGeneration, Frame.newBuilder().setGiveState(GiveState.getDefaultInstance()));
             } else {
                 startWithoutState();
             }
@@ -247,7 +248,7 @@
 
     private void askToShare() {
         enterStage(Stage.SHARE);
-        for (Generation g : generations.values()) {
+        for (SupervisedGeneration g : generations.values()) {
             if (g != upcoming && g.connected) {
                 awaitingShare.add(g.number);
                 send(g, Frame.newBuilder().setShare(Share.getDefaultInstance()));
@@ -257,15 +258,15 @@
     }
 
     /** Forwards a generation's open requests to the next owner of the ids; its later news go there, too. */
-    private void forwardShared(Generation generation, Sharing sharing) {
+    private void forwardShared(SupervisedGeneration generation, Sharing sharing) {
         Frame.Builder numbered = Frame.newBuilder().setSharing(
                 sharing.toBuilder().setGeneration(generation.number));
         if (upcoming != null && awaitingShare.remove(generation.number)) {
             shared.add(generation.number);
             send(upcoming, numbered);
             goIfAllShared();
-        } else if (serving != null && generation != serving) {
-            send(serving, numbered);
+        } else if (servingGeneration != null && generation != servingGeneration) {
+            send(servingGeneration, numbered);
         }
     }
 
@@ -279,21 +280,21 @@
     private void upcomingServes() {
         enterStage(Stage.LET_GO);
         upcoming.servesSince = now;
-        if (serving == null) {
+        if (servingGeneration == null) {
             completeUpgrade("");
         } else {
-            send(serving, Frame.newBuilder().setLetGo(LetGo.newBuilder().setLimitMicros(limits.finish())));
+            send(servingGeneration, Frame.newBuilder().setLetGo(LetGo.newBuilder().setLimitMicros(limits.finishTimeoutMicros())));
         }
     }
 
     private void completeUpgrade(String remark) {
         stageDurations.put(stage, now - stageBegan);
-        Generation old = serving;
+        SupervisedGeneration old = servingGeneration;
         if (old != null) {
-            old.killAt = now + limits.finish() + FINISH_SLACK_MICROS;
+            old.killAt = now + limits.finishTimeoutMicros() + FINISH_SLACK_MICROS;
         }
-        serving = upcoming;
-        program = serving.program;
+        servingGeneration = upcoming;
+        program = servingGeneration.program;
         upcoming = null;
         everServed = true;
         StringBuilder stages = new StringBuilder();
@@ -302,16 +303,16 @@
         if (old != null || upgradeCommand != 0) {
             upgrades++;
         }
-        log("upgrade.done", "generation", serving.number, "before", old == null ? 0 : old.number,
+        log("upgrade.done", "generation", servingGeneration.number, "before", old == null ? 0 : old.number,
                 "took_ms", (now - upgradeBegan) / 1000, "stages_ms", stages);
-        reply("generation " + serving.number + " serves"
+        reply("generation " + servingGeneration.number + " serves"
                 + (old == null ? "" : ", generation " + old.number + " finishes its requests") + "; ms: "
                 + stages + remark, 0);
     }
 
     /** Gives the new generation up and rolls the upgrade back. */
     private void failUpgrade(String reason) {
-        Generation failed = upcoming;
+        SupervisedGeneration failed = upcoming;
         Stage failedAt = stage;
         upcoming = null;
         failed.connected = false;
@@ -319,8 +320,8 @@
         failures++;
         lastFailure = "generation " + failed.number + " at stage " + failedAt + ": " + reason;
         log("upgrade.failed", "generation", failed.number, "stage", failedAt, "why", reason);
-        effects.add(new KeeperEffect.Kill(failed.number));
-        if (serving != null) {
+        effects.add(new SupervisorEffect.KillProcess(failed.number));
+        if (servingGeneration != null) {
             if (failedAt.compareTo(Stage.SHARE) >= 0) {
                 restoreOwnership(failed.number);
             }
@@ -333,16 +334,17 @@
             stop(1);
         }
         reply("upgrade failed at stage " + failedAt + ": " + reason
-                + (serving == null ? "" : "; generation " + serving.number + " serves as before"), 1);
+                + (servingGeneration == null ? "" : "; generation " + servingGeneration.number
+                        + " serves as before"), 1);
     }
 
     private void restoreOwnership(int failed) {
-        send(serving, Frame.newBuilder().setTakeBack(TakeBack.getDefaultInstance()));
-        send(serving, Frame.newBuilder().setOtherGone(
+        send(servingGeneration, Frame.newBuilder().setTakeBack(TakeBack.getDefaultInstance()));
+        send(servingGeneration, Frame.newBuilder().setOtherGone(
                 OtherGone.newBuilder().setGeneration(failed)));
-        for (Generation g : generations.values()) {
+        for (SupervisedGeneration g : generations.values()) {
             // the owner lacks what these have reported to the failed generation: they report everything again
-            if (g != serving && g.number != failed && g.connected) {
+            if (g != servingGeneration && g.number != failed && g.connected) {
                 send(g, Frame.newBuilder().setShare(Share.getDefaultInstance()));
             }
         }
@@ -350,19 +352,19 @@
 
     // ---- messages between generations
 
-    private void forwardMessage(Generation from, News news) {
+    private void forwardMessage(SupervisedGeneration from, News news) {
         News numbered = news.toBuilder().setGeneration(from.number).build();
         Frame.Builder frame = Frame.newBuilder().setNews(numbered);
         switch (news.getWhatCase()) {
             case GRANTED, DENIED -> {
-                Generation to = generations.get(news.getOf());
+                SupervisedGeneration to = generations.get(news.getOf());
                 if (to != null) {
                     send(to, frame);
                 }
             }
             case BOXES -> sendToOthers(from, frame, numbered.getBoxes());
             default -> {
-                Generation owner = ownerFor(from);
+                SupervisedGeneration owner = ownerFor(from);
                 if (owner != null && owner != from) {
                     send(owner, frame);
                 }
@@ -370,8 +372,8 @@
         }
     }
 
-    private void sendToOthers(Generation from, Frame.Builder frame, Boxes boxes) {
-        for (Generation g : generations.values()) {
+    private void sendToOthers(SupervisedGeneration from, Frame.Builder frame, Boxes boxes) {
+        for (SupervisedGeneration g : generations.values()) {
             boolean knowsNothingYet = g == upcoming && stage.compareTo(Stage.READY) < 0;
             if (g != from && g.connected && !knowsNothingYet && boxes.getBoxesCount() > 0) {
                 send(g, frame);
@@ -380,25 +382,25 @@
     }
 
     /** The generation that owns the request ids, as seen by this one. */
-    private Generation ownerFor(Generation from) {
+    private SupervisedGeneration ownerFor(SupervisedGeneration from) {
         if (upcoming != null && (shared.contains(from.number) || stage == Stage.LET_GO)) {
             return upcoming;
         }
-        return serving;
+        return servingGeneration;
     }
 
     // ---- lost connections and exited processes
 
-    private void connectionLost(KeeperEvent.Lost e) {
-        Generation generation = generations.get(e.generation());
+    private void connectionLost(SupervisorEvent.ConnectionLost e) {
+        SupervisedGeneration generation = generations.get(e.generation());
         if (generation == null) {
             return;
         }
         generation.connected = false;
         if (generation == upcoming) {
-            failUpgrade(e.why());
+            failUpgrade(e.reason());
         } else {
-            log("generation.lost", "generation", generation.number, "why", e.why());
+            log("generation.lost", "generation", generation.number, "why", e.reason());
             if (upcoming != null && awaitingShare.remove(generation.number)) {
                 goIfAllShared();
             }
@@ -406,7 +408,7 @@
     }
 
     private void processEnded(int number, String reason) {
-        Generation generation = generations.get(number);
+        SupervisedGeneration generation = generations.get(number);
         if (generation == null) {
             return;
         }
@@ -419,7 +421,7 @@
         }
         generations.remove(number);
         announceGone(number);
-        if (generation == serving) {
+        if (generation == servingGeneration) {
             servingGenerationDied();
         } else if (upcoming != null && awaitingShare.remove(number)) {
             goIfAllShared();
@@ -427,7 +429,7 @@
     }
 
     private void announceGone(int number) {
-        for (Generation other : generations.values()) {
+        for (SupervisedGeneration other : generations.values()) {
             if (other.connected) {
                 send(other, Frame.newBuilder().setOtherGone(
                         OtherGone.newBuilder().setGeneration(number)));
@@ -437,9 +439,9 @@
 
     /** The serving process died: an upgrade in progress goes on without it, otherwise another one serves. */
     private void servingGenerationDied() {
-        long servedFor = now - serving.servesSince;
-        int number = serving.number;
-        serving = null;
+        long servedFor = now - servingGeneration.servesSince;
+        int number = servingGeneration.number;
+        servingGeneration = null;
         deaths = servedFor >= STABLE_AFTER_MICROS ? 0 : deaths;
         if (upcoming == null) {
             if (!shuttingDown && !fallBack(number)) {
@@ -459,18 +461,18 @@
      * work. Returns false if there is none.
      */
     private boolean fallBack(int deadNumber) {
-        for (Generation g : generations.values()) {
-            if (g.connected && (serving == null || g.number > serving.number)) {
-                serving = g;
+        for (SupervisedGeneration g : generations.values()) {
+            if (g.connected && (servingGeneration == null || g.number > servingGeneration.number)) {
+                servingGeneration = g;
             }
         }
-        if (serving == null) {
+        if (servingGeneration == null) {
             return false;
         }
-        serving.killAt = Long.MAX_VALUE;
-        serving.servesSince = now;
-        program = serving.program;
-        log("generation.fall_back", "generation", serving.number, "dead", deadNumber);
+        servingGeneration.killAt = Long.MAX_VALUE;
+        servingGeneration.servesSince = now;
+        program = servingGeneration.program;
+        log("generation.fall_back", "generation", servingGeneration.number, "dead", deadNumber);
         restoreOwnership(deadNumber);
         return true;
     }
@@ -481,23 +483,23 @@
     }
 
     private void tick() {
-        if (upcoming != null && now >= stageBegan + limits.stages().get(stage)) {
+        if (upcoming != null && now >= stageBegan + limits.stageTimeoutMicros().get(stage)) {
             if (stage == Stage.LET_GO) {
                 // the new generation serves; the old one hangs and will be killed at its limit
-                completeUpgrade("; generation " + serving.number
+                completeUpgrade("; generation " + servingGeneration.number
                         + " did not confirm that it stopped accepting");
             } else {
-                failUpgrade("timed out after " + limits.stages().get(stage) / 1000 + " ms");
+                failUpgrade("timed out after " + limits.stageTimeoutMicros().get(stage) / 1000 + " ms");
             }
         }
         if (now >= restartAt) {
             startGeneration(program, 0);
         }
-        for (Generation g : List.copyOf(generations.values())) {
+        for (SupervisedGeneration g : List.copyOf(generations.values())) {
             if (now >= g.killAt) {
                 g.killAt = Long.MAX_VALUE;
                 log("generation.killed", "generation", g.number, "why", "over its limit");
-                effects.add(new KeeperEffect.Kill(g.number));
+                effects.add(new SupervisorEffect.KillProcess(g.number));
             }
         }
     }
@@ -512,8 +514,8 @@
         if (upcoming != null && stage != Stage.LET_GO) {
             failUpgrade("the router was told to leave");
         }
-        for (Generation g : generations.values()) {
-            g.killAt = Math.min(g.killAt, now + limits.finish() + FINISH_SLACK_MICROS);
+        for (SupervisedGeneration g : generations.values()) {
+            g.killAt = Math.min(g.killAt, now + limits.finishTimeoutMicros() + FINISH_SLACK_MICROS);
             send(g, Frame.newBuilder().setLeave(Leave.getDefaultInstance()));
         }
     }
@@ -521,37 +523,37 @@
     private void stop(int exit) {
         if (!stopped) {
             stopped = true;
-            effects.add(new KeeperEffect.Stop(exit));
+            effects.add(new SupervisorEffect.ExitSupervisor(exit));
         }
     }
 
     // ---- answers and logging
 
     private void replyStatus(long commandId) {
-        for (Generation g : generations.values()) {
-            String role = g == serving ? "serves" : g == upcoming ? "starts, at stage " + stage
+        for (SupervisedGeneration g : generations.values()) {
+            String role = g == servingGeneration ? "serves" : g == upcoming ? "starts, at stage " + stage
                     : g.failed ? "failed and is being killed" : "finishes";
-            effects.add(new KeeperEffect.Reply(commandId, String.format(Locale.ROOT,
+            effects.add(new SupervisorEffect.Reply(commandId, String.format(Locale.ROOT,
                     "generation %d %s, started %.1f s ago", g.number, role, (now - g.startedAt) / 1e6),
                     false, 0));
         }
-        effects.add(new KeeperEffect.Reply(commandId, "upgrades done " + upgrades + ", failed " + failures
+        effects.add(new SupervisorEffect.Reply(commandId, "upgrades done " + upgrades + ", failed " + failures
                 + (lastFailure.isEmpty() ? "" : "; last failure: " + lastFailure), true,
-                serving == null ? 1 : 0));
+                servingGeneration == null ? 1 : 0));
     }
 
     private void reply(String line, int exit) {
         if (upgradeCommand != 0) {
-            effects.add(new KeeperEffect.Reply(upgradeCommand, line, true, exit));
+            effects.add(new SupervisorEffect.Reply(upgradeCommand, line, true, exit));
             upgradeCommand = 0;
         }
     }
 
-    private void send(Generation generation, Frame.Builder frame) {
-        effects.add(new KeeperEffect.Tell(generation.number, frame.build()));
+    private void send(SupervisedGeneration generation, Frame.Builder frame) {
+        effects.add(new SupervisorEffect.SendFrame(generation.number, frame.build()));
     }
 
     private void log(String event, Object... fields) {
-        effects.add(new KeeperEffect.Note(event, Fields.of(fields)));
+        effects.add(new SupervisorEffect.WriteLog(event, LogFields.of(fields)));
     }
 }
--- a/src/main/java/yewdock/proof/AgreedInstallation.java
+++ b/src/main/java/yewdock/verification/AgreedInstallation.java
@@ -1,4 +1,4 @@
-package yewdock.proof;
+package yewdock.verification;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -9,9 +9,9 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
-import yewdock.standin.Fleet;
-import yewdock.standin.ListenPorts;
-import yewdock.standin.Relay;
+import yewdock.testbed.Fleet;
+import yewdock.testbed.ListenPorts;
+import yewdock.testbed.Relay;
 
 /** Daemons that agree, each a process with a store of its own, and a relay between any two of them. */
 public final class AgreedInstallation implements Closeable {
--- a/src/main/java/yewdock/proof/AgreementProof.java
+++ b/src/main/java/yewdock/verification/AgreementProof.java
@@ -1,4 +1,4 @@
-package yewdock.proof;
+package yewdock.verification;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -15,9 +15,9 @@
 import java.util.function.Consumer;
 import java.util.stream.LongStream;
 import org.HdrHistogram.Histogram;
-import yewdock.standin.Fleet;
-import yewdock.standin.Ledger;
-import yewdock.standin.Load;
+import yewdock.testbed.Fleet;
+import yewdock.testbed.Ledger;
+import yewdock.testbed.Load;
 
 /**
  * Routers that agree, with faults all along: thousands of seeds in virtual time, sizes up to two hundred
@@ -67,7 +67,7 @@
         if (sim.leader() == null) {
             judge.broken().add("nobody leads 15 s after all was whole");
         } else {
-            judge.nothingLost(sim.leader().council().agreed());
+            judge.nothingLost(sim.leader().council().committedRules());
         }
         return new Run(seed, judge.broken(), judge.longestBehind(), judge.longestContradiction(),
                 judge.forced(), judge.decisions(), judge.inDoubt(), judge.timesToForce());
--- a/src/main/java/yewdock/proof/CopiesProof.java
+++ b/src/main/java/yewdock/verification/CopiesProof.java
@@ -1,4 +1,4 @@
-package yewdock.proof;
+package yewdock.verification;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -6,7 +6,7 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
-import yewdock.state.Keys;
+import yewdock.state.RecordKeys;
 import yewdock.wire.Box;
 import yewdock.wire.Kept;
 import yewdock.wire.Mark;
@@ -48,7 +48,7 @@
         SplittableRandom random = new SplittableRandom(seed);
         sim.split(1);
         for (int i = 0; i < size; i++) {
-            sim.node(0).write(Keys.box("i0", i), Kept.newBuilder().setBox(Box.newBuilder()
+            sim.node(0).write(RecordKeys.server("i0", i), Kept.newBuilder().setBox(Box.newBuilder()
                     .setName("s-" + i).setAddress("10.0.0." + i % 250 + ":8000").setId(i).setWeight(1)));
         }
         sim.join();
@@ -92,7 +92,7 @@
     private static void change(CopiesSim sim, SplittableRandom random, int size) {
         CopiesSim.Node node = sim.node(random.nextInt(INSTANCES));
         // the same box is marked at several sides of a split, and differently
-        String key = Keys.mark("s-" + random.nextInt(Math.min(size, 20)));
+        String key = RecordKeys.override("s-" + random.nextInt(Math.min(size, 20)));
         if (random.nextInt(3) == 0) {
             node.drop(key);
         } else {
--- a/src/main/java/yewdock/proof/CopiesSim.java
+++ b/src/main/java/yewdock/verification/CopiesSim.java
@@ -1,4 +1,4 @@
-package yewdock.proof;
+package yewdock.verification;
 
 import com.google.protobuf.InvalidProtocolBufferException;
 import java.util.ArrayList;
@@ -9,10 +9,10 @@
 import java.util.SplittableRandom;
 import java.util.TreeSet;
 import yewdock.model.Calendar;
-import yewdock.replica.Replica;
-import yewdock.replica.ReplicaEffect;
-import yewdock.replica.ReplicaEvent;
-import yewdock.state.Records;
+import yewdock.replication.ReplicationEffect;
+import yewdock.replication.ReplicationEvent;
+import yewdock.replication.Replicator;
+import yewdock.state.ReplicatedRecords;
 import yewdock.wire.Kept;
 import yewdock.wire.PeerFrame;
 import yewdock.wire.PeerHello;
@@ -32,8 +32,8 @@
     public final class Node {
         private final int number;
         private final String name;
-        private Records records;
-        private Replica replica;
+        private ReplicatedRecords records;
+        private Replicator replica;
         private long wallOff;
 
         private Node(int number, String name) {
@@ -41,24 +41,24 @@
             this.name = name;
         }
 
-        public Records records() {
+        public ReplicatedRecords records() {
             return records;
         }
 
-        public Replica replica() {
+        public Replicator replica() {
             return replica;
         }
 
         /** Writes a record. */
         public void write(String key, Kept.Builder content) {
             records.write(key, content, now() + wallOff);
-            reduce(this, new ReplicaEvent.Changed(List.of(key)));
+            reduce(this, new ReplicationEvent.RecordsChanged(List.of(key)));
         }
 
         /** Removes one, if it is there. */
         public void drop(String key) {
-            if (records.drop(key, now() + wallOff) != null) {
-                reduce(this, new ReplicaEvent.Changed(List.of(key)));
+            if (records.delete(key, now() + wallOff) != null) {
+                reduce(this, new ReplicationEvent.RecordsChanged(List.of(key)));
             }
         }
     }
@@ -90,30 +90,30 @@
         for (int i = 0; i < names.size(); i++) {
             Node node = new Node(i, names.get(i));
             nodes.add(node);
-            begin(node, new Records(node.name, MOST), 0);
+            begin(node, new ReplicatedRecords(node.name, MOST), 0);
         }
         redial();
     }
 
     /** A peer's first frame. */
     public static PeerFrame hello(String cluster, String from, String to) {
-        return PeerFrame.newBuilder().setHello(PeerHello.newBuilder().setVersion(Replica.VERSION)
-                .setLeastReader(Replica.VERSION).setCluster(cluster).setInstance(from).setTo(to)
+        return PeerFrame.newBuilder().setHello(PeerHello.newBuilder().setVersion(Replicator.VERSION)
+                .setLeastReader(Replicator.VERSION).setCluster(cluster).setInstance(from).setTo(to)
                 .setJoined(1)).build();
     }
 
-    private void begin(Node node, Records records, long joined) {
+    private void begin(Node node, ReplicatedRecords records, long joined) {
         Set<String> peers = new TreeSet<>(names);
         peers.remove(node.name);
         node.records = records;
-        node.replica = new Replica("sim", peers, records, joined, mostTombstones);
+        node.replica = new Replicator("sim", peers, records, joined, mostTombstones);
         tick(node, node.replica);
     }
 
-    private void tick(Node node, Replica life) {
+    private void tick(Node node, Replicator life) {
         if (node.replica == life) {
-            reduce(node, new ReplicaEvent.Tick());
-            at(Math.max(now() + 1, life.nextDue()), () -> tick(node, life));
+            reduce(node, new ReplicationEvent.Tick());
+            at(Math.max(now() + 1, life.nextTickDue()), () -> tick(node, life));
         }
     }
 
@@ -177,7 +177,7 @@
             Node node = nodes.get(Integer.parseInt(end));
             for (String other : pair.split("-")) {
                 if (!other.equals(end)) {
-                    reduce(node, new ReplicaEvent.Down(nodes.get(Integer.parseInt(other)).name, "cut"));
+                    reduce(node, new ReplicationEvent.PeerDisconnected(nodes.get(Integer.parseInt(other)).name, "cut"));
                 }
             }
         }
@@ -191,7 +191,7 @@
     /** An instance is started anew with an empty disk. */
     public void wipe(int i) {
         stop(i);
-        begin(nodes.get(i), new Records(nodes.get(i).name, MOST), 0);
+        begin(nodes.get(i), new ReplicatedRecords(nodes.get(i).name, MOST), 0);
     }
 
     /** An instance is stopped. */
@@ -208,13 +208,13 @@
     /** What an instance has on its disk. */
     public byte[] disk(int i) {
         yewdock.wire.Records.Builder all = yewdock.wire.Records.newBuilder();
-        nodes.get(i).records.after("").forEach(all::addRecords);
+        nodes.get(i).records.recordsAfter("").forEach(all::addRecords);
         return all.build().toByteArray();
     }
 
     /** An instance is started with what was on its disk. */
     public void start(int i, byte[] disk) {
-        Records records = new Records(nodes.get(i).name, MOST);
+        ReplicatedRecords records = new ReplicatedRecords(nodes.get(i).name, MOST);
         try {
             yewdock.wire.Records.parseFrom(disk).getRecordsList().forEach(records::merge);
         } catch (InvalidProtocolBufferException e) {
@@ -228,7 +228,7 @@
         names = List.copyOf(now);
         for (Node node : nodes) {
             if (node.replica != null) {
-                long joined = node.replica.joined();
+                long joined = node.replica.lastSyncedStamp();
                 stop(node.number);
                 begin(node, node.records, joined);
             }
@@ -237,7 +237,7 @@
 
     /** Whether all that run hold the same. */
     public boolean agree() {
-        return nodes.stream().filter(n -> n.replica != null).map(n -> n.records.sums()).distinct()
+        return nodes.stream().filter(n -> n.replica != null).map(n -> n.records.bucketSums()).distinct()
                 .count() == 1;
     }
 
@@ -246,7 +246,7 @@
         StringBuilder all = new StringBuilder();
         nodes.forEach(n -> all.append(n.name).append(": ").append(n.records.size()).append(" records, ")
                 .append(n.records.tombstones()).append(" tombstones, horizon ").append(n.records.horizon())
-                .append(n.replica == null ? "" : " " + n.replica.standings()).append('\n'));
+                .append(n.replica == null ? "" : " " + n.replica.peerStatuses()).append('\n'));
         return all.toString();
     }
 
@@ -263,28 +263,29 @@
                         && names.contains(nodes.get(a).name) && names.contains(nodes.get(b).name)
                         && !pipes.containsKey(a + "-" + b)) {
                     pipes.put(a + "-" + b, new Pipe());
-                    reduce(nodes.get(a), new ReplicaEvent.Up(nodes.get(b).name));
-                    reduce(nodes.get(b), new ReplicaEvent.Up(nodes.get(a).name));
+                    reduce(nodes.get(a), new ReplicationEvent.PeerConnected(nodes.get(b).name));
+                    reduce(nodes.get(b), new ReplicationEvent.PeerConnected(nodes.get(a).name));
                 }
             }
         }
         at(now() + REDIAL / 2 + random.nextLong(REDIAL), this::redial);
     }
 
-    private void reduce(Node node, ReplicaEvent event) {
+    private void reduce(Node node, ReplicationEvent event) {
         if (node.replica == null) {
             return;
         }
-        for (ReplicaEffect effect : node.replica.reduce(event, now())) {
-            if (effect instanceof ReplicaEffect.Send e) {
+        for (ReplicationEffect effect : node.replica.reduce(event, now())) {
+            if (effect instanceof ReplicationEffect.SendToPeer e) {
                 send(node, e.peer(), e.frame());
-            } else if (effect instanceof ReplicaEffect.Close e) {
+            } else if (effect instanceof ReplicationEffect.ClosePeer e) {
                 int other = numberOf(e.peer());
                 String pair = Math.min(node.number, other) + "-" + Math.max(node.number, other);
                 Pipe pipe = pipes.remove(pair);
                 if (pipe != null) {
                     pipe.cut = true;
-                    at(now() + DELAY, () -> reduce(nodes.get(other), new ReplicaEvent.Down(node.name,
+                    at(now() + DELAY, () -> reduce(nodes.get(other),
+                            new ReplicationEvent.PeerDisconnected(node.name,
                             "closed: " + e.why())));
                 }
             }
@@ -310,7 +311,8 @@
         at(free + DELAY / 2 + random.nextLong(DELAY) / 8, () -> {
             if (!pipe.cut) {
                 try {
-                    reduce(nodes.get(other), new ReplicaEvent.Heard(from.name, PeerFrame.parseFrom(sent)));
+                    reduce(nodes.get(other), new ReplicationEvent.PeerFrameReceived(from.name,
+                            PeerFrame.parseFrom(sent)));
                 } catch (InvalidProtocolBufferException e) {
                     throw new IllegalStateException(e);
                 }
--- a/src/main/java/yewdock/proof/CouncilJudge.java
+++ b/src/main/java/yewdock/verification/CouncilJudge.java
@@ -1,4 +1,4 @@
-package yewdock.proof;
+package yewdock.verification;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,10 +8,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import yewdock.council.Council;
-import yewdock.rules.Kind;
-import yewdock.rules.Rules;
-import yewdock.rules.View;
+import yewdock.consensus.ConsensusNode;
+import yewdock.rules.RuleKind;
+import yewdock.rules.RuleStateMachine;
+import yewdock.rules.RulesView;
 import yewdock.wire.HistoryLine;
 import yewdock.wire.Proposed;
 import yewdock.wire.RuleChange;
@@ -75,8 +75,8 @@
     }
 
     /** How a member's rules stand after what it has just done. */
-    void stands(String name, Council council, long now) {
-        Rules rules = council.agreed();
+    void stands(String name, ConsensusNode council, long now) {
+        RuleStateMachine rules = council.committedRules();
         if (rules == null || rules.step() == 0) {
             return;
         }
@@ -88,7 +88,7 @@
             return;
         }
         highest = rules.step();
-        rules.underWay().forEach((id, step) -> {
+        rules.pendingChanges().forEach((id, step) -> {
             if (preparedAt.putIfAbsent(id, now) == null) {
                 preparedSteps.put(step, now);
             }
@@ -102,7 +102,7 @@
             if (forcedAt.put(change.getId(), now) != null) {
                 broken(now + ": " + change.getId() + " was applied twice");
             }
-            String box = Kind.name(change.getSubject());
+            String box = RuleKind.name(change.getSubject());
             if (change.hasValue()) {
                 outSince.put(box, now);
             } else {
@@ -112,7 +112,7 @@
     }
 
     /** A router decides about every box: whether it may act, by what step, and by which view. */
-    void decides(String name, boolean may, long step, View view, long now) {
+    void decides(String name, boolean may, long step, RulesView view, long now) {
         decisions++;
         if (!may) {
             inDoubt++;
@@ -130,7 +130,7 @@
             }
         }
         for (Map.Entry<String, Long> out : outSince.entrySet()) {
-            if (!view.out().contains(out.getKey())) {
+            if (!view.cordonedServers().contains(out.getKey())) {
                 contradictions++;
                 longestContradiction = Math.max(longestContradiction, now - out.getValue());
                 broken(now + ": " + name + " sends to " + out.getKey() + ", out by agreement for "
@@ -147,7 +147,7 @@
     }
 
     /** At the end, with all whole again: what was taken is there. */
-    public void nothingLost(Rules rules) {
+    public void nothingLost(RuleStateMachine rules) {
         for (String id : taken) {
             if (rules.outcome(id) == null) {
                 broken("the change " + id + " was taken, and is lost");
--- a/src/main/java/yewdock/proof/CouncilSim.java
+++ b/src/main/java/yewdock/verification/CouncilSim.java
@@ -1,4 +1,4 @@
-package yewdock.proof;
+package yewdock.verification;
 
 import com.google.protobuf.InvalidProtocolBufferException;
 import java.io.IOException;
@@ -13,15 +13,15 @@
 import java.util.SortedMap;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import yewdock.council.Council;
-import yewdock.council.Loop;
-import yewdock.council.RaftDisk;
-import yewdock.lease.LeaseTerms;
-import yewdock.log.Say;
+import yewdock.consensus.ConsensusNode;
+import yewdock.consensus.DurableRaftStore;
+import yewdock.consensus.TaskScheduler;
+import yewdock.lease.LeaseTiming;
+import yewdock.logging.EventLog;
 import yewdock.model.Calendar;
-import yewdock.rules.Kind;
-import yewdock.rules.View;
-import yewdock.store.Shelf;
+import yewdock.rules.RuleKind;
+import yewdock.rules.RulesView;
+import yewdock.store.KeyValueStore;
 import yewdock.store.StoreException;
 import yewdock.wire.CouncilFrame;
 import yewdock.wire.Proposed;
@@ -62,7 +62,7 @@
 
     /** So many members and followers. */
     public CouncilSim(int members, int followers, long seed, Plant plant) {
-        Say.onlyEvents();
+        EventLog.muteLibraryLogs();
         this.random = new SplittableRandom(seed);
         this.plant = plant;
         List<String> names = new ArrayList<>();
@@ -123,7 +123,7 @@
 
     /** The instance that leads, or null. */
     public Host leader() {
-        return hosts.stream().filter(h -> h.council != null && !h.paused && h.council.leads()).findFirst()
+        return hosts.stream().filter(h -> h.council != null && !h.paused && h.council.isLeader()).findFirst()
                 .orElse(null);
     }
 
@@ -208,10 +208,10 @@
             return;
         }
         String box = "b" + random.nextInt(BOXES);
-        String subject = Kind.BOX.subject(box);
+        String subject = RuleKind.SERVER.subject(box);
         RuleChange.Builder change = RuleChange.newBuilder().setId("c" + ++changes).setWho("staff")
-                .setSubject(subject).setBase(at.council.held().revision(subject));
-        if (!at.council.held().view().out().contains(box)) {
+                .setSubject(subject).setBase(at.council.localRules().revision(subject));
+        if (!at.council.localRules().view().cordonedServers().contains(box)) {
             change.setValue(RuleValue.newBuilder().setOut(true));
         }
         propose(at, change.build(), 3);
@@ -237,22 +237,22 @@
     private void decide() {
         for (Host h : hosts) {
             if (h.council != null && !h.paused) {
-                boolean may = plant == Plant.TIMER_ALONE ? h.leased : h.council.holds();
-                judge.decides(h.name, may, h.council.held().step(), h.view, calendar.now());
+                boolean may = plant == Plant.TIMER_ALONE ? h.leased : h.council.holdsLease();
+                judge.decides(h.name, may, h.council.localRules().step(), h.view, calendar.now());
             }
         }
         at(DECIDE_EVERY, this::decide);
     }
 
     /** An instance: its clock, its disk, its process. */
-    public final class Host implements Loop, Council.Instance {
+    public final class Host implements TaskScheduler, ConsensusNode.ConsensusHost {
         private final String name;
         private final double rate;
         private final long offset;
         private final List<Runnable> held = new ArrayList<>();
         private Disk disk = new Disk();
-        private Council council;
-        private View view = View.NOTHING;
+        private ConsensusNode council;
+        private RulesView view = RulesView.EMPTY;
         private boolean paused;
         private boolean leased;
         private int life;
@@ -270,27 +270,29 @@
         }
 
         /** Its process, null while it is dead. */
-        public Council council() {
+        public ConsensusNode council() {
             return council;
         }
 
-        private LeaseTerms lease() {
-            LeaseTerms right = LeaseTerms.within(AGREED_WITHIN, DRIFT);
+        private LeaseTiming lease() {
+            LeaseTiming right = LeaseTiming.forMaxDelay(AGREED_WITHIN, DRIFT);
             if (plant == Plant.LEASE_TWICE && name.equals("r001")) {
-                return new LeaseTerms(2 * right.length(), DRIFT);
+                return new LeaseTiming(2 * right.lengthMicros(), DRIFT);
             }
             return plant == Plant.LEASE_CUT_SHORT_AT_MEMBERS && members.contains(name)
-                    ? new LeaseTerms(right.length() / 20, DRIFT) : right;
+                    ? new LeaseTiming(right.lengthMicros() / 20, DRIFT) : right;
         }
 
         /** A new process on the disk that is there. */
         public void start() {
             life++;
-            view = View.NOTHING;
+            view = RulesView.EMPTY;
             leased = false;
             try {
-                council = new Council(new Council.Terms("sim", name, members, lease()), this, this,
-                        members.contains(name) ? new RaftDisk(() -> disk) : null, random.nextLong() >>> 1);
+                council = new ConsensusNode(new ConsensusNode.ConsensusConfig("sim", name, members, lease()),
+                        this, this,
+                        members.contains(name) ? new DurableRaftStore(() -> disk) : null,
+                                random.nextLong() >>> 1);
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
@@ -339,8 +341,8 @@
                 held.clear();
                 if (council != null) {
                     // the first thing that a woken process does may be to take a decision
-                    judge.decides(name, plant == Plant.TIMER_ALONE ? leased : council.holds(),
-                            council.held().step(), view, calendar.now());
+                    judge.decides(name, plant == Plant.TIMER_ALONE ? leased : council.holdsLease(),
+                            council.localRules().step(), view, calendar.now());
                 }
                 all.forEach(Runnable::run);
             }
@@ -361,12 +363,12 @@
         }
 
         @Override
-        public long now() {
+        public long nowMicros() {
             return offset + (long) (calendar.now() * rate);
         }
 
         @Override
-        public void after(long micros, Runnable task) {
+        public void schedule(long micros, Runnable task) {
             int mine = life;
             at((long) Math.ceil(micros / rate), () -> whenRunning(mine, task));
         }
@@ -392,7 +394,7 @@
             }
             whenRunning(life, () -> {
                 try {
-                    council.heard(from, CouncilFrame.parseFrom(bytes));
+                    council.receive(from, CouncilFrame.parseFrom(bytes));
                 } catch (InvalidProtocolBufferException e) {
                     throw new UncheckedIOException(e);
                 }
@@ -400,32 +402,32 @@
         }
 
         @Override
-        public boolean reaches(String instance) {
+        public boolean isReachable(String instance) {
             return true;
         }
 
         @Override
-        public void actBy(View next) {
+        public void applyRules(RulesView next) {
             view = next;
-            council.takenUp(next.step(), council.held().chain());
+            council.rulesApplied(next.step(), council.localRules().chain());
         }
 
         @Override
-        public void leaseUntil(long end) {
+        public void leaseExtended(long end) {
             until = end;
             leased = true;
-            after(Math.max(0, end - now()), () -> leased = now() < until);
+            schedule(Math.max(0, end - nowMicros()), () -> leased = nowMicros() < until);
         }
 
         @Override
-        public void listBehind(long newest) {
+        public void endpointListOutdated(long newest) {
             // asked at once, and had
-            council.actsOn("list", newest);
+            council.endpointListInUse("list", newest);
             listsCaughtUp++;
         }
 
         @Override
-        public void note(String event, Object... fields) {
+        public void logEvent(String event, Object... fields) {
             judge.notes(event, name + " " + Arrays.toString(fields), calendar.now());
         }
     }
@@ -433,7 +435,7 @@
     /**
      * A disk in memory; where writes are answered before the sync, a crash finds that none has come to it.
      */
-    private final class Disk implements Shelf {
+    private final class Disk implements KeyValueStore {
         private final TreeMap<String, byte[]> kept = new TreeMap<>();
         private boolean full;
         private long writes;
@@ -461,7 +463,7 @@
         }
 
         @Override
-        public void tidy(int mostMillis) {
+        public void compactIfLarge(int mostMillis) {
             // takes no room
         }
 
--- a/src/main/java/yewdock/proof/DeploymentSim.java
+++ b/src/main/java/yewdock/verification/DeploymentSim.java
@@ -1,4 +1,4 @@
-package yewdock.proof;
+package yewdock.verification;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -11,15 +11,15 @@
 import umberspread.Routing;
 import umberspread.Routing.Lifecycle;
 import umberspread.Routing.Outcome;
-import umberspread.Routing.Replica;
-import yewdock.desk.Bounds;
-import yewdock.desk.EndpointList;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Effect;
-import yewdock.desk.Event;
-import yewdock.desk.ModelServer;
-import yewdock.desk.ModelRequest;
+import umberspread.Routing.ServerState;
+import yewdock.core.Counters;
+import yewdock.core.Effect;
+import yewdock.core.EndpointList;
+import yewdock.core.Event;
+import yewdock.core.ModelRequest;
+import yewdock.core.ModelServer;
+import yewdock.core.Reducer;
+import yewdock.core.ResourceLimits;
 import yewdock.model.Calendar;
 
 /**
@@ -58,7 +58,8 @@
         }
 
         ModelServer entry() {
-            return new ModelServer("s-" + id, "127.0.0.1:" + (9000 + id), new Replica(id, site, (int) id % 3,
+            return new ModelServer("s-" + id, "127.0.0.1:" + (9000 + id), new ServerState(id, site,
+                    (int) id % 3,
                     (int) id / 4, 1 + id % 2, lifecycle, startedAt));
         }
     }
@@ -105,7 +106,7 @@
     private final Map<Long, Call> calls = new HashMap<>();
     private final List<String> broken = new ArrayList<>();
     private final Counters counters = new Counters();
-    private final Desk desk;
+    private final Reducer desk;
     private long tickAt = Long.MAX_VALUE;
     private long lastClient;
     private long lastBox;
@@ -113,7 +114,7 @@
     private boolean listSilent;
     private boolean listRefuses;
     private long listCall;
-    private Effect.AskList listOpen;
+    private Effect.CallDiscovery listOpen;
 
     public DeploymentSim(long seed, Plant plant) {
         this.deployment = DrawnDeployment.of(seed);
@@ -123,7 +124,7 @@
         for (int i = 0; i < deployment.boxes(); i++) {
             add(0);
         }
-        this.desk = new Desk(deployment.terms(), new Bounds(400, 400, 400, 64 << 20), counters,
+        this.desk = new Reducer(deployment.terms(), new ResourceLimits(400, 400, 400, 64 << 20), counters,
                 actions -> new BoundedLoadRouter(deployment.settings(), seed, actions));
     }
 
@@ -166,8 +167,8 @@
         for (Effect effect : desk.reduce(event, now())) {
             perform(effect);
         }
-        if (desk.nextDue() < tickAt) {
-            tickAt = desk.nextDue();
+        if (desk.nextTimerDue() < tickAt) {
+            tickAt = desk.nextTimerDue();
             long mine = tickAt;
             at(Math.max(0, mine - now()) + (plant == Plant.TICKS_LATE ? SECOND : 0), () -> {
                 if (tickAt == mine) {
@@ -179,38 +180,38 @@
     }
 
     private void perform(Effect effect) {
-        if (effect instanceof Effect.OpenLine e) {
+        if (effect instanceof Effect.OpenServerConnection e) {
             open(e);
-        } else if (effect instanceof Effect.SendTry e) {
-            sent(lines.get(e.line()), calls.get(e.client()));
-        } else if (effect instanceof Effect.CloseLine e) {
-            close(lines.get(e.line()));
-        } else if (effect instanceof Effect.PassOn e) {
+        } else if (effect instanceof Effect.SendAttempt e) {
+            sent(lines.get(e.connection()), calls.get(e.client()));
+        } else if (effect instanceof Effect.CloseServerConnection e) {
+            close(lines.get(e.connection()));
+        } else if (effect instanceof Effect.ForwardChunk e) {
             passedOn(e);
-        } else if (effect instanceof Effect.EndAnswer e) {
+        } else if (effect instanceof Effect.EndResponse e) {
             answered(e.client(), "served");
-        } else if (effect instanceof Effect.CutOff e) {
+        } else if (effect instanceof Effect.AbortResponse e) {
             answered(e.client(), "cut off");
         } else if (effect instanceof Effect.Fail e) {
             answered(e.client(), "failed");
         } else if (effect instanceof Effect.Refuse e) {
             Call c = calls.get(e.client());
-            if (effect(c) == Routing.Effect.FRAGILE && c.mayHaveRun) {
+            if (effect(c) == Routing.RetrySafety.FRAGILE && c.mayHaveRun) {
                 broken("effects: request " + c.client + " is refused though it may have run");
             }
             answered(e.client(), "refused");
-        } else if (effect instanceof Effect.AskList e) {
+        } else if (effect instanceof Effect.CallDiscovery e) {
             listOpen = e;
             long mine = ++listCall;
             at(1_000, () -> listAnswers(mine));
-        } else if (effect instanceof Effect.HangUpList) {
+        } else if (effect instanceof Effect.CancelDiscoveryCall) {
             listCall++;
             listOpen = null;
         }
     }
 
-    private Routing.Effect effect(Call c) {
-        return deployment.settings().classes().get(c.type).effect();
+    private Routing.RetrySafety effect(Call c) {
+        return deployment.settings().classes().get(c.type).retrySafety();
     }
 
     // ---- clients
@@ -220,12 +221,13 @@
             at((long) (-Math.log(1 - random.nextDouble()) * SECOND / deployment.perSecond()), this::ask);
         }
         int type = random.nextInt(deployment.settings().classes().size());
-        long patience = deployment.settings().classes().get(type).giveUp() * (7 + random.nextInt(4)) / 10;
+        long patience = deployment.settings().classes().get(type).maxClientTimeout() * (7
+                + random.nextInt(4)) / 10;
         Call c = new Call(++lastClient, type, now() + patience);
         calls.put(c.client, c);
-        happened(new Event.ClientCame(c.client));
+        happened(new Event.ClientConnected(c.client));
         int tenants = deployment.settings().tenants().size();
-        happened(new Event.Asked(c.client, new ModelRequest("r" + c.client, type,
+        happened(new Event.RequestReceived(c.client, new ModelRequest("r" + c.client, type,
                 tenants == 0 ? 0 : random.nextInt(tenants), false, 1 + random.nextInt(200),
                 1 + random.nextInt(9), 500 + random.nextInt(6000), 400, 300, patience, 1000)));
         if (random.nextInt(30) == 0) {
@@ -241,7 +243,7 @@
     private void leave(Call c) {
         if (!c.answered) {
             c.left = true;
-            happened(new Event.ClientLeft(c.client));
+            happened(new Event.ClientDisconnected(c.client));
         }
     }
 
@@ -255,11 +257,11 @@
         if (again) {
             answered(client, how);
         }
-        at(0, () -> happened(new Event.ClientLeft(client)));
+        at(0, () -> happened(new Event.ClientDisconnected(client)));
     }
 
     /** The first eight bytes of a piece tell the line that it came over. */
-    private void passedOn(Effect.PassOn e) {
+    private void passedOn(Effect.ForwardChunk e) {
         Call c = calls.get(e.client());
         long line = e.bytes().getLong(0);
         if (c.streamOf == 0) {
@@ -267,14 +269,14 @@
         } else if (c.streamOf != line) {
             broken("streams: request " + c.client + " has a piece of another try's");
         }
-        at(100, () -> happened(new Event.ClientTook(e.client(), 8)));
+        at(100, () -> happened(new Event.ClientBytesWritten(e.client(), 8)));
     }
 
     // ---- lines and boxes
 
-    private void open(Effect.OpenLine e) {
+    private void open(Effect.OpenServerConnection e) {
         Box box = boxes.get(Long.parseLong(e.address().substring(10)) - 9000);
-        Line line = new Line(e.line(), box);
+        Line line = new Line(e.connection(), box);
         lines.put(line.id, line);
         if (box.state == State.VANISHED) {
             return;
@@ -283,7 +285,7 @@
             if (!line.closed && box.gone) {
                 down(line);
             } else if (!line.closed) {
-                happened(new Event.LineUp(line.id));
+                happened(new Event.ServerConnected(line.id));
             }
         });
     }
@@ -304,7 +306,7 @@
         if (!line.closed) {
             line.closed = true;
             free(line);
-            happened(new Event.LineDown(line.id));
+            happened(new Event.ServerDisconnected(line.id));
         }
     }
 
@@ -326,7 +328,7 @@
         if (!c.out.isEmpty() && !deployment.mayCopy(c.type)) {
             broken("copies: request " + c.client + " is out twice");
         }
-        if (effect(c) == Routing.Effect.FRAGILE && c.mayHaveRun) {
+        if (effect(c) == Routing.RetrySafety.FRAGILE && c.mayHaveRun) {
             broken("effects: request " + c.client + " goes out again though it may have run");
         }
         if (++c.tries > deployment.settings().limits().maxAttempts()) {
@@ -340,7 +342,7 @@
         box.running++;
         int turn = ++line.turn;
         at(50, () -> still(line, turn, () -> {
-            happened(new Event.TrySent(line.id));
+            happened(new Event.AttemptWritten(line.id));
             // the box turns away what comes while it drains, and says so
             if (box.lifecycle != Lifecycle.READY || box.state == State.FULL) {
                 at(300, () -> still(line, turn, () -> end(line, Outcome.FULL)));
@@ -377,7 +379,7 @@
         still(line, turn, () -> {
             boolean mixed = plant == Plant.STREAMS_MIXED && line.id % 40 == 0 && more % 3 == 0;
             long name = mixed ? line.id + 1 : line.id;
-            happened(new Event.Piece(line.id, ByteBuffer.allocate(8).putLong(0, name)));
+            happened(new Event.ResponseChunk(line.id, ByteBuffer.allocate(8).putLong(0, name)));
             if (more == 0) {
                 still(line, turn, () -> end(line, Outcome.OK));
             } else {
@@ -388,7 +390,7 @@
 
     private void end(Line line, Outcome outcome) {
         free(line);
-        happened(new Event.Answered(line.id, outcome, true, 0, null));
+        happened(new Event.ResponseCompleted(line.id, outcome, true, 0, null));
     }
 
     // ---- troubles
@@ -452,7 +454,7 @@
 
     /** What an agent has counts as told, whether or not the router has asked; it has nothing while silent. */
     private void heard() {
-        if (!deployment.settings().askForList() && !listSilent && !listRefuses) {
+        if (!deployment.settings().pullsEndpointList() && !listSilent && !listRefuses) {
             told(version);
         }
         if (listOpen != null && !listSilent) {
@@ -478,31 +480,32 @@
         if (mine != listCall || listOpen == null || listSilent) {
             return;
         }
-        Effect.AskList call = listOpen;
+        Effect.CallDiscovery call = listOpen;
         if (listRefuses) {
             listOpen = null;
-            happened(new Event.ListFailed());
+            happened(new Event.DiscoveryCallFailed());
             return;
         }
-        if (call.since() >= version && call.longest() > 0) {
+        if (call.sinceVersion() >= version && call.maxWaitMicros() > 0) {
             // nothing newer: it waits, and answers empty in the end
-            at(call.longest(), () -> {
+            at(call.maxWaitMicros(), () -> {
                 if (mine == listCall && listOpen == call && !listSilent) {
                     listOpen = null;
-                    happened(new Event.ListCame(new EndpointList(version, false, entries(call.since()))));
+                    happened(new Event.EndpointListReceived(new EndpointList(version, false,
+                            entries(call.sinceVersion()))));
                 }
             });
             return;
         }
         listOpen = null;
         if (plant == Plant.LIST_UNHEARD) {
-            happened(new Event.ListFailed());
+            happened(new Event.DiscoveryCallFailed());
             return;
         }
-        if (deployment.settings().askForList()) {
+        if (deployment.settings().pullsEndpointList()) {
             told(version);
         }
-        happened(new Event.ListCame(new EndpointList(version, call.since() < 0,
-                entries(Math.max(0, call.since())))));
+        happened(new Event.EndpointListReceived(new EndpointList(version, call.sinceVersion() < 0,
+                entries(Math.max(0, call.sinceVersion())))));
     }
 }
--- a/src/main/java/yewdock/proof/DeploymentsProof.java
+++ b/src/main/java/yewdock/verification/DeploymentsProof.java
@@ -1,11 +1,11 @@
-package yewdock.proof;
+package yewdock.verification;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import yewdock.desk.Counters;
+import yewdock.core.Counters;
 
 /** Plays many drawn deployments, sums them up by what they allow, and plants faults for the judge to find. */
 public final class DeploymentsProof {
@@ -33,8 +33,9 @@
             List<String> broken = sim.run();
             DrawnDeployment deployment = DrawnDeployment.of(seed);
             Counters counters = sim.counters();
-            Sum sum = sums.computeIfAbsent((deployment.settings().askForList() ? "asked" : "pushed") + ", "
-                    + (deployment.settings().limits().mayDuplicate() ? "copies" : "one try at a time"),
+            Sum sum = sums.computeIfAbsent((deployment.settings().pullsEndpointList() ? "asked" : "pushed")
+                    + ", "
+                    + (deployment.settings().limits().allowsHedging() ? "copies" : "one try at a time"),
                     k -> new Sum());
             sum.played++;
             sum.broken += broken.isEmpty() ? 0 : 1;
--- a/src/main/java/yewdock/proof/DrawnDeployment.java
+++ b/src/main/java/yewdock/verification/DrawnDeployment.java
@@ -1,4 +1,4 @@
-package yewdock.proof;
+package yewdock.verification;
 
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
@@ -6,7 +6,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import umberspread.Routing;
-import yewdock.desk.Terms;
+import yewdock.core.CoreSettings;
 
 /**
  * A deployment drawn from a seed, from ranges wider than any known one: what its settings allow, its boxes
@@ -31,8 +31,8 @@
         int many = 1 + r.nextInt(3);
         for (int i = 0; i < many; i++) {
             // most deployments may repeat all that they serve; some have a class that must not run twice
-            Routing.Effect effect = r.nextInt(4) > 0 ? Routing.Effect.RETRYABLE
-                    : r.nextBoolean() ? Routing.Effect.FRAGILE : Routing.Effect.DEDUP;
+            Routing.RetrySafety effect = r.nextInt(4) > 0 ? Routing.RetrySafety.RETRYABLE
+                    : r.nextBoolean() ? Routing.RetrySafety.FRAGILE : Routing.RetrySafety.DEDUP;
             long aim = SECOND / 5 + r.nextLong(2 * SECOND);
             classes.add(new Routing.RequestClass("class-" + i, effect, Routing.DedupGroup.ALL, 5 * SECOND,
                     aim, r.nextLong(60_000), 60_000, aim + SECOND / 2 + r.nextLong(4 * SECOND),
@@ -58,8 +58,8 @@
     }
 
     /** What the desk is told of it. */
-    Terms terms() {
-        return Terms.of(settings, keepalive);
+    CoreSettings terms() {
+        return CoreSettings.of(settings, keepalive);
     }
 
     int sites() {
@@ -68,16 +68,16 @@
 
     /** Whether two tries of a request of this class may be out together. */
     boolean mayCopy(int requestClass) {
-        return settings.limits().mayDuplicate()
-                && settings.classes().get(requestClass).effect() != Routing.Effect.FRAGILE;
+        return settings.limits().allowsHedging()
+                && settings.classes().get(requestClass).retrySafety() != Routing.RetrySafety.FRAGILE;
     }
 
     /** What it allows, in a few words. */
     public String words() {
         Set<String> words = new LinkedHashSet<>();
-        words.add(settings.askForList() ? "asked" : "pushed");
-        words.add(settings.limits().mayDuplicate() ? "copies" : "no copies");
-        words.add(settings.limits().cancelling() ? "cancels" : "no cancels");
+        words.add(settings.pullsEndpointList() ? "asked" : "pushed");
+        words.add(settings.limits().allowsHedging() ? "copies" : "no copies");
+        words.add(settings.limits().allowsCancelling() ? "cancels" : "no cancels");
         words.add(settings.limits().maxAttempts() + " tries");
         words.add("grace " + settings.contract().drainGrace() / 1000 + " ms");
         return String.join(", ", words);
--- a/src/main/java/yewdock/proof/Instance.java
+++ b/src/main/java/yewdock/verification/Instance.java
@@ -1,4 +1,4 @@
-package yewdock.proof;
+package yewdock.verification;
 
 import java.io.Closeable;
 import java.io.IOException;
--- a/src/main/java/yewdock/proof/LiveProof.java
+++ b/src/main/java/yewdock/verification/LiveProof.java
@@ -1,4 +1,4 @@
-package yewdock.proof;
+package yewdock.verification;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -18,8 +18,8 @@
 import yewdock.model.Scenario;
 import yewdock.model.Score;
 import yewdock.model.World;
-import yewdock.standin.ListenPorts;
-import yewdock.standin.LiveDay;
+import yewdock.testbed.ListenPorts;
+import yewdock.testbed.LiveDay;
 
 /** One day on sockets, through real routers, and the same day in the model, side by side. */
 public final class LiveProof {
--- a/src/main/java/yewdock/proof/ProcessSignals.java
+++ b/src/main/java/yewdock/verification/ProcessSignals.java
@@ -1,4 +1,4 @@
-package yewdock.proof;
+package yewdock.verification;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/main/java/yewdock/proof/ReplacementProof.java
+++ b/src/main/java/yewdock/verification/ReplacementProof.java
@@ -1,4 +1,4 @@
-package yewdock.proof;
+package yewdock.verification;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -12,11 +12,11 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
-import yewdock.standin.FaultyGeneration.Fault;
-import yewdock.standin.FaultySuccession;
-import yewdock.standin.Fleet;
-import yewdock.standin.Ledger;
-import yewdock.standin.Load;
+import yewdock.testbed.FaultyGeneration.Fault;
+import yewdock.testbed.FaultySuccession;
+import yewdock.testbed.Fleet;
+import yewdock.testbed.Ledger;
+import yewdock.testbed.Load;
 import yewdock.upgrade.Stage;
 
 /**
--- a/src/main/java/yewdock/proof/Router.java
+++ b/src/main/java/yewdock/verification/Router.java
@@ -1,4 +1,4 @@
-package yewdock.proof;
+package yewdock.verification;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -10,7 +10,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
-import yewdock.daemon.Operator;
+import yewdock.daemon.OperatorClient;
 
 /** A daemon in a process of its own, with its log, for proofs and tests. */
 public final class Router implements Closeable {
@@ -103,7 +103,8 @@
     /** What an operator's command brings: its lines, and last its exit code. */
     public Said ask(String command, List<String> words) throws IOException {
         List<String> lines = new ArrayList<>();
-        int exit = Operator.ask(folder.resolve("run"), command, words, ANSWER_MILLIS, lines::add);
+        int exit = OperatorClient.sendCommand(folder.resolve("run"), command, words, ANSWER_MILLIS,
+                lines::add);
         return new Said(String.join("\n", lines), exit);
     }
 
--- a/src/main/java/yewdock/proof/Rules.java
+++ b/src/main/java/yewdock/verification/Rules.java
@@ -1,4 +1,4 @@
-package yewdock.proof;
+package yewdock.verification;
 
 import java.time.LocalTime;
 import java.util.ArrayList;
@@ -7,11 +7,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import yewdock.standin.Ledger;
-import yewdock.standin.Ledger.AtBox;
-import yewdock.standin.Ledger.AtClient;
-import yewdock.standin.Ledger.End;
-import yewdock.standin.Ledger.Told;
+import yewdock.testbed.Ledger;
+import yewdock.testbed.Ledger.AtBox;
+import yewdock.testbed.Ledger.AtClient;
+import yewdock.testbed.Ledger.End;
+import yewdock.testbed.Ledger.Told;
 
 /** Judges a run by the stand-ins' own records: each broken rule is one line. */
 public final class Rules {
--- a/src/main/java/yewdock/proof/StoreCost.java
+++ b/src/main/java/yewdock/verification/StoreCost.java
@@ -1,4 +1,4 @@
-package yewdock.proof;
+package yewdock.verification;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -15,14 +15,14 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
-import yewdock.standin.Fleet;
-import yewdock.standin.FloodingPeer;
-import yewdock.standin.Ledger;
-import yewdock.standin.Load;
-import yewdock.state.Keys;
-import yewdock.state.Records;
-import yewdock.store.Store;
+import yewdock.state.RecordKeys;
+import yewdock.state.ReplicatedRecords;
+import yewdock.store.RecordFile;
 import yewdock.store.StoreException;
+import yewdock.testbed.Fleet;
+import yewdock.testbed.FloodingPeer;
+import yewdock.testbed.Ledger;
+import yewdock.testbed.Load;
 import yewdock.wire.Box;
 import yewdock.wire.Kept;
 
@@ -176,7 +176,7 @@
                 if (full == 1) {
                     fill(own.resolve("store"));
                 } else {
-                    Store.open(own.resolve("store")).close();
+                    RecordFile.open(own.resolve("store")).close();
                 }
                 try (Fleet fleet = new Fleet(8, 64)) {
                     long began = System.nanoTime();
@@ -194,14 +194,15 @@
 
     /** As an installation of five has it: mostly copies of what the others were told. */
     private static void fill(Path folder) throws StoreException {
-        Records records = new Records("other", RECORDS);
+        ReplicatedRecords records = new ReplicatedRecords("other", RECORDS);
         Map<String, byte[]> all = new TreeMap<>();
         for (int i = 0; i < RECORDS; i++) {
-            Kept kept = records.write(Keys.box("i" + i % 4, i / 4), Kept.newBuilder().setBox(Box.newBuilder()
+            Kept kept = records.write(RecordKeys.server("i" + i % 4, i / 4),
+                    Kept.newBuilder().setBox(Box.newBuilder()
                     .setName("s-" + i).setAddress("10.0.0.1:8000").setId(i).setWeight(1)), 1);
-            all.put(Keys.STORED + kept.getKey(), Records.bytes(kept));
+            all.put(RecordKeys.STORE_PREFIX + kept.getKey(), ReplicatedRecords.bytes(kept));
         }
-        try (Store store = Store.open(folder)) {
+        try (RecordFile store = RecordFile.open(folder)) {
             store.write(all);
         }
     }
--- a/src/main/java/yewdock/proof/StoreProof.java
+++ b/src/main/java/yewdock/verification/StoreProof.java
@@ -1,4 +1,4 @@
-package yewdock.proof;
+package yewdock.verification;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -12,10 +12,10 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
-import yewdock.standin.Fleet;
-import yewdock.standin.Ledger;
-import yewdock.standin.ListenPorts;
-import yewdock.standin.Load;
+import yewdock.testbed.Fleet;
+import yewdock.testbed.Ledger;
+import yewdock.testbed.ListenPorts;
+import yewdock.testbed.Load;
 
 /**
  * A daemon with a store that is killed again and again under load, keeper and generations together, while
--- a/src/main/java/yewdock/proof/UpgradeProof.java
+++ b/src/main/java/yewdock/verification/UpgradeProof.java
@@ -1,4 +1,4 @@
-package yewdock.proof;
+package yewdock.verification;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -12,12 +12,12 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
-import yewdock.standin.BoxStandin;
-import yewdock.standin.FaultyGeneration;
-import yewdock.standin.FaultyGeneration.Fault;
-import yewdock.standin.Fleet;
-import yewdock.standin.Ledger;
-import yewdock.standin.Load;
+import yewdock.testbed.BoxStandin;
+import yewdock.testbed.FaultyGeneration;
+import yewdock.testbed.FaultyGeneration.Fault;
+import yewdock.testbed.Fleet;
+import yewdock.testbed.Ledger;
+import yewdock.testbed.Load;
 import yewdock.upgrade.Stage;
 
 /**
--- a/src/test/java/umberspread/BoundedLoadRouterTest.java
+++ b/src/test/java/umberspread/BoundedLoadRouterTest.java
@@ -14,10 +14,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import umberspread.Routing.DedupGroup;
-import umberspread.Routing.Effect;
 import umberspread.Routing.Lifecycle;
 import umberspread.Routing.ListKind;
 import umberspread.Routing.Outcome;
+import umberspread.Routing.RetrySafety;
 
 class BoundedLoadRouterTest {
     private static Fixture fixture(Fixture.Setup setup, int replicas) {
@@ -215,7 +215,7 @@
         f.end(id, 0, Outcome.ERROR, true);
         f.end(id, 5, Outcome.ERROR, false);
         f.end(999, 0, Outcome.OK, true);
-        f.router.requestGone(f.now, id);
+        f.router.requestAbandoned(f.now, id);
         f.router.woken(f.now, 12345);
         assertEquals(before, f.all.size());
     }
@@ -224,7 +224,7 @@
     void clientThatLeftIsOwedNothingAndItsAttemptIsCancelled() {
         Fixture f = fixture(3);
         long id = f.arrive(1, 0);
-        f.router.requestGone(f.now, id);
+        f.router.requestAbandoned(f.now, id);
         assertEquals(List.of(id + "/0"), f.cancelled);
         f.end(id, 0, Outcome.CANCELLED, true);
         assertTrue(f.refused.isEmpty() && f.failed.isEmpty());
@@ -235,7 +235,7 @@
         Fixture.Setup setup = new Fixture.Setup();
         setup.cancelling = false;
         Fixture f = fixture(setup, 3);
-        f.router.requestGone(f.now, f.arrive(1, 0));
+        f.router.requestAbandoned(f.now, f.arrive(1, 0));
         assertTrue(f.cancelled.isEmpty());
     }
 
@@ -253,7 +253,7 @@
     @Test
     void fragileRequestThatMayHaveRunFailsAndIsNotRefused() {
         Fixture.Setup setup = new Fixture.Setup();
-        setup.effect = Effect.FRAGILE;
+        setup.effect = RetrySafety.FRAGILE;
         for (Outcome o : List.of(Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)) {
             Fixture f = fixture(setup, 3);
             long id = f.arrive(1, 0);
@@ -267,7 +267,7 @@
     @Test
     void fragileRequestThatNeverRanIsRetried() {
         Fixture.Setup setup = new Fixture.Setup();
-        setup.effect = Effect.FRAGILE;
+        setup.effect = RetrySafety.FRAGILE;
         Fixture f = fixture(setup, 3);
         long id = f.arrive(1, 0);
         f.end(id, 0, Outcome.CONNECT_FAILED, false);
@@ -279,7 +279,7 @@
     void dedupRetryStaysInItsGroup() {
         for (DedupGroup group : DedupGroup.values()) {
             Fixture.Setup setup = new Fixture.Setup();
-            setup.effect = Effect.DEDUP;
+            setup.effect = RetrySafety.DEDUP;
             setup.group = group;
             for (int key = 1; key < 30; key++) {
                 Fixture f = fixture(setup, 8);
@@ -301,7 +301,7 @@
     @Test
     void dedupRetryEndsWithItsWindow() {
         Fixture.Setup setup = new Fixture.Setup();
-        setup.effect = Effect.DEDUP;
+        setup.effect = RetrySafety.DEDUP;
         Fixture f = fixture(setup, 8);
         long id = f.arrive(1, 0);
         f.now += 5 * SECOND;
@@ -314,7 +314,7 @@
     @Test
     void dedupRetryIsSentWhileANewConnectionComesUpInItsWindow() {
         Fixture.Setup setup = new Fixture.Setup();
-        setup.effect = Effect.DEDUP;
+        setup.effect = RetrySafety.DEDUP;
         for (long early : new long[] {1, 0}) {
             Fixture f = fixture(setup, 8);
             long id = f.arrive(1, 0);
@@ -743,8 +743,8 @@
         Fixture f = bound(Set.of(1), Set.of(), 2);
         f.serve(f.arriveAs(1, 7, 0), 0);
         assertEquals(1, f.lastReplica());
-        f.change(new Routing.Replica(1, 0, 1, 0, 1, Lifecycle.READY, 0));
-        f.change(new Routing.Replica(2, 1, 1, 0, 1, Lifecycle.READY, 0));
+        f.change(new Routing.ServerState(1, 0, 1, 0, 1, Lifecycle.READY, 0));
+        f.change(new Routing.ServerState(2, 1, 1, 0, 1, Lifecycle.READY, 0));
         f.serve(f.arriveAs(1, 7, 0), 0);
         assertEquals(2, f.lastReplica());
     }
--- a/src/test/java/umberspread/ExampleTest.java
+++ b/src/test/java/umberspread/ExampleTest.java
@@ -37,7 +37,7 @@
             }
 
             @Override
-            public void followList() {
+            public void watchEndpointList() {
                 carriedOut.add("follow the list");
             }
 
@@ -52,7 +52,7 @@
             }
         };
         long second = 1_000_000;
-        Routing.RequestClass chat = new Routing.RequestClass("chat", Routing.Effect.RETRYABLE,
+        Routing.RequestClass chat = new Routing.RequestClass("chat", Routing.RetrySafety.RETRYABLE,
                 Routing.DedupGroup.ALL, 0, second, 10_000, 50_000, 6 * second, 1.0, 0.5, true,
                 Routing.Placement.ANYWHERE);
         Routing.Settings settings = new Routing.Settings(2, 0, 0, List.of(chat), List.of(), 1.0, false,
@@ -64,7 +64,7 @@
         long now = 0;
         router.started(now);
         router.listReceived(now, Routing.ListKind.FULL, List.of(
-                new Routing.Replica(7, 0, 0, 0, 1.0, Routing.Lifecycle.READY, 0)));
+                new Routing.ServerState(7, 0, 0, 0, 1.0, Routing.Lifecycle.READY, 0)));
         router.requestArrived(now, new Routing.Request(1, 0, 0, false, 11, 22, 1500, 1200, 400, 6 * second));
         router.firstToken(now + second / 10, 1, 0);
         router.attemptEnded(now + 2 * second, 1, 0, Routing.Outcome.OK, 2 * second, true, 1200, null);
--- a/src/test/java/umberspread/Fixture.java
+++ b/src/test/java/umberspread/Fixture.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import java.util.Set;
 import umberspread.Routing.DedupGroup;
-import umberspread.Routing.Effect;
 import umberspread.Routing.Lifecycle;
 import umberspread.Routing.ListKind;
 import umberspread.Routing.Outcome;
-import umberspread.Routing.Replica;
+import umberspread.Routing.RetrySafety;
+import umberspread.Routing.ServerState;
 
 /** A router with recorded actions and short ways to feed it. */
 final class Fixture implements Routing.Actions {
@@ -45,7 +45,7 @@
     /** Settings that a test changes where it matters. */
     static final class Setup {
         int instances = 1;
-        Effect effect = Effect.RETRYABLE;
+        RetrySafety effect = RetrySafety.RETRYABLE;
         DedupGroup group = DedupGroup.ALL;
         double worth = 1;
         boolean ask;
@@ -79,13 +79,13 @@
         }
     }
 
-    static Replica replica(long id, int zone, int cell, Lifecycle state, long startedAt) {
-        return new Replica(id, zone, (int) id % 3, cell, 1, state, startedAt);
+    static ServerState replica(long id, int zone, int cell, Lifecycle state, long startedAt) {
+        return new ServerState(id, zone, (int) id % 3, cell, 1, state, startedAt);
     }
 
     /** A full list of so many warm replicas, in zones 0 and 1 and cells of two. */
     Fixture list(int count) {
-        List<Replica> entries = new ArrayList<>();
+        List<ServerState> entries = new ArrayList<>();
         for (int i = 1; i <= count; i++) {
             entries.add(replica(i, i % 2, i / 2, Lifecycle.READY, 0));
         }
@@ -93,7 +93,7 @@
         return this;
     }
 
-    void change(Replica r) {
+    void change(ServerState r) {
         router.listReceived(now, ListKind.DELTA, List.of(r));
     }
 
@@ -213,7 +213,7 @@
     }
 
     @Override
-    public void followList() {
+    public void watchEndpointList() {
         follows++;
         all.add("follow");
     }
