--- a/src/test/java/umberspread/GenerationRouterTest.java
+++ b/src/test/java/umberspread/GenerationRouterTest.java
@@ -10,8 +10,8 @@
 import umberspread.Routing.Lifecycle;
 import umberspread.Routing.ListKind;
 import umberspread.Routing.Outcome;
-import umberspread.Routing.Replica;
 import umberspread.Routing.Request;
+import umberspread.Routing.ServerState;
 
 /** A router's memory in the next process, and load that other processes have out. */
 class GenerationRouterTest {
@@ -43,7 +43,7 @@
         }
 
         @Override
-        public void followList() {
+        public void watchEndpointList() {
             // not of interest
         }
 
@@ -58,15 +58,15 @@
         }
     };
 
-    private static List<Replica> replicas(int count, long startedAt) {
-        List<Replica> all = new ArrayList<>();
+    private static List<ServerState> replicas(int count, long startedAt) {
+        List<ServerState> all = new ArrayList<>();
         for (int i = 1; i <= count; i++) {
             all.add(Fixture.replica(i, 0, i, Lifecycle.READY, i == 1 ? startedAt : 0));
         }
         return all;
     }
 
-    private GenerationRouter begun(Memory memory, long shift, long now, List<Replica> list) {
+    private GenerationRouter begun(LearnedState memory, long shift, long now, List<ServerState> list) {
         GenerationRouter router = memory == null ? new GenerationRouter(SETTINGS, 1, actions)
                 : new GenerationRouter(SETTINGS, 1, actions, memory, shift);
         router.started(now);
@@ -91,18 +91,18 @@
                     false,
                     0, null);
         }
-        Memory memory = old.memory();
-        assertTrue(memory.replicas().stream().anyMatch(r -> r.ejectedUntil() > now), "one is ejected");
+        LearnedState memory = old.learnedState();
+        assertTrue(memory.servers().stream().anyMatch(r -> r.ejectedUntil() > now), "one is ejected");
         long shift = 77 * SECOND;
         GenerationRouter next = begun(memory, shift, now + 400 + shift, replicas(5, 0));
-        Memory again = next.memory();
-        assertEquals(memory.keys().stream().map(Memory.OfKey::tally).sorted().toList(),
-                again.keys().stream().map(Memory.OfKey::tally).sorted().toList());
+        LearnedState again = next.learnedState();
+        assertEquals(memory.keys().stream().map(LearnedState.LearnedKey::recentRequests).sorted().toList(),
+                again.keys().stream().map(LearnedState.LearnedKey::recentRequests).sorted().toList());
         assertEquals(memory.averageWorth(), again.averageWorth());
-        assertEquals(memory.taken().size(), again.taken().size());
-        for (int i = 0; i < memory.replicas().size(); i++) {
-            Memory.OfReplica was = memory.replicas().get(i);
-            Memory.OfReplica is = again.replicas().get(i);
+        assertEquals(memory.recentArrivals().size(), again.recentArrivals().size());
+        for (int i = 0; i < memory.servers().size(); i++) {
+            LearnedState.LearnedServer was = memory.servers().get(i);
+            LearnedState.LearnedServer is = again.servers().get(i);
             assertEquals(was.points(), is.points());
             assertEquals(was.ejectedUntil() == 0 ? 0 : was.ejectedUntil() + shift, is.ejectedUntil());
         }
@@ -123,15 +123,15 @@
         router.firstToken(now + 100, lastId, 0);
         router.attemptEnded(now + 100, lastId, 0, Outcome.OK, 1, false, 0, null);
         for (int i = 0; i < 5; i++) {
-            router.otherSent(now, "1/" + i, home);
+            router.otherGenerationSent(now, "1/" + i, home);
         }
-        router.otherSent(now, "1/0", home);
+        router.otherGenerationSent(now, "1/0", home);
         assertNotEquals(home, ask(router, now, 9), "the other process fills its bound");
         router.attemptEnded(now, lastId, 0, Outcome.OK, 1, false, 0, null);
         for (int i = 0; i < 5; i++) {
-            router.otherEnded(now, "1/" + i);
+            router.otherGenerationEnded(now, "1/" + i);
         }
-        router.otherEnded(now, "never sent");
+        router.otherGenerationEnded(now, "never sent");
         assertEquals(home, ask(router, now, 9));
     }
 
@@ -149,7 +149,7 @@
         for (int i = 0; i < 2000; i++) {
             long now = start + i * 2_000L;
             if (i % 50 == 0 && byOthers > i / 50) {
-                router.otherSent(now, "1/" + i, 1);
+                router.otherGenerationSent(now, "1/" + i, 1);
             }
             cold += ask(router, now, i) == 1 ? 1 : 0;
             router.attemptEnded(now, lastId, 0, Outcome.OK, 1, false, 0, null);
--- a/src/test/java/umberspread/RandomEventsTest.java
+++ b/src/test/java/umberspread/RandomEventsTest.java
@@ -11,9 +11,9 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import umberspread.Routing.DedupGroup;
-import umberspread.Routing.Effect;
 import umberspread.Routing.Lifecycle;
 import umberspread.Routing.Outcome;
+import umberspread.Routing.RetrySafety;
 
 /** Seeded random events: the rules that one gateway can keep alone hold after every one of them. */
 class RandomEventsTest {
@@ -41,7 +41,7 @@
         return states;
     }
 
-    private static List<String> play(long seed, Effect effect, DedupGroup group, boolean duplicates) {
+    private static List<String> play(long seed, RetrySafety effect, DedupGroup group, boolean duplicates) {
         Fixture.Setup setup = new Fixture.Setup();
         setup.secondWorth = 1 + seed % 3 * 5;
         if (seed % 2 == 0) {
@@ -118,7 +118,8 @@
         }
     }
 
-    private static int check(Fixture f, Map<Long, Open> open, Lifecycle[] states, int from, Effect effect,
+    private static int check(Fixture f, Map<Long, Open> open, Lifecycle[] states, int from,
+            RetrySafety effect,
             DedupGroup group, boolean duplicates) {
         for (int i = from; i < f.sent.size(); i++) {
             Fixture.Sent s = f.sent.get(i);
@@ -131,8 +132,8 @@
             assertTrue(o.placement.allows(Fixture.replica(r, r % 2, r / 2, Lifecycle.READY, 0)),
                     "sent where its class may not run");
             assertTrue(duplicates || o.out.isEmpty(), "two attempts out");
-            if (o.firstThatMayHaveRun >= 0 && effect != Effect.RETRYABLE) {
-                assertEquals(Effect.DEDUP, effect, "a fragile request again");
+            if (o.firstThatMayHaveRun >= 0 && effect != RetrySafety.RETRYABLE) {
+                assertEquals(RetrySafety.DEDUP, effect, "a fragile request again");
                 assertTrue(s.at() < o.firstSentAt + 5 * Fixture.SECOND, "after the window");
                 assertTrue(group == DedupGroup.ALL
                         || group == DedupGroup.ZONE && o.firstThatMayHaveRun % 2 == s.replica() % 2
@@ -149,8 +150,9 @@
                 Open o = open.get(id);
                 assertTrue(!o.over, "answered twice");
                 o.over = true;
-                if (answers == f.refused && effect != Effect.RETRYABLE) {
-                    assertTrue(o.firstThatMayHaveRun < 0 || effect == Effect.DEDUP && group == DedupGroup.ALL,
+                if (answers == f.refused && effect != RetrySafety.RETRYABLE) {
+                    assertTrue(o.firstThatMayHaveRun < 0 || effect == RetrySafety.DEDUP
+                            && group == DedupGroup.ALL,
                             "refused though it may have run");
                 }
             }
@@ -166,10 +168,10 @@
     void rulesHoldForEveryEffectAndGroup() {
         for (long seed = 1; seed <= 12; seed++) {
             for (boolean duplicates : new boolean[] {true, false}) {
-                play(seed, Effect.RETRYABLE, DedupGroup.ALL, duplicates);
-                play(seed, Effect.FRAGILE, DedupGroup.ALL, duplicates);
+                play(seed, RetrySafety.RETRYABLE, DedupGroup.ALL, duplicates);
+                play(seed, RetrySafety.FRAGILE, DedupGroup.ALL, duplicates);
                 for (DedupGroup group : DedupGroup.values()) {
-                    play(seed, Effect.DEDUP, group, duplicates);
+                    play(seed, RetrySafety.DEDUP, group, duplicates);
                 }
             }
         }
@@ -177,7 +179,7 @@
 
     @Test
     void sameEventsGiveSameActions() {
-        assertEquals(play(7, Effect.RETRYABLE, DedupGroup.ALL, true),
-                play(7, Effect.RETRYABLE, DedupGroup.ALL, true));
+        assertEquals(play(7, RetrySafety.RETRYABLE, DedupGroup.ALL, true),
+                play(7, RetrySafety.RETRYABLE, DedupGroup.ALL, true));
     }
 }
--- a/src/test/java/yewdock/PushedListTest.java
+++ b/src/test/java/yewdock/AgentDiscoveryTest.java
@@ -10,26 +10,28 @@
 import umberspread.Routing;
 import umberspread.Routing.Lifecycle;
 import umberspread.Routing.ListKind;
-import umberspread.Routing.Replica;
-import yewdock.desk.Bounds;
-import yewdock.desk.EndpointList;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Effect;
-import yewdock.desk.Event;
-import yewdock.desk.ModelServer;
-import yewdock.desk.ModelRequest;
-import yewdock.desk.Terms;
+import umberspread.Routing.ServerState;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Effect;
+import yewdock.core.EndpointList;
+import yewdock.core.Event;
+import yewdock.core.ModelRequest;
+import yewdock.core.ModelServer;
+import yewdock.core.Reducer;
+import yewdock.core.ResourceLimits;
 
 /** A list that is pushed to an agent: what the agent has counts as told, whatever becomes of the calls. */
-class PushedListTest {
+class AgentDiscoveryTest {
     private static final long GRACE = 500_000;
-    private static final Terms PUSHED = new Terms(250_000, 30_000_000, true, GRACE, 10_000_000, true, 4,
+    private static final CoreSettings PUSHED = new CoreSettings(250_000, 30_000_000, true, GRACE, 10_000_000,
+            true, 4,
             List.of(true), List.of("chat"), 0);
     private final Counters counters = new Counters();
     private final Agent agent = new Agent();
     private final List<String> told = new ArrayList<>();
-    private final Desk desk = new Desk(PUSHED, new Bounds(40, 20, 20, 1 << 20), counters, Module::new);
+    private final Reducer desk = new Reducer(PUSHED, new ResourceLimits(40, 20, 20, 1 << 20), counters,
+            Module::new);
     private long now;
     private Routing.Actions module;
 
@@ -40,7 +42,7 @@
         }
 
         @Override
-        public void listReceived(long time, ListKind kind, List<Replica> entries) {
+        public void listReceived(long time, ListKind kind, List<ServerState> entries) {
             told.add(kind + " " + entries.stream().map(r -> r.id() + ":" + r.lifecycle()).toList());
         }
 
@@ -62,16 +64,16 @@
         private boolean silent;
         private boolean refusing;
         private boolean hasty;
-        private Effect.AskList open;
+        private Effect.CallDiscovery open;
         private long openUntil;
         private final List<Long> calls = new ArrayList<>();
         private final List<Long> since = new ArrayList<>();
 
-        void called(Effect.AskList call) {
+        void called(Effect.CallDiscovery call) {
             calls.add(now);
-            since.add(call.since());
+            since.add(call.sinceVersion());
             open = call;
-            openUntil = hasty ? now : now + call.longest();
+            openUntil = hasty ? now : now + call.maxWaitMicros();
         }
 
         void look() {
@@ -80,29 +82,29 @@
             }
             if (refusing) {
                 open = null;
-                happens(new Event.ListFailed());
-            } else if (open.since() != list.version() || now >= openUntil) {
-                boolean whole = open.since() != list.version();
+                happens(new Event.DiscoveryCallFailed());
+            } else if (open.sinceVersion() != list.version() || now >= openUntil) {
+                boolean whole = open.sinceVersion() != list.version();
                 open = null;
-                happens(new Event.ListCame(whole ? list : new EndpointList(list.version(), false,
+                happens(new Event.EndpointListReceived(whole ? list : new EndpointList(list.version(), false,
                         List.of())));
             }
         }
     }
 
     private static ModelServer box(long id, Lifecycle state) {
-        return new ModelServer("s-" + id, "127.0.0.1:9001", new Replica(id, 0, 0, 1, 1, state, 0));
+        return new ModelServer("s-" + id, "127.0.0.1:9001", new ServerState(id, 0, 0, 1, 1, state, 0));
     }
 
     private List<Effect> happens(Event event) {
         List<Effect> effects = desk.reduce(event, now);
         for (Effect effect : effects) {
-            if (effect instanceof Effect.AskList call) {
+            if (effect instanceof Effect.CallDiscovery call) {
                 agent.called(call);
-            } else if (effect instanceof Effect.HangUpList) {
+            } else if (effect instanceof Effect.CancelDiscoveryCall) {
                 agent.open = null;
-            } else if (effect instanceof Effect.CloseLine e) {
-                happens(new Event.LineDown(e.line()));
+            } else if (effect instanceof Effect.CloseServerConnection e) {
+                happens(new Event.ServerDisconnected(e.connection()));
             }
         }
         return effects;
@@ -115,7 +117,7 @@
     private void pass(long micros) {
         for (long until = now + micros; now < until;) {
             now += 5_000;
-            if (desk.nextDue() <= now) {
+            if (desk.nextTimerDue() <= now) {
                 happens(new Event.Tick());
             }
             agent.look();
@@ -146,10 +148,10 @@
         EndpointList known = agent.list;
         drainBoxOne();
         happens(new Event.Started(known, "127.0.0.1:8500"));
-        assertFalse(desk.unready().isEmpty());
+        assertFalse(desk.notReadyReason().isEmpty());
         assertEquals(List.of(), told, "the known list was acted on");
         pass(5_000);
-        assertEquals("", desk.unready());
+        assertEquals("", desk.notReadyReason());
         assertEquals("CACHED [1:DRAINING, 2:READY]", told.get(0));
     }
 
@@ -158,9 +160,9 @@
         agent.silent = true;
         start();
         pass(990_000);
-        assertFalse(desk.unready().isEmpty());
+        assertFalse(desk.notReadyReason().isEmpty());
         pass(20_000);
-        assertEquals("", desk.unready());
+        assertEquals("", desk.notReadyReason());
         assertEquals(List.of("CACHED [1:READY]"), told);
     }
 
@@ -201,7 +203,7 @@
         pass(2_000_000);
         agent.open = null;
         drainBoxOne();
-        happens(new Event.ListFailed());
+        happens(new Event.DiscoveryCallFailed());
         assertTrue(untilTold() < GRACE / 4);
         assertTrue(told.stream().noneMatch(line -> line.startsWith("FAILED")), told.toString());
     }
@@ -230,7 +232,7 @@
     @Test
     void aDrainThatComesWithTheEndOfAnOutageIsToldWithinTheGrace() {
         for (long after = 1_000_000; after < 3_000_000; after += 25_000) {
-            PushedListTest each = new PushedListTest();
+            AgentDiscoveryTest each = new AgentDiscoveryTest();
             each.start();
             each.pass(1_000_000);
             each.agent.silent = true;
@@ -275,7 +277,7 @@
         pass(3_000_000);
         agent.silent = false;
         drainBoxOne();
-        happens(new Event.ListMoved("127.0.0.1:8501"));
+        happens(new Event.DiscoveryAddressChanged("127.0.0.1:8501"));
         assertEquals(-1L, agent.since.get(agent.since.size() - 1));
         assertTrue(untilTold() < GRACE / 4);
     }
@@ -284,14 +286,14 @@
     @Test
     void aDrainStopsATryWhoseLineIsBeingMade() {
         start();
-        happens(new Event.ClientCame(1));
-        List<Effect> effects = happens(new Event.Asked(1,
+        happens(new Event.ClientConnected(1));
+        List<Effect> effects = happens(new Event.RequestReceived(1,
                 new ModelRequest("r1", 0, 0, false, 1, 1, 1, 0, 9, 900_000, 100)));
-        long line = effects.stream().filter(Effect.OpenLine.class::isInstance)
-                .map(Effect.OpenLine.class::cast).findFirst().orElseThrow().line();
+        long line = effects.stream().filter(Effect.OpenServerConnection.class::isInstance)
+                .map(Effect.OpenServerConnection.class::cast).findFirst().orElseThrow().connection();
         drainBoxOne();
         untilTold();
-        assertFalse(happens(new Event.LineUp(line)).stream().anyMatch(Effect.SendTry.class::isInstance));
+        assertFalse(happens(new Event.ServerConnected(line)).stream().anyMatch(Effect.SendAttempt.class::isInstance));
         assertEquals("NOT_SENT", told.get(told.size() - 1));
     }
 }
--- a/src/test/java/yewdock/AgreementTest.java
+++ b/src/test/java/yewdock/AgreementTest.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import yewdock.proof.AgreedInstallation;
-import yewdock.proof.Router;
-import yewdock.standin.Fleet;
-import yewdock.standin.Load;
+import yewdock.testbed.Fleet;
+import yewdock.testbed.Load;
+import yewdock.verification.AgreedInstallation;
+import yewdock.verification.Router;
 
 /** Daemons in processes of their own that agree, over relays that hold back what they tell each other. */
 class AgreementTest {
--- a/src/test/java/yewdock/BusyDiscoveryTest.java
+++ b/src/test/java/yewdock/BusyDiscoveryTest.java
@@ -11,15 +11,15 @@
 import umberspread.BoundedLoadRouter;
 import umberspread.Routing;
 import umberspread.Routing.Lifecycle;
-import umberspread.Routing.Replica;
-import yewdock.desk.Bounds;
-import yewdock.desk.EndpointList;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Effect;
-import yewdock.desk.Event;
-import yewdock.desk.ModelServer;
-import yewdock.desk.Terms;
+import umberspread.Routing.ServerState;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Effect;
+import yewdock.core.EndpointList;
+import yewdock.core.Event;
+import yewdock.core.ModelServer;
+import yewdock.core.Reducer;
+import yewdock.core.ResourceLimits;
 
 /**
  * Many routers ask one service, which handles calls in turn: it answers a call within 2 s or fails it, and a
@@ -46,10 +46,10 @@
 
     /** One router, and its call as the service has it. */
     private final class Router {
-        private final Desk desk;
-        private Effect.AskList open;
+        private final Reducer desk;
+        private Effect.CallDiscovery open;
         /** A watch that was given no answer in time, and has not been given up. */
-        private Effect.AskList aside;
+        private Effect.CallDiscovery aside;
         private long turnAt;
         private long openedAt;
         private boolean refused;
@@ -62,15 +62,16 @@
 
         Router(int seed) {
             late = seed % STEP;
-            desk = new Desk(new Terms(250_000, 30 * SECOND, false, grace, 10 * SECOND, true, 4, List.of(true),
-                    List.of("chat"), 0), new Bounds(40, 20, 20, 1 << 20), new Counters(),
+            desk = new Reducer(new CoreSettings(250_000, 30 * SECOND, false, grace, 10 * SECOND, true, 4,
+                    List.of(true),
+                    List.of("chat"), 0), new ResourceLimits(40, 20, 20, 1 << 20), new Counters(),
                     actions -> new BoundedLoadRouter(settings(), seed, actions));
             happens(new Event.Started(list(7, true, Lifecycle.READY), "127.0.0.1:8500"));
         }
 
         private void happens(Event event) {
             for (Effect effect : desk.reduce(event, time + late)) {
-                if (effect instanceof Effect.AskList call) {
+                if (effect instanceof Effect.CallDiscovery call) {
                     open = call;
                     openedAt = time;
                     silent = false;
@@ -79,31 +80,32 @@
                         busyUntil = Math.max(time, busyUntil) + work;
                         turnAt = busyUntil;
                     }
-                } else if (effect instanceof Effect.SetListCallAside) {
+                } else if (effect instanceof Effect.SetDiscoveryCallAside) {
                     aside = open;
                     open = null;
-                } else if (effect instanceof Effect.HangUpList) {
+                } else if (effect instanceof Effect.CancelDiscoveryCall) {
                     open = null;
                 }
             }
         }
 
         private void step() {
-            if (desk.nextDue() <= time + late) {
+            if (desk.nextTimerDue() <= time + late) {
                 happens(new Event.Tick());
             }
             if (open == null || silent) {
                 return;
             }
-            boolean news = open.since() < version;
+            boolean news = open.sinceVersion() < version;
             if (refused) {
                 open = null;
-                happens(new Event.ListFailed());
-            } else if (time >= turnAt && (news || time >= openedAt + open.longest())) {
+                happens(new Event.DiscoveryCallFailed());
+            } else if (time >= turnAt && (news || time >= openedAt + open.maxWaitMicros())) {
                 open = null;
                 answers++;
                 has = version;
-                happens(new Event.ListCame(news ? list(version, false, drained ? Lifecycle.DRAINING
+                happens(new Event.EndpointListReceived(news ? list(version, false, drained
+                        ? Lifecycle.DRAINING
                         : Lifecycle.READY) : new EndpointList(version, false, List.of())));
             }
         }
@@ -115,7 +117,7 @@
                 open = null;
                 answers++;
                 has = version;
-                happens(new Event.ListCame(list(version, false, Lifecycle.DRAINING)));
+                happens(new Event.EndpointListReceived(list(version, false, Lifecycle.DRAINING)));
             }
         }
 
@@ -125,13 +127,14 @@
         }
 
         boolean knows() {
-            return !desk.unready().isEmpty();
+            return !desk.notReadyReason().isEmpty();
         }
     }
 
     private Routing.Settings settings() {
         return new Routing.Settings(ROUTERS, 0, 0, List.of(new Routing.RequestClass("chat",
-                Routing.Effect.RETRYABLE, Routing.DedupGroup.ALL, 0, SECOND, 0, 0, 4 * SECOND, 1, 0, true,
+                Routing.RetrySafety.RETRYABLE, Routing.DedupGroup.ALL, 0, SECOND, 0, 0, 4 * SECOND, 1, 0,
+                        true,
                 Routing.Placement.ANYWHERE)),
                 List.of(), 0.1, true, new Routing.Limits(4, false, true, false, 250_000, 0),
                 new Routing.Contract(grace, 10 * SECOND, 0.3, 3, 2 * SECOND, 10 * SECOND,
@@ -140,7 +143,7 @@
 
     private static EndpointList list(long version, boolean full, Lifecycle state) {
         return new EndpointList(version, full, List.of(new ModelServer("s-1", "127.0.0.1:9001",
-                new Replica(1, 0, 0, 1, 1, state, 0))));
+                new ServerState(1, 0, 0, 1, 1, state, 0))));
     }
 
     private List<Router> routers(int seed, int count) {
--- a/src/test/java/yewdock/DaemonTest.java
+++ b/src/test/java/yewdock/DaemonTest.java
@@ -16,14 +16,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import yewdock.proof.ProcessSignals;
-import yewdock.proof.Router;
-import yewdock.proof.Rules;
-import yewdock.proof.UpgradeProof;
-import yewdock.standin.FaultyGeneration;
-import yewdock.standin.Fleet;
-import yewdock.standin.Ledger;
-import yewdock.standin.Load;
+import yewdock.testbed.FaultyGeneration;
+import yewdock.testbed.Fleet;
+import yewdock.testbed.Ledger;
+import yewdock.testbed.Load;
+import yewdock.verification.ProcessSignals;
+import yewdock.verification.Router;
+import yewdock.verification.Rules;
+import yewdock.verification.UpgradeProof;
 
 /** The daemon in processes of its own, and what can happen to them in the middle of an upgrade. */
 @Timeout(120)
--- a/src/test/java/yewdock/DiscoveryTermTest.java
+++ b/src/test/java/yewdock/DiscoveryDeadlineTest.java
@@ -9,21 +9,21 @@
 import umberspread.BoundedLoadRouter;
 import umberspread.Routing;
 import umberspread.Routing.Lifecycle;
-import umberspread.Routing.Replica;
-import yewdock.desk.Bounds;
-import yewdock.desk.EndpointList;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Effect;
-import yewdock.desk.Event;
-import yewdock.desk.ModelServer;
-import yewdock.desk.Terms;
+import umberspread.Routing.ServerState;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Effect;
+import yewdock.core.EndpointList;
+import yewdock.core.Event;
+import yewdock.core.ModelServer;
+import yewdock.core.Reducer;
+import yewdock.core.ResourceLimits;
 
 /**
  * Whatever is allowed after a call to discovery that failed, was refused or given up: a change counts as told
  * 6 s after discovery had it and could be reached. The desk with the real module, in virtual time.
  */
-class DiscoveryTermTest {
+class DiscoveryDeadlineTest {
     private static final long SECOND = 1_000_000;
     private static final long COUNTS_AS_TOLD = 6 * SECOND;
     private static final long GRACE = SECOND;
@@ -39,7 +39,8 @@
 
     private static Routing.Settings settings() {
         return new Routing.Settings(1, 0, 0, List.of(new Routing.RequestClass("chat",
-                Routing.Effect.RETRYABLE, Routing.DedupGroup.ALL, 0, SECOND, 0, 0, 4 * SECOND, 1, 0, true,
+                Routing.RetrySafety.RETRYABLE, Routing.DedupGroup.ALL, 0, SECOND, 0, 0, 4 * SECOND, 1, 0,
+                        true,
                 Routing.Placement.ANYWHERE)),
                 List.of(), 0.1, true, new Routing.Limits(4, false, true, false, 250_000, 0),
                 new Routing.Contract(GRACE, 8 * SECOND, 0.3, 3, 2 * SECOND, 10 * SECOND,
@@ -47,15 +48,15 @@
     }
 
     private static ModelServer server(Lifecycle state) {
-        return new ModelServer("s-1", "127.0.0.1:9001", new Replica(1, 0, 0, 1, 1, state, 0));
+        return new ModelServer("s-1", "127.0.0.1:9001", new ServerState(1, 0, 0, 1, 1, state, 0));
     }
 
     /** One router and its discovery. */
     private static final class Rig {
-        private final Desk desk;
+        private final Reducer desk;
         /** How the next calls fail; after them each is answered. */
         private final Deque<Failure> failures = new ArrayDeque<>();
-        private Effect.AskList open;
+        private Effect.CallDiscovery open;
         private long openedAt;
         private Failure now;
         private boolean drained;
@@ -63,8 +64,9 @@
         private long calls;
 
         Rig(long seed) {
-            desk = new Desk(new Terms(250_000, 30 * SECOND, false, GRACE, 10 * SECOND, true, 4, List.of(true),
-                    List.of("chat"), 0), new Bounds(40, 20, 20, 1 << 20), new Counters(),
+            desk = new Reducer(new CoreSettings(250_000, 30 * SECOND, false, GRACE, 10 * SECOND, true, 4,
+                    List.of(true),
+                    List.of("chat"), 0), new ResourceLimits(40, 20, 20, 1 << 20), new Counters(),
                     actions -> new BoundedLoadRouter(settings(), seed, actions));
             happens(new Event.Started(KNOWN, "127.0.0.1:8500"));
         }
@@ -72,34 +74,35 @@
         private void happens(Event event) {
             boolean refused = false;
             for (Effect effect : desk.reduce(event, time)) {
-                if (effect instanceof Effect.AskList call) {
+                if (effect instanceof Effect.CallDiscovery call) {
                     calls++;
                     open = call;
                     openedAt = time;
                     now = failures.poll();
                     refused = now == Failure.REFUSED;
-                } else if (effect instanceof Effect.HangUpList) {
+                } else if (effect instanceof Effect.CancelDiscoveryCall) {
                     open = null;
                 }
             }
             if (refused) {
                 open = null;
-                happens(new Event.ListFailed());
+                happens(new Event.DiscoveryCallFailed());
             }
         }
 
         private void step() {
             time += STEP;
-            if (desk.nextDue() <= time) {
+            if (desk.nextTimerDue() <= time) {
                 happens(new Event.Tick());
             }
             if (open == null || now == Failure.SILENT) {
                 return;
             }
-            boolean news = drained && open.since() < DRAINED.version();
-            if (news || time >= openedAt + open.longest()) {
+            boolean news = drained && open.sinceVersion() < DRAINED.version();
+            if (news || time >= openedAt + open.maxWaitMicros()) {
                 open = null;
-                happens(new Event.ListCame(news ? DRAINED : new EndpointList(drained ? 8 : 7, false,
+                happens(new Event.EndpointListReceived(news ? DRAINED : new EndpointList(drained ? 8 : 7,
+                        false,
                         List.of())));
             }
         }
@@ -107,7 +110,7 @@
         /** Lets time pass until the drain is known; fails where it has to be kept before that. */
         private void learns(long hadAndReached, String what) {
             long until = hadAndReached + COUNTS_AS_TOLD + GRACE;
-            while (desk.unready().isEmpty()) {
+            while (desk.notReadyReason().isEmpty()) {
                 assertTrue(time < until, what + ": not told " + (time - hadAndReached) / 1000 + " ms after");
                 step();
             }
@@ -145,7 +148,8 @@
         for (int mix = 0; mix < 4; mix++) {
             for (long at = 0; at < 5 * SECOND; at += 10 * STEP) {
                 Rig each = new Rig(mix + at / STEP);
-                while (each.open == null || each.open.longest() == 0 || each.time < each.openedAt + at) {
+                while (each.open == null || each.open.maxWaitMicros() == 0 || each.time < each.openedAt
+                        + at) {
                     each.step();
                 }
                 each.failures.add(kind(mix, 1));
@@ -155,7 +159,7 @@
                     each.now = Failure.SILENT;
                 } else {
                     each.open = null;
-                    each.happens(new Event.ListFailed());
+                    each.happens(new Event.DiscoveryCallFailed());
                 }
                 each.learns(had, "watch broken after " + at + ", mix " + mix);
             }
@@ -173,7 +177,7 @@
             for (int mix = 0; mix < 1 << length; mix++) {
                 for (int seed = 0; seed < MANY_SEEDS && Integer.bitCount(mix) <= 2; seed++) {
                     Rig each = new Rig(seed);
-                    while (each.open == null || each.open.longest() == 0) {
+                    while (each.open == null || each.open.maxWaitMicros() == 0) {
                         each.step();
                     }
                     for (int i = 0; i < length; i++) {
@@ -182,7 +186,7 @@
                     each.drained = true;
                     long had = each.time;
                     each.open = null;
-                    each.happens(new Event.ListFailed());
+                    each.happens(new Event.DiscoveryCallFailed());
                     each.learns(had, length + " failures, mix " + mix + ", seed " + seed);
                 }
             }
@@ -201,7 +205,7 @@
                 each.failures.add(kind(mix, 0));
                 each.failures.add(kind(mix, 1));
                 each.drained = true;
-                each.happens(new Event.ListMoved("127.0.0.1:8501"));
+                each.happens(new Event.DiscoveryAddressChanged("127.0.0.1:8501"));
                 each.learns(each.openedAt, "moved, mix " + mix + ", seed " + seed);
             }
         }
--- a/src/test/java/yewdock/ExchangesTest.java
+++ b/src/test/java/yewdock/ExchangesTest.java
@@ -16,7 +16,7 @@
     private static final int LONGEST_CUT = 900;
 
     private static List<String> files() throws IOException {
-        try (Stream<Path> all = Files.list(Exchange.FOLDER)) {
+        try (Stream<Path> all = Files.list(RecordedExchange.FOLDER)) {
             List<String> names = all.map(p -> p.getFileName().toString())
                     .filter(n -> n.endsWith(".txt") && !n.equals("names.txt")).sorted().toList();
             assertFalse(names.isEmpty());
@@ -27,8 +27,8 @@
     @TestFactory
     Stream<DynamicTest> runsAsRecorded() throws IOException {
         return files().stream().map(name -> DynamicTest.dynamicTest(name, () -> {
-            List<String> lines = Exchange.lines(name);
-            List<String> seen = Exchange.play(lines, 0).seen();
+            List<String> lines = RecordedExchange.lines(name);
+            List<String> seen = RecordedExchange.play(lines, 0).seen();
             Files.createDirectories(Path.of("target/exchanges"));
             Files.write(Path.of("target/exchanges", name), seen);
             assertEquals(String.join("\n", lines), String.join("\n", seen));
@@ -39,10 +39,10 @@
     @TestFactory
     Stream<DynamicTest> cutAnywhereItSaysTheSame() throws IOException {
         return files().stream().map(name -> DynamicTest.dynamicTest(name, () -> {
-            List<String> lines = Exchange.lines(name);
-            var told = Exchange.play(lines, 0).told();
+            List<String> lines = RecordedExchange.lines(name);
+            var told = RecordedExchange.play(lines, 0).told();
             for (int cut = 1; cut < LONGEST_CUT; cut++) {
-                assertEquals(told, Exchange.play(lines, cut).told(), "cut at " + cut);
+                assertEquals(told, RecordedExchange.play(lines, cut).told(), "cut at " + cut);
             }
         }));
     }
--- a/src/test/java/yewdock/CopiesTest.java
+++ b/src/test/java/yewdock/HedgingTest.java
@@ -10,25 +10,25 @@
 import umberspread.Routing;
 import umberspread.Routing.Lifecycle;
 import umberspread.Routing.Outcome;
-import umberspread.Routing.Replica;
-import yewdock.desk.Bounds;
-import yewdock.desk.EndpointList;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Effect;
-import yewdock.desk.Event;
-import yewdock.desk.ModelServer;
-import yewdock.desk.ModelRequest;
-import yewdock.desk.Terms;
+import umberspread.Routing.ServerState;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Effect;
+import yewdock.core.EndpointList;
+import yewdock.core.Event;
+import yewdock.core.ModelRequest;
+import yewdock.core.ModelServer;
+import yewdock.core.Reducer;
+import yewdock.core.ResourceLimits;
 
 /** Several tries of one request: who wins, what becomes of the others, and when none may go out. */
-class CopiesTest {
+class HedgingTest {
     private static final int MOST = 4;
     private final Counters counters = new Counters();
     private final List<String> told = new ArrayList<>();
     private final List<String> done = new ArrayList<>();
     private Routing.Actions module;
-    private Desk desk;
+    private Reducer desk;
     private long now;
 
     /** Does nothing of itself: the test asks in its place. */
@@ -54,7 +54,7 @@
         }
 
         @Override
-        public void requestGone(long time, long requestId) {
+        public void requestAbandoned(long time, long requestId) {
             told.add("gone");
         }
 
@@ -69,30 +69,31 @@
     }
 
     private static ModelServer box(long id, Lifecycle state) {
-        return new ModelServer("s-" + id, "127.0.0.1:900" + id, new Replica(id, 0, 0, 1, 1, state, 0));
+        return new ModelServer("s-" + id, "127.0.0.1:900" + id, new ServerState(id, 0, 0, 1, 1, state, 0));
     }
 
     private void start(boolean copies, boolean repeatable) {
-        desk = new Desk(new Terms(250_000, 30_000_000, false, 500_000, 10_000_000, copies, MOST,
+        desk = new Reducer(new CoreSettings(250_000, 30_000_000, false, 500_000, 10_000_000, copies, MOST,
                 List.of(repeatable), List.of("chat"), 0),
-                new Bounds(40, 20, 20, 1 << 20), counters, Module::new);
+                new ResourceLimits(40, 20, 20, 1 << 20), counters, Module::new);
         happens(new Event.Started(new EndpointList(1, true, List.of(box(1, Lifecycle.READY),
                 box(2, Lifecycle.READY), box(3, Lifecycle.READY))), "127.0.0.1:8500"));
-        happens(new Event.ClientCame(1));
-        happens(new Event.Asked(1, new ModelRequest("r1", 0, 0, false, 1, 1, 1, 0, 9, 6_000_000, 100)));
+        happens(new Event.ClientConnected(1));
+        happens(new Event.RequestReceived(1, new ModelRequest("r1", 0, 0, false, 1, 1, 1, 0, 9, 6_000_000,
+                100)));
     }
 
     private void happens(Event event) {
         for (Effect effect : desk.reduce(event, now)) {
-            if (effect instanceof Effect.SendTry e) {
-                done.add("send " + e.line());
-                happens(new Event.TrySent(e.line()));
-            } else if (effect instanceof Effect.OpenLine e) {
-                done.add("open " + e.line());
-            } else if (effect instanceof Effect.CloseLine e) {
-                done.add("close " + e.line());
-            } else if (effect instanceof Effect.PassOn || effect instanceof Effect.EndAnswer
-                    || effect instanceof Effect.CutOff || effect instanceof Effect.Fail
+            if (effect instanceof Effect.SendAttempt e) {
+                done.add("send " + e.connection());
+                happens(new Event.AttemptWritten(e.connection()));
+            } else if (effect instanceof Effect.OpenServerConnection e) {
+                done.add("open " + e.connection());
+            } else if (effect instanceof Effect.CloseServerConnection e) {
+                done.add("close " + e.connection());
+            } else if (effect instanceof Effect.ForwardChunk || effect instanceof Effect.EndResponse
+                    || effect instanceof Effect.AbortResponse || effect instanceof Effect.Fail
                     || effect instanceof Effect.Refuse) {
                 done.add(effect.getClass().getSimpleName());
             }
@@ -100,11 +101,11 @@
     }
 
     private void up(long line) {
-        happens(new Event.LineUp(line));
+        happens(new Event.ServerConnected(line));
     }
 
     private void piece(long line) {
-        happens(new Event.Piece(line, ByteBuffer.wrap(new byte[] {1})));
+        happens(new Event.ResponseChunk(line, ByteBuffer.wrap(new byte[] {1})));
     }
 
     /** The module asks for something on its own account: a try at box 1 to 3, or as its woken tells. */
@@ -129,8 +130,8 @@
         piece(2);
         assertEquals(List.of("PassOn", "close 1"), done);
         assertEquals(List.of("first 1"), told);
-        happens(new Event.LineDown(1));
-        happens(new Event.Answered(2, Outcome.OK, true, 0, null));
+        happens(new Event.ServerDisconnected(1));
+        happens(new Event.ResponseCompleted(2, Outcome.OK, true, 0, null));
         assertEquals(List.of("first 1", "0 CANCELLED", "1 OK over"), told);
         assertEquals(List.of("PassOn", "close 1", "EndAnswer"), done);
         assertEquals(1, counters.get("answers.served"));
@@ -142,20 +143,20 @@
         twoOut();
         piece(1);
         piece(2);
-        happens(new Event.Answered(2, Outcome.OK, true, 0, null));
+        happens(new Event.ResponseCompleted(2, Outcome.OK, true, 0, null));
         piece(1);
-        happens(new Event.Answered(1, Outcome.OK, true, 0, null));
+        happens(new Event.ResponseCompleted(1, Outcome.OK, true, 0, null));
         assertEquals(List.of("PassOn", "close 2", "PassOn", "EndAnswer"), done);
-        happens(new Event.LineDown(2));
+        happens(new Event.ServerDisconnected(2));
         assertEquals(List.of("first 0", "0 OK over", "1 CANCELLED over"), told);
     }
 
     @Test
     void oneFailureLeavesTheOtherOutAndTwoAreTheModules() {
         twoOut();
-        happens(new Event.Answered(1, Outcome.ERROR, true, 0, null));
+        happens(new Event.ResponseCompleted(1, Outcome.ERROR, true, 0, null));
         assertEquals(List.of("0 ERROR"), told);
-        happens(new Event.LineDown(2));
+        happens(new Event.ServerDisconnected(2));
         assertEquals(List.of("0 ERROR", "1 RESET"), told);
         assertEquals(List.of(), done);
         asks(8);
@@ -166,8 +167,8 @@
     void aSpoiltLoserDoesNotTouchTheWinner() {
         twoOut();
         piece(1);
-        happens(new Event.AnswerSpoilt(2));
-        happens(new Event.LineDown(2));
+        happens(new Event.ResponseMalformed(2));
+        happens(new Event.ServerDisconnected(2));
         piece(1);
         assertEquals(List.of("PassOn", "close 2", "PassOn"), done);
         assertEquals(List.of("first 0", "1 CANCELLED"), told);
@@ -176,8 +177,8 @@
     @Test
     void aSpoiltTryBeforeAnyEventLeavesTheOther() {
         twoOut();
-        happens(new Event.AnswerSpoilt(1));
-        happens(new Event.LineDown(1));
+        happens(new Event.ResponseMalformed(1));
+        happens(new Event.ServerDisconnected(1));
         piece(2);
         assertEquals(List.of("close 1", "PassOn"), done);
         assertEquals(List.of("0 ERROR", "first 1"), told);
@@ -186,9 +187,9 @@
     @Test
     void aClientThatLeavesEndsBoth() {
         twoOut();
-        happens(new Event.ClientLeft(1));
-        happens(new Event.LineDown(2));
-        happens(new Event.LineDown(1));
+        happens(new Event.ClientDisconnected(1));
+        happens(new Event.ServerDisconnected(2));
+        happens(new Event.ServerDisconnected(1));
         assertEquals(List.of("close 1", "close 2"), done);
         assertEquals(List.of("gone", "1 CANCELLED over", "0 CANCELLED over"), told);
         assertEquals(0, counters.get("faults"));
@@ -200,9 +201,10 @@
         start(true, true);
         up(1);
         asks(2);
-        happens(new Event.ListCame(new EndpointList(2, false, List.of(box(2, Lifecycle.DRAINING)))));
+        happens(new Event.EndpointListReceived(new EndpointList(2, false,
+                List.of(box(2, Lifecycle.DRAINING)))));
         up(2);
-        happens(new Event.LineDown(2));
+        happens(new Event.ServerDisconnected(2));
         asks(2);
         assertEquals(List.of("open 1", "send 1", "open 2", "close 2"), done);
         assertEquals(List.of("1 NOT_SENT", "2 NOT_SENT"), told);
@@ -212,9 +214,10 @@
     void theWinnersBoxMayDrainAndItsStreamGoesOn() {
         twoOut();
         piece(1);
-        happens(new Event.ListCame(new EndpointList(2, false, List.of(box(1, Lifecycle.DRAINING)))));
+        happens(new Event.EndpointListReceived(new EndpointList(2, false,
+                List.of(box(1, Lifecycle.DRAINING)))));
         piece(1);
-        happens(new Event.Answered(1, Outcome.OK, true, 0, null));
+        happens(new Event.ResponseCompleted(1, Outcome.OK, true, 0, null));
         assertEquals(List.of("PassOn", "close 2", "PassOn", "close 1", "EndAnswer"), done);
     }
 
@@ -231,7 +234,7 @@
             asks(9);
             asks(3);
             assertEquals(List.of("open 1", "send 1", "close 1"), done);
-            happens(new Event.LineDown(1));
+            happens(new Event.ServerDisconnected(1));
             assertEquals(List.of("open 1", "send 1", "close 1", "open 2"), done);
             assertEquals(List.of("1 NOT_SENT", "0 CANCELLED"), told);
         }
@@ -249,12 +252,15 @@
     @Test
     void bothOutAreToldToTheNextProcess() {
         twoOut();
-        assertEquals(List.of(1L, 2L), desk.holdings().out().stream().map(s -> s.box()).toList());
-        assertEquals(2, desk.holdings().out().stream().map(s -> s.token()).distinct().count());
-        assertEquals(List.of("r1"), desk.holdings().ids());
+        assertEquals(List.of(1L, 2L), desk.generationState().attemptsInFlight().stream().map(s ->
+                s.server()).toList());
+        assertEquals(2, desk.generationState().attemptsInFlight().stream().map(s ->
+                s.token()).distinct().count());
+        assertEquals(List.of("r1"), desk.generationState().requestIds());
         piece(1);
-        happens(new Event.LineDown(2));
-        assertEquals(List.of(1L), desk.holdings().out().stream().map(s -> s.box()).toList());
+        happens(new Event.ServerDisconnected(2));
+        assertEquals(List.of(1L), desk.generationState().attemptsInFlight().stream().map(s ->
+                s.server()).toList());
     }
 
     @Test
@@ -262,13 +268,13 @@
         start(true, true);
         up(1);
         asks(2);
-        int before = desk.kept();
-        happens(new Event.ClientLeft(1));
-        happens(new Event.LineDown(1));
-        happens(new Event.LineDown(2));
+        int before = desk.retainedEntries();
+        happens(new Event.ClientDisconnected(1));
+        happens(new Event.ServerDisconnected(1));
+        happens(new Event.ServerDisconnected(2));
         now += 60_000_000;
         happens(new Event.Tick());
-        assertTrue(desk.kept() < before, "kept " + desk.kept());
-        assertEquals(List.of(), desk.holdings().ids());
+        assertTrue(desk.retainedEntries() < before, "kept " + desk.retainedEntries());
+        assertEquals(List.of(), desk.generationState().requestIds());
     }
 }
--- a/src/test/java/yewdock/InOrderModule.java
+++ b/src/test/java/yewdock/InOrderModule.java
@@ -23,13 +23,13 @@
 
     @Override
     public void started(long now) {
-        actions.followList();
+        actions.watchEndpointList();
     }
 
     @Override
-    public void listReceived(long now, ListKind kind, List<Routing.Replica> entries) {
+    public void listReceived(long now, ListKind kind, List<Routing.ServerState> entries) {
         StringBuilder line = new StringBuilder("told list " + kind);
-        for (Routing.Replica r : entries) {
+        for (Routing.ServerState r : entries) {
             boolean gone = r.lifecycle() == Routing.Lifecycle.GONE;
             line.append(' ').append(gone ? "" : r.cell()).append(r.lifecycle());
             if (!gone) {
@@ -44,7 +44,7 @@
 
     @Override
     public void woken(long now, int token) {
-        actions.followList();
+        actions.watchEndpointList();
     }
 
     @Override
@@ -80,7 +80,7 @@
     }
 
     @Override
-    public void requestGone(long now, long requestId) {
+    public void requestAbandoned(long now, long requestId) {
         actions.log("told gone " + requestId);
     }
 }
--- a/src/test/java/yewdock/LiveDayTest.java
+++ b/src/test/java/yewdock/LiveDayTest.java
@@ -10,7 +10,7 @@
 import yewdock.model.Days;
 import yewdock.model.Scenario;
 import yewdock.model.World;
-import yewdock.proof.LiveProof;
+import yewdock.verification.LiveProof;
 
 /** A short calm day on sockets: the same asks as in the model, and all of them end. */
 class LiveDayTest {
--- a/src/test/java/yewdock/OlderListsTest.java
+++ b/src/test/java/yewdock/OutdatedEndpointListTest.java
@@ -10,26 +10,26 @@
 import umberspread.Routing;
 import umberspread.Routing.Lifecycle;
 import umberspread.Routing.ListKind;
-import umberspread.Routing.Replica;
-import yewdock.desk.Bounds;
-import yewdock.desk.EndpointList;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Effect;
-import yewdock.desk.Event;
-import yewdock.desk.ModelServer;
-import yewdock.desk.Terms;
+import umberspread.Routing.ServerState;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Effect;
+import yewdock.core.EndpointList;
+import yewdock.core.Event;
+import yewdock.core.ModelServer;
+import yewdock.core.Reducer;
+import yewdock.core.ResourceLimits;
 
 /** Answers with lower versions than the list that is held: a replica that lags, or a service begun anew. */
-class OlderListsTest {
+class OutdatedEndpointListTest {
     private static final long SECOND = 1_000_000;
     private static final long STEP = 10_000;
     private static final ModelServer FIRST = server(1, Lifecycle.READY);
     private static final ModelServer SECOND_SERVER = server(2, Lifecycle.READY);
 
     private final List<String> states = new ArrayList<>(List.of("", "", ""));
-    private Desk desk;
-    private Effect.AskList open;
+    private Reducer desk;
+    private Effect.CallDiscovery open;
     private long now = 1000 * SECOND;
     private int calls;
 
@@ -43,11 +43,11 @@
 
         @Override
         public void started(long time) {
-            actions.followList();
+            actions.watchEndpointList();
         }
 
         @Override
-        public void listReceived(long time, ListKind kind, List<Replica> entries) {
+        public void listReceived(long time, ListKind kind, List<ServerState> entries) {
             if (kind == ListKind.FULL || kind == ListKind.CACHED) {
                 states.replaceAll(state -> "GONE");
             }
@@ -56,7 +56,7 @@
     }
 
     private static ModelServer server(long id, Lifecycle state) {
-        return new ModelServer("s-" + id, "127.0.0.1:900" + id, new Replica(id, 0, 0, 1, 1, state, 0));
+        return new ModelServer("s-" + id, "127.0.0.1:900" + id, new ServerState(id, 0, 0, 1, 1, state, 0));
     }
 
     private void start(boolean pushed, long version, ModelServer... known) {
@@ -64,8 +64,8 @@
     }
 
     private void start(boolean pushed, long askWithin, long version, ModelServer... known) {
-        desk = new Desk(new Terms(250_000, 30 * SECOND, pushed, SECOND / 2, askWithin, true, 4,
-                List.of(true), List.of("chat"), 0), new Bounds(40, 20, 20, 1 << 20), new Counters(),
+        desk = new Reducer(new CoreSettings(250_000, 30 * SECOND, pushed, SECOND / 2, askWithin, true, 4,
+                List.of(true), List.of("chat"), 0), new ResourceLimits(40, 20, 20, 1 << 20), new Counters(),
                 Module::new);
         happens(new Event.Started(new EndpointList(version, true, List.of(known)), "127.0.0.1:8500"));
         answer(new EndpointList(version, false, List.of()));
@@ -73,10 +73,10 @@
 
     private void happens(Event event) {
         for (Effect effect : desk.reduce(event, now)) {
-            if (effect instanceof Effect.AskList call) {
+            if (effect instanceof Effect.CallDiscovery call) {
                 open = call;
                 calls++;
-            } else if (effect instanceof Effect.HangUpList) {
+            } else if (effect instanceof Effect.CancelDiscoveryCall) {
                 open = null;
             }
         }
@@ -84,17 +84,17 @@
 
     private void answer(EndpointList list) {
         open = null;
-        happens(new Event.ListCame(list));
+        happens(new Event.EndpointListReceived(list));
     }
 
     /** Lets time pass; each call made meanwhile gets this answer at once. */
     private void pass(long micros, EndpointList each) {
         for (long until = now + micros; now < until;) {
             now += STEP;
-            if (desk.nextDue() <= now) {
+            if (desk.nextTimerDue() <= now) {
                 happens(new Event.Tick());
             }
-            if (open != null && open.since() < 0) {
+            if (open != null && open.sinceVersion() < 0) {
                 answer(each);
             }
         }
@@ -106,7 +106,7 @@
         for (boolean pushed : new boolean[] {false, true}) {
             start(pushed, 40, FIRST, SECOND_SERVER);
             answer(new EndpointList(3, false, List.of()));
-            assertEquals(-1, open.since());
+            assertEquals(-1, open.sinceVersion());
             answer(new EndpointList(3, true, List.of(server(1, Lifecycle.DRAINING), SECOND_SERVER)));
             assertEquals(List.of("DRAINING", "READY"), states.subList(1, 3));
         }
@@ -124,7 +124,7 @@
         for (boolean full : new boolean[] {false, true}) {
             start(false, 40, FIRST, SECOND_SERVER);
             answer(new EndpointList(41, false, List.of(server(1, Lifecycle.DRAINING))));
-            happens(new Event.ListFailed());
+            happens(new Event.DiscoveryCallFailed());
             answer(new EndpointList(39, full, List.of(FIRST, SECOND_SERVER)));
             assertEquals(List.of("DRAINING", "READY"), states.subList(1, 3));
             pass(SECOND / 2, new EndpointList(39, true, List.of(FIRST, SECOND_SERVER)));
@@ -132,7 +132,7 @@
             pass(3 * SECOND, new EndpointList(41, true, List.of(server(1, Lifecycle.DRAINING),
                     SECOND_SERVER)));
             assertEquals(List.of("DRAINING", "READY"), states.subList(1, 3));
-            assertTrue(open.since() == 41, "the watch goes on from " + open.since());
+            assertTrue(open.sinceVersion() == 41, "the watch goes on from " + open.sinceVersion());
         }
     }
 
@@ -144,7 +144,7 @@
             answer(new EndpointList(3, false, List.of()));
             pass(3 * SECOND / 2, new EndpointList(4, true, List.of(FIRST, SECOND_SERVER)));
             assertEquals(List.of("READY", "READY"), states.subList(1, 3));
-            assertEquals(4, open.since());
+            assertEquals(4, open.sinceVersion());
             assertTrue(calls - before < 15, "calls: " + (calls - before));
             answer(new EndpointList(5, false, List.of(server(2, Lifecycle.DRAINING))));
             assertEquals(List.of("READY", "DRAINING"), states.subList(1, 3));
@@ -168,9 +168,9 @@
     @Test
     void aLowerVersionAtAnotherAddressIsBelievedAtOnce() {
         start(false, 40, FIRST);
-        happens(new Event.ListMoved("127.0.0.1:8501"));
+        happens(new Event.DiscoveryAddressChanged("127.0.0.1:8501"));
         answer(new EndpointList(2, true, List.of(SECOND_SERVER)));
         assertEquals(List.of("GONE", "READY"), states.subList(1, 3));
-        assertFalse(open.since() < 0);
+        assertFalse(open.sinceVersion() < 0);
     }
 }
--- a/src/test/java/yewdock/AskedListTest.java
+++ b/src/test/java/yewdock/PolledDiscoveryTest.java
@@ -9,32 +9,34 @@
 import umberspread.Routing;
 import umberspread.Routing.Lifecycle;
 import umberspread.Routing.ListKind;
-import umberspread.Routing.Replica;
-import yewdock.desk.Bounds;
-import yewdock.desk.EndpointList;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Effect;
-import yewdock.desk.Event;
-import yewdock.desk.ModelServer;
-import yewdock.desk.Terms;
+import umberspread.Routing.ServerState;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Effect;
+import yewdock.core.EndpointList;
+import yewdock.core.Event;
+import yewdock.core.ModelServer;
+import yewdock.core.Reducer;
+import yewdock.core.ResourceLimits;
 
 /**
  * A list that is asked, calls that fail and watches that fall silent: whatever happens to a call, a change
  * counts as told 6 s after the service had it and could be reached, a second later a drain has to be kept.
  */
-class AskedListTest {
+class PolledDiscoveryTest {
     private static final long SECOND = 1_000_000;
     private static final long GRACE = SECOND;
     private static final long STEP = 50_000;
     private static final EndpointList KNOWN = new EndpointList(7, true, List.of(box(Lifecycle.READY)));
     private static final EndpointList DRAINED = new EndpointList(8, false, List.of(box(Lifecycle.DRAINING)));
     private final Counters counters = new Counters();
-    private final Desk desk = new Desk(new Terms(250_000, 30 * SECOND, false, GRACE, 10 * SECOND, true, 4,
-            List.of(true), List.of("chat"), 0), new Bounds(40, 20, 20, 1 << 20), counters, Module::new);
+    private final Reducer desk = new Reducer(new CoreSettings(250_000, 30 * SECOND, false, GRACE, 10 * SECOND,
+            true, 4,
+            List.of(true), List.of("chat"), 0), new ResourceLimits(40, 20, 20, 1 << 20), counters,
+                    Module::new);
     private final List<Long> calls = new ArrayList<>();
     private Routing.Actions module;
-    private Effect.AskList open;
+    private Effect.CallDiscovery open;
     private long openedAt;
     private boolean drained;
     private long silentUntil = Long.MIN_VALUE;
@@ -50,11 +52,11 @@
 
         @Override
         public void started(long time) {
-            module.followList();
+            module.watchEndpointList();
         }
 
         @Override
-        public void listReceived(long time, ListKind kind, List<Replica> entries) {
+        public void listReceived(long time, ListKind kind, List<ServerState> entries) {
             if (kind == ListKind.FAILED) {
                 failuresTold++;
                 module.wakeAt(time + SECOND, 1);
@@ -65,21 +67,21 @@
 
         @Override
         public void woken(long time, int token) {
-            module.followList();
+            module.watchEndpointList();
         }
     }
 
     private static ModelServer box(Lifecycle state) {
-        return new ModelServer("s-1", "127.0.0.1:9001", new Replica(1, 0, 0, 1, 1, state, 0));
+        return new ModelServer("s-1", "127.0.0.1:9001", new ServerState(1, 0, 0, 1, 1, state, 0));
     }
 
     private void happens(Event event) {
         for (Effect effect : desk.reduce(event, now)) {
-            if (effect instanceof Effect.AskList call) {
+            if (effect instanceof Effect.CallDiscovery call) {
                 calls.add(now);
                 open = call;
                 openedAt = now;
-            } else if (effect instanceof Effect.HangUpList) {
+            } else if (effect instanceof Effect.CancelDiscoveryCall) {
                 open = null;
             }
         }
@@ -89,16 +91,17 @@
     private void pass(long micros) {
         for (long until = now + micros; now < until;) {
             now += STEP;
-            if (desk.nextDue() <= now) {
+            if (desk.nextTimerDue() <= now) {
                 happens(new Event.Tick());
             }
             if (open == null || now < silentUntil) {
                 continue;
             }
-            boolean news = drained && open.since() < DRAINED.version();
-            if (news || now >= openedAt + open.longest()) {
+            boolean news = drained && open.sinceVersion() < DRAINED.version();
+            if (news || now >= openedAt + open.maxWaitMicros()) {
                 open = null;
-                happens(new Event.ListCame(news ? DRAINED : new EndpointList(drained ? 8 : 7, false,
+                happens(new Event.EndpointListReceived(news ? DRAINED : new EndpointList(drained ? 8 : 7,
+                        false,
                         List.of())));
             }
         }
@@ -111,7 +114,7 @@
     @Test
     void twoSilentCallsInARowStillKeepADrain() {
         for (long at = 0; at < 5 * SECOND; at += STEP) {
-            AskedListTest each = new AskedListTest();
+            PolledDiscoveryTest each = new PolledDiscoveryTest();
             each.drainInSilence(at);
         }
     }
@@ -147,7 +150,7 @@
         pass(SECOND);
         open = null;
         int before = calls.size();
-        happens(new Event.ListBehind());
+        happens(new Event.EndpointListOutdated());
         assertEquals(before + 1, calls.size());
         pass(2 * STEP);
         assertTrue(toldAt <= now, "not told");
--- a/src/test/java/yewdock/QuietModule.java
+++ b/src/test/java/yewdock/QuietModule.java
@@ -4,7 +4,7 @@
 import umberspread.Routing;
 import umberspread.Routing.ListKind;
 import umberspread.Routing.Outcome;
-import umberspread.Routing.Replica;
+import umberspread.Routing.ServerState;
 
 /** A module that asks for nothing: a test overrides what it wants to see or to have asked. */
 class QuietModule implements Routing.Events {
@@ -14,7 +14,7 @@
     }
 
     @Override
-    public void listReceived(long now, ListKind kind, List<Replica> entries) {
+    public void listReceived(long now, ListKind kind, List<ServerState> entries) {
         // asks for nothing
     }
 
@@ -35,7 +35,7 @@
     }
 
     @Override
-    public void requestGone(long now, long requestId) {
+    public void requestAbandoned(long now, long requestId) {
         // asks for nothing
     }
 
--- a/src/test/java/yewdock/Exchange.java
+++ b/src/test/java/yewdock/RecordedExchange.java
@@ -14,26 +14,26 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Function;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Event;
-import yewdock.desk.Terms;
-import yewdock.door.Door;
+import yewdock.admin.AdminInterface;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Event;
+import yewdock.core.Reducer;
 import yewdock.http.BadMessageException;
-import yewdock.http.Head;
+import yewdock.http.MessageHead;
 import yewdock.http.MessageReader;
 import yewdock.platform.Config;
-import yewdock.platform.Front;
-import yewdock.platform.Side;
-import yewdock.platform.Wire;
-import yewdock.platform.Wires;
+import yewdock.platform.Connection;
+import yewdock.platform.ConnectionHandler;
+import yewdock.platform.ConnectionManager;
+import yewdock.platform.Transport;
 
 /**
  * Plays a recorded exchange against the front and the desk, on a clock of its own, and records what comes of
  * it. A line is "&gt; ms who what" for what happens to the router and "&lt; ms who what" for what it does;
  * "|" stands for CR LF and "\n" for LF, "$name" for what a line "= name text" says.
  */
-final class Exchange implements Wires {
+final class RecordedExchange implements Transport {
     static final Path FOLDER = Path.of("src/test/resources/exchanges");
     private static final long START = 1_000_000_000_000L;
 
@@ -43,19 +43,20 @@
     private final Set<String> stuck = new HashSet<>();
     private final List<Runnable> leaving = new ArrayList<>();
     private final Counters counters = new Counters();
-    private final Desk desk;
-    private final Front front;
-    private final Door door;
+    private final Reducer desk;
+    private final ConnectionManager front;
+    private final AdminInterface door;
     private long micros;
     private int lines;
     private int lists;
 
-    private Exchange() throws IOException {
+    private RecordedExchange() throws IOException {
         Config config = Config.read(Files.readString(FOLDER.resolve("config.json")), this::log);
-        desk = new Desk(Terms.of(config.settings(), config.keepalive()), config.bounds(), counters,
+        desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()), config.bounds(),
+                counters,
                 InOrderModule::new);
-        front = new Front(config, desk, counters, this, () -> START + micros, this::log);
-        door = new Door(front);
+        front = new ConnectionManager(config, desk, counters, this, () -> START + micros, this::log);
+        door = new AdminInterface(front);
         front.start();
     }
 
@@ -85,8 +86,8 @@
     }
 
     /** Plays the inputs among the lines, what is sent cut in two at this offset; returns what was seen. */
-    static Exchange play(List<String> lines, int cut) throws IOException {
-        Exchange exchange = new Exchange();
+    static RecordedExchange play(List<String> lines, int cut) throws IOException {
+        RecordedExchange exchange = new RecordedExchange();
         for (String line : lines) {
             if (line.startsWith("> ")) {
                 exchange.input(line, cut);
@@ -110,9 +111,9 @@
 
     private static String unframed(String text) {
         StringBuilder all = new StringBuilder();
-        MessageReader reader = new MessageReader(MessageReader.Kind.ANSWER, new MessageReader.Sink() {
+        MessageReader reader = new MessageReader(MessageReader.Kind.RESPONSE, new MessageReader.Sink() {
             @Override
-            public void head(Head head) {
+            public void head(MessageHead head) {
                 all.append(head);
             }
 
@@ -130,8 +131,8 @@
             ByteBuffer bytes = ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
             while (bytes.hasRemaining()) {
                 reader.read(bytes);
-                if (reader.done()) {
-                    reader.next();
+                if (reader.isComplete()) {
+                    reader.startNext();
                 }
             }
         } catch (BadMessageException e) {
@@ -150,9 +151,9 @@
     private void input(String line, int cut) throws IOException {
         String[] parts = line.split(" ", 5);
         long time = Long.parseLong(parts[1]) * 1000;
-        while (desk.nextDue() <= START + time) {
-            micros = Math.max(micros, desk.nextDue() - START);
-            front.happened(new Event.Tick());
+        while (desk.nextTimerDue() <= START + time) {
+            micros = Math.max(micros, desk.nextTimerDue() - START);
+            front.dispatch(new Event.Tick());
             left();
         }
         micros = time;
@@ -163,19 +164,19 @@
             case "opens" -> {
                 FakeWire opened = new FakeWire(who);
                 opened.side = who.startsWith("o") ? door.accept(opened) : front.accept(opened);
-                opened.side.up();
+                opened.side.onConnected();
             }
-            case "up" -> wire.side.up();
+            case "up" -> wire.side.onConnected();
             case "breaks" -> wire.broken = true;
-            case "idle" -> wire.side.idle();
-            case "down" -> wire.side.down();
+            case "idle" -> wire.side.onIdle();
+            case "down" -> wire.side.onClosed();
             case "stuck" -> stuck.add(who);
             case "unstuck" -> {
                 stuck.remove(who);
                 wire.writeOut();
             }
             case "reconfigures" -> front.reconfigure(reconfigured(parts[4]));
-            case "leaves" -> front.happened(new Event.Leave());
+            case "leaves" -> front.dispatch(new Event.ShutdownRequested());
             case "passes" -> { }
             case "sends" -> {
                 byte[] bytes = bytes(parts[4]);
@@ -183,7 +184,7 @@
                 for (byte[] part : List.of(Arrays.copyOf(bytes, at),
                         Arrays.copyOfRange(bytes, at, bytes.length))) {
                     if (part.length > 0) {
-                        wire.side.received(ByteBuffer.wrap(part));
+                        wire.side.onReceived(ByteBuffer.wrap(part));
                         left();
                     }
                 }
@@ -214,7 +215,7 @@
     }
 
     @Override
-    public <S extends Side> S connect(String address, Function<Wire, S> makeSide) {
+    public <S extends ConnectionHandler> S connect(String address, Function<Connection, S> makeSide) {
         boolean toList = address.endsWith(":8500") || address.endsWith(":8501");
         FakeWire wire = new FakeWire(toList ? "list" + ++lists : "line" + ++lines);
         saw(wire.name, "connects " + address);
@@ -228,10 +229,10 @@
         saw("router", "stops");
     }
 
-    private final class FakeWire implements Wire {
+    private final class FakeWire implements Connection {
         private final String name;
         private final List<Integer> unwritten = new ArrayList<>();
-        private Side side;
+        private ConnectionHandler side;
         private boolean broken;
 
         FakeWire(String name) {
@@ -254,7 +255,7 @@
 
         private void writeOut() {
             while (!stuck.contains(name) && !unwritten.isEmpty()) {
-                side.written(unwritten.remove(0));
+                side.onWritten(unwritten.remove(0));
             }
         }
 
@@ -269,23 +270,23 @@
         }
 
         @Override
-        public boolean hasUnheard() {
+        public boolean hasUndelivered() {
             return false;
         }
 
         @Override
-        public boolean closeUnlessUnheard() {
+        public boolean closeUnlessUndelivered() {
             closeAfterWriting();
             return true;
         }
 
         @Override
-        public void linger() {
+        public void closeLingering() {
             saw(name, "ends gently");
         }
 
         @Override
-        public void hold(boolean held) {
+        public void setReadingPaused(boolean held) {
             saw(name, held ? "held" : "read on");
         }
     }
--- a/src/test/java/yewdock/ServeTest.java
+++ b/src/test/java/yewdock/ServeTest.java
@@ -56,7 +56,7 @@
         InetAddress local = InetAddress.getByName("127.0.0.1");
         try (ServerSocket box = new ServerSocket(0, 50, local);
                 ServerSocket list = new ServerSocket(0, 50, local)) {
-            String config = Files.readString(Exchange.FOLDER.resolve("config.json"))
+            String config = Files.readString(RecordedExchange.FOLDER.resolve("config.json"))
                     .replace("127.0.0.1:8000", "127.0.0.1:0").replace("127.0.0.1:8500", at(list))
                     .replace("127.0.0.1:9001", at(box)).replace("127.0.0.1:9002", at(box));
             Process router = start(config);
@@ -101,7 +101,7 @@
     void endsAtSigtermBeforeTheFirstListAndAtASecondOne() throws Exception {
         try (ServerSocket list = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"))) {
             list.setSoTimeout(20_000);
-            Process router = start(Files.readString(Exchange.FOLDER.resolve("config.json"))
+            Process router = start(Files.readString(RecordedExchange.FOLDER.resolve("config.json"))
                     .replace("127.0.0.1:8000", "127.0.0.1:0").replace("127.0.0.1:8500", at(list)));
             try (Socket asked = list.accept()) {
                 assertEquals("GET /v1/endpoints?since=7&timeout_ms=0 HTTP/1.1", new BufferedReader(
@@ -131,7 +131,7 @@
         try (ServerSocket list = new ServerSocket(0, 50, local)) {
             away = list.getLocalPort();
         }
-        String config = Files.readString(Exchange.FOLDER.resolve("config.json"))
+        String config = Files.readString(RecordedExchange.FOLDER.resolve("config.json"))
                 .replace("127.0.0.1:8000", "127.0.0.1:0").replace("127.0.0.1:8500", "127.0.0.1:" + away)
                 .replaceFirst("\\{", "{\"limits\":{\"sockets\":" + SMALL_LIMIT + ",\"memory_mb\":160},");
         Process router = start(config, "sh", "-c", "ulimit -n " + SMALL_LIMIT + "; exec \"$@\"", "sh");
@@ -173,7 +173,7 @@
         InetAddress local = InetAddress.getByName("127.0.0.1");
         try (ServerSocket list = new ServerSocket(0, 50, local)) {
             list.setSoTimeout(20_000);
-            Process router = start(Files.readString(Exchange.FOLDER.resolve("config.json"))
+            Process router = start(Files.readString(RecordedExchange.FOLDER.resolve("config.json"))
                     .replace("127.0.0.1:8000", "127.0.0.1:0").replace("127.0.0.1:8500", at(list)));
             try (Socket call = list.accept()) {
                 call.setSoTimeout(20_000);
@@ -235,7 +235,7 @@
         try (ServerSocket list = new ServerSocket(0, 50, local);
                 ServerSocket next = new ServerSocket(0, 50, local)) {
             next.setSoTimeout(20_000);
-            String config = Files.readString(Exchange.FOLDER.resolve("config.json"))
+            String config = Files.readString(RecordedExchange.FOLDER.resolve("config.json"))
                     .replace("127.0.0.1:8000", "127.0.0.1:0");
             Process router = start(config.replace("127.0.0.1:8500", at(list)), before);
             try {
--- a/src/test/java/yewdock/StoreDaemonTest.java
+++ b/src/test/java/yewdock/StoreDaemonTest.java
@@ -16,13 +16,13 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import yewdock.proof.Router;
-import yewdock.proof.Rules;
-import yewdock.proof.StoreProof;
-import yewdock.proof.UpgradeProof;
-import yewdock.standin.Fleet;
-import yewdock.standin.ListenPorts;
-import yewdock.standin.Load;
+import yewdock.testbed.Fleet;
+import yewdock.testbed.ListenPorts;
+import yewdock.testbed.Load;
+import yewdock.verification.Router;
+import yewdock.verification.Rules;
+import yewdock.verification.StoreProof;
+import yewdock.verification.UpgradeProof;
 
 /** Daemons in processes of their own, with stores and copies, killed and cut off. */
 class StoreDaemonTest {
--- a/src/test/java/yewdock/SuccessionTest.java
+++ b/src/test/java/yewdock/SuccessionTest.java
@@ -18,11 +18,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import yewdock.proof.Instance;
-import yewdock.proof.ProcessSignals;
-import yewdock.proof.ReplacementProof;
-import yewdock.standin.FaultySuccession;
-import yewdock.standin.Fleet;
+import yewdock.testbed.FaultySuccession;
+import yewdock.testbed.Fleet;
+import yewdock.verification.Instance;
+import yewdock.verification.ProcessSignals;
+import yewdock.verification.ReplacementProof;
 
 /** A router's process and the one that takes its place, as the platform starts them. */
 @Timeout(120)
--- a/src/test/java/yewdock/door/DoorTest.java
+++ b/src/test/java/yewdock/admin/DoorTest.java
@@ -1,4 +1,4 @@
-package yewdock.door;
+package yewdock.admin;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,30 +12,32 @@
 import java.util.function.Function;
 import org.junit.jupiter.api.Test;
 import umberspread.GenerationRouter;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Terms;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Reducer;
 import yewdock.platform.Config;
-import yewdock.platform.Front;
-import yewdock.platform.Side;
-import yewdock.platform.Wire;
-import yewdock.platform.Wires;
+import yewdock.platform.Connection;
+import yewdock.platform.ConnectionHandler;
+import yewdock.platform.ConnectionManager;
+import yewdock.platform.Transport;
 
 /** The admin interface under idle connections, and the consistency of its counters under load. */
 class DoorTest {
     private long micros = 1_000_000_000_000L;
     private final Counters counters = new Counters();
     private final Config config;
-    private final Front connectionManager;
-    private final Door adminInterface;
+    private final ConnectionManager connectionManager;
+    private final AdminInterface adminInterface;
 
     DoorTest() throws Exception {
         config = Config.read(Files.readString(Path.of("src/test/resources/exchanges/config.json")),
                 line -> { });
-        Desk desk = new Desk(Terms.of(config.settings(), config.keepalive()), config.bounds(), counters,
+        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
+                config.bounds(), counters,
                 actions -> new GenerationRouter(config.settings(), 1, actions));
-        connectionManager = new Front(config, desk, counters, new NoNetwork(), () -> micros, line -> { });
-        adminInterface = new Door(connectionManager);
+        connectionManager = new ConnectionManager(config, desk, counters, new NoNetwork(), () -> micros,
+                line -> { });
+        adminInterface = new AdminInterface(connectionManager);
         connectionManager.start();
     }
 
@@ -47,11 +49,11 @@
             RecordingConnection connection = new RecordingConnection();
             connection.side = adminInterface.accept(connection);
             if (i % 2 == 0) {
-                connection.side.received(bytes("heal"));
+                connection.side.onReceived(bytes("heal"));
             }
             idle.add(connection);
         }
-        assertEquals(Door.MOST_CALLERS, idle.stream().filter(w -> !w.closed).count());
+        assertEquals(AdminInterface.MAX_CONNECTIONS, idle.stream().filter(w -> !w.closed).count());
         assertEquals("YES ready\n", sendCommand("health"));
         assertTrue(idle.stream().allMatch(w -> w.text.isEmpty()));
     }
@@ -62,7 +64,7 @@
         RecordingConnection connection = new RecordingConnection();
         connection.side = adminInterface.accept(connection);
         for (int i = 0; i < 600 && !connection.closed; i++) {
-            connection.side.received(bytes("x"));
+            connection.side.onReceived(bytes("x"));
         }
         assertTrue(connection.text.toString().startsWith("NO the line is too long"),
                 connection.text.toString());
@@ -81,13 +83,14 @@
             if (i % 3 == 0) {
                 client = new RecordingConnection();
                 client.side = connectionManager.accept(client);
-                client.side.received(bytes("POST /v1/chat/completions HTTP/1.1\r\nX-Correlation-Id: " + i / 2
+                client.side.onReceived(bytes("POST /v1/chat/completions HTTP/1.1\r\nX-Correlation-Id: "
+                        + i / 2
                         + "\r\nX-Service-Class: chat\r\nX-Account: lalitpur-metro\r\nX-Time-Left: 4\r\n"
                         + "X-Facts: prompt_len=1,prefix_len=0,max_out=9\r\nContent-Length: 2\r\n\r\n{}"));
             } else if (i % 5 == 0) {
-                client.side.down();
+                client.side.onClosed();
             } else {
-                connectionManager.happened(new yewdock.desk.Event.Tick());
+                connectionManager.dispatch(new yewdock.core.Event.Tick());
             }
             long sum = 0;
             for (String line : sendCommand("counters").split("\n")) {
@@ -107,8 +110,8 @@
     private String sendCommand(String line) {
         RecordingConnection connection = new RecordingConnection();
         connection.side = adminInterface.accept(connection);
-        connection.side.received(bytes(line + "\n"));
-        connection.side.down();
+        connection.side.onReceived(bytes(line + "\n"));
+        connection.side.onClosed();
         return connection.text.toString();
     }
 
@@ -116,9 +119,9 @@
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private static final class RecordingConnection implements Wire {
+    private static final class RecordingConnection implements Connection {
         private final StringBuilder text = new StringBuilder();
-        private Side side;
+        private ConnectionHandler side;
         private boolean closed;
 
         @Override
@@ -137,31 +140,31 @@
         }
 
         @Override
-        public boolean hasUnheard() {
+        public boolean hasUndelivered() {
             return false;
         }
 
         @Override
-        public boolean closeUnlessUnheard() {
+        public boolean closeUnlessUndelivered() {
             closed = true;
             return true;
         }
 
         @Override
-        public void linger() {
+        public void closeLingering() {
             closed = true;
         }
 
         @Override
-        public void hold(boolean held) {
+        public void setReadingPaused(boolean held) {
             // tests deliver all bytes themselves
         }
     }
 
     /** Outgoing connections that are never established. */
-    private static final class NoNetwork implements Wires {
+    private static final class NoNetwork implements Transport {
         @Override
-        public <S extends Side> S connect(String address, Function<Wire, S> makeSide) {
+        public <S extends ConnectionHandler> S connect(String address, Function<Connection, S> makeSide) {
             return makeSide.apply(new RecordingConnection());
         }
 
--- a/src/test/java/yewdock/textbook/BoundTest.java
+++ b/src/test/java/yewdock/baseline/BoundTest.java
@@ -1,4 +1,4 @@
-package yewdock.textbook;
+package yewdock.baseline;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -42,7 +42,7 @@
         }
 
         @Override
-        public void followList() {
+        public void watchEndpointList() {
             // the test tells the list
         }
 
@@ -58,7 +58,8 @@
     }
 
     static Routing.Settings settings() {
-        return new Routing.Settings(1, 0, 0, List.of(new Routing.RequestClass("c", Routing.Effect.RETRYABLE,
+        return new Routing.Settings(1, 0, 0,
+                List.of(new Routing.RequestClass("c", Routing.RetrySafety.RETRYABLE,
                 Routing.DedupGroup.ALL, 0, SECOND, 0, SECOND, 10 * SECOND, 1, 0, true,
                 Routing.Placement.ANYWHERE)),
                 List.of(), 1, false, new Routing.Limits(5, false, true, false, SECOND, 0),
@@ -66,10 +67,10 @@
                 new Routing.Prices(0, 0, 0, 0, 0));
     }
 
-    private static List<Routing.Replica> fleet(int boxes) {
-        List<Routing.Replica> list = new ArrayList<>();
+    private static List<Routing.ServerState> fleet(int boxes) {
+        List<Routing.ServerState> list = new ArrayList<>();
         for (int i = 1; i <= boxes; i++) {
-            list.add(new Routing.Replica(i * 7919L, 0, 0, 0, 1, Routing.Lifecycle.READY, 0));
+            list.add(new Routing.ServerState(i * 7919L, 0, 0, 0, 1, Routing.Lifecycle.READY, 0));
         }
         return list;
     }
--- a/src/test/java/yewdock/council/CouncilSimTest.java
+++ b/src/test/java/yewdock/consensus/CouncilSimTest.java
@@ -1,4 +1,4 @@
-package yewdock.council;
+package yewdock.consensus;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import yewdock.proof.CouncilSim;
-import yewdock.proof.CouncilSim.Plant;
+import yewdock.verification.CouncilSim;
+import yewdock.verification.CouncilSim.Plant;
 import yewdock.wire.Append;
 import yewdock.wire.Appended;
 import yewdock.wire.RaftFrame;
@@ -25,13 +25,13 @@
         sim.run(5 * SECOND);
         assertNotNull(sim.leader(), sim.judge().notes().toString());
         for (int i = 0; i < sim.size(); i++) {
-            assertTrue(sim.host(i).council().holds(), sim.host(i).name());
+            assertTrue(sim.host(i).council().holdsLease(), sim.host(i).name());
         }
         sim.propose(sim.host(4));
         sim.run(SECOND);
         assertEquals(1, sim.judge().forced());
         for (int i = 0; i < sim.size(); i++) {
-            assertEquals(1, sim.host(i).council().held().revision(), sim.host(i).name());
+            assertEquals(1, sim.host(i).council().localRules().revision(), sim.host(i).name());
         }
         assertEquals(List.of(), sim.judge().broken());
     }
@@ -62,11 +62,12 @@
         for (int seed = 1; seed <= 60; seed++) {
             CouncilSim sim = troubled(seed % 2 == 0 ? 3 : 5, 3, seed, Plant.NONE);
             assertNotNull(sim.leader(), "seed " + seed + " " + sim.judge().notes());
-            sim.judge().nothingLost(sim.leader().council().agreed());
+            sim.judge().nothingLost(sim.leader().council().committedRules());
             assertEquals(List.of(), sim.judge().broken(), "seed " + seed);
             for (int i = 0; i < sim.size(); i++) {
-                assertTrue(sim.host(i).council().holds(), "seed " + seed + " " + sim.host(i).name());
-                assertEquals(sim.leader().council().agreed().chain(), sim.host(i).council().held().chain());
+                assertTrue(sim.host(i).council().holdsLease(), "seed " + seed + " " + sim.host(i).name());
+                assertEquals(sim.leader().council().committedRules().chain(),
+                        sim.host(i).council().localRules().chain());
             }
             forced += sim.judge().forced();
             behind = Math.max(behind, sim.judge().longestBehind());
@@ -84,7 +85,7 @@
         for (int seed = 1; seed <= 60; seed++) {
             CouncilSim sim = troubled(3, 3, seed, plant);
             if (sim.leader() != null) {
-                sim.judge().nothingLost(sim.leader().council().agreed());
+                sim.judge().nothingLost(sim.leader().council().committedRules());
             }
             if (!sim.judge().broken().isEmpty()) {
                 System.out.println(plant + " seed " + seed + ": " + sim.judge().broken().get(0));
@@ -109,11 +110,11 @@
         CouncilSim sim = new CouncilSim(3, 2, 1, Plant.NONE);
         sim.run(5 * SECOND);
         for (int i = 0; i < 5; i++) {
-            sim.host(i).council().actsOn("list", i == 4 ? 6 : 7);
+            sim.host(i).council().endpointListInUse("list", i == 4 ? 6 : 7);
         }
         sim.run(SECOND);
         assertEquals(1, sim.listsCaughtUp());
-        sim.host(2).council().actsOn("list", 8);
+        sim.host(2).council().endpointListInUse("list", 8);
         sim.run(SECOND);
         assertEquals(5, sim.listsCaughtUp());
     }
@@ -150,10 +151,11 @@
             sim.propose(sim.host(3));
             sim.run(4 * SECOND);
             assertTrue(sim.judge().forced() >= 1, "the others did not go on without " + one);
-            assertTrue(sim.host(3).council().holds());
+            assertTrue(sim.host(3).council().holdsLease());
             sim.host(one).full(false);
             sim.run(8 * SECOND);
-            assertEquals(sim.leader().council().agreed().chain(), sim.host(one).council().agreed().chain());
+            assertEquals(sim.leader().council().committedRules().chain(),
+                    sim.host(one).council().committedRules().chain());
             assertEquals(List.of(), sim.judge().broken());
         }
     }
@@ -172,9 +174,10 @@
                 one.start();
                 sim.propose(sim.host(3));
                 sim.run(8 * SECOND);
-                assertTrue(one.council().votes(), "seed " + seed + " round " + i + " " + sim.judge().notes());
+                assertTrue(one.council().isVotingMember(), "seed " + seed + " round " + i + " "
+                        + sim.judge().notes());
             }
-            sim.judge().nothingLost(sim.leader().council().agreed());
+            sim.judge().nothingLost(sim.leader().council().committedRules());
             assertEquals(List.of(), sim.judge().broken(), "seed " + seed);
         }
     }
@@ -188,12 +191,12 @@
         sim.host(1).kill();
         sim.run(3 * SECOND);
         for (int i = 2; i < 5; i++) {
-            assertFalse(sim.host(i).council().holds(), sim.host(i).name());
+            assertFalse(sim.host(i).council().holdsLease(), sim.host(i).name());
         }
         sim.heal();
         sim.run(5 * SECOND);
         for (int i = 0; i < 5; i++) {
-            assertTrue(sim.host(i).council().holds(), sim.host(i).name());
+            assertTrue(sim.host(i).council().holdsLease(), sim.host(i).name());
         }
     }
 
@@ -212,7 +215,7 @@
         assertEquals(1, sim.judge().forced());
         sim.run(SECOND);
         assertEquals(2, sim.judge().forced());
-        assertFalse(sim.host(4).council().holds());
+        assertFalse(sim.host(4).council().holdsLease());
         assertEquals(List.of(), sim.judge().broken());
     }
 }
--- a/src/test/java/yewdock/council/RaftDiskTest.java
+++ b/src/test/java/yewdock/consensus/RaftDiskTest.java
@@ -1,4 +1,4 @@
-package yewdock.council;
+package yewdock.consensus;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,8 +11,8 @@
 import java.util.SortedMap;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import yewdock.store.Shelf;
-import yewdock.store.Store;
+import yewdock.store.KeyValueStore;
+import yewdock.store.RecordFile;
 import yewdock.store.StoreException;
 
 class RaftDiskTest {
@@ -21,11 +21,11 @@
     /** A folder can be open once: a try that failed and kept it open would keep out every later one. */
     @Test
     void aDiskThatCannotBeOpenedOrWrittenIsTriedAgainUntilItCan(@TempDir Path folder) throws Exception {
-        RaftDisk first = new RaftDisk(() -> {
+        DurableRaftStore first = new DurableRaftStore(() -> {
             if (shut) {
                 throw new StoreException(StoreException.Kind.UNWRITABLE, "no room");
             }
-            return Store.open(folder);
+            return RecordFile.open(folder);
         });
         String number = first.number("a");
         shut = true;
@@ -33,10 +33,10 @@
         assertTrue(first.broken(), "a member without a disk would take itself for a new one");
         assertThrows(IOException.class, first::anew);
         shut = false;
-        RaftDisk second = first.anew();
+        DurableRaftStore second = first.anew();
         assertFalse(second.broken());
         assertEquals(number, second.number("b"));
-        RaftDisk third = second.anew();
+        DurableRaftStore third = second.anew();
         assertEquals(number, third.number("c"));
         third.close();
     }
@@ -45,7 +45,7 @@
     @Test
     void aTryWhoseWriteFailsLeavesNothingOpen(@TempDir Path folder) throws Exception {
         int[] open = {0};
-        RaftDisk first = new RaftDisk(() -> new Counted(Store.open(folder), open));
+        DurableRaftStore first = new DurableRaftStore(() -> new Counted(RecordFile.open(folder), open));
         shut = true;
         assertThrows(IOException.class, first::anew);
         assertEquals(0, open[0]);
@@ -55,12 +55,12 @@
     }
 
     /** A shelf that counts itself, and takes no write while shut. */
-    private final class Counted implements Shelf {
-        private final Shelf shelf;
+    private final class Counted implements KeyValueStore {
+        private final KeyValueStore shelf;
         private final int[] count;
         private boolean isOpen = true;
 
-        Counted(Shelf shelf, int[] count) {
+        Counted(KeyValueStore shelf, int[] count) {
             this.shelf = shelf;
             this.count = count;
             count[0]++;
@@ -80,8 +80,8 @@
         }
 
         @Override
-        public void tidy(int mostMillis) throws StoreException {
-            shelf.tidy(mostMillis);
+        public void compactIfLarge(int mostMillis) throws StoreException {
+            shelf.compactIfLarge(mostMillis);
         }
 
         @Override
--- a/src/test/java/yewdock/desk/KnownServersTest.java
+++ b/src/test/java/yewdock/core/KnownServersTest.java
@@ -1,4 +1,4 @@
-package yewdock.desk;
+package yewdock.core;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import umberspread.Routing.Lifecycle;
-import umberspread.Routing.Replica;
+import umberspread.Routing.ServerState;
 
 /** What operators say of boxes, over what the list says. */
 class KnownServersTest {
@@ -17,7 +17,7 @@
     private final KnownServers boxes = new KnownServers(() -> now, COLD);
 
     private static ModelServer box(String address, Lifecycle lifecycle, long startedAt) {
-        return new ModelServer("s-1", address, new Replica(1, 0, 0, 0, 1, lifecycle, startedAt));
+        return new ModelServer("s-1", address, new ServerState(1, 0, 0, 0, 1, lifecycle, startedAt));
     }
 
     private void list(boolean full, ModelServer... all) {
@@ -70,7 +70,7 @@
     @Test
     void drainAndUndrainAreTheSameMark() {
         list(true, box("a:1", Lifecycle.READY, 0));
-        boxes.mark(Map.of("s-1", BoxMark.DRAINS));
+        boxes.mark(Map.of("s-1", OperatorOverride.DRAINS));
         assertTrue(boxes.cordoned("s-1"));
         boxes.mark(Map.of());
         assertFalse(boxes.cordoned("s-1"));
--- a/src/test/java/yewdock/daemon/GenerationsSimTest.java
+++ b/src/test/java/yewdock/daemon/GenerationsSimTest.java
@@ -19,21 +19,21 @@
 import umberspread.GenerationRouter;
 import umberspread.Routing.Lifecycle;
 import umberspread.Routing.Outcome;
-import umberspread.Routing.Replica;
-import yewdock.desk.Bounds;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Effect;
-import yewdock.desk.EndpointList;
-import yewdock.desk.Event;
-import yewdock.desk.ModelRequest;
-import yewdock.desk.ModelServer;
-import yewdock.desk.Terms;
+import umberspread.Routing.ServerState;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Effect;
+import yewdock.core.EndpointList;
+import yewdock.core.Event;
+import yewdock.core.ModelRequest;
+import yewdock.core.ModelServer;
+import yewdock.core.Reducer;
+import yewdock.core.ResourceLimits;
 import yewdock.platform.Config;
-import yewdock.upgrade.KeeperEffect;
-import yewdock.upgrade.KeeperEvent;
-import yewdock.upgrade.Limits;
-import yewdock.upgrade.Upgrade;
+import yewdock.upgrade.SupervisorEffect;
+import yewdock.upgrade.SupervisorEvent;
+import yewdock.upgrade.SupervisorReducer;
+import yewdock.upgrade.UpgradeLimits;
 import yewdock.wire.Checked;
 import yewdock.wire.Frame;
 import yewdock.wire.Hello;
@@ -49,7 +49,8 @@
  * without an answer, and requests to drained servers. Every seed gives one reproducible run.
  */
 class GenerationsSimTest {
-    private static final Terms SETTINGS = new Terms(250_000, 5_000_000, false, 1_000_000, 10_000_000, false,
+    private static final CoreSettings SETTINGS = new CoreSettings(250_000, 5_000_000, false, 1_000_000,
+            10_000_000, false,
             4, List.of(), List.of("chat"), 0);
     private static final int SEEDS = Integer.getInteger("sim.seeds", 60);
     private static final int REQUEST_IDS = 25;
@@ -105,7 +106,8 @@
         private final PriorityQueue<ScheduledTask> tasks =
                 new PriorityQueue<>(Comparator.comparingLong(ScheduledTask::at)
                         .thenComparingLong(ScheduledTask::order));
-        private final Upgrade supervisor = new Upgrade(Limits.even(700_000, 4_000_000, 3));
+        private final SupervisorReducer supervisor =
+                new SupervisorReducer(UpgradeLimits.uniform(700_000, 4_000_000, 3));
         private final Map<Integer, SimulatedGeneration> generations = new TreeMap<>();
         private final Map<Long, String> serverStates = new HashMap<>();
         private final Map<Long, Long> drainToldAt = new HashMap<>();
@@ -133,7 +135,7 @@
         }
 
         void run() {
-            supervisor(new KeeperEvent.Begun(List.of("p")));
+            supervisor(new SupervisorEvent.ListenerOpened(List.of("p")));
             for (int c = 0; c < CLIENTS; c++) {
                 SimulatedClient client = new SimulatedClient();
                 client.scheduleRequest(random.nextLong(500_000));
@@ -168,10 +170,10 @@
 
         private void requestUpgrade() {
             if (!ending) {
-                supervisor(new KeeperEvent.Asked(order, List.of()));
+                supervisor(new SupervisorEvent.UpgradeRequested(order, List.of()));
                 schedule(500_000 + random.nextLong(2_000_000), this::requestUpgrade);
                 if (random.nextInt(12) == 0) {
-                    SimulatedGeneration serving = generations.get(supervisor.serving());
+                    SimulatedGeneration serving = generations.get(supervisor.servingGeneration());
                     if (serving != null) {
                         schedule(random.nextLong(300_000), serving::die);
                     }
@@ -189,36 +191,36 @@
             schedule(300_000 + random.nextLong(2_500_000), this::toggleDrain);
         }
 
-        private void supervisor(KeeperEvent event) {
-            for (KeeperEffect effect : supervisor.reduce(event, now)) {
-                if (effect instanceof KeeperEffect.Start e) {
+        private void supervisor(SupervisorEvent event) {
+            for (SupervisorEffect effect : supervisor.reduce(event, now)) {
+                if (effect instanceof SupervisorEffect.StartProcess e) {
                     SimulatedGeneration g = new SimulatedGeneration(e.generation());
                     generations.put(e.generation(), g);
                     schedule(50_000, g::start);
-                } else if (effect instanceof KeeperEffect.Tell e) {
+                } else if (effect instanceof SupervisorEffect.SendFrame e) {
                     generations.get(e.generation()).deliver(e.frame());
-                } else if (effect instanceof KeeperEffect.Kill e) {
+                } else if (effect instanceof SupervisorEffect.KillProcess e) {
                     generations.get(e.generation()).die();
-                } else if (effect instanceof KeeperEffect.Note e) {
+                } else if (effect instanceof SupervisorEffect.WriteLog e) {
                     upgraded += e.event().equals("upgrade.done") ? 1 : 0;
                     failed += e.event().equals("upgrade.failed") ? 1 : 0;
-                } else if (effect instanceof KeeperEffect.Stop) {
+                } else if (effect instanceof SupervisorEffect.ExitSupervisor) {
                     violations.add("the supervisor stopped");
                 }
             }
             // at least one generation accepts, unless the serving one has died
-            SimulatedGeneration serving = generations.get(supervisor.serving());
+            SimulatedGeneration serving = generations.get(supervisor.servingGeneration());
             if (serving != null && serving.alive && !serving.accepting && !serving.stopping
-                    && supervisor.coming() == 0 && !serving.awaitsTakeBack) {
+                    && supervisor.upcomingGeneration() == 0 && !serving.awaitsTakeBack) {
                 violations.add("generation " + serving.number + " serves and does not accept");
             }
-            if (supervisor.nextDue() < supervisorTickAt) {
-                supervisorTickAt = supervisor.nextDue();
+            if (supervisor.nextTimerDue() < supervisorTickAt) {
+                supervisorTickAt = supervisor.nextTimerDue();
                 long mine = supervisorTickAt;
                 schedule(Math.max(0, mine - now), () -> {
                     if (supervisorTickAt == mine) {
                         supervisorTickAt = Long.MAX_VALUE;
-                        supervisor(new KeeperEvent.Tick());
+                        supervisor(new SupervisorEvent.Tick());
                     }
                 });
             }
@@ -227,7 +229,8 @@
         private EndpointList endpointList(long since) {
             List<ModelServer> servers = new ArrayList<>();
             serverStates.forEach((id, state) ->
-                    servers.add(new ModelServer("s-" + id, "127.0.0.1:" + (9000 + id), new Replica(id, 0, 0,
+                    servers.add(new ModelServer("s-" + id, "127.0.0.1:" + (9000 + id), new ServerState(id, 0,
+                            0,
                             0, 1, state.equals("up") ? Lifecycle.READY : Lifecycle.DRAINING, 0))));
             return new EndpointList(version, since < 0, servers);
         }
@@ -239,7 +242,7 @@
             if (version > since || force) {
                 recordDrainsTold();
                 EndpointList list = endpointList(since);
-                schedule(random.nextLong(1_000), () -> g.dispatch(new Event.ListCame(list)));
+                schedule(random.nextLong(1_000), () -> g.dispatch(new Event.EndpointListReceived(list)));
                 return;
             }
             listWatchers.add(() -> answerDiscovery(g, since, wait, call, false));
@@ -283,12 +286,12 @@
                     generation = open.get(random.nextInt(open.size()));
                     connection = ++lastConnection;
                     generation.clients.put(connection, this);
-                    generation.dispatch(new Event.ClientCame(connection));
+                    generation.dispatch(new Event.ClientConnected(connection));
                 }
                 String id = "id" + random.nextInt(REQUEST_IDS);
-                generation.dispatch(new Event.ClientBegan(connection));
+                generation.dispatch(new Event.ClientRequestStarted(connection));
                 generation.openRequests.put(connection, id);
-                generation.dispatch(new Event.Asked(connection, new ModelRequest(id, 0, 0, false,
+                generation.dispatch(new Event.RequestReceived(connection, new ModelRequest(id, 0, 0, false,
                         random.nextInt(9), random.nextInt(5), 10, 5, 9, 3_000_000, 100)));
             }
 
@@ -299,10 +302,10 @@
 
             void answered() {
                 answered++;
-                if (generation.reducer.lettingGo() || generation.reducer.leaving()) {
+                if (generation.reducer.isHandedOver() || generation.reducer.isShuttingDown()) {
                     generation.clientLeaves(connection);
                 } else {
-                    generation.dispatch(new Event.ClientQuiet(connection));
+                    generation.dispatch(new Event.ClientIdle(connection));
                     scheduleRequest(random.nextLong(250_000));
                 }
             }
@@ -317,7 +320,7 @@
             private final Map<Long, Long> serverByConnection = new HashMap<>();
             private final Map<Long, String> attemptByConnection = new HashMap<>();
             private final int failsAtFrame;
-            private Desk reducer;
+            private Reducer reducer;
             private GenerationRouter router;
             private boolean alive = true;
             private boolean hung;
@@ -346,7 +349,8 @@
             private void send(Frame.Builder frame) {
                 Frame built = frame.build();
                 outboundFreeAt = Math.max(outboundFreeAt, now + 50 + random.nextLong(2_000));
-                schedule(outboundFreeAt - now, () -> supervisor(new KeeperEvent.Heard(number, built)));
+                schedule(outboundFreeAt - now, () ->
+                        supervisor(new SupervisorEvent.FrameReceived(number, built)));
             }
 
             private long inboundFreeAt;
@@ -381,21 +385,21 @@
                 openRequests.clear();
                 List.copyOf(clients.values()).forEach(SimulatedClient::closed);
                 clients.clear();
-                schedule(100, () -> supervisor(new KeeperEvent.Lost(number, "closed")));
-                schedule(2_000, () -> supervisor(new KeeperEvent.Ended(number, "died")));
+                schedule(100, () -> supervisor(new SupervisorEvent.ConnectionLost(number, "closed")));
+                schedule(2_000, () -> supervisor(new SupervisorEvent.ProcessEnded(number, "died")));
             }
 
             private void handle(Frame frame) {
                 switch (frame.getWhatCase()) {
                     case STATE -> build(frame);
-                    case GIVE_STATE -> send(Frame.newBuilder().setState(States.write(reducer.holdings(),
-                            router.memory(), counters.all(), now, now * 1000)));
+                    case GIVE_STATE -> send(Frame.newBuilder().setState(StateCodec.write(reducer.generationState(),
+                            router.learnedState(), counters.all(), now, now * 1000)));
                     case TAKE -> send(Frame.newBuilder().setTook(Took.getDefaultInstance()));
-                    case SHARE -> dispatch(new Event.Share());
+                    case SHARE -> dispatch(new Event.HandoverStarted());
                     case SHARING -> {
                         if (!ignoresSharing) {
-                            dispatch(new Event.Adopt(frame.getSharing().getGeneration(),
-                                    States.decodeGenerationState(frame.getSharing())));
+                            dispatch(new Event.GenerationStateReceived(frame.getSharing().getGeneration(),
+                                    StateCodec.decodeGenerationState(frame.getSharing())));
                         }
                     }
                     case GO -> {
@@ -405,40 +409,41 @@
                     case LET_GO -> {
                         accepting = false;
                         send(Frame.newBuilder().setLetGoDone(LetGoDone.getDefaultInstance()));
-                        dispatch(new Event.LetGo(frame.getLetGo().getLimitMicros()));
+                        dispatch(new Event.HandedOver(frame.getLetGo().getLimitMicros()));
                     }
                     case TAKE_BACK -> {
                         // one that has just stopped exits before it receives this
                         accepting = !stopping;
                         awaitsTakeBack = false;
-                        dispatch(new Event.TakeBack());
+                        dispatch(new Event.HandoverAborted());
                     }
-                    case OTHER_GONE -> dispatch(new Event.OtherGone(frame.getOtherGone().getGeneration()));
-                    case NEWS -> dispatch(new Event.FromOther(frame.getNews().getGeneration(),
-                            States.message(frame.getNews())));
+                    case OTHER_GONE -> dispatch(new Event.GenerationGone(frame.getOtherGone().getGeneration()));
+                    case NEWS -> dispatch(new Event.GenerationMessageReceived(frame.getNews().getGeneration(),
+                            StateCodec.message(frame.getNews())));
                     default -> violations.add("unexpected frame " + frame.getWhatCase());
                 }
             }
 
             private void build(Frame frame) {
-                States.Left inherited;
+                StateCodec.InheritedState inherited;
                 try {
-                    inherited = States.read(frame.getState(), now, now * 1000);
+                    inherited = StateCodec.read(frame.getState(), now, now * 1000);
                 } catch (UnreadableStateException e) {
                     violations.add(e.getMessage());
                     return;
                 }
-                reducer = new Desk(SETTINGS, new Bounds(60, 60, 60, 1 << 20), counters, actions -> {
+                reducer = new Reducer(SETTINGS, new ResourceLimits(60, 60, 60, 1 << 20), counters, actions ->
+                        {
                     router = inherited == null ? new GenerationRouter(config.settings(), number, actions)
                             : new GenerationRouter(config.settings(), number, actions, inherited.memory(),
-                                    inherited.shift());
+                                    inherited.clockShiftMicros());
                     return router;
                 });
                 if (inherited == null) {
                     // as after a restart: the endpoint list comes from the configuration
                     recordDrainsTold();
                 }
-                dispatch(new Event.Started(inherited == null ? endpointList(-1) : inherited.boxes(),
+                dispatch(new Event.Started(inherited == null ? endpointList(-1) : inherited.endpointList(),
                         "list"));
                 send(Frame.newBuilder().setReady(Ready.getDefaultInstance()));
             }
@@ -450,8 +455,8 @@
                 for (Effect effect : reducer.reduce(event, now)) {
                     execute(effect);
                 }
-                if (reducer.nextDue() < tickAt) {
-                    tickAt = reducer.nextDue();
+                if (reducer.nextTimerDue() < tickAt) {
+                    tickAt = reducer.nextTimerDue();
                     long mine = tickAt;
                     schedule(Math.max(0, mine - now), () -> {
                         if (tickAt == mine) {
@@ -463,38 +468,40 @@
             }
 
             private void execute(Effect effect) {
-                if (effect instanceof Effect.OpenLine e) {
-                    serverByConnection.put(e.line(), Long.parseLong(e.address().split(":")[1]) - 9000);
-                    schedule(100 + random.nextLong(900), () -> dispatch(new Event.LineUp(e.line())));
-                } else if (effect instanceof Effect.SendTry e) {
+                if (effect instanceof Effect.OpenServerConnection e) {
+                    serverByConnection.put(e.connection(), Long.parseLong(e.address().split(":")[1]) - 9000);
+                    schedule(100 + random.nextLong(900), () ->
+                            dispatch(new Event.ServerConnected(e.connection())));
+                } else if (effect instanceof Effect.SendAttempt e) {
                     attemptSent(e);
-                } else if (effect instanceof Effect.CloseLine e) {
-                    schedule(random.nextLong(500), () -> connectionClosed(e.line()));
-                } else if (effect instanceof Effect.EndAnswer e) {
+                } else if (effect instanceof Effect.CloseServerConnection e) {
+                    schedule(random.nextLong(500), () -> connectionClosed(e.connection()));
+                } else if (effect instanceof Effect.EndResponse e) {
                     final SimulatedClient c = requestEnded(e.client());
                     schedule(0, c::answered);
                 } else if (effect instanceof Effect.Refuse e) {
                     schedule(0, requestEnded(e.client())::answered);
                 } else if (effect instanceof Effect.Fail e) {
                     schedule(0, requestEnded(e.client())::answered);
-                } else if (effect instanceof Effect.TurnDownTwin e) {
+                } else if (effect instanceof Effect.RejectDuplicate e) {
                     requestEnded(e.client());
                     schedule(0, () -> clientLeaves(e.client()));
-                } else if (effect instanceof Effect.CutOff e) {
+                } else if (effect instanceof Effect.AbortResponse e) {
                     requestEnded(e.client());
                     schedule(0, () -> clientLeaves(e.client()));
                 } else if (effect instanceof Effect.CloseClient e) {
                     schedule(0, () -> clientLeaves(e.client()));
-                } else if (effect instanceof Effect.AskList e) {
+                } else if (effect instanceof Effect.CallDiscovery e) {
                     long call = ++listCall;
-                    schedule(random.nextLong(2_000), () -> answerDiscovery(this, e.since(), e.longest(), call,
-                            e.longest() == 0));
-                } else if (effect instanceof Effect.HangUpList) {
+                    schedule(random.nextLong(2_000), () -> answerDiscovery(this, e.sinceVersion(),
+                            e.maxWaitMicros(), call,
+                            e.maxWaitMicros() == 0));
+                } else if (effect instanceof Effect.CancelDiscoveryCall) {
                     listCall++;
-                } else if (effect instanceof Effect.TellOthers e) {
-                    send(Frame.newBuilder().setNews(States.message(e.news())));
-                } else if (effect instanceof Effect.ShareOut e) {
-                    send(Frame.newBuilder().setSharing(States.encodeGenerationState(e.held())));
+                } else if (effect instanceof Effect.SendToGenerations e) {
+                    send(Frame.newBuilder().setNews(StateCodec.message(e.message())));
+                } else if (effect instanceof Effect.SendGenerationState e) {
+                    send(Frame.newBuilder().setSharing(StateCodec.encodeGenerationState(e.state())));
                 } else if (effect instanceof Effect.Stop) {
                     stopping = true;
                     listCall++;
@@ -513,38 +520,39 @@
                 SimulatedClient client = clients.remove(connection);
                 if (client != null) {
                     openRequests.remove(connection);
-                    dispatch(new Event.ClientLeft(connection));
+                    dispatch(new Event.ClientDisconnected(connection));
                     client.closed();
                 }
             }
 
-            private void attemptSent(Effect.SendTry e) {
+            private void attemptSent(Effect.SendAttempt e) {
                 String id = openRequests.get(e.client());
-                long server = serverByConnection.get(e.line());
+                long server = serverByConnection.get(e.connection());
                 if (idsInFlight.putIfAbsent(id, number + "") != null) {
                     violations.add("id " + id + " is in flight twice, from " + idsInFlight.get(id) + " and "
                             + number);
                 }
-                attemptByConnection.put(e.line(), id);
+                attemptByConnection.put(e.connection(), id);
                 if (now > drainToldAt.getOrDefault(server, Long.MAX_VALUE - DRAIN_GRACE_MICROS)
                         + DRAIN_GRACE_MICROS) {
                     violations.add("sent to server " + server + " " + (now - drainToldAt.get(server))
                             + " us after its drain");
                 }
-                dispatch(new Event.TrySent(e.line()));
+                dispatch(new Event.AttemptWritten(e.connection()));
                 long first = random.nextLong(150_000);
                 long whole = first + random.nextLong(random.nextInt(10) == 0 ? 3_000_000 : 200_000);
                 boolean breaks = random.nextInt(30) == 0;
                 String mine = id;
-                schedule(first, () -> dispatchIfInFlight(e.line(), mine, new Event.Piece(e.line(),
+                schedule(first, () -> dispatchIfInFlight(e.connection(), mine,
+                        new Event.ResponseChunk(e.connection(),
                         ByteBuffer.allocate(9))));
                 schedule(whole, () -> {
                     if (breaks) {
-                        connectionClosed(e.line());
-                    } else if (mine.equals(attemptByConnection.get(e.line()))) {
-                        attemptByConnection.remove(e.line());
+                        connectionClosed(e.connection());
+                    } else if (mine.equals(attemptByConnection.get(e.connection()))) {
+                        attemptByConnection.remove(e.connection());
                         idsInFlight.remove(mine, number + "");
-                        dispatch(new Event.Answered(e.line(), Outcome.OK, true, 0, null));
+                        dispatch(new Event.ResponseCompleted(e.connection(), Outcome.OK, true, 0, null));
                     }
                 });
             }
@@ -561,7 +569,7 @@
                     idsInFlight.remove(id, number + "");
                 }
                 if (serverByConnection.remove(line) != null) {
-                    dispatch(new Event.LineDown(line));
+                    dispatch(new Event.ServerDisconnected(line));
                 }
             }
         }
--- a/src/test/java/yewdock/daemon/RehearsalTest.java
+++ b/src/test/java/yewdock/daemon/RehearsalTest.java
@@ -13,7 +13,7 @@
 class RehearsalTest {
     @Test
     void everyRequestIsServed() throws Exception {
-        assertEquals(50, Rehearsal.run(Config.read(Files.readString(
+        assertEquals(50, JvmWarmUp.run(Config.read(Files.readString(
                 Path.of("src/test/resources/exchanges/config.json")), line -> { }), 50));
     }
 }
--- a/src/test/java/yewdock/daemon/StatesTest.java
+++ b/src/test/java/yewdock/daemon/StatesTest.java
@@ -10,13 +10,13 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import umberspread.Memory;
+import umberspread.LearnedState;
 import umberspread.Routing.Lifecycle;
-import umberspread.Routing.Replica;
-import yewdock.desk.EndpointList;
-import yewdock.desk.Holdings;
-import yewdock.desk.ModelServer;
-import yewdock.desk.OtherNews;
+import umberspread.Routing.ServerState;
+import yewdock.core.EndpointList;
+import yewdock.core.GenerationMessage;
+import yewdock.core.GenerationState;
+import yewdock.core.ModelServer;
 import yewdock.wire.State;
 
 /**
@@ -24,35 +24,37 @@
  * can't be decoded is rejected with a clear message.
  */
 class StatesTest {
-    private static final Memory LEARNED_STATE = new Memory(1, 2, 3, 4, 8, 9, List.of(1.0, 2.0),
-            Map.of(0, 1.5), List.of(0.5), List.of(100L), List.of(101L), List.of(new Memory.OfReplica(7, 64,
+    private static final LearnedState LEARNED_STATE = new LearnedState(1, 2, 3, 4, 8, 9, List.of(1.0, 2.0),
+            Map.of(0, 1.5), List.of(0.5), List.of(100L), List.of(101L),
+                    List.of(new LearnedState.LearnedServer(7, 64,
             List.of(5L, 0L), List.of(1, 0), 900, 2, 1, 800, 50, 700, 600)),
-            List.of(new Memory.OfKey(42, 3.5, 4, 0)), List.of(11.0));
-    private static final Holdings GENERATION = new Holdings(List.of("x", "y"),
-            List.of(new OtherNews.Sent(3, 7)),
-            new EndpointList(41, true, List.of(new ModelServer("s-7", "127.0.0.1:9001", new Replica(7, 1, 2,
+            List.of(new LearnedState.LearnedKey(42, 3.5, 4, 0)), List.of(11.0));
+    private static final GenerationState GENERATION = new GenerationState(List.of("x", "y"),
+            List.of(new GenerationMessage.AttemptSent(3, 7)),
+            new EndpointList(41, true, List.of(new ModelServer("s-7", "127.0.0.1:9001", new ServerState(7, 1,
+                    2,
                     3, 1.5,
             Lifecycle.DRAINING, 123)))), "127.0.0.1:8500", Map.of(7L, 2_000L));
 
     private static State state() {
-        return States.write(GENERATION, LEARNED_STATE, Map.of("answers.served", 5L), 1_000_000,
+        return StateCodec.write(GENERATION, LEARNED_STATE, Map.of("answers.served", 5L), 1_000_000,
                 2_000_000_000L);
     }
 
     @Test
     void stateIsPreservedAndShiftedToTheReadersClock() throws Exception {
         // read 3 ms later by the monotonic clock; the reader's own clock is 1 s ahead of the writer's
-        States.Left inherited = States.read(state(), 2_003_000, 2_003_000_000L);
-        assertEquals(1_000_000, inherited.shift());
+        StateCodec.InheritedState inherited = StateCodec.read(state(), 2_003_000, 2_003_000_000L);
+        assertEquals(1_000_000, inherited.clockShiftMicros());
         assertEquals(LEARNED_STATE, inherited.memory());
-        assertEquals(GENERATION.boxes(), inherited.boxes());
+        assertEquals(GENERATION.endpointList(), inherited.endpointList());
         assertEquals("127.0.0.1:8500", inherited.listAddress());
-        assertEquals(Map.of(7L, 1_002_000L), inherited.toldAt());
+        assertEquals(Map.of(7L, 1_002_000L), inherited.stateReportedAt());
         assertEquals(Map.of("answers.served", 5L), inherited.counters());
-        assertEquals(GENERATION.ids(),
-                States.decodeGenerationState(States.encodeGenerationState(GENERATION)).ids());
-        assertEquals(GENERATION.out(),
-                States.decodeGenerationState(States.encodeGenerationState(GENERATION)).out());
+        assertEquals(GENERATION.requestIds(),
+                StateCodec.decodeGenerationState(StateCodec.encodeGenerationState(GENERATION)).requestIds());
+        assertEquals(GENERATION.attemptsInFlight(),
+                StateCodec.decodeGenerationState(StateCodec.encodeGenerationState(GENERATION)).attemptsInFlight());
     }
 
     @Test
@@ -60,13 +62,13 @@
         State later = state().toBuilder().setVersion(9).setLeastReader(1).setUnknownFields(
                 UnknownFieldSet.newBuilder().addField(500, UnknownFieldSet.Field.newBuilder()
                         .addLengthDelimited(ByteString.copyFromUtf8("news")).build()).build()).build();
-        assertEquals(LEARNED_STATE, States.read(State.parseFrom(later.toByteArray()), 1,
+        assertEquals(LEARNED_STATE, StateCodec.read(State.parseFrom(later.toByteArray()), 1,
                 2_000_000_000L).memory());
     }
 
     @Test
     void unreadableStateIsRejectedWithOneLine() throws Exception {
-        assertNull(States.read(State.getDefaultInstance(), 1, 1));
+        assertNull(StateCodec.read(State.getDefaultInstance(), 1, 1));
         assertRejected("for readers of 2 or later",
                 state().toBuilder().setVersion(2).setLeastReader(2).build());
         assertRejected("reads versions from 1 on", state().toBuilder().setVersion(0).build());
@@ -79,7 +81,7 @@
 
     private static void assertRejected(String words, State state) {
         String said = assertThrows(UnreadableStateException.class,
-                () -> States.read(state, 1, 2_000_000_000L)).getMessage();
+                () -> StateCodec.read(state, 1, 2_000_000_000L)).getMessage();
         assertTrue(said.contains(words) && said.lines().count() == 1, said);
     }
 }
--- a/src/test/java/yewdock/experiment/ExperimentTest.java
+++ b/src/test/java/yewdock/experiment/ExperimentTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import yewdock.model.Days;
-import yewdock.settings.BadSettingsException;
+import yewdock.settings.InvalidSettingsException;
 
 /** Grids of runs: the same bytes whatever the threads, and after an interruption. */
 class ExperimentTest {
@@ -42,7 +42,7 @@
     @TempDir
     private Path folder;
 
-    private Plan plan(String text) throws IOException, BadSettingsException {
+    private Plan plan(String text) throws IOException, InvalidSettingsException {
         Files.writeString(folder.resolve("small.hcl"), Days.SMALL);
         Files.writeString(folder.resolve("plan.hcl"), text);
         return Plan.read(folder.resolve("plan.hcl"));
@@ -102,8 +102,8 @@
             PLAN.replace("\"random\"", "\"randon\""), PLAN.replace("[4, 6]", "4"),
             PLAN.replace("y = \"hits\"",
                     "y = \"hit\""), PLAN.replace("\"boxes.count\"", "\"boxes.cuont\"")}) {
-            BadSettingsException e = assertThrows(BadSettingsException.class, () -> plan(bad));
-            assertTrue(!e.mistakes().isEmpty());
+            InvalidSettingsException e = assertThrows(InvalidSettingsException.class, () -> plan(bad));
+            assertTrue(!e.errors().isEmpty());
         }
     }
 
--- a/src/test/java/yewdock/faults/DrainScheduleTest.java
+++ b/src/test/java/yewdock/faults/DrainScheduleTest.java
@@ -14,13 +14,13 @@
 import org.junit.jupiter.api.Test;
 import umberspread.BoundedLoadRouter;
 import umberspread.Routing;
-import yewdock.desk.Bounds;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Effect;
-import yewdock.desk.Event;
-import yewdock.desk.ModelRequest;
-import yewdock.desk.Terms;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Effect;
+import yewdock.core.Event;
+import yewdock.core.ModelRequest;
+import yewdock.core.Reducer;
+import yewdock.core.ResourceLimits;
 import yewdock.faults.SimulatedDiscovery.Fault;
 
 /**
@@ -48,7 +48,7 @@
         private final Random random;
         private final DrainJudge judge;
         private final SimulatedDiscovery discovery;
-        private final Desk desk;
+        private final Reducer desk;
         private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingLong(Due::at));
         private final List<String> script = new ArrayList<>();
         private final Map<Long, Long> serversByLine = new HashMap<>();
@@ -64,15 +64,17 @@
             grace = SECOND / 4 * (1 + random.nextInt(4));
             judge = new DrainJudge(grace / 1000, pushed, () -> now * 1000);
             discovery = new SimulatedDiscovery(judge, SERVERS);
-            desk = new Desk(new Terms(250_000, 5 * SECOND, pushed, grace, 10 * SECOND, false, 4,
-                    List.of(true), List.of("chat"), 0), new Bounds(80, 200, 200, 1 << 20), new Counters(),
+            desk = new Reducer(new CoreSettings(250_000, 5 * SECOND, pushed, grace, 10 * SECOND, false, 4,
+                    List.of(true), List.of("chat"), 0), new ResourceLimits(80, 200, 200, 1 << 20),
+                            new Counters(),
                     actions -> new BoundedLoadRouter(settings(), seed, actions));
             happens(new Event.Started(discovery.whole(), "127.0.0.1:8500"));
         }
 
         private Routing.Settings settings() {
             return new Routing.Settings(1, 0, 0, List.of(new Routing.RequestClass("chat",
-                    Routing.Effect.RETRYABLE, Routing.DedupGroup.ALL, 0, SECOND, 0, 0, 4 * SECOND, 1, 0, true,
+                    Routing.RetrySafety.RETRYABLE, Routing.DedupGroup.ALL, 0, SECOND, 0, 0, 4 * SECOND, 1, 0,
+                            true,
                     Routing.Placement.ANYWHERE)), List.of(), 0.1, !pushed,
                     new Routing.Limits(4, false, true, false, 250_000, 0),
                     new Routing.Contract(grace, 8 * SECOND, 0.3, 3, 2 * SECOND, 10 * SECOND,
@@ -85,20 +87,21 @@
 
         private void happens(Event event) {
             for (Effect effect : desk.reduce(event, now)) {
-                if (effect instanceof Effect.AskList call) {
+                if (effect instanceof Effect.CallDiscovery call) {
                     discovery.called(call, now);
-                } else if (effect instanceof Effect.HangUpList) {
+                } else if (effect instanceof Effect.CancelDiscoveryCall) {
                     discovery.hungUp();
-                } else if (effect instanceof Effect.OpenLine line) {
-                    serversByLine.put(line.line(), Long.parseLong(line.address().split(":")[1]) - 9000);
-                    later(random.nextInt(10) == 0 ? 200_000 : 1_000, new Event.LineUp(line.line()));
-                } else if (effect instanceof Effect.CloseLine line) {
-                    later(0, new Event.LineDown(line.line()));
-                } else if (effect instanceof Effect.SendTry attempt) {
-                    judge.attempted(0, SimulatedDiscovery.name(serversByLine.get(attempt.line())),
+                } else if (effect instanceof Effect.OpenServerConnection line) {
+                    serversByLine.put(line.connection(), Long.parseLong(line.address().split(":")[1]) - 9000);
+                    later(random.nextInt(10) == 0 ? 200_000 : 1_000,
+                            new Event.ServerConnected(line.connection()));
+                } else if (effect instanceof Effect.CloseServerConnection line) {
+                    later(0, new Event.ServerDisconnected(line.connection()));
+                } else if (effect instanceof Effect.SendAttempt attempt) {
+                    judge.attempted(0, SimulatedDiscovery.name(serversByLine.get(attempt.connection())),
                             now * 1000);
-                    later(0, new Event.TrySent(attempt.line()));
-                    later(30_000 + random.nextInt(100_000), new Event.Answered(attempt.line(),
+                    later(0, new Event.AttemptWritten(attempt.connection()));
+                    later(30_000 + random.nextInt(100_000), new Event.ResponseCompleted(attempt.connection(),
                             Routing.Outcome.OK, true, 0, null));
                 }
             }
@@ -112,8 +115,8 @@
                     request();
                 }
                 for (Event answer : discovery.answer(now)) {
-                    boolean hidden = ignoresDrains && answer instanceof Event.ListCame came
-                            && !came.list().boxes().isEmpty();
+                    boolean hidden = ignoresDrains && answer instanceof Event.EndpointListReceived came
+                            && !came.list().servers().isEmpty();
                     if (!hidden) {
                         happens(answer);
                     }
@@ -121,7 +124,7 @@
                 while (!due.isEmpty() && due.peek().at <= now) {
                     happens(due.poll().event);
                 }
-                if (desk.nextDue() <= now) {
+                if (desk.nextTimerDue() <= now) {
                     happens(new Event.Tick());
                 }
             }
@@ -129,10 +132,10 @@
 
         private void request() {
             long client = now;
-            happens(new Event.ClientCame(client));
-            happens(new Event.Asked(client, new ModelRequest(Long.toHexString(client), 0, 0, false,
+            happens(new Event.ClientConnected(client));
+            happens(new Event.RequestReceived(client, new ModelRequest(Long.toHexString(client), 0, 0, false,
                     random.nextLong(), 0, 10, 0, 9, 4 * SECOND, 100)));
-            later(5 * SECOND, new Event.ClientLeft(client));
+            later(5 * SECOND, new Event.ClientDisconnected(client));
         }
 
         private void play() {
@@ -190,7 +193,7 @@
                     script.add("moves");
                     inTheMidst.run();
                     discovery.hungUp();
-                    happens(new Event.ListMoved("127.0.0.1:" + (8501 + moves++)));
+                    happens(new Event.DiscoveryAddressChanged("127.0.0.1:" + (8501 + moves++)));
                 }
             }
         }
--- a/src/test/java/yewdock/faults/RouterProcess.java
+++ b/src/test/java/yewdock/faults/RouterProcess.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import yewdock.proof.ProcessSignals;
+import yewdock.verification.ProcessSignals;
 
 /** A router in a process of its own, started as the platform starts it. */
 final class RouterProcess implements Closeable {
--- a/src/test/java/yewdock/faults/ScriptedDiscovery.java
+++ b/src/test/java/yewdock/faults/ScriptedDiscovery.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import yewdock.standin.ListenPorts;
+import yewdock.testbed.ListenPorts;
 
 /**
  * A discovery service for one router, which fails as a test says: single calls, its whole process, its
--- a/src/test/java/yewdock/faults/SimulatedDiscovery.java
+++ b/src/test/java/yewdock/faults/SimulatedDiscovery.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 import umberspread.Routing.Lifecycle;
-import umberspread.Routing.Replica;
-import yewdock.desk.EndpointList;
-import yewdock.desk.Effect;
-import yewdock.desk.Event;
-import yewdock.desk.ModelServer;
+import umberspread.Routing.ServerState;
+import yewdock.core.Effect;
+import yewdock.core.EndpointList;
+import yewdock.core.Event;
+import yewdock.core.ModelServer;
 
 /** Discovery for one router on a clock of the test's, with the faults of {@link ScriptedDiscovery}. */
 final class SimulatedDiscovery {
@@ -27,7 +27,7 @@
     private long version = 100;
     private boolean reachable = true;
     private EndpointList lagging;
-    private Effect.AskList call;
+    private Effect.CallDiscovery call;
     private long calledAt;
     private Fault fault;
 
@@ -77,7 +77,7 @@
         judge.reachable(0);
     }
 
-    void called(Effect.AskList newCall, long now) {
+    void called(Effect.CallDiscovery newCall, long now) {
         call = newCall;
         calledAt = now;
         fault = faults.poll();
@@ -105,23 +105,23 @@
         }
         if (!reachable || fault == Fault.FAILS) {
             call = null;
-            return reachable ? List.of(new Event.ListFailed())
-                    : List.of(new Event.DiscoveryLost(), new Event.ListFailed());
+            return reachable ? List.of(new Event.DiscoveryCallFailed())
+                    : List.of(new Event.DiscoveryConnectionLost(), new Event.DiscoveryCallFailed());
         }
         if (lagging != null) {
             EndpointList late = lagging;
             lagging = null;
             call = null;
-            return List.of(new Event.ListCame(late));
+            return List.of(new Event.EndpointListReceived(late));
         }
-        if (call.since() >= version && now < calledAt + call.longest()) {
+        if (call.sinceVersion() >= version && now < calledAt + call.maxWaitMicros()) {
             return List.of();
         }
-        return List.of(new Event.ListCame(write()));
+        return List.of(new Event.EndpointListReceived(write()));
     }
 
     private EndpointList write() {
-        long since = call.since();
+        long since = call.sinceVersion();
         call = null;
         if (since < 0) {
             entries.forEach((id, entry) -> judge.written(0, name(id), entry.state));
@@ -143,7 +143,8 @@
             case DRAINING -> Lifecycle.DRAINING;
             case REMOVED -> Lifecycle.GONE;
         };
-        return new ModelServer(name(id), "127.0.0.1:" + (9000 + id), new Replica(id, 0, 0, 1, 1, lifecycle,
+        return new ModelServer(name(id), "127.0.0.1:" + (9000 + id), new ServerState(id, 0, 0, 1, 1,
+                lifecycle,
                 0));
     }
 }
--- a/src/test/java/yewdock/lease/GrantsTest.java
+++ b/src/test/java/yewdock/lease/GrantsTest.java
@@ -10,91 +10,92 @@
 
 class GrantsTest {
     private static final long SECOND = 1_000_000;
-    private static final LeaseTerms TERMS = new LeaseTerms(2 * SECOND, 0.001);
-    private final Grants grants = new Grants(TERMS);
+    private static final LeaseTiming TERMS = new LeaseTiming(2 * SECOND, 0.001);
+    private final LeaseGrantor grants = new LeaseGrantor(TERMS);
 
-    private static Grants.Ask ask(String router, long step) {
-        return new Grants.Ask(router, 1, 1, step);
+    private static LeaseGrantor.LeaseRequest ask(String router, long step) {
+        return new LeaseGrantor.LeaseRequest(router, 1, 1, step);
     }
 
-    private List<Grants.Ask> granted(long lastPrepared, long now, Grants.Ask... asks) {
-        for (Grants.Ask a : asks) {
-            grants.asked(a);
+    private List<LeaseGrantor.LeaseRequest> granted(long lastPrepared, long now,
+            LeaseGrantor.LeaseRequest... asks) {
+        for (LeaseGrantor.LeaseRequest a : asks) {
+            grants.request(a);
         }
-        assertTrue(grants.beginRound());
-        return grants.confirmed(lastPrepared, now);
+        assertTrue(grants.beginConfirmation());
+        return grants.confirm(lastPrepared, now);
     }
 
     @Test
     void aLeaseRunsFromTheSendingOfItsCall() {
         Lease lease = new Lease(TERMS);
-        long number = lease.asks(5 * SECOND);
-        assertFalse(lease.holds(5 * SECOND));
+        long number = lease.beginRenewal(5 * SECOND);
+        assertFalse(lease.isValid(5 * SECOND));
         lease.granted(number);
-        assertTrue(lease.holds(7 * SECOND - 1));
-        assertFalse(lease.holds(7 * SECOND));
+        assertTrue(lease.isValid(7 * SECOND - 1));
+        assertFalse(lease.isValid(7 * SECOND));
         lease.granted(number);
         lease.granted(99);
-        assertEquals(7 * SECOND, lease.until());
-        long second = lease.asks(6 * SECOND);
-        lease.asks(9 * SECOND);
+        assertEquals(7 * SECOND, lease.expiresAt());
+        long second = lease.beginRenewal(6 * SECOND);
+        lease.beginRenewal(9 * SECOND);
         lease.granted(second);
-        assertEquals(7 * SECOND, lease.until(), "an answer that comes a lease late is worth nothing");
+        assertEquals(7 * SECOND, lease.expiresAt(), "an answer that comes a lease late is worth nothing");
     }
 
     @Test
     void aRouterThatDoesNotKnowTheLastChangeGetsNoLease() {
-        grants.leads(0);
+        grants.becomeLeader(0);
         assertEquals(List.of(ask("b", 7)), granted(7, SECOND, ask("a", 6), ask("b", 7)));
     }
 
     /** Else a leader that others have replaced could be taken for confirmed by what it heard before. */
     @Test
     void aCallThatComesDuringARoundWaitsForTheNext() {
-        grants.leads(0);
-        grants.asked(ask("a", 0));
-        assertTrue(grants.beginRound());
-        grants.asked(ask("b", 0));
-        assertFalse(grants.beginRound());
-        assertEquals(List.of(ask("a", 0)), grants.confirmed(0, 1));
-        assertTrue(grants.beginRound());
-        assertEquals(List.of(ask("b", 0)), grants.confirmed(0, 2));
+        grants.becomeLeader(0);
+        grants.request(ask("a", 0));
+        assertTrue(grants.beginConfirmation());
+        grants.request(ask("b", 0));
+        assertFalse(grants.beginConfirmation());
+        assertEquals(List.of(ask("a", 0)), grants.confirm(0, 1));
+        assertTrue(grants.beginConfirmation());
+        assertEquals(List.of(ask("b", 0)), grants.confirm(0, 2));
     }
 
     @Test
     void aChangeTakesForceOnceAllHoldersKnowOrAreRunOut() {
-        grants.leads(0);
-        long now = TERMS.runOut();
+        grants.becomeLeader(0);
+        long now = TERMS.expiryMicros();
         granted(0, now, ask("a", 0), ask("b", 0));
         Map<String, Long> under = Map.of("c", 1L);
-        assertEquals(List.of(), grants.due(under, now));
+        assertEquals(List.of(), grants.changesToApply(under, now));
         granted(1, now + 1, ask("a", 1));
-        assertEquals(List.of(), grants.due(under, now + 1));
-        assertEquals(List.of("c"), grants.due(under, now + TERMS.runOut()));
-        grants.due(Map.of(), now);
+        assertEquals(List.of(), grants.changesToApply(under, now + 1));
+        assertEquals(List.of("c"), grants.changesToApply(under, now + TERMS.expiryMicros()));
+        grants.changesToApply(Map.of(), now);
         granted(1, now + SECOND, ask("b", 1));
-        assertEquals(List.of("c"), grants.due(under, now + SECOND));
+        assertEquals(List.of("c"), grants.changesToApply(under, now + SECOND));
     }
 
     /** An older process of the router may be asleep, with its lease. */
     @Test
     void anotherProcessOfTheSameRouterIsAnotherHolder() {
-        grants.leads(0);
-        long now = TERMS.runOut();
-        granted(0, now, new Grants.Ask("a", 1, 1, 0));
-        granted(1, now, new Grants.Ask("a", 2, 1, 1));
-        assertEquals(List.of(), grants.due(Map.of("c", 1L), now));
+        grants.becomeLeader(0);
+        long now = TERMS.expiryMicros();
+        granted(0, now, new LeaseGrantor.LeaseRequest("a", 1, 1, 0));
+        granted(1, now, new LeaseGrantor.LeaseRequest("a", 2, 1, 1));
+        assertEquals(List.of(), grants.changesToApply(Map.of("c", 1L), now));
     }
 
     @Test
     void aLeaderThatTookOverLetsOneLeasePass() {
-        assertEquals(List.of(), grants.due(Map.of("c", 1L), 0));
-        grants.leads(TERMS.runOut() - 1);
-        assertEquals(List.of(), grants.due(Map.of("c", 1L), TERMS.runOut() - 1));
-        assertEquals(List.of("c"), grants.due(Map.of("c", 1L), TERMS.runOut()));
-        grants.follows();
-        assertEquals(List.of(), grants.due(Map.of("c", 1L), TERMS.runOut()));
-        grants.asked(ask("a", 1));
-        assertFalse(grants.beginRound());
+        assertEquals(List.of(), grants.changesToApply(Map.of("c", 1L), 0));
+        grants.becomeLeader(TERMS.expiryMicros() - 1);
+        assertEquals(List.of(), grants.changesToApply(Map.of("c", 1L), TERMS.expiryMicros() - 1));
+        assertEquals(List.of("c"), grants.changesToApply(Map.of("c", 1L), TERMS.expiryMicros()));
+        grants.stepDown();
+        assertEquals(List.of(), grants.changesToApply(Map.of("c", 1L), TERMS.expiryMicros()));
+        grants.request(ask("a", 1));
+        assertFalse(grants.beginConfirmation());
     }
 }
--- a/src/test/java/yewdock/model/Days.java
+++ b/src/test/java/yewdock/model/Days.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import yewdock.scenario.ScenarioFile;
-import yewdock.settings.BadSettingsException;
+import yewdock.settings.InvalidSettingsException;
 
 /** Scenarios for tests: a small one, with values put in place of its own. */
 public final class Days {
@@ -59,7 +59,7 @@
         }
         try {
             return ScenarioFile.parse("test", text, instead);
-        } catch (BadSettingsException e) {
+        } catch (InvalidSettingsException e) {
             throw new IllegalArgumentException(e);
         }
     }
--- a/src/test/java/yewdock/model/WorldTest.java
+++ b/src/test/java/yewdock/model/WorldTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.MethodSource;
 import umberspread.Routing;
-import yewdock.textbook.Policies;
+import yewdock.baseline.Policies;
 
 /** Days that are played whole: nothing is created or lost, and what goes wrong does what it should. */
 class WorldTest {
@@ -178,7 +178,8 @@
         host.fail(t.id);
         host.fail(t.id);
         assertTrue(world.broken().stream().anyMatch(b -> b.contains("that is not open")));
-        Routing.Replica drains = new Routing.Replica(other, 0, 0, 0, 1, Routing.Lifecycle.DRAINING, 0);
+        Routing.ServerState drains = new Routing.ServerState(other, 0, 0, 0, 1, Routing.Lifecycle.DRAINING,
+                0);
         host.listReceived(Routing.ListKind.DELTA, List.of(drains));
         world.calendar.runTo(1_500_000);
         Host.Try late = new Host.Try(1_000_001, ask, world.clients.new Waiting(ask), 9_000_000);
--- a/src/test/java/yewdock/platform/DeploymentTest.java
+++ b/src/test/java/yewdock/platform/DeploymentTest.java
@@ -17,7 +17,7 @@
             assertTrue(text.contains(changes[i]), changes[i]);
             text = text.replace(changes[i], changes[i + 1]);
         }
-        return Deployment.describe(text, line -> { });
+        return DeploymentSummary.describe(text, line -> { });
     }
 
     @Test
--- a/src/test/java/yewdock/platform/EndpointListReaderTest.java
+++ b/src/test/java/yewdock/platform/EndpointListReaderTest.java
@@ -10,8 +10,8 @@
 import org.json.JSONException;
 import org.junit.jupiter.api.Test;
 import umberspread.Routing.Lifecycle;
-import yewdock.desk.EndpointList;
-import yewdock.desk.ModelServer;
+import yewdock.core.EndpointList;
+import yewdock.core.ModelServer;
 
 /** Entries that can't be used: skipped and logged, but never their server's drain or removal. */
 class EndpointListReaderTest {
@@ -21,7 +21,7 @@
     private final EndpointListReader lists = lists();
 
     private EndpointListReader lists() {
-        return new EndpointListReader(new Names(Map.of(), Map.of(), Map.of("a", 0), Map.of("big", 0)),
+        return new EndpointListReader(new NameIndexes(Map.of(), Map.of(), Map.of("a", 0), Map.of("big", 0)),
                 log::add);
     }
 
@@ -32,7 +32,7 @@
 
     private List<ModelServer> read(String... entries) {
         return lists.read("{\"version\":9,\"full\":false,\"servers\":[" + String.join(",", entries) + "]}")
-                .boxes();
+                .servers();
     }
 
     private Lifecycle stateOf(String... entries) {
@@ -83,7 +83,7 @@
         EndpointListReader later = lists();
         later.remember(new EndpointList(9, true, first));
         assertEquals(first.get(1).id(), later.read("{\"version\":10,\"full\":false,\"servers\":["
-                + entry("b-1", "draining", GOOD) + "]}").boxes().get(0).id());
+                + entry("b-1", "draining", GOOD) + "]}").servers().get(0).id());
     }
 
     @Test
--- a/src/test/java/yewdock/scenario/ScenarioFileTest.java
+++ b/src/test/java/yewdock/scenario/ScenarioFileTest.java
@@ -16,7 +16,7 @@
 import yewdock.experiment.Plan;
 import yewdock.model.Days;
 import yewdock.model.Scenario;
-import yewdock.settings.BadSettingsException;
+import yewdock.settings.InvalidSettingsException;
 
 /** Scenarios: each mistake is one line that names its key, and nothing of the file is taken. */
 class ScenarioFileTest {
@@ -40,35 +40,36 @@
     })
     void aMistakeIsOneLineThatNamesTheKey(String key, String value) {
         Object given = value.matches("-?[0-9.]+") ? (Object) Double.valueOf(value) : value;
-        BadSettingsException e = assertThrows(BadSettingsException.class,
+        InvalidSettingsException e = assertThrows(InvalidSettingsException.class,
                 () -> ScenarioFile.parse("here", Days.SMALL, Map.of(key, given)));
-        assertEquals(1, e.mistakes().size(), e.mistakes().toString());
+        assertEquals(1, e.errors().size(), e.errors().toString());
         String named = key.startsWith("nothing") ? "nothing" : key;
-        assertTrue(e.mistakes().get(0).startsWith("here: " + named + ":"), e.mistakes().get(0));
+        assertTrue(e.errors().get(0).startsWith("here: " + named + ":"), e.errors().get(0));
     }
 
     @Test
-    void rangesAndNumbersAndDefaults() throws BadSettingsException {
+    void rangesAndNumbersAndDefaults() throws InvalidSettingsException {
         Scenario s = ScenarioFile.parse("here", Days.SMALL, Map.of("day.swing", List.of(0.1, 0.3)));
         assertEquals(0.1, s.span().swing().from());
         assertEquals(0.3, s.span().swing().to());
         assertEquals(6, s.fleet().count().from());
         assertEquals(6, s.fleet().count().to());
         assertEquals(List.of("site-1", "site-2"), s.sites().names());
-        assertThrows(BadSettingsException.class, () -> ScenarioFile.parse("here", Days.SMALL,
+        assertThrows(InvalidSettingsException.class, () -> ScenarioFile.parse("here", Days.SMALL,
                 Map.of("day.swing", List.of(0.3, 0.1))));
     }
 
     @Test
     void whatIsNoScenarioIsSaidSo() {
         for (String text : new String[] {"{{{", "day {", "just words", ""}) {
-            assertThrows(BadSettingsException.class, () -> ScenarioFile.parse("here", text, Map.of()), text);
+            assertThrows(InvalidSettingsException.class, () -> ScenarioFile.parse("here", text, Map.of()),
+                    text);
         }
     }
 
     /** The studies' files are good: a key that is renamed shows here and not in an hour. */
     @Test
-    void everyStudyCanBeRead() throws IOException, BadSettingsException {
+    void everyStudyCanBeRead() throws IOException, InvalidSettingsException {
         List<Path> files;
         try (Stream<Path> all = Files.list(Path.of("docs/studies"))) {
             files = all.filter(f -> f.toString().endsWith(".hcl")).sorted().toList();
--- a/src/test/java/yewdock/settings/OperatorSettingsTest.java
+++ b/src/test/java/yewdock/settings/OperatorSettingsTest.java
@@ -17,7 +17,7 @@
 
     @Test
     void eachErrorIsALineOfItsOwn() {
-        BadSettingsException bad = assertThrows(BadSettingsException.class,
+        InvalidSettingsException bad = assertThrows(InvalidSettingsException.class,
                 () -> OperatorSettings.parse("f.hcl",
                 """
                 daemon {
@@ -40,18 +40,19 @@
                 + "take_s, share_s, go_s, let_go_s, finish_s, most_finishing",
                 "f.hcl: log.form: text or json, not xml",
                 "f.hcl: extra: no such key; there are daemon, upgrade, log, store, copies, agreement"),
-                bad.mistakes());
+                bad.errors());
     }
 
     @Test
     void consensusMembersMustBeKnownInstances() {
-        BadSettingsException bad = assertThrows(BadSettingsException.class, () -> OperatorSettings.parse("f",
+        InvalidSettingsException bad = assertThrows(InvalidSettingsException.class, () ->
+                OperatorSettings.parse("f",
                 "agreement {\n members = [\"a\", \"b\"]\n agreed_within_s = 0.5\n in_doubt = \"hope\"\n}\n"));
         assertEquals(List.of("f: agreement.members: three or five instances, each once, not [a, b]",
                 "f: agreement.members: this instance and copies.peers, and a is none of them",
                 "f: agreement.members: this instance and copies.peers, and b is none of them",
                 "f: agreement.agreed_within_s: a number from 1 to 600, not 0.5",
-                "f: agreement.in_doubt: refuse or serve, not hope"), bad.mistakes());
+                "f: agreement.in_doubt: refuse or serve, not hope"), bad.errors());
     }
 
     /** Text that the parser accepts as empty or repairs silently must be rejected. */
@@ -60,7 +61,7 @@
         for (String text : List.of("daemon { = ", "daemon {\n config = \"x\"\n", "{\"name\":",
                 "daemon { }\ndaemon"
                 + " { config = \"a\" }\n")) {
-            assertThrows(BadSettingsException.class, () -> OperatorSettings.parse("f", text), text);
+            assertThrows(InvalidSettingsException.class, () -> OperatorSettings.parse("f", text), text);
         }
     }
 }
--- a/src/test/java/yewdock/sockets/ForeignSettingsTest.java
+++ b/src/test/java/yewdock/sockets/ForeignSettingsTest.java
@@ -12,11 +12,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import umberspread.BoundedLoadRouter;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Terms;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Reducer;
 import yewdock.platform.Config;
-import yewdock.platform.Front;
+import yewdock.platform.ConnectionManager;
 
 /**
  * One build under the settings of two unlike customers: what it knows of one it must not show to the
@@ -60,12 +60,14 @@
         List<String> log = new ArrayList<>();
         Config config = Config.read(text, log::add);
         Counters counters = new Counters();
-        Sockets sockets = new Sockets(config.bounds().clients(),
+        MinaTransport sockets = new MinaTransport(config.bounds().maxClientConnections(),
                 config.settings().contract().drainGrace());
-        Desk desk = new Desk(Terms.of(config.settings(), config.keepalive()), config.bounds(), counters,
+        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
+                config.bounds(), counters,
                 actions -> new BoundedLoadRouter(config.settings(), config.seed(), actions));
         return new Running(Listening.start(sockets,
-                new Front(config, desk, counters, sockets, sockets.clock(), log::add), desk), log);
+                new ConnectionManager(config, desk, counters, sockets, sockets.clock(), log::add), desk),
+                        log);
     }
 
     private static void showsOnlyItsOwn(Running router, String own, String tenant, String foreign,
@@ -123,9 +125,10 @@
         assertEquals(List.of("class-1"),
                 config.settings().classes().stream().map(c -> c.name()).toList());
         assertEquals(List.of("zone-1", "zone-2"),
-                config.names().sites().keySet().stream().sorted().toList());
-        assertEquals(List.of("kind-1", "kind-2"), config.names().kinds().keySet().stream().sorted().toList());
-        assertEquals(List.of("tenant-1"), List.copyOf(config.names().municipalities().keySet()));
+                config.names().zones().keySet().stream().sorted().toList());
+        assertEquals(List.of("kind-1", "kind-2"),
+                config.names().serverKinds().keySet().stream().sorted().toList());
+        assertEquals(List.of("tenant-1"), List.copyOf(config.names().tenants().keySet()));
         String script = Files.readString(Path.of("deploy/warm-up.sh"));
         assertTrue(script.contains("TMPDIR=target/warm "),
                 "its own folder, which no served process is given");
--- a/src/test/java/yewdock/sockets/GoneClientTest.java
+++ b/src/test/java/yewdock/sockets/GoneClientTest.java
@@ -18,11 +18,11 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import umberspread.GenerationRouter;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Terms;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Reducer;
 import yewdock.platform.Config;
-import yewdock.platform.Front;
+import yewdock.platform.ConnectionManager;
 
 /** Clients that close their connections have gone: no attempt is begun for them any more. */
 class GoneClientTest {
@@ -30,7 +30,7 @@
     private static final int BEHIND = 300 * 1024;
 
     private final Counters counters = new Counters();
-    private final Sockets sockets = new Sockets(CLIENTS, 1_000_000);
+    private final MinaTransport sockets = new MinaTransport(CLIENTS, 1_000_000);
     private ServerSocket silentServer;
     private Listening listening;
 
@@ -41,9 +41,11 @@
         String file = Files.readString(Path.of("src/test/resources/exchanges/config.json"))
                 .replaceAll("127.0.0.1:900[12]", "127.0.0.1:" + silentServer.getLocalPort());
         Config config = Config.read(file, line -> { });
-        Desk desk = new Desk(Terms.of(config.settings(), config.keepalive()), config.bounds(), counters,
+        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
+                config.bounds(), counters,
                 actions -> new GenerationRouter(config.settings(), 1, actions));
-        Front front = new Front(config, desk, counters, sockets, sockets.clock(), line -> { });
+        ConnectionManager front = new ConnectionManager(config, desk, counters, sockets, sockets.clock(),
+                line -> { });
         listening = Listening.start(sockets, front, desk);
     }
 
--- a/src/test/java/yewdock/sockets/IdleCloseTest.java
+++ b/src/test/java/yewdock/sockets/IdleCloseTest.java
@@ -16,13 +16,13 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import umberspread.GenerationRouter;
-import yewdock.desk.Bounds;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Event;
-import yewdock.desk.Terms;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Event;
+import yewdock.core.Reducer;
+import yewdock.core.ResourceLimits;
 import yewdock.platform.Config;
-import yewdock.platform.Front;
+import yewdock.platform.ConnectionManager;
 
 /** A connection that counts as idle is closed at the moment in which its client's request has been read. */
 class IdleCloseTest {
@@ -33,8 +33,8 @@
     private static final byte[] REQUEST = "GET /nothing HTTP/1.1\r\nHost: router\r\n\r\n"
             .getBytes(StandardCharsets.US_ASCII);
 
-    private final Sockets sockets = new Sockets(MOST_CLIENTS, 1_000_000);
-    private Front front;
+    private final MinaTransport sockets = new MinaTransport(MOST_CLIENTS, 1_000_000);
+    private ConnectionManager front;
     private Listening listening;
 
     @BeforeEach
@@ -42,10 +42,11 @@
         Config config = Config.read(Files.readString(Path.of("src/test/resources/exchanges/config.json")),
                 line -> { });
         Counters counters = new Counters();
-        Bounds bounds = new Bounds(MOST_CLIENTS, 20, 20, 1 << 20);
-        Desk desk = new Desk(Terms.of(config.settings(), config.keepalive()), bounds, counters,
+        ResourceLimits bounds = new ResourceLimits(MOST_CLIENTS, 20, 20, 1 << 20);
+        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()), bounds,
+                counters,
                 actions -> new GenerationRouter(config.settings(), 1, actions));
-        front = new Front(config, desk, counters, sockets, sockets.clock(), line -> { });
+        front = new ConnectionManager(config, desk, counters, sockets, sockets.clock(), line -> { });
         listening = Listening.start(sockets, front, desk);
     }
 
@@ -123,7 +124,7 @@
     void aRequestThatCrossesTheClosingOfIdleConnectionsIsAnswered() throws Exception {
         try (Socket client = connect()) {
             awaitTaken();
-            listening.onDesk(() -> front.happened(new Event.Leave()));
+            listening.onDesk(() -> front.dispatch(new Event.ShutdownRequested()));
             long leaves = System.nanoTime();
             CountDownLatch busy = keepBusy();
             sendAndAwaitRead(client);
--- a/src/test/java/yewdock/sockets/LetGoTest.java
+++ b/src/test/java/yewdock/sockets/LetGoTest.java
@@ -12,11 +12,11 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import umberspread.GenerationRouter;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Terms;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Reducer;
 import yewdock.platform.Config;
-import yewdock.platform.Front;
+import yewdock.platform.ConnectionManager;
 
 /** The listener's end. */
 class LetGoTest {
@@ -29,10 +29,12 @@
         Config config = Config.read(Files.readString(Path.of("src/test/resources/exchanges/config.json")),
                 line -> { });
         Counters counters = new Counters();
-        Desk desk = new Desk(Terms.of(config.settings(), config.keepalive()), config.bounds(), counters,
+        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
+                config.bounds(), counters,
                 actions -> new GenerationRouter(config.settings(), 1, actions));
-        Sockets sockets = new Sockets(0, 1_000_000);
-        Front front = new Front(config, desk, counters, sockets, sockets.clock(), line -> { });
+        MinaTransport sockets = new MinaTransport(0, 1_000_000);
+        ConnectionManager front = new ConnectionManager(config, desk, counters, sockets, sockets.clock(),
+                line -> { });
         Listening listening = Listening.start(sockets, front, desk);
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
--- a/src/test/java/yewdock/sockets/LingeringTest.java
+++ b/src/test/java/yewdock/sockets/LingeringTest.java
@@ -18,8 +18,8 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import yewdock.platform.Side;
-import yewdock.platform.Wire;
+import yewdock.platform.Connection;
+import yewdock.platform.ConnectionHandler;
 
 /** A connection is closed while its other side is still sending. */
 class LingeringTest {
@@ -28,11 +28,11 @@
     /** With room for no client at all, so many are accepted: those that are being closed. */
     private static final int ACCEPTED = 24;
 
-    private Sockets sockets;
+    private MinaTransport sockets;
     private Listening listening;
 
     private void serve(int seconds) throws Exception {
-        sockets = new Sockets(0, 1_000_000, seconds);
+        sockets = new MinaTransport(0, 1_000_000, seconds);
         listening = Listening.start(sockets,
                 Files.readString(Path.of("src/test/resources/exchanges/config.json"))
                 .replaceFirst("\\{", "{\"limits\":{\"sockets\":1024,\"memory_mb\":160},"));
@@ -44,34 +44,34 @@
     }
 
     /** Answers nothing by itself, and closes when it has lingered long enough. */
-    private static final class Quiet implements Side {
+    private static final class Quiet implements ConnectionHandler {
         private final CountDownLatch up = new CountDownLatch(1);
         private final CountDownLatch down = new CountDownLatch(1);
-        private final CompletableFuture<Wire> wire = new CompletableFuture<>();
+        private final CompletableFuture<Connection> wire = new CompletableFuture<>();
         private int received;
 
         @Override
-        public void up() {
+        public void onConnected() {
             up.countDown();
         }
 
         @Override
-        public void received(ByteBuffer bytes) {
+        public void onReceived(ByteBuffer bytes) {
             received += bytes.remaining();
         }
 
         @Override
-        public void written(int bytes) {
+        public void onWritten(int bytes) {
             // nothing waits for it
         }
 
         @Override
-        public void idle() {
+        public void onIdle() {
             wire.join().close();
         }
 
         @Override
-        public void down() {
+        public void onClosed() {
             down.countDown();
         }
     }
@@ -96,19 +96,19 @@
         serve(LONG);
         Quiet side = new Quiet();
         try (Socket peer = connected(side)) {
-            Wire wire = side.wire.get();
-            listening.onDesk(() -> wire.hold(true));
+            Connection wire = side.wire.get();
+            listening.onDesk(() -> wire.setReadingPaused(true));
             peer.getOutputStream().write(new byte[1000]);
             listening.onDesk(() -> {
                 wire.write(ByteBuffer.wrap(ANSWER.getBytes(StandardCharsets.US_ASCII)));
-                wire.linger();
+                wire.closeLingering();
             });
             byte[] came = new byte[ANSWER.length()];
             peer.getInputStream().readNBytes(came, 0, came.length);
             assertEquals(ANSWER, new String(came, StandardCharsets.US_ASCII));
             assertEquals(-1, peer.getInputStream().read(), "the end, and not a reset");
             peer.getOutputStream().write(new byte[1000]);
-            listening.onDesk(() -> wire.hold(false));
+            listening.onDesk(() -> wire.setReadingPaused(false));
             peer.getOutputStream().write(new byte[1000]);
             assertEquals(-1, peer.getInputStream().read(), "still the end");
         }
@@ -146,7 +146,7 @@
         Quiet rests = new Quiet();
         try (Socket peer = connected(rests)) {
             rests.wire.get();
-            listening.onDesk(() -> rests.wire.join().linger());
+            listening.onDesk(() -> rests.wire.join().closeLingering());
             assertEquals(-1, peer.getInputStream().read());
             assertTrue(rests.down.await(10, TimeUnit.SECONDS));
         }
@@ -157,7 +157,7 @@
         serve(LONG);
         Quiet floods = new Quiet();
         try (Socket peer = connected(floods)) {
-            listening.onDesk(() -> floods.wire.join().linger());
+            listening.onDesk(() -> floods.wire.join().closeLingering());
             byte[] piece = new byte[64 * 1024];
             for (int i = 0; i < 1000 && floods.down.getCount() > 0; i++) {
                 peer.getOutputStream().write(piece);
--- a/src/test/java/yewdock/sockets/Listening.java
+++ b/src/test/java/yewdock/sockets/Listening.java
@@ -4,20 +4,20 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import umberspread.GenerationRouter;
-import yewdock.desk.Counters;
-import yewdock.desk.Desk;
-import yewdock.desk.Terms;
+import yewdock.core.CoreSettings;
+import yewdock.core.Counters;
+import yewdock.core.Reducer;
 import yewdock.platform.Config;
-import yewdock.platform.Front;
+import yewdock.platform.ConnectionManager;
 
 /** Sockets that serve on a thread of their own, at a free port of this machine. */
-record Listening(Sockets sockets, InetSocketAddress at, Thread serves) {
-    static Listening start(Sockets sockets, Front front, Desk desk) throws Exception {
+record Listening(MinaTransport sockets, InetSocketAddress at, Thread serves) {
+    static Listening start(MinaTransport sockets, ConnectionManager front, Reducer desk) throws Exception {
         CompletableFuture<String> address = new CompletableFuture<>();
-        Thread serves = new Thread(() -> sockets.serveLater(() -> {
+        Thread serves = new Thread(() -> sockets.serveWithoutListening(() -> {
             front.start();
             try {
-                address.complete(sockets.listenBeside("127.0.0.1:0"));
+                address.complete(sockets.listenShared("127.0.0.1:0"));
             } catch (java.io.IOException e) {
                 address.completeExceptionally(e);
             }
@@ -29,12 +29,14 @@
     }
 
     /** A router with this configuration. */
-    static Listening start(Sockets sockets, String text) throws Exception {
+    static Listening start(MinaTransport sockets, String text) throws Exception {
         Config config = Config.read(text, line -> { });
         Counters counters = new Counters();
-        Desk desk = new Desk(Terms.of(config.settings(), config.keepalive()), config.bounds(), counters,
+        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
+                config.bounds(), counters,
                 actions -> new GenerationRouter(config.settings(), 1, actions));
-        return start(sockets, new Front(config, desk, counters, sockets, sockets.clock(), line -> { }), desk);
+        return start(sockets, new ConnectionManager(config, desk, counters, sockets, sockets.clock(), line ->
+                { }), desk);
     }
 
     /** Does this on the desk's thread, and waits until it is done. */
--- a/src/test/java/yewdock/sockets/ResetBehindBytesTest.java
+++ b/src/test/java/yewdock/sockets/ResetBehindBytesTest.java
@@ -15,44 +15,44 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import yewdock.platform.Side;
-import yewdock.platform.Wire;
+import yewdock.platform.Connection;
+import yewdock.platform.ConnectionHandler;
 
 /** A server writes the last of its answer and resets the connection: what it wrote still counts. */
 class ResetBehindBytesTest {
     private static final String ANSWER = "data: [DONE]\n\n";
 
-    private final Sockets sockets = new Sockets(4, 1_000_000);
+    private final MinaTransport sockets = new MinaTransport(4, 1_000_000);
     private Listening listening;
 
     /** What comes over the connection, and then its end. */
-    private static final class Reader implements Side {
+    private static final class Reader implements ConnectionHandler {
         private final StringBuilder came = new StringBuilder();
         private final CompletableFuture<String> atEnd = new CompletableFuture<>();
         private final CountDownLatch up = new CountDownLatch(1);
 
         @Override
-        public void up() {
+        public void onConnected() {
             up.countDown();
         }
 
         @Override
-        public void received(ByteBuffer bytes) {
+        public void onReceived(ByteBuffer bytes) {
             came.append(StandardCharsets.US_ASCII.decode(bytes));
         }
 
         @Override
-        public void written(int bytes) {
+        public void onWritten(int bytes) {
             throw new AssertionError("nothing is written");
         }
 
         @Override
-        public void idle() {
+        public void onIdle() {
             throw new AssertionError("nothing lingers");
         }
 
         @Override
-        public void down() {
+        public void onClosed() {
             atEnd.complete(came.toString());
         }
     }
@@ -72,7 +72,7 @@
     @Test
     void whatCameBeforeAResetIsPassedOn() throws Exception {
         Reader reader = new Reader();
-        CompletableFuture<Wire> wire = new CompletableFuture<>();
+        CompletableFuture<Connection> wire = new CompletableFuture<>();
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
             sockets.post(() -> sockets.connect("127.0.0.1:" + server.getLocalPort(), made -> {
                 wire.complete(made);
@@ -80,12 +80,12 @@
             }));
             Socket accepted = server.accept();
             reader.up.await(10, TimeUnit.SECONDS);
-            Wire held = wire.get(10, TimeUnit.SECONDS);
-            listening.onDesk(() -> held.hold(true));
+            Connection held = wire.get(10, TimeUnit.SECONDS);
+            listening.onDesk(() -> held.setReadingPaused(true));
             accepted.getOutputStream().write(ANSWER.getBytes(StandardCharsets.US_ASCII));
             accepted.setSoLinger(true, 0);
             accepted.close();
-            listening.onDesk(() -> held.hold(false));
+            listening.onDesk(() -> held.setReadingPaused(false));
             assertEquals(ANSWER, reader.atEnd.get(10, TimeUnit.SECONDS));
         }
     }
--- a/src/test/java/yewdock/state/KeepingTest.java
+++ b/src/test/java/yewdock/state/KeepingTest.java
@@ -21,8 +21,8 @@
     private static final long NOW = 1_700_000_000 * SECOND;
     private static final long DOUBT = 3600 * SECOND;
 
-    private final Records records = new Records("here", 1000);
-    private final Keeping keeping = new Keeping(records, DOUBT);
+    private final ReplicatedRecords records = new ReplicatedRecords("here", 1000);
+    private final StateRecorder keeping = new StateRecorder(records, DOUBT);
 
     private static Box box(long id, Lifecycle lifecycle, long startedAt) {
         return Box.newBuilder().setId(id).setName("s-" + id).setAddress("10.0.0.1:" + (8000 + id))
@@ -35,7 +35,7 @@
     }
 
     private State state(long wall) {
-        return keeping.state(1, 1, wall, 0);
+        return keeping.restartState(1, 1, wall, 0);
     }
 
     private Box kept(State state, long id) {
@@ -45,9 +45,11 @@
 
     @Test
     void aDrainHoldsAtAStartWithTheTimeAtWhichItWasFirstTold() {
-        keeping.told(list(3, true, box(1, Lifecycle.READY, 5), box(2, Lifecycle.READY, 5)), 0, NOW);
-        keeping.told(list(4, false, box(1, Lifecycle.DRAINING, 5)), 0, NOW + SECOND);
-        assertEquals(2, keeping.told(list(5, false, box(1, Lifecycle.DRAINING, 5), box(2, Lifecycle.DRAINING,
+        keeping.recordEndpointList(list(3, true, box(1, Lifecycle.READY, 5), box(2, Lifecycle.READY, 5)), 0,
+                NOW);
+        keeping.recordEndpointList(list(4, false, box(1, Lifecycle.DRAINING, 5)), 0, NOW + SECOND);
+        assertEquals(2, keeping.recordEndpointList(list(5, false, box(1, Lifecycle.DRAINING, 5), box(2,
+                Lifecycle.DRAINING,
                 5)), 0, NOW + 9 * SECOND).size(), "only what is new is written");
         State state = state(NOW + 20 * SECOND);
         assertEquals(5, state.getBoxes().getVersion());
@@ -58,7 +60,7 @@
 
     @Test
     void aDrainToldLongAgoIsDoubtedAndOneOfAClockAheadIsNot() {
-        keeping.told(list(3, true, box(1, Lifecycle.DRAINING, 5)), 0, NOW);
+        keeping.recordEndpointList(list(3, true, box(1, Lifecycle.DRAINING, 5)), 0, NOW);
         assertEquals(Lifecycle.DRAINING.ordinal(), kept(state(NOW + DOUBT), 1).getLifecycle());
         assertEquals(Lifecycle.READY.ordinal(), kept(state(NOW + DOUBT + 1), 1).getLifecycle());
         // the clock was moved back by an hour since: an age below zero is none
@@ -68,68 +70,73 @@
 
     @Test
     void aWholeListDropsWhatItDoesNotNameAndTheBoxesTroubles() {
-        keeping.told(list(3, true, box(1, Lifecycle.READY, 5), box(2, Lifecycle.READY, 5)), 0, NOW);
-        keeping.learnt(Memory.newBuilder().addNodes(NodeMemory.newBuilder().setId(2).setEjections(3)
+        keeping.recordEndpointList(list(3, true, box(1, Lifecycle.READY, 5), box(2, Lifecycle.READY, 5)), 0,
+                NOW);
+        keeping.recordModuleMemory(Memory.newBuilder().addNodes(NodeMemory.newBuilder().setId(2).setEjections(3)
                 .setEjectedUntil(NOW + SECOND)).build(), 0, NOW);
         assertEquals(1, state(NOW).getModule().getNodesCount());
-        keeping.told(list(4, true, box(1, Lifecycle.READY, 5)), 0, NOW);
+        keeping.recordEndpointList(list(4, true, box(1, Lifecycle.READY, 5)), 0, NOW);
         assertEquals(1, state(NOW).getBoxes().getBoxesCount());
         assertEquals(0, state(NOW).getModule().getNodesCount());
     }
 
     @Test
     void whatWasHeldAgainstABoxIsNothingToTheOneThatTookItsPlace() {
-        keeping.told(list(3, true, box(1, Lifecycle.READY, 5)), 0, NOW);
-        keeping.learnt(Memory.newBuilder().addNodes(NodeMemory.newBuilder().setId(1).setEjections(3)
+        keeping.recordEndpointList(list(3, true, box(1, Lifecycle.READY, 5)), 0, NOW);
+        keeping.recordModuleMemory(Memory.newBuilder().addNodes(NodeMemory.newBuilder().setId(1).setEjections(3)
                 .setEjectedUntil(NOW + SECOND).setBudgetedStart(5)).build(), 0, NOW);
-        keeping.told(list(4, false, box(1, Lifecycle.READY, 9)), 0, NOW);
-        assertNull(records.get(Keys.node("here", 1)));
+        keeping.recordEndpointList(list(4, false, box(1, Lifecycle.READY, 9)), 0, NOW);
+        assertNull(records.get(RecordKeys.serverMemory("here", 1)));
     }
 
     @Test
     void timesOfAGenerationAreMovedToTheDaemonsClock() {
-        keeping.told(list(3, true, box(1, Lifecycle.READY, 5)), 0, NOW);
+        keeping.recordEndpointList(list(3, true, box(1, Lifecycle.READY, 5)), 0, NOW);
         Memory learnt = Memory.newBuilder().addNodes(NodeMemory.newBuilder().setId(1).setEjections(1)
                 .setEjectedUntil(700)).build();
-        keeping.learnt(learnt, 50, NOW);
-        assertEquals(750, records.get(Keys.node("here", 1)).getNode().getEjectedUntil());
-        assertTrue(keeping.learnt(learnt, 50, NOW + SECOND).isEmpty(), "the same again is not written");
+        keeping.recordModuleMemory(learnt, 50, NOW);
+        assertEquals(750, records.get(RecordKeys.serverMemory("here", 1)).getNode().getEjectedUntil());
+        assertTrue(keeping.recordModuleMemory(learnt, 50, NOW + SECOND).isEmpty(),
+                "the same again is not written");
         // an ejection of hours is one of a clock that was moved
-        keeping.learnt(learnt, NOW + 7200 * SECOND, NOW + 2 * SECOND);
+        keeping.recordModuleMemory(learnt, NOW + 7200 * SECOND, NOW + 2 * SECOND);
         assertEquals(0, state(NOW + 2 * SECOND).getModule().getNodesCount());
     }
 
     @Test
     void whatTheModuleHasLearntIsWorthNothingAfterAnHour() {
-        keeping.told(list(3, true, box(1, Lifecycle.READY, 5)), 0, NOW);
-        keeping.learnt(Memory.newBuilder().setReadRate(7).build(), 0, NOW);
+        keeping.recordEndpointList(list(3, true, box(1, Lifecycle.READY, 5)), 0, NOW);
+        keeping.recordModuleMemory(Memory.newBuilder().setReadRate(7).build(), 0, NOW);
         assertEquals(7, state(NOW + 60 * SECOND).getModule().getReadRate());
         assertFalse(state(NOW + 2 * DOUBT).hasModule());
     }
 
     @Test
     void aMarkOfGoneEndsWithALaterStartAndADrainDoesNot() {
-        keeping.told(list(3, true, box(1, Lifecycle.READY, 5), box(2, Lifecycle.READY, 5)), 0, NOW);
-        keeping.mark("s-1", Mark.Kind.GONE, "here", NOW);
-        keeping.mark("s-2", Mark.Kind.DRAIN, "here", NOW);
-        assertTrue(keeping.dropOutlived(NOW).isEmpty());
-        keeping.told(list(4, false, box(1, Lifecycle.READY, 6), box(2, Lifecycle.READY, 6)), 0, NOW);
-        assertEquals(1, keeping.dropOutlived(NOW).size());
-        assertEquals(List.of("s-2"), List.copyOf(keeping.marks().keySet()));
-        keeping.mark("s-2", Mark.Kind.NONE, "here", NOW);
-        assertTrue(keeping.marks().isEmpty());
+        keeping.recordEndpointList(list(3, true, box(1, Lifecycle.READY, 5), box(2, Lifecycle.READY, 5)), 0,
+                NOW);
+        keeping.recordOverride("s-1", Mark.Kind.GONE, "here", NOW);
+        keeping.recordOverride("s-2", Mark.Kind.DRAIN, "here", NOW);
+        assertTrue(keeping.dropOutdatedOverrides(NOW).isEmpty());
+        keeping.recordEndpointList(list(4, false, box(1, Lifecycle.READY, 6), box(2, Lifecycle.READY, 6)), 0,
+                NOW);
+        assertEquals(1, keeping.dropOutdatedOverrides(NOW).size());
+        assertEquals(List.of("s-2"), List.copyOf(keeping.overrides().keySet()));
+        keeping.recordOverride("s-2", Mark.Kind.NONE, "here", NOW);
+        assertTrue(keeping.overrides().isEmpty());
     }
 
     @Test
     void withAnEmptyDiskADrainThatAnyOtherKnowsHolds() {
-        Records north = new Records("north", 100);
-        Records south = new Records("south", 100);
-        new Keeping(north, DOUBT).told(list(3, true, box(1, Lifecycle.READY, 5), box(2, Lifecycle.READY, 9)),
+        ReplicatedRecords north = new ReplicatedRecords("north", 100);
+        ReplicatedRecords south = new ReplicatedRecords("south", 100);
+        new StateRecorder(north, DOUBT).recordEndpointList(list(3, true, box(1, Lifecycle.READY, 5), box(2,
+                Lifecycle.READY, 9)),
                 0, NOW);
-        new Keeping(south, DOUBT).told(list(4, true, box(1, Lifecycle.DRAINING, 5), box(2,
+        new StateRecorder(south, DOUBT).recordEndpointList(list(4, true, box(1, Lifecycle.DRAINING, 5), box(2,
                 Lifecycle.DRAINING, 5)), 0, NOW);
-        for (Records other : List.of(north, south)) {
-            for (Kept kept : other.after("")) {
+        for (ReplicatedRecords other : List.of(north, south)) {
+            for (Kept kept : other.recordsAfter("")) {
                 records.merge(kept);
             }
         }
--- a/src/test/java/yewdock/state/RecordsPropertiesTest.java
+++ b/src/test/java/yewdock/state/RecordsPropertiesTest.java
@@ -37,30 +37,30 @@
         return records().list().ofMaxSize(12);
     }
 
-    private static Records of(List<Kept> first, List<Kept> second) {
-        Records records = new Records("here", 100);
+    private static ReplicatedRecords of(List<Kept> first, List<Kept> second) {
+        ReplicatedRecords records = new ReplicatedRecords("here", 100);
         first.forEach(records::merge);
         second.forEach(records::merge);
         return records;
     }
 
-    private static List<Kept> all(Records records) {
+    private static List<Kept> all(ReplicatedRecords records) {
         List<Kept> all = new ArrayList<>();
-        records.after("").forEach(all::add);
+        records.recordsAfter("").forEach(all::add);
         return all;
     }
 
     @Property(seed = SEED)
     void theOrderIsNothing(@ForAll("sets") List<Kept> a, @ForAll("sets") List<Kept> b,
             @ForAll Random random) {
-        Records one = of(a, b);
+        ReplicatedRecords one = of(a, b);
         assertEquals(all(one), all(of(b, a)));
         List<Kept> mixed = new ArrayList<>(a);
         mixed.addAll(b);
         Collections.shuffle(mixed, random);
-        Records other = of(mixed, List.of());
+        ReplicatedRecords other = of(mixed, List.of());
         assertEquals(all(one), all(other));
-        assertEquals(one.sums(), other.sums());
+        assertEquals(one.bucketSums(), other.bucketSums());
     }
 
     @Property(seed = SEED)
@@ -71,29 +71,29 @@
 
     @Property(seed = SEED)
     void twiceIsOnce(@ForAll("sets") List<Kept> a) {
-        Records once = of(a, List.of());
+        ReplicatedRecords once = of(a, List.of());
         assertEquals(all(once), all(of(a, a)));
-        assertEquals(once.sums(), of(a, a).sums());
+        assertEquals(once.bucketSums(), of(a, a).bucketSums());
     }
 
     @Property(seed = SEED)
     void aRecordWrittenHereHoldsOverAllSeen(@ForAll("sets") List<Kept> a,
             @ForAll("sets") List<Kept> late) {
-        Records here = of(a, List.of());
+        ReplicatedRecords here = of(a, List.of());
         Kept mine = here.write("a", Kept.newBuilder().setMark(Mark.newBuilder().setKindValue(2)), -5);
         a.forEach(here::merge);
         assertEquals(mine, here.get("a"));
-        Records there = of(late, a);
+        ReplicatedRecords there = of(late, a);
         there.merge(mine);
         all(here).forEach(there::merge);
-        assertEquals(there.sums(), of(all(there), all(here)).sums());
+        assertEquals(there.bucketSums(), of(all(there), all(here)).bucketSums());
     }
 
     @Property(seed = SEED)
     void theSumsAreOfWhatIsThere(@ForAll("sets") List<Kept> a, @ForAll("sets") List<Kept> b) {
-        Records grown = of(a, b);
-        assertEquals(of(all(grown), List.of()).sums(), grown.sums());
+        ReplicatedRecords grown = of(a, b);
+        assertEquals(of(all(grown), List.of()).bucketSums(), grown.bucketSums());
         assertEquals(all(grown).equals(all(of(a, List.of()))),
-                grown.differing(of(a, List.of()).sums()).isEmpty());
+                grown.differingBuckets(of(a, List.of()).bucketSums()).isEmpty());
     }
 }
--- a/src/test/java/yewdock/store/CommitterTest.java
+++ b/src/test/java/yewdock/store/CommitterTest.java
@@ -14,20 +14,20 @@
 import org.junit.jupiter.api.Test;
 
 class CommitterTest {
-    private static final Committer.Pace PACE = new Committer.Pace(1, 5);
+    private static final Committer.CommitTiming PACE = new Committer.CommitTiming(1, 5);
 
     /** A disk that fails when told to. */
-    private static final class Disk implements Shelf.Opening {
+    private static final class Disk implements KeyValueStore.StoreOpener {
         private final TreeMap<String, byte[]> kept = new TreeMap<>();
         private volatile boolean full;
         private int writes;
 
         @Override
-        public synchronized Shelf open() throws StoreException {
+        public synchronized KeyValueStore open() throws StoreException {
             if (full) {
                 throw new StoreException(StoreException.Kind.UNWRITABLE, "no room");
             }
-            return new Shelf() {
+            return new KeyValueStore() {
                 @Override
                 public SortedMap<String, byte[]> all() {
                     return new TreeMap<>(kept);
@@ -51,7 +51,7 @@
                 }
 
                 @Override
-                public void tidy(int mostMillis) {
+                public void compactIfLarge(int mostMillis) {
                     // nothing to tidy
                 }
 
@@ -71,7 +71,8 @@
     @Test
     void changesOfOneKeyAreWrittenOnce() throws Exception {
         Disk disk = new Disk();
-        try (Committer committer = new Committer(disk.open(), disk, new Committer.Pace(50, 5), h -> { })) {
+        try (Committer committer = new Committer(disk.open(), disk, new Committer.CommitTiming(50, 5), h ->
+                { })) {
             long ticket = 0;
             for (int i = 0; i <= 1000; i++) {
                 ticket = committer.put(Map.of("a", new byte[] {(byte) i}));
@@ -86,11 +87,11 @@
     void aFullDiskStopsNobodyAndIsMadeGoodLater() throws Exception {
         Disk disk = new Disk();
         disk.kept.put("old", new byte[] {1});
-        BlockingQueue<Committer.Health> said = new LinkedBlockingQueue<>();
+        BlockingQueue<Committer.StoreHealth> said = new LinkedBlockingQueue<>();
         try (Committer committer = new Committer(disk.open(), disk, PACE, said::add)) {
             disk.full = true;
             long first = committer.put(Map.of("a", new byte[] {1}));
-            Committer.Health bad = said.poll(10, TimeUnit.SECONDS);
+            Committer.StoreHealth bad = said.poll(10, TimeUnit.SECONDS);
             assertFalse(bad.open());
             assertEquals(StoreException.Kind.UNWRITABLE, bad.kind());
             Map<String, byte[]> removal = new TreeMap<>();
@@ -120,7 +121,8 @@
     @Test
     void closingWritesWhatWaits() throws Exception {
         Disk disk = new Disk();
-        Committer committer = new Committer(disk.open(), disk, new Committer.Pace(60_000, 5), h -> { });
+        Committer committer = new Committer(disk.open(), disk, new Committer.CommitTiming(60_000, 5), h ->
+                { });
         committer.put(Map.of("a", new byte[] {1}));
         committer.close();
         assertTrue(disk.kept.containsKey("a"));
--- a/src/test/java/yewdock/store/StoreFullTest.java
+++ b/src/test/java/yewdock/store/StoreFullTest.java
@@ -29,8 +29,8 @@
         String said = new String(process.getInputStream().readAllBytes());
         assertEquals(0, process.waitFor(), said);
         assertEquals(List.of("full UNWRITABLE", "room", "all there"), said.lines().toList());
-        try (Store store = Store.open(folder)) {
-            assertEquals(0, store.missing());
+        try (RecordFile store = RecordFile.open(folder)) {
+            assertEquals(0, store.missingCommits());
         }
     }
 
@@ -41,11 +41,11 @@
 
         public static void main(String[] words) throws Exception {
             Path folder = Path.of(words[0]);
-            BlockingQueue<Committer.Health> said = new LinkedBlockingQueue<>();
+            BlockingQueue<Committer.StoreHealth> said = new LinkedBlockingQueue<>();
             Map<String, byte[]> all = new TreeMap<>();
-            try (Committer committer = new Committer(Store.open(folder), () -> Store.open(folder),
-                    new Committer.Pace(1, 20), said::add)) {
-                Committer.Health health = null;
+            try (Committer committer = new Committer(RecordFile.open(folder), () -> RecordFile.open(folder),
+                    new Committer.CommitTiming(1, 20), said::add)) {
+                Committer.StoreHealth health = null;
                 for (int i = 0; health == null && i < 1_000; i++) {
                     Map<String, byte[]> one = Map.of("k" + i, new byte[RECORD]);
                     all.putAll(one);
@@ -59,7 +59,7 @@
                 committer.durable(ticket).get(20, TimeUnit.SECONDS);
                 System.out.println("room");
             }
-            try (Store store = Store.open(folder)) {
+            try (RecordFile store = RecordFile.open(folder)) {
                 System.out.println(store.all().keySet().equals(all.keySet()) ? "all there"
                         : store.all().size() + " of " + all.size());
             }
--- a/src/test/java/yewdock/store/StoreTest.java
+++ b/src/test/java/yewdock/store/StoreTest.java
@@ -45,7 +45,7 @@
 
     @Test
     void keepsBatchesInOrderAcrossOpenings() throws StoreException {
-        try (Store store = Store.open(folder)) {
+        try (RecordFile store = RecordFile.open(folder)) {
             assertEquals(2, store.write(Map.of("b/1", bytes("one"), "a/2", bytes("two"))));
             assertEquals(3, store.write(Map.of("b/2", bytes("three"), "c", bytes("four"))));
             Map<String, byte[]> removal = new HashMap<>();
@@ -53,8 +53,8 @@
             removal.put("d", null);
             store.write(removal);
         }
-        try (Store store = Store.open(folder)) {
-            assertEquals(4, store.number());
+        try (RecordFile store = RecordFile.open(folder)) {
+            assertEquals(4, store.lastCommitNumber());
             assertEquals(Map.of("a/2", "two", "b/1", "one", "b/2", "three"), texts(store.all()));
             assertEquals(List.of("b/1", "b/2"), List.copyOf(store.prefix("b/").keySet()));
         }
@@ -62,9 +62,9 @@
 
     @Test
     void aSnapshotStaysAsItWas() throws StoreException {
-        try (Store store = Store.open(folder)) {
+        try (RecordFile store = RecordFile.open(folder)) {
             store.write(Map.of("a", bytes("before")));
-            try (Store.Snapshot snapshot = store.snapshot()) {
+            try (RecordFile.Snapshot snapshot = store.snapshot()) {
                 for (int i = 0; i < 50; i++) {
                     store.write(Map.of("a", bytes("after" + i), "b" + i, bytes("new")));
                 }
@@ -76,37 +76,37 @@
 
     @Test
     void oneProcessForAFolder() throws StoreException {
-        try (Store store = Store.open(folder)) {
+        try (RecordFile store = RecordFile.open(folder)) {
             store.write(Map.of("a", bytes("1")));
-            StoreException e = assertThrows(StoreException.class, () -> Store.open(folder));
+            StoreException e = assertThrows(StoreException.class, () -> RecordFile.open(folder));
             assertEquals(StoreException.Kind.LOCKED, e.kind());
             store.write(Map.of("a", bytes("2")));
         }
-        try (Store store = Store.open(folder)) {
+        try (RecordFile store = RecordFile.open(folder)) {
             assertEquals(Map.of("a", "2"), texts(store.all()));
         }
     }
 
     @Test
     void aNewerOneIsLeftUntouched() throws StoreException, IOException {
-        Store.open(folder).close();
+        RecordFile.open(folder).close();
         withHead("version", 3L);
-        byte[] before = Files.readAllBytes(Store.fileIn(folder));
-        StoreException e = assertThrows(StoreException.class, () -> Store.open(folder));
+        byte[] before = Files.readAllBytes(RecordFile.fileInFolder(folder));
+        StoreException e = assertThrows(StoreException.class, () -> RecordFile.open(folder));
         assertEquals(StoreException.Kind.NEWER, e.kind());
         assertTrue(e.getMessage().contains("version 3"), e.getMessage());
-        assertArrayEquals(before, Files.readAllBytes(Store.fileIn(folder)));
+        assertArrayEquals(before, Files.readAllBytes(RecordFile.fileInFolder(folder)));
     }
 
     private void withHead(String key, long value) {
-        try (MVStore raw = MVStore.open(Store.fileIn(folder).toString())) {
+        try (MVStore raw = MVStore.open(RecordFile.fileInFolder(folder).toString())) {
             raw.<String, Long>openMap("head").put(key, value);
             raw.commit();
         }
     }
 
     private void writeVersion1(int records) {
-        try (MVStore raw = new MVStore.Builder().fileName(Store.fileIn(folder).toString())
+        try (MVStore raw = new MVStore.Builder().fileName(RecordFile.fileInFolder(folder).toString())
                 .autoCommitDisabled().open()) {
             MVMap<String, byte[]> map = raw.openMap("records");
             for (int i = 0; i < records; i++) {
@@ -120,24 +120,24 @@
     @Test
     void anOlderOneIsBroughtUpInOneStep() throws StoreException, IOException {
         writeVersion1(40);
-        byte[] old = Files.readAllBytes(Store.fileIn(folder));
+        byte[] old = Files.readAllBytes(RecordFile.fileInFolder(folder));
         Map<String, String> wanted = new TreeMap<>();
         for (int i = 0; i < 40; i++) {
             wanted.put("k" + i, "v" + i);
         }
-        try (Store store = Store.open(folder)) {
-            assertEquals(Store.VERSION, store.version());
+        try (RecordFile store = RecordFile.open(folder)) {
+            assertEquals(RecordFile.VERSION, store.version());
             assertEquals(wanted, texts(store.all()));
         }
         // killed at any point of it: the old part of the file, and more or less of what came after
-        byte[] all = Files.readAllBytes(Store.fileIn(folder));
+        byte[] all = Files.readAllBytes(RecordFile.fileInFolder(folder));
         assertTrue(all.length > old.length);
         for (int length : offsets(old.length, all.length, 3)) {
-            Files.write(Store.fileIn(folder), Arrays.copyOf(all, length));
+            Files.write(RecordFile.fileInFolder(folder), Arrays.copyOf(all, length));
             Files.deleteIfExists(folder.resolve("records.number"));
-            try (Store store = Store.open(folder)) {
+            try (RecordFile store = RecordFile.open(folder)) {
                 assertEquals(wanted, texts(store.all()), "cut to " + length);
-                assertEquals(Store.VERSION, store.version());
+                assertEquals(RecordFile.VERSION, store.version());
             }
         }
     }
@@ -165,7 +165,7 @@
         List<Map<String, String>> committed = new ArrayList<>();
         committed.add(Map.of());
         SplittableRandom random = new SplittableRandom(7);
-        try (Store store = Store.open(folder)) {
+        try (RecordFile store = RecordFile.open(folder)) {
             for (int i = 0; i < commits; i++) {
                 Map<String, byte[]> changes = new HashMap<>();
                 for (int k = 0; k < 6; k++) {
@@ -183,7 +183,7 @@
     @Test
     void cutAnywhereItIsAsCommittedOrRefused() throws StoreException, IOException {
         List<Map<String, String>> committed = history(8);
-        byte[] all = Files.readAllBytes(Store.fileIn(folder));
+        byte[] all = Files.readAllBytes(RecordFile.fileInFolder(folder));
         long good = offsets(0, all.length, 1).parallelStream().filter(length ->
                 playWith(Arrays.copyOf(all, length), committed, "cut to " + length)).count();
         System.out.println("cut: " + good + " as committed, of a file of " + all.length + " bytes");
@@ -193,7 +193,7 @@
     @Test
     void flippedAnywhereItIsAsCommittedOrRefused() throws StoreException, IOException {
         List<Map<String, String>> committed = history(8);
-        byte[] all = Files.readAllBytes(Store.fileIn(folder));
+        byte[] all = Files.readAllBytes(RecordFile.fileInFolder(folder));
         long refused = offsets(0, all.length - 1, 2).parallelStream().filter(at -> {
             byte[] flipped = all.clone();
             flipped[at] ^= (byte) (1 << new SplittableRandom(at).nextInt(8));
@@ -206,7 +206,7 @@
     @Test
     void tornAcrossTwoWritesItIsAsCommittedOrRefused() throws StoreException, IOException {
         List<Map<String, String>> committed = history(8);
-        byte[] all = Files.readAllBytes(Store.fileIn(folder));
+        byte[] all = Files.readAllBytes(RecordFile.fileInFolder(folder));
         // a block that never reached the disk reads as zeroes, with later blocks written
         for (int at : offsets(0, all.length / 512 - 1, 4)) {
             byte[] torn = all.clone();
@@ -220,20 +220,20 @@
         Map<String, String> last = committed.get(committed.size() - 1);
         return assertTimeoutPreemptively(LONGEST, () -> {
             Path own = Files.createTempDirectory(folder, "case");
-            Files.write(Store.fileIn(own), file);
+            Files.write(RecordFile.fileInFolder(own), file);
             Files.write(own.resolve("records.number"), number);
-            try (Store store = Store.open(own)) {
+            try (RecordFile store = RecordFile.open(own)) {
                 Map<String, String> found = texts(store.all());
                 assertTrue(committed.contains(found), how + ": never committed: " + found);
-                assertTrue(store.missing() > 0 == !found.equals(last),
-                        how + ": " + store.missing() + " commits are said to be missing");
+                assertTrue(store.missingCommits() > 0 == !found.equals(last),
+                        how + ": " + store.missingCommits() + " commits are said to be missing");
                 store.write(Map.of("new", bytes("room")));
                 assertTrue(store.all().containsKey("new"));
                 return true;
             } catch (StoreException e) {
                 assertTrue(e.kind() == StoreException.Kind.DAMAGED || e.kind() == StoreException.Kind.NEWER,
                         how + ": " + e.getMessage());
-                assertArrayEquals(file, Files.readAllBytes(Store.fileIn(own)), how);
+                assertArrayEquals(file, Files.readAllBytes(RecordFile.fileInFolder(own)), how);
                 return false;
             } finally {
                 for (String name : List.of("records.mv", "records.number")) {
@@ -247,7 +247,7 @@
     @Test
     void killedInTheMiddleOfTidyingNothingIsMissing() throws StoreException, IOException {
         Map<String, String> wanted = new TreeMap<>();
-        try (Store store = Store.open(folder)) {
+        try (RecordFile store = RecordFile.open(folder)) {
             for (int i = 0; i < 120; i++) {
                 String value = "v" + i + "x".repeat(60_000);
                 store.write(Map.of("k" + i % 4, bytes(value)));
@@ -259,25 +259,25 @@
             List<byte[]> moments = new ArrayList<>();
             Thread tidy = new Thread(() -> {
                 try {
-                    store.tidy(2_000);
+                    store.compactIfLarge(2_000);
                 } catch (StoreException e) {
                     throw new IllegalStateException(e);
                 }
             });
             tidy.start();
             do {
-                moments.add(Files.readAllBytes(Store.fileIn(folder)));
+                moments.add(Files.readAllBytes(RecordFile.fileInFolder(folder)));
             } while (tidy.isAlive() && moments.size() < 40);
             join(tidy);
             assertTrue(store.bytes() < before, before + " bytes are " + store.bytes());
             assertEquals(wanted, texts(store.all()));
             Path other = Files.createDirectory(folder.resolve("other"));
             for (byte[] moment : moments) {
-                Files.write(Store.fileIn(other), moment);
+                Files.write(RecordFile.fileInFolder(other), moment);
                 Files.write(other.resolve("records.number"), number);
-                try (Store killed = Store.open(other)) {
+                try (RecordFile killed = RecordFile.open(other)) {
                     // its head may be older than its end: what is missing then is told
-                    assertEquals(!wanted.equals(texts(killed.all())), killed.missing() > 0);
+                    assertEquals(!wanted.equals(texts(killed.all())), killed.missingCommits() > 0);
                 } catch (StoreException e) {
                     // a copy is not of one moment, as a kill's file is: it may be refused, never be wrong
                     assertEquals(StoreException.Kind.DAMAGED, e.kind());
@@ -297,9 +297,9 @@
     @Test
     void whatIsInTheWayOfAFolderIsToldClearly() throws IOException {
         Path file = Files.writeString(folder.resolve("a file"), "");
-        StoreException e = assertThrows(StoreException.class, () -> Store.open(file));
+        StoreException e = assertThrows(StoreException.class, () -> RecordFile.open(file));
         assertEquals(StoreException.Kind.READ_ONLY, e.kind());
-        assertThrows(StoreException.class, () -> Store.look(folder.resolve("nowhere")));
+        assertThrows(StoreException.class, () -> RecordFile.openReadOnly(folder.resolve("nowhere")));
         assertFalse(Files.exists(folder.resolve("nowhere")));
     }
 }
--- a/src/test/java/yewdock/standin/ListenPortsTest.java
+++ b/src/test/java/yewdock/testbed/ListenPortsTest.java
@@ -1,4 +1,4 @@
-package yewdock.standin;
+package yewdock.testbed;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
