--- a/src/test/java/yewdock/upgrade/UpgradeTest.java
+++ b/src/test/java/yewdock/upgrade/UpgradeTest.java
@@ -22,29 +22,30 @@
 /** The supervisor's decisions in each stage of an upgrade. */
 class UpgradeTest {
     private static final long STAGE_MICROS = 1_000_000;
-    private final Upgrade reducer = new Upgrade(Limits.even(STAGE_MICROS, 10 * STAGE_MICROS, 2));
+    private final SupervisorReducer reducer =
+            new SupervisorReducer(UpgradeLimits.uniform(STAGE_MICROS, 10 * STAGE_MICROS, 2));
     private final List<String> effects = new ArrayList<>();
     private long now = 1;
     private int exit = -1;
 
-    private void dispatch(KeeperEvent event) {
-        for (KeeperEffect effect : reducer.reduce(event, now)) {
-            if (effect instanceof KeeperEffect.Tell e) {
+    private void dispatch(SupervisorEvent event) {
+        for (SupervisorEffect effect : reducer.reduce(event, now)) {
+            if (effect instanceof SupervisorEffect.SendFrame e) {
                 effects.add(e.generation() + " " + e.frame().getWhatCase());
-            } else if (effect instanceof KeeperEffect.Start e) {
+            } else if (effect instanceof SupervisorEffect.StartProcess e) {
                 effects.add("start " + e.generation());
-            } else if (effect instanceof KeeperEffect.Kill e) {
+            } else if (effect instanceof SupervisorEffect.KillProcess e) {
                 effects.add("kill " + e.generation());
-            } else if (effect instanceof KeeperEffect.Reply e) {
+            } else if (effect instanceof SupervisorEffect.Reply e) {
                 effects.add("reply " + e.exit() + " " + e.line());
-            } else if (effect instanceof KeeperEffect.Stop e) {
+            } else if (effect instanceof SupervisorEffect.ExitSupervisor e) {
                 exit = e.exit();
             }
         }
     }
 
     private void receive(int generation, Frame.Builder frame) {
-        dispatch(new KeeperEvent.Heard(generation, frame.build()));
+        dispatch(new SupervisorEvent.FrameReceived(generation, frame.build()));
     }
 
     private List<String> takeEffects() {
@@ -79,18 +80,18 @@
     }
 
     private void startFirstGeneration() {
-        dispatch(new KeeperEvent.Begun(List.of("p")));
+        dispatch(new SupervisorEvent.ListenerOpened(List.of("p")));
         advanceTo(null, 0, 1);
-        assertEquals(1, reducer.serving());
+        assertEquals(1, reducer.servingGeneration());
         takeEffects();
     }
 
     @Test
     void upgradePassesAllStages() {
         startFirstGeneration();
-        dispatch(new KeeperEvent.Asked(7, List.of()));
+        dispatch(new SupervisorEvent.UpgradeRequested(7, List.of()));
         advanceTo(null, 1, 2);
-        assertEquals(2, reducer.serving());
+        assertEquals(2, reducer.servingGeneration());
         List<String> all = takeEffects();
         assertEquals(List.of("start 2", "1 GIVE_STATE", "2 STATE", "2 TAKE", "1 SHARE", "2 SHARING", "2 GO",
                 "1 LET_GO"), all.subList(0, 8));
@@ -113,54 +114,54 @@
 
     private void failAt(Stage stage, String way) {
         startFirstGeneration();
-        dispatch(new KeeperEvent.Asked(7, List.of()));
+        dispatch(new SupervisorEvent.UpgradeRequested(7, List.of()));
         advanceTo(stage, 1, 2);
         takeEffects();
         String at = stage + " " + way;
         switch (way) {
             case "late" -> {
                 now += STAGE_MICROS;
-                dispatch(new KeeperEvent.Tick());
+                dispatch(new SupervisorEvent.Tick());
             }
-            case "exits" -> dispatch(new KeeperEvent.Ended(2, "it ended with 3"));
-            case "lost" -> dispatch(new KeeperEvent.Lost(2, "its connection broke"));
+            case "exits" -> dispatch(new SupervisorEvent.ProcessEnded(2, "it ended with 3"));
+            case "lost" -> dispatch(new SupervisorEvent.ConnectionLost(2, "its connection broke"));
             case "fails" -> receive(2, Frame.newBuilder().setFailed(Failed.newBuilder().setWhy("no")));
             default -> receive(2, Frame.newBuilder().setLetGoDone(LetGoDone.getDefaultInstance()));
         }
         List<String> all = takeEffects();
         if (stage == Stage.LET_GO && way.equals("late")) {
             // the new generation serves already; the old one is late
-            assertEquals(2, reducer.serving(), at);
+            assertEquals(2, reducer.servingGeneration(), at);
             return;
         }
-        assertEquals(1, reducer.serving(), at);
-        assertEquals(0, reducer.coming(), at);
+        assertEquals(1, reducer.servingGeneration(), at);
+        assertEquals(0, reducer.upcomingGeneration(), at);
         assertTrue(all.contains("kill 2"), at + all);
         assertEquals(stage.compareTo(Stage.SHARE) >= 0, all.contains("1 TAKE_BACK"), at + all);
         assertTrue(all.stream().anyMatch(l -> l.startsWith("reply 1 upgrade failed at stage " + stage)
                 && l.endsWith("generation 1 serves as before")), at + all);
-        dispatch(new KeeperEvent.Ended(2, "killed"));
-        dispatch(new KeeperEvent.Asked(8, List.of()));
+        dispatch(new SupervisorEvent.ProcessEnded(2, "killed"));
+        dispatch(new SupervisorEvent.UpgradeRequested(8, List.of()));
         advanceTo(null, 1, 3);
-        assertEquals(3, reducer.serving(), at);
+        assertEquals(3, reducer.servingGeneration(), at);
     }
 
     @Test
     void concurrentUpgradesAndTooManyFinishingAreRefused() {
         startFirstGeneration();
-        dispatch(new KeeperEvent.Asked(7, List.of()));
-        dispatch(new KeeperEvent.Asked(8, List.of()));
+        dispatch(new SupervisorEvent.UpgradeRequested(7, List.of()));
+        dispatch(new SupervisorEvent.UpgradeRequested(8, List.of()));
         assertTrue(takeEffects().contains("reply 1 not now: generation 2 is on its way, at stage start"));
         advanceTo(null, 1, 2);
-        dispatch(new KeeperEvent.Asked(9, List.of()));
+        dispatch(new SupervisorEvent.UpgradeRequested(9, List.of()));
         advanceTo(Stage.SHARE, 2, 3);
         receive(1, Frame.newBuilder().setSharing(Sharing.getDefaultInstance()));
         receive(2, Frame.newBuilder().setSharing(Sharing.getDefaultInstance()));
         receive(3, Frame.newBuilder().setServing(Serving.getDefaultInstance()));
         receive(2, Frame.newBuilder().setLetGoDone(LetGoDone.getDefaultInstance()));
-        assertEquals(3, reducer.serving());
+        assertEquals(3, reducer.servingGeneration());
         takeEffects();
-        dispatch(new KeeperEvent.Asked(10, List.of()));
+        dispatch(new SupervisorEvent.UpgradeRequested(10, List.of()));
         assertEquals(List.of("reply 1 not now: 2 older generations are still finishing their requests"),
                 takeEffects());
     }
@@ -171,16 +172,16 @@
         for (Stage stage : Stage.values()) {
             UpgradeTest t = new UpgradeTest();
             t.startFirstGeneration();
-            t.dispatch(new KeeperEvent.Asked(7, List.of()));
+            t.dispatch(new SupervisorEvent.UpgradeRequested(7, List.of()));
             t.advanceTo(stage, 1, 2);
-            t.dispatch(new KeeperEvent.Lost(1, "killed"));
-            t.dispatch(new KeeperEvent.Ended(1, "killed"));
+            t.dispatch(new SupervisorEvent.ConnectionLost(1, "killed"));
+            t.dispatch(new SupervisorEvent.ProcessEnded(1, "killed"));
             for (Stage rest : Stage.values()) {
                 if (rest.compareTo(stage) >= 0) {
                     t.runNewGenerationStep(rest);
                 }
             }
-            assertEquals(2, t.reducer.serving(), stage.toString());
+            assertEquals(2, t.reducer.servingGeneration(), stage.toString());
         }
     }
 
@@ -200,41 +201,41 @@
     @Test
     void dyingServingGenerationIsReplacedAndFailingFirstOneEndsTheSupervisor() {
         startFirstGeneration();
-        dispatch(new KeeperEvent.Ended(1, "killed"));
+        dispatch(new SupervisorEvent.ProcessEnded(1, "killed"));
         assertEquals(List.of(), takeEffects());
-        now = reducer.nextDue();
-        dispatch(new KeeperEvent.Tick());
+        now = reducer.nextTimerDue();
+        dispatch(new SupervisorEvent.Tick());
         assertEquals(List.of("start 2"), takeEffects());
-        Upgrade other = new Upgrade(Limits.even(STAGE_MICROS, STAGE_MICROS, 2));
-        other.reduce(new KeeperEvent.Begun(List.of("p")), 1);
-        assertTrue(other.reduce(new KeeperEvent.Ended(1, "it ended with 1"), 2)
-                .contains(new KeeperEffect.Stop(1)));
+        SupervisorReducer other = new SupervisorReducer(UpgradeLimits.uniform(STAGE_MICROS, STAGE_MICROS, 2));
+        other.reduce(new SupervisorEvent.ListenerOpened(List.of("p")), 1);
+        assertTrue(other.reduce(new SupervisorEvent.ProcessEnded(1, "it ended with 1"), 2)
+                .contains(new SupervisorEffect.ExitSupervisor(1)));
     }
 
     /** The new generation dies soon after the upgrade: the old one, still finishing, serves again at once. */
     @Test
     void finishingGenerationServesAgain() {
         startFirstGeneration();
-        dispatch(new KeeperEvent.Asked(7, List.of("q")));
+        dispatch(new SupervisorEvent.UpgradeRequested(7, List.of("q")));
         advanceTo(null, 1, 2);
         takeEffects();
-        dispatch(new KeeperEvent.Lost(2, "closed"));
-        dispatch(new KeeperEvent.Ended(2, "killed"));
+        dispatch(new SupervisorEvent.ConnectionLost(2, "closed"));
+        dispatch(new SupervisorEvent.ProcessEnded(2, "killed"));
         assertEquals(List.of("1 OTHER_GONE", "1 TAKE_BACK", "1 OTHER_GONE"), takeEffects());
-        assertEquals(1, reducer.serving());
+        assertEquals(1, reducer.servingGeneration());
     }
 
     @Test
     void shutdownAbortsAnUpgradeAndWaitsForAllGenerations() {
         startFirstGeneration();
-        dispatch(new KeeperEvent.Asked(7, List.of()));
+        dispatch(new SupervisorEvent.UpgradeRequested(7, List.of()));
         advanceTo(Stage.READY, 1, 2);
-        dispatch(new KeeperEvent.Leave());
+        dispatch(new SupervisorEvent.ShutdownRequested());
         List<String> all = takeEffects();
         assertTrue(all.contains("kill 2") && all.contains("1 LEAVE"), all.toString());
-        dispatch(new KeeperEvent.Ended(2, "killed"));
+        dispatch(new SupervisorEvent.ProcessEnded(2, "killed"));
         assertEquals(-1, exit);
-        dispatch(new KeeperEvent.Ended(1, "it ended with 0"));
+        dispatch(new SupervisorEvent.ProcessEnded(1, "it ended with 0"));
         assertEquals(0, exit);
     }
 }
--- a/src/test/java/yewdock/proof/DeploymentsTest.java
+++ b/src/test/java/yewdock/verification/DeploymentsTest.java
@@ -1,4 +1,4 @@
-package yewdock.proof;
+package yewdock.verification;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/yewdock/proof/RulesTest.java
+++ b/src/test/java/yewdock/verification/RulesTest.java
@@ -1,4 +1,4 @@
-package yewdock.proof;
+package yewdock.verification;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,11 +6,11 @@
 import java.util.List;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import yewdock.standin.Ledger;
-import yewdock.standin.Ledger.AtBox;
-import yewdock.standin.Ledger.AtClient;
-import yewdock.standin.Ledger.End;
-import yewdock.standin.Ledger.Told;
+import yewdock.testbed.Ledger;
+import yewdock.testbed.Ledger.AtBox;
+import yewdock.testbed.Ledger.AtClient;
+import yewdock.testbed.Ledger.End;
+import yewdock.testbed.Ledger.Told;
 
 /** The checker, on records with one fault planted in each. */
 class RulesTest {
