--- a/src/main/java/yewdock/consensus/ConsensusNode.java
+++ b/src/main/java/yewdock/consensus/ConsensusNode.java
@@ -250,9 +250,9 @@
     }
 
     private void renew() {
-        Renew.Builder call = Renew.newBuilder().setNumber(lease.beginRenewal(loop.nowMicros())).setStep(takenStep)
-                .setChain(takenChain).setIncarnation(incarnation).setListAddress(listAddress)
-                .setListVersion(listVersion);
+        Renew.Builder call = Renew.newBuilder().setNumber(lease.beginRenewal(loop.nowMicros()))
+                .setStep(takenStep).setChain(takenChain).setIncarnation(incarnation)
+                .setListAddress(listAddress).setListVersion(listVersion);
         if (++unanswered > MOST_UNANSWERED) {
             // one that led may stand still, and nobody else would be asked
             leader = null;
--- a/src/main/java/yewdock/core/CoreSettings.java
+++ b/src/main/java/yewdock/core/CoreSettings.java
@@ -9,8 +9,7 @@
  * @param connectTimeoutMicros a connection to a box not made by then has failed
  * @param keepaliveMicros a box closes a connection that has rested so long
  * @param discoveryByAgent whether an agent on this machine has the box list, which answers at no cost; else
- * the
- *     list is one service for all routers, and the module says when to call it
+ *     the list is one service for all routers, and the module says when to call it
  * @param drainGraceMicros so long after a drain was told, nothing new may go to its box
  * @param maxPollIntervalMicros a list that is asked must be asked at least so often
  * @param hedging whether two tries of one request may be out together at all
@@ -20,7 +19,8 @@
  * @param maxColdMicros the longest time in which a box that has started is cold
  */
 public record CoreSettings(long connectTimeoutMicros, long keepaliveMicros, boolean discoveryByAgent,
-        long drainGraceMicros, long maxPollIntervalMicros,
+        long drainGraceMicros,
+        long maxPollIntervalMicros,
         boolean hedging, int maxAttempts, List<Boolean> idempotentByClass, List<String> classNames,
                 long maxColdMicros) {
     public CoreSettings {
