--- a/src/main/java/yewdock/admin/AdminInterface.java
+++ b/src/main/java/yewdock/admin/AdminInterface.java
@@ -25,13 +25,13 @@
     public static final int IDLE_TIMEOUT_SECONDS = 3;
     private static final String COUNTER_PREFIX = "edge_proxy.";
 
-    private final ConnectionManager front;
+    private final ConnectionManager connectionManager;
     private final Map<Long, AdminConnection> connections = new LinkedHashMap<>();
     private long lastId;
 
     /** Creates an admin interface whose commands go through this platform front. */
     public AdminInterface(ConnectionManager front) {
-        this.front = front;
+        this.connectionManager = front;
         front.forwardOperatorAnswersTo(this::answer);
     }
 
@@ -47,7 +47,7 @@
 
     /** Passes a command to the reducer; server is the name in the command, or "". */
     void dispatch(long connectionId, OperatorCommand command, String server) {
-        front.dispatch(new Event.OperatorCommandReceived(connectionId, command, server));
+        connectionManager.dispatch(new Event.OperatorCommandReceived(connectionId, command, server));
     }
 
     /** Forgets a connection; an answer that is still to come for it is dropped. */
--- a/src/main/java/yewdock/daemon/ConsensusService.java
+++ b/src/main/java/yewdock/daemon/ConsensusService.java
@@ -61,10 +61,10 @@
     private final Consumer<Set<String>> drainedServersListener;
     private final ScheduledThreadPoolExecutor loop;
     private final SecureRandom random = new SecureRandom();
-    private final Map<Integer, GenerationProgress> generations = new HashMap<>();
+    private final Map<Integer, GenerationProgress> generationProgress = new HashMap<>();
     private final List<PendingChange> pendingChanges = new ArrayList<>();
-    private PeerConnections peers;
-    private ConsensusNode council;
+    private PeerConnections peerConnections;
+    private ConsensusNode consensusNode;
     private RulesView view = RulesView.EMPTY;
     private long chain;
     private long leaseEndMicros = Long.MIN_VALUE;
@@ -98,7 +98,7 @@
 
     /** Joins the consensus group over these connections. */
     void start(PeerConnections connections) throws IOException {
-        peers = connections;
+        peerConnections = connections;
         OperatorSettings.ConsensusSettings consensusSettings = settings.consensus();
         String self = settings.replication().instance();
         DurableRaftStore disk = null;
@@ -115,9 +115,10 @@
         long seed = random.nextLong() >>> 1;
         schedule(0, () -> {
             try {
-                council = new ConsensusNode(new ConsensusNode.ConsensusConfig(settings.replication().cluster(), self,
-                        consensusSettings.members(), LeaseTiming.forMaxDelay(consensusSettings.agreedWithinMicros(),
-                        consensusSettings.clockDrift())), this, this, openedDisk, seed);
+                consensusNode = new ConsensusNode(new ConsensusNode.ConsensusConfig(
+                        settings.replication().cluster(), self, consensusSettings.members(),
+                        LeaseTiming.forMaxDelay(consensusSettings.agreedWithinMicros(),
+                                consensusSettings.clockDrift())), this, this, openedDisk, seed);
             } catch (IOException e) {
                 EventLog.warn("agreement.broken", "why", e.getMessage());
             }
@@ -152,27 +153,27 @@
     /** Handles a consensus frame from a peer. */
     void handleFrame(String peer, CouncilFrame frame) {
         schedule(0, () -> {
-            if (council != null) {
-                council.receive(peer, frame);
+            if (consensusNode != null) {
+                consensusNode.receive(peer, frame);
             }
         });
     }
 
     @Override
     public void send(String instance, CouncilFrame frame) {
-        peers.send(instance, PeerFrame.newBuilder().setCouncil(frame).build());
+        peerConnections.send(instance, PeerFrame.newBuilder().setCouncil(frame).build());
     }
 
     @Override
     public boolean isReachable(String instance) {
-        return peers.isConnected(instance);
+        return peerConnections.isConnected(instance);
     }
 
     /** Records the version of the endpoint list that the serving generation applies. */
     void applyingListVersion(String address, long version) {
         schedule(0, () -> {
-            if (council != null) {
-                council.endpointListInUse(address, version);
+            if (consensusNode != null) {
+                consensusNode.endpointListInUse(address, version);
             }
         });
     }
@@ -180,7 +181,7 @@
     @Override
     public void endpointListOutdated(long newest) {
         EventLog.info("list.behind", "newest", newest);
-        generations.values().forEach(t -> t.connection.send(Frame.newBuilder().setAskListAnew(
+        generationProgress.values().forEach(t -> t.connection.send(Frame.newBuilder().setAskListAnew(
                 AskListAnew.getDefaultInstance()).build()));
     }
 
@@ -195,17 +196,17 @@
      * Handles a frame from a generation: sends the agreed state to one that is ready, and records the step
      * that one acknowledges.
      */
-    void handleFrame(int generation, ControlConnection link, Frame frame) {
+    void handleFrame(int generation, ControlConnection connection, Frame frame) {
         if (frame.hasReady()) {
             schedule(0, () -> {
-                GenerationProgress progress = new GenerationProgress(link);
-                generations.put(generation, progress);
+                GenerationProgress progress = new GenerationProgress(connection);
+                generationProgress.put(generation, progress);
                 // the operator overrides of this view were sent earlier: with its state or on change
                 sendAgreed(progress);
             });
         } else if (frame.hasTakenUp()) {
             schedule(0, () -> {
-                GenerationProgress progress = generations.get(generation);
+                GenerationProgress progress = generationProgress.get(generation);
                 if (progress != null) {
                     progress.appliedStep = Math.max(progress.appliedStep, frame.getTakenUp().getStep());
                     acknowledgeIfAllApplied();
@@ -217,24 +218,25 @@
     /** Forgets a generation whose connection is closed. */
     void generationGone(int generation) {
         schedule(0, () -> {
-            generations.remove(generation);
+            generationProgress.remove(generation);
             acknowledgeIfAllApplied();
         });
     }
 
     private void acknowledgeIfAllApplied() {
-        if (council != null && generations.values().stream().allMatch(t -> t.appliedStep >= view.step())) {
-            council.rulesApplied(view.step(), chain);
+        if (consensusNode != null && generationProgress.values().stream().allMatch(t ->
+                t.appliedStep >= view.step())) {
+            consensusNode.rulesApplied(view.step(), chain);
         }
     }
 
     @Override
     public void applyRules(RulesView next) {
         view = next;
-        chain = council.localRules().chain();
+        chain = consensusNode.localRules().chain();
         // overrides go first on the same connections, so a generation that gets the step has applied them
         drainedServersListener.accept(next.cordonedServers());
-        generations.values().forEach(this::sendAgreed);
+        generationProgress.values().forEach(this::sendAgreed);
         acknowledgeIfAllApplied();
         answerSettledChanges();
     }
@@ -242,7 +244,7 @@
     @Override
     public void leaseExtended(long end) {
         leaseEndMicros = end;
-        generations.values().forEach(this::sendAgreed);
+        generationProgress.values().forEach(this::sendAgreed);
     }
 
     private void sendAgreed(GenerationProgress progress) {
@@ -287,12 +289,12 @@
             change.setValue(RuleValue.newBuilder().setOut(true));
         }
         schedule(0, () -> {
-            if (council == null) {
+            if (consensusNode == null) {
                 answer.accept(lastAnswerLine("consensus is not running here: see agreement.broken in the log",
                         1));
                 return;
             }
-            change.setBase(council.localRules().revision(change.getSubject()));
+            change.setBase(consensusNode.localRules().revision(change.getSubject()));
             propose(new PendingChange(change.build(), nowMicros() + APPLY_TIMEOUT_MICROS, answer));
         });
         return true;
@@ -300,7 +302,7 @@
 
     /** Proposes the change, and retries with the same id until it is accepted, refused or timed out. */
     private void propose(PendingChange pending) {
-        council.propose(pending.change, (Proposed answer) -> {
+        consensusNode.propose(pending.change, (Proposed answer) -> {
             RuleOutcome outcome = answer.getOutcome();
             if (!answer.hasOutcome() && nowMicros() < pending.deadlineMicros) {
                 schedule(RETRY_MICROS, () -> propose(pending));
@@ -323,7 +325,7 @@
     /** Answers the operators whose changes are in force here or have passed their deadline. */
     private void answerSettledChanges() {
         pendingChanges.removeIf(pending -> {
-            RuleOutcome outcome = council.localRules().outcome(pending.change.getId());
+            RuleOutcome outcome = consensusNode.localRules().outcome(pending.change.getId());
             if (outcome != null && outcome.getRevision() > 0) {
                 pending.replyTo.accept(lastAnswerLine(RuleKind.name(pending.change.getSubject())
                         + (pending.change.hasValue() ? " is draining" : " has no mark any more")
@@ -340,8 +342,8 @@
     }
 
     private void showRules(Consumer<Answer> answer) {
-        if (council != null) {
-            RuleStateMachine rules = council.localRules();
+        if (consensusNode != null) {
+            RuleStateMachine rules = consensusNode.localRules();
             for (SubjectState subject : rules.subjects()) {
                 answer.accept(answerLine(subject.getSubject() + " = " + format(subject.hasValue()
                         ? subject.getValue() : null)
@@ -383,7 +385,7 @@
     }
 
     private List<String> statusLines() {
-        if (council == null) {
+        if (consensusNode == null) {
             return List.of("agreement: not begun");
         }
         // until the first lease its end is Long.MIN_VALUE, and subtracting from that would overflow
@@ -392,9 +394,11 @@
                 (leaseEndMicros - now) / 1e6)
                 : settings.consensus().serveInDoubt() ? "in doubt, serving on" : "in doubt, refusing";
         return List.of("agreement: " + lease + ", step " + view.step() + ", revision " + view.revision()
-                + ", leader " + (council.isLeader() ? "this instance" : council.leader() == null ? "unknown"
-                : council.leader()) + ", " + (settings.consensus().members().contains(
-                settings.replication().instance()) ? council.isVotingMember() ? "votes" : "does not vote yet"
+                + ", leader " + (consensusNode.isLeader() ? "this instance" : consensusNode.leader() == null
+                        ? "unknown"
+                : consensusNode.leader()) + ", " + (settings.consensus().members().contains(
+                settings.replication().instance()) ? consensusNode.isVotingMember() ? "votes"
+                        : "does not vote yet"
                         : "follows"));
     }
 
@@ -409,8 +413,8 @@
     @Override
     public void close() {
         schedule(0, () -> {
-            if (council != null) {
-                council.close();
+            if (consensusNode != null) {
+                consensusNode.close();
             }
             loop.shutdown();
         });
--- a/src/main/java/yewdock/daemon/Generation.java
+++ b/src/main/java/yewdock/daemon/Generation.java
@@ -65,10 +65,10 @@
     private ControlConnection supervisorConnection;
     private Config config;
     private Counters counters;
-    private Reducer desk;
-    private ConnectionManager front;
-    private MinaTransport sockets;
-    private GenerationRouter router;
+    private Reducer reducer;
+    private ConnectionManager connectionManager;
+    private MinaTransport transport;
+    private GenerationRouter module;
     private ServerSocketChannel listener;
     private boolean accepting;
     private Map<String, Long> inheritedCounts = Map.of();
@@ -134,8 +134,9 @@
             }
         });
         stageReached(Stage.START);
-        supervisorConnection.send(Frame.newBuilder().setHello(Hello.newBuilder().setGeneration(number).setSecret(secret)
-                .setProgram(String.valueOf(getClass().getPackage().getImplementationVersion()))).build());
+        supervisorConnection.send(Frame.newBuilder().setHello(Hello.newBuilder().setGeneration(number)
+                .setSecret(secret).setProgram(String.valueOf(
+                        getClass().getPackage().getImplementationVersion()))).build());
         stageReached(Stage.CHECK);
         try {
             config = read();
@@ -150,7 +151,7 @@
         stageReached(Stage.READY);
         JvmWarmUp.run(config, WARM_UP_REQUESTS);
         build(inherited);
-        sockets.serveWithoutListening(() -> startReducer(inherited), front, desk);
+        transport.serveWithoutListening(() -> startReducer(inherited), connectionManager, reducer);
         supervisorConnection.send(Frame.newBuilder().setNews(News.newBuilder().setCounts(
                 Counts.newBuilder().putAllByName(countsSinceStart()))).build());
         EventLog.info("generation.ends", "generation", number, "counters", counters.toString().strip()
@@ -194,20 +195,21 @@
             inherited.counters().forEach(counters::add);
         }
         inheritedCounts = counters.all();
-        desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()), config.bounds(),
+        reducer = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()), config.bounds(),
                 counters, actions -> {
-                    router = router(config, seed(), actions, inherited);
-                    return router;
+                    module = module(config, seed(), actions, inherited);
+                    return module;
                 });
-        sockets = new MinaTransport(config.bounds().maxClientConnections(),
+        transport = new MinaTransport(config.bounds().maxClientConnections(),
                 config.settings().contract().drainGrace());
-        front = new ConnectionManager(config, desk, counters, sockets, sockets.clock(), this::log);
-        front.forwardGenerationEffectsTo(this::sendToOthers);
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> sockets.shutDownGracefully(), "leave"));
+        connectionManager = new ConnectionManager(config, reducer, counters, transport, transport.clock(),
+                this::log);
+        connectionManager.forwardGenerationEffectsTo(this::sendToOthers);
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> transport.shutDownGracefully(), "leave"));
         if (stateIsStored) {
-            runPeriodically(STORE_INTERVAL_MILLIS, () ->
-                    supervisorConnection.send(Frame.newBuilder().setKeep(StateCodec.encodeLearnedState(router.learnedState(false),
-                    sockets.clock().getAsLong())).build()));
+            runPeriodically(STORE_INTERVAL_MILLIS, () -> supervisorConnection.send(Frame.newBuilder().setKeep(
+                    StateCodec.encodeLearnedState(module.learnedState(false),
+                            transport.clock().getAsLong())).build()));
         }
     }
 
@@ -217,7 +219,7 @@
             try {
                 while (true) {
                     Thread.sleep(intervalMillis);
-                    sockets.post(() -> {
+                    transport.post(() -> {
                         if (accepting) {
                             work.run();
                         }
@@ -238,12 +240,12 @@
 
     /** Starts the reducer; the first task on its thread. */
     private void startReducer(StateCodec.InheritedState inherited) {
-        startReducer(front, desk, config, inherited);
+        startReducer(connectionManager, reducer, config, inherited);
         if (stateIsStored) {
-            front.dispatch(new Event.EndpointListRelayEnabled());
+            connectionManager.dispatch(new Event.EndpointListRelayEnabled());
         }
         if (needsLease) {
-            front.dispatch(new Event.LeaseGranted(0, 0));
+            connectionManager.dispatch(new Event.LeaseGranted(0, 0));
         }
         synchronized (queuedFrames) {
             for (Frame frame = queuedFrames.poll(); frame != null; frame = queuedFrames.poll()) {
@@ -255,14 +257,14 @@
         if (stateIsStored && (inherited == null || inherited.afterRestart())) {
             // a drain reported just before a kill may not be stored: wait for the endpoint list, which has it
             onListReceived = ready;
-            sockets.postDelayed(LIST_TIMEOUT_MILLIS, this::listReceived);
+            transport.postDelayed(LIST_TIMEOUT_MILLIS, this::listReceived);
         } else {
             ready.run();
         }
     }
 
     /** Creates the module, with the learned state of the previous process if there is any. */
-    static GenerationRouter router(Config config, long seed, Routing.Actions actions,
+    static GenerationRouter module(Config config, long seed, Routing.Actions actions,
             StateCodec.InheritedState inherited) {
         return inherited == null || inherited.memory() == null
                 ? new GenerationRouter(config.settings(), seed, actions)
@@ -271,17 +273,17 @@
     }
 
     /** Sends the reducer its first event, with the endpoint list of the previous process if there is one. */
-    static void startReducer(ConnectionManager front, Reducer desk, Config config,
+    static void startReducer(ConnectionManager connectionManager, Reducer reducer, Config config,
             StateCodec.InheritedState inherited) {
         boolean sameList = inherited != null && inherited.listAddress().equals(config.discoveryAddress());
         if (inherited == null || inherited.endpointList().servers().isEmpty()
                 && config.cachedEndpoints().version() >= 0) {
-            front.start();
+            connectionManager.start();
         } else {
             // list versions of another discovery address don't compare: -1 requests the full list
-            front.start(new EndpointList(sameList ? inherited.endpointList().version() : -1, true,
+            connectionManager.start(new EndpointList(sameList ? inherited.endpointList().version() : -1, true,
                     inherited.endpointList().servers()));
-            desk.restoreToldAt(inherited.stateReportedAt());
+            reducer.restoreToldAt(inherited.stateReportedAt());
         }
     }
 
@@ -307,7 +309,7 @@
                 return;
             }
         }
-        sockets.post(() -> handleSafely(frame));
+        transport.post(() -> handleSafely(frame));
     }
 
     private void supervisorLost(String reason) {
@@ -324,32 +326,36 @@
         } catch (IOException | RuntimeException e) {
             EventLog.warn("generation.fault", "generation", number, "frame", frame.getWhatCase(), "why", e);
             if (!accepting) {
-                supervisorConnection.send(Frame.newBuilder().setFailed(Failed.newBuilder().setWhy(e.toString())).build());
+                supervisorConnection.send(Frame.newBuilder().setFailed(
+                        Failed.newBuilder().setWhy(e.toString())).build());
             }
         }
     }
 
     private void handle(Frame frame) throws IOException {
         switch (frame.getWhatCase()) {
-            case GIVE_STATE -> supervisorConnection.send(Frame.newBuilder().setState(StateCodec.write(desk.generationState(),
-                    router.learnedState(), counters.all(), sockets.clock().getAsLong(),
-                            System.nanoTime())).build());
-            case SHARE -> front.dispatch(new Event.HandoverStarted());
+            case GIVE_STATE -> supervisorConnection.send(Frame.newBuilder().setState(
+                    StateCodec.write(reducer.generationState(), module.learnedState(), counters.all(),
+                            transport.clock().getAsLong(), System.nanoTime())).build());
+            case SHARE -> connectionManager.dispatch(new Event.HandoverStarted());
             case SHARING -> {
                 stageReached(Stage.SHARE);
-                front.dispatch(new Event.GenerationStateReceived(frame.getSharing().getGeneration(),
+                connectionManager.dispatch(new Event.GenerationStateReceived(
+                        frame.getSharing().getGeneration(),
                         StateCodec.decodeGenerationState(frame.getSharing())));
             }
             case NEWS -> messageReceived(frame.getNews());
-            case OTHER_GONE -> front.dispatch(new Event.GenerationGone(frame.getOtherGone().getGeneration()));
-            case MARKS -> front.dispatch(new Event.OverridesReplaced(StateCodec.overrides(frame.getMarks())));
+            case OTHER_GONE -> connectionManager.dispatch(
+                    new Event.GenerationGone(frame.getOtherGone().getGeneration()));
+            case MARKS -> connectionManager.dispatch(
+                    new Event.OverridesReplaced(StateCodec.overrides(frame.getMarks())));
             case AGREED -> applyAgreed(frame.getAgreed());
-            case ASK_LIST_ANEW -> front.dispatch(new Event.EndpointListOutdated());
+            case ASK_LIST_ANEW -> connectionManager.dispatch(new Event.EndpointListOutdated());
             case TAKE -> takeListener();
             case GO -> startServing();
             case LET_GO -> stopServing(frame.getLetGo().getLimitMicros());
             case TAKE_BACK -> resumeServing();
-            case LEAVE -> front.dispatch(new Event.ShutdownRequested());
+            case LEAVE -> connectionManager.dispatch(new Event.ShutdownRequested());
             case RECONFIGURE -> reconfigure();
             default -> EventLog.warn("frame.unknown", "generation", number, "frame", frame.getWhatCase());
         }
@@ -361,8 +367,8 @@
      */
     private void applyAgreed(Agreed agreed) {
         long until = agreed.getUntil() == Long.MAX_VALUE ? Long.MAX_VALUE
-                : agreed.getUntil() + sockets.clock().getAsLong() - System.nanoTime() / 1000;
-        front.dispatch(new Event.LeaseGranted(until,
+                : agreed.getUntil() + transport.clock().getAsLong() - System.nanoTime() / 1000;
+        connectionManager.dispatch(new Event.LeaseGranted(until,
                 Math.min(MAX_RETRY_AFTER_MICROS, config.settings().limits().retryAfterMax())));
         supervisorConnection.send(Frame.newBuilder().setTakenUp(TakenUp.newBuilder().setStep(agreed.getStep())
                 .setChain(agreed.getChain())).build());
@@ -375,17 +381,18 @@
         }
         GenerationMessage message = StateCodec.message(encoded);
         if (message != null) {
-            front.dispatch(new Event.GenerationMessageReceived(encoded.getGeneration(), message));
+            connectionManager.dispatch(new Event.GenerationMessageReceived(encoded.getGeneration(), message));
         }
     }
 
     private void sendToOthers(Effect effect) {
         if (effect instanceof Effect.SendGenerationState e) {
-            supervisorConnection.send(Frame.newBuilder().setSharing(StateCodec.encodeGenerationState(e.state())).build());
+            supervisorConnection.send(Frame.newBuilder()
+                    .setSharing(StateCodec.encodeGenerationState(e.state())).build());
         } else if (effect instanceof Effect.SendToGenerations e) {
             supervisorConnection.send(Frame.newBuilder().setNews(StateCodec.message(e.message())).build());
             if (e.message() instanceof GenerationMessage.EndpointListRelayed) {
-                sockets.post(this::listReceived);
+                transport.post(this::listReceived);
             }
         }
     }
@@ -402,7 +409,7 @@
 
     private void startServing() throws IOException {
         stageReached(Stage.GO);
-        sockets.acceptFrom(listener);
+        transport.acceptFrom(listener);
         accepting = true;
         EventLog.info("generation.serves", "generation", number, "address", listener.getLocalAddress());
         supervisorConnection.send(Frame.newBuilder().setServing(Serving.newBuilder()
@@ -415,42 +422,43 @@
      */
     private String selfTest() {
         StringBuilder answer = new StringBuilder();
-        ConnectionHandler handler = front.accept(new NoOpConnection() {
+        ConnectionHandler handler = connectionManager.accept(new NoOpConnection() {
             @Override
             public void write(ByteBuffer bytes) {
                 answer.append(StandardCharsets.ISO_8859_1.decode(bytes));
             }
         });
-        handler.onReceived(ByteBuffer.wrap("GET /ready HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
+        handler.onReceived(ByteBuffer.wrap(
+                "GET /ready HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
         handler.onClosed();
         return answer.toString();
     }
 
     private void stopServing(long limitMicros) {
         if (accepting) {
-            sockets.stopAccepting();
+            transport.stopAccepting();
             accepting = false;
         }
         EventLog.info("generation.lets_go", "generation", number, "open",
-                desk.generationState().requestIds().size());
+                reducer.generationState().requestIds().size());
         supervisorConnection.send(Frame.newBuilder().setLetGoDone(LetGoDone.getDefaultInstance()).build());
-        front.dispatch(new Event.HandedOver(limitMicros));
+        connectionManager.dispatch(new Event.HandedOver(limitMicros));
     }
 
     private void resumeServing() throws IOException {
         if (!accepting) {
-            sockets.acceptFrom(listener);
+            transport.acceptFrom(listener);
             accepting = true;
         }
         EventLog.info("generation.takes_back", "generation", number);
-        front.dispatch(new Event.HandoverAborted());
+        connectionManager.dispatch(new Event.HandoverAborted());
     }
 
     /** Reloads the configuration on a separate thread, because a slow disk must not delay requests. */
     private void reconfigure() {
         Thread reader = new Thread(() -> {
             try {
-                sockets.reconfigure(read());
+                transport.reconfigure(read());
             } catch (IOException | IllegalArgumentException e) {
                 EventLog.warn("configuration.refused", "generation", number, "why", e.getMessage(),
                         "now", "the old one stays");
--- a/src/main/java/yewdock/daemon/JvmWarmUp.java
+++ b/src/main/java/yewdock/daemon/JvmWarmUp.java
@@ -38,15 +38,16 @@
     private final Queue<Runnable> tasks = new ArrayDeque<>();
     private final Counters counters = new Counters();
     private final Config config;
-    private final ConnectionManager front;
+    private final ConnectionManager connectionManager;
     private long nowMicros = 1;
 
     private JvmWarmUp(Config config) {
         this.config = config;
-        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
+        Reducer reducer = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
                 config.bounds(),
                 counters, actions -> new GenerationRouter(config.settings(), 1, actions));
-        front = new ConnectionManager(config, desk, counters, this, () -> nowMicros, line -> { });
+        connectionManager = new ConnectionManager(config, reducer, counters, this, () -> nowMicros, line ->
+                { });
     }
 
     /** Plays this number of requests; returns how many were served. */
@@ -57,7 +58,7 @@
             servers.add(new ModelServer("s-" + i, "127.0.0.1:" + i, new ServerState(i, 0, 0, 0, 1,
                     Lifecycle.READY, 0)));
         }
-        warmUp.front.start(new EndpointList(1, true, servers));
+        warmUp.connectionManager.start(new EndpointList(1, true, servers));
         for (int i = 0; i < requests; i++) {
             warmUp.playRequest(i);
         }
@@ -66,7 +67,7 @@
 
     private void playRequest(int number) {
         nowMicros += REQUEST_INTERVAL_MICROS;
-        ConnectionHandler client = front.accept(new SimulatedWire());
+        ConnectionHandler client = connectionManager.accept(new SimulatedConnection());
         client.onReceived(ByteBuffer.wrap(request(number).getBytes(StandardCharsets.US_ASCII)));
         for (Runnable next = tasks.poll(); next != null; next = tasks.poll()) {
             next.run();
@@ -88,7 +89,7 @@
     /** Opens a simulated server connection that answers every write; a discovery connection never opens. */
     @Override
     public <S extends ConnectionHandler> S connect(String address, Function<Connection, S> makeSide) {
-        SimulatedWire connection = new SimulatedWire();
+        SimulatedConnection connection = new SimulatedConnection();
         S handler = makeSide.apply(connection);
         if (!address.equals(config.discoveryAddress())) {
             connection.serverHandler = handler;
@@ -102,7 +103,7 @@
         // not used
     }
 
-    private final class SimulatedWire extends NoOpConnection {
+    private final class SimulatedConnection extends NoOpConnection {
         private ConnectionHandler serverHandler;
 
         @Override
--- a/src/main/java/yewdock/daemon/OperatorOverridesFile.java
+++ b/src/main/java/yewdock/daemon/OperatorOverridesFile.java
@@ -59,7 +59,8 @@
         for (int i = 1; i < lines.length - 2; i++) {
             String[] words = lines[i].split(" ", 3);
             try {
-                overrides.put(words[2], new OperatorOverride(OperatorOverride.Kind.valueOf(words[0].toUpperCase(Locale.ROOT)),
+                overrides.put(words[2], new OperatorOverride(
+                        OperatorOverride.Kind.valueOf(words[0].toUpperCase(Locale.ROOT)),
                         Long.parseLong(words[1])));
             } catch (IllegalArgumentException | ArrayIndexOutOfBoundsException e) {
                 throw new IOException("line " + (i + 1) + " is not a valid override");
--- a/src/main/java/yewdock/daemon/ProcessHandover.java
+++ b/src/main/java/yewdock/daemon/ProcessHandover.java
@@ -82,9 +82,9 @@
     private StateCodec.InheritedState inherited;
     private GenerationRouter router;
     private final List<Runnable> queuedWork = new ArrayList<>();
-    private MinaTransport sockets;
-    private ConnectionManager front;
-    private Reducer desk;
+    private MinaTransport transport;
+    private ConnectionManager connectionManager;
+    private Reducer reducer;
     private ServerSocketChannel successorListener;
     /** Written on the reducer's thread only. */
     private ControlConnection successor;
@@ -151,21 +151,21 @@
 
     /** Creates the module, with the learned state of the older process if there is any. */
     public final Routing.Events router(Routing.Actions actions) {
-        router = Generation.router(config, config.seed(), actions, inherited);
+        router = Generation.module(config, config.seed(), actions, inherited);
         return router;
     }
 
     /** Serves until the process is told to stop. */
     public final void serve(MinaTransport transport, ConnectionManager connectionManager, Reducer reducer) {
         synchronized (this) {
-            sockets = transport;
+            this.transport = transport;
             queuedWork.forEach(transport::post);
             queuedWork.clear();
         }
-        front = connectionManager;
-        desk = reducer;
-        front.forwardGenerationEffectsTo(this::sendToOthers);
-        sockets.serveWithoutListening(this::start, front, desk);
+        this.connectionManager = connectionManager;
+        this.reducer = reducer;
+        this.connectionManager.forwardGenerationEffectsTo(this::sendToOthers);
+        this.transport.serveWithoutListening(this::start, this.connectionManager, this.reducer);
         if (successor == null && successorListener != null) {
             deleteSocket();
         }
@@ -173,8 +173,8 @@
 
     /** Runs the work on the reducer's thread; before there is one, queues it. */
     private synchronized void runOnReducerThread(Runnable work) {
-        if (sockets != null) {
-            sockets.post(work);
+        if (transport != null) {
+            transport.post(work);
         } else {
             queuedWork.add(work);
         }
@@ -183,22 +183,22 @@
     // ---- as the newer process
 
     private void start() {
-        Generation.startReducer(front, desk, config, inherited);
+        Generation.startReducer(connectionManager, reducer, config, inherited);
         Map<String, OperatorOverride> overrides = inheritedOverrides != null
                 ? StateCodec.overrides(inheritedOverrides)
                 : readOverrides();
         if (!overrides.isEmpty()) {
-            front.dispatch(new Event.OverridesReplaced(overrides));
+            connectionManager.dispatch(new Event.OverridesReplaced(overrides));
             EventLog.info("succession.marks", "boxes", overrides.size());
         }
         if (predecessor == null) {
             takeOver();
             return;
         }
-        front.dispatch(new Event.OlderGenerationChanged(OlderGeneration.SERVING));
+        connectionManager.dispatch(new Event.OlderGenerationChanged(OlderGeneration.SERVING));
         stageReached(Stage.READY);
         predecessor.send(Frame.newBuilder().setShare(Share.getDefaultInstance()).build());
-        sockets.postDelayed(SHARE_TIMEOUT_MILLIS, () -> {
+        transport.postDelayed(SHARE_TIMEOUT_MILLIS, () -> {
             if (!tookOver) {
                 EventLog.warn("succession.silent", "now", "taking over anyway");
                 takeOver();
@@ -226,15 +226,15 @@
         tookOver = true;
         listen();
         awaitSuccessor();
-        front.dispatch(new Event.OlderGenerationChanged(predecessor == null ? OlderGeneration.NONE
+        connectionManager.dispatch(new Event.OlderGenerationChanged(predecessor == null ? OlderGeneration.NONE
                 : OlderGeneration.FINISHING));
         if (predecessor != null) {
-            sockets.postDelayed(Math.max(0, READY_AGE_MILLIS - ageMillis()),
-                    () -> front.dispatch(new Event.OlderGenerationChanged(OlderGeneration.NONE)));
+            transport.postDelayed(Math.max(0, READY_AGE_MILLIS - ageMillis()),
+                    () -> connectionManager.dispatch(new Event.OlderGenerationChanged(OlderGeneration.NONE)));
             predecessor.send(Frame.newBuilder().setLetGo(LetGo.newBuilder()
                     .setLimitMicros(FINISH_LIMIT_MICROS)).build());
             EventLog.info("succession.took_over", "boxes",
-                    desk.generationState().endpointList().servers().size());
+                    reducer.generationState().endpointList().servers().size());
         }
     }
 
@@ -255,7 +255,7 @@
 
     private void listen() {
         try {
-            address = sockets.listenShared(address);
+            address = transport.listenShared(address);
             listening = true;
         } catch (IOException e) {
             EventLog.warn("succession.no_listener", "address", address, "why", e.getMessage());
@@ -277,7 +277,7 @@
         switch (frame.getWhatCase()) {
             case SHARING -> {
                 stageReached(Stage.SHARE);
-                front.dispatch(new Event.GenerationStateReceived(PREDECESSOR,
+                connectionManager.dispatch(new Event.GenerationStateReceived(PREDECESSOR,
                         StateCodec.decodeGenerationState(frame.getSharing())));
                 takeOver();
             }
@@ -290,8 +290,8 @@
     private void predecessorGone(String reason) {
         EventLog.info("succession.older_gone", "why", reason);
         predecessor = null;
-        front.dispatch(new Event.GenerationGone(PREDECESSOR));
-        front.dispatch(new Event.OlderGenerationChanged(OlderGeneration.NONE));
+        connectionManager.dispatch(new Event.GenerationGone(PREDECESSOR));
+        connectionManager.dispatch(new Event.OlderGenerationChanged(OlderGeneration.NONE));
         takeOver();
     }
 
@@ -355,12 +355,12 @@
         switch (frame.getWhatCase()) {
             case HELLO -> EventLog.info("succession.newer", "program", frame.getHello().getProgram());
             case GIVE_STATE -> {
-                successor.send(Frame.newBuilder().setMarks(StateCodec.overrides(desk.operatorOverrides(),
+                successor.send(Frame.newBuilder().setMarks(StateCodec.overrides(reducer.operatorOverrides(),
                         false)).build());
                 // no counters: each process counts from 0
-                successor.send(Frame.newBuilder().setState(StateCodec.write(desk.generationState(),
+                successor.send(Frame.newBuilder().setState(StateCodec.write(reducer.generationState(),
                         router.learnedState(),
-                        Map.of(), sockets.clock().getAsLong(), System.nanoTime())).build());
+                        Map.of(), transport.clock().getAsLong(), System.nanoTime())).build());
             }
             case SHARE -> shareRequestIds(connection, System.nanoTime());
             case NEWS -> messageReceived(SUCCESSOR, frame.getNews());
@@ -369,10 +369,10 @@
                 toldToLetGo = true;
                 if (listening) {
                     listening = false;
-                    sockets.stopAccepting();
+                    transport.stopAccepting();
                 }
-                EventLog.info("succession.lets_go", "open", desk.generationState().requestIds().size());
-                front.dispatch(new Event.HandedOver(frame.getLetGo().getLimitMicros()));
+                EventLog.info("succession.lets_go", "open", reducer.generationState().requestIds().size());
+                connectionManager.dispatch(new Event.HandedOver(frame.getLetGo().getLimitMicros()));
             }
             default -> EventLog.warn("frame.unknown", "from", "newer", "frame", frame.getWhatCase());
         }
@@ -388,15 +388,15 @@
         }
         if (predecessor != null && System.nanoTime() - sinceNanos
                 < TimeUnit.MILLISECONDS.toNanos(FINISH_TIMEOUT_MILLIS)) {
-            sockets.postDelayed(POLL_MILLIS, () -> shareRequestIds(connection, sinceNanos));
+            transport.postDelayed(POLL_MILLIS, () -> shareRequestIds(connection, sinceNanos));
             return;
         }
         if (predecessor != null) {
             predecessor.close();
         }
         idsShared = true;
-        front.dispatch(new Event.HandoverStarted());
-        sockets.postDelayed(TAKE_OVER_TIMEOUT_MILLIS, () -> {
+        connectionManager.dispatch(new Event.HandoverStarted());
+        transport.postDelayed(TAKE_OVER_TIMEOUT_MILLIS, () -> {
             if (connection == successor && !toldToLetGo) {
                 connection.close();
                 successorGone(connection, "it took over the request ids but did not start serving in time");
@@ -416,9 +416,9 @@
             return;
         }
         idsShared = false;
-        front.dispatch(new Event.GenerationGone(SUCCESSOR));
-        front.dispatch(new Event.HandoverAborted());
-        if (!listening && !desk.isShuttingDown()) {
+        connectionManager.dispatch(new Event.GenerationGone(SUCCESSOR));
+        connectionManager.dispatch(new Event.HandoverAborted());
+        if (!listening && !reducer.isShuttingDown()) {
             listen();
             awaitSuccessor();
         }
@@ -429,19 +429,20 @@
     private void messageReceived(int generation, News encoded) {
         GenerationMessage message = StateCodec.message(encoded);
         if (message != null) {
-            front.dispatch(new Event.GenerationMessageReceived(generation, message));
+            connectionManager.dispatch(new Event.GenerationMessageReceived(generation, message));
         }
     }
 
     private void overridesChanged(Marks overrides) {
         StateCodec.overrides(overrides).forEach((server, override) ->
-                front.dispatch(new Event.OverrideChanged(server, override)));
+                connectionManager.dispatch(new Event.OverrideChanged(server, override)));
         storeOverrides();
     }
 
     private void sendToOthers(Effect effect) {
         if (effect instanceof Effect.SendGenerationState e) {
-            send(successor, Frame.newBuilder().setSharing(StateCodec.encodeGenerationState(e.state())).build());
+            send(successor, Frame.newBuilder()
+                    .setSharing(StateCodec.encodeGenerationState(e.state())).build());
         } else if (effect instanceof Effect.PublishOverride e) {
             Frame frame = Frame.newBuilder().setMarks(StateCodec.overrides(Map.of(e.server(), e.override()),
                     true)).build();
@@ -472,7 +473,7 @@
             return;
         }
         try {
-            overridesFile.write(desk.operatorOverrides());
+            overridesFile.write(reducer.operatorOverrides());
         } catch (IOException e) {
             EventLog.warn("succession.marks_unwritten", "why", e.getMessage());
         }
--- a/src/main/java/yewdock/daemon/StandaloneRouter.java
+++ b/src/main/java/yewdock/daemon/StandaloneRouter.java
@@ -51,30 +51,31 @@
         if (handover != null) {
             handover.fetchPredecessorState();
         }
-        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
+        Reducer reducer = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
                 config.bounds(), counters,
                 actions -> handover == null
                         ? new BoundedLoadRouter(config.settings(), config.seed(), actions)
                         : handover.router(actions));
-        MinaTransport sockets = new MinaTransport(config.bounds().maxClientConnections(),
+        MinaTransport transport = new MinaTransport(config.bounds().maxClientConnections(),
                 config.settings().contract().drainGrace());
-        ConnectionManager front = new ConnectionManager(config, desk, counters, sockets, sockets.clock(),
+        ConnectionManager connectionManager = new ConnectionManager(config, reducer, counters, transport,
+                transport.clock(),
                 log);
         // The JVM exits when its shutdown hooks have finished; this one waits for all open requests.
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            sockets.shutDownGracefully();
+            transport.shutDownGracefully();
             Logger.info("counters at exit:\n{}", counters);
             shutDownLogger();
         }, "leave"));
-        configurationFile.setReader(() -> reconfigure(sockets, file, log));
+        configurationFile.setReader(() -> reconfigure(transport, file, log));
         if (!configurationFile.handlesSignal()) {
             Logger.warn("SIGHUP was ignored when this process was started: {} is read again whenever it has "
                     + "changed", file);
         }
         try {
             if (handover != null) {
-                AdminInterface adminInterface = new AdminInterface(front);
-                sockets.listenForOperators(operatorAddress, AdminInterface.MAX_ACCEPTED_CONNECTIONS,
+                AdminInterface adminInterface = new AdminInterface(connectionManager);
+                transport.listenForOperators(operatorAddress, AdminInterface.MAX_ACCEPTED_CONNECTIONS,
                         AdminInterface.IDLE_TIMEOUT_SECONDS,
                         adminInterface::accept);
             }
@@ -84,9 +85,9 @@
         }
         try {
             if (handover == null) {
-                sockets.serve(config.listenAddress(), front, desk);
+                transport.serve(config.listenAddress(), connectionManager, reducer);
             } else {
-                handover.serve(sockets, front, desk);
+                handover.serve(transport, connectionManager, reducer);
             }
         } catch (IOException e) {
             Logger.error("can't listen on {}: {}", config.listenAddress(), e.getMessage());
@@ -95,9 +96,9 @@
         return 0;
     }
 
-    private static boolean reconfigure(MinaTransport sockets, String file, Consumer<String> log) {
+    private static boolean reconfigure(MinaTransport transport, String file, Consumer<String> log) {
         try {
-            sockets.reconfigure(read(file, log));
+            transport.reconfigure(read(file, log));
             return true;
         } catch (IOException | IllegalArgumentException e) {
             Logger.warn("the new configuration can't be read, the old one stays: {}", e.toString());
--- a/src/main/java/yewdock/daemon/StateCodec.java
+++ b/src/main/java/yewdock/daemon/StateCodec.java
@@ -47,14 +47,14 @@
     }
 
     /** Encodes the state of a generation at this time on its clock (microseconds) and the monotonic clock. */
-    public static State write(GenerationState generation, umberspread.LearnedState memory, Map<String,
+    public static State write(GenerationState generation, umberspread.LearnedState learnedState, Map<String,
             Long> counters,
             long clockMicros, long monoNanos) {
         return State.newBuilder().setVersion(VERSION).setLeastReader(MIN_READER_VERSION).setClock(clockMicros)
                 .setMonoNanos(monoNanos)
                 .setBoxes(encodeEndpointList(generation.endpointList(), generation.discoveryAddress(),
                         generation.toldAt()))
-                .setModule(learnedState(memory)).putAllCounters(counters).build();
+                .setModule(learnedState(learnedState)).putAllCounters(counters).build();
     }
 
     /** Decodes a state at this time on the reader's clock in microseconds; null if the state is empty. */
@@ -127,8 +127,8 @@
     }
 
     /** Encodes the module's learned state for the supervisor to store. */
-    static Keep encodeLearnedState(umberspread.LearnedState memory, long clockMicros) {
-        return Keep.newBuilder().setClock(clockMicros).setModule(learnedState(memory)).build();
+    static Keep encodeLearnedState(umberspread.LearnedState learnedState, long clockMicros) {
+        return Keep.newBuilder().setClock(clockMicros).setModule(learnedState(learnedState)).build();
     }
 
     /** Encodes what a generation holds: open request ids, attempts in flight and the endpoint list. */
@@ -217,10 +217,12 @@
 
     private static Memory learnedState(umberspread.LearnedState m) {
         Memory.Builder encoded = Memory.newBuilder().setUnitWeight(m.referenceWeight())
-                .setAverageWorth(m.averageWorth()).setSendTally(m.recentFirstTokens()).setReadRate(m.prefillRate())
-                .setUnnamed(m.unkeyedRequests()).setPlannedAt(m.plannedAt()).addAllClassTime(m.classLatency())
-                .putAllKindTime(m.kindLatencyRatio()).addAllMunicipalityTally(m.tenantRequests())
-                .addAllTaken(m.recentArrivals()).addAllFurther(m.recentExtraAttempts()).addAllPoolArrivals(m.poolArrivals());
+                .setAverageWorth(m.averageWorth()).setSendTally(m.recentFirstTokens())
+                .setReadRate(m.prefillRate()).setUnnamed(m.unkeyedRequests()).setPlannedAt(m.plannedAt())
+                .addAllClassTime(m.classLatency()).putAllKindTime(m.kindLatencyRatio())
+                .addAllMunicipalityTally(m.tenantRequests())
+                .addAllTaken(m.recentArrivals()).addAllFurther(m.recentExtraAttempts())
+                .addAllPoolArrivals(m.poolArrivals());
         for (umberspread.LearnedState.LearnedServer server : m.servers()) {
             encoded.addNodes(NodeMemory.newBuilder().setId(server.id()).setPoints(server.points())
                     .addAllRestUntil(server.classBackoffUntil()).addAllStrikes(server.classFailures())
@@ -237,9 +239,9 @@
     }
 
     private static umberspread.LearnedState learnedState(Memory m) {
-        List<umberspread.LearnedState.LearnedServer> replicas = new ArrayList<>();
+        List<umberspread.LearnedState.LearnedServer> servers = new ArrayList<>();
         for (NodeMemory server : m.getNodesList()) {
-            replicas.add(new umberspread.LearnedState.LearnedServer(server.getId(), server.getPoints(),
+            servers.add(new umberspread.LearnedState.LearnedServer(server.getId(), server.getPoints(),
                     server.getRestUntilList(), server.getStrikesList(), server.getEjectedUntil(),
                     server.getEjections(), server.getBreaks(), server.getSlowUntil(), server.getLastDelay(),
                     server.getColdBudgetAt(), server.getBudgetedStart()));
@@ -252,6 +254,6 @@
         return new umberspread.LearnedState(m.getUnitWeight(), m.getAverageWorth(), m.getSendTally(),
                 m.getReadRate(), m.getUnnamed(),
                 m.getPlannedAt(), m.getClassTimeList(), m.getKindTimeMap(), m.getMunicipalityTallyList(),
-                m.getTakenList(), m.getFurtherList(), replicas, keys, m.getPoolArrivalsList());
+                m.getTakenList(), m.getFurtherList(), servers, keys, m.getPoolArrivalsList());
     }
 }
--- a/src/main/java/yewdock/daemon/StateService.java
+++ b/src/main/java/yewdock/daemon/StateService.java
@@ -52,13 +52,13 @@
     private final OperatorSettings.StoreSettings settings;
     private final MonotonicClock clock = new MonotonicClock();
     private final ReplicatedRecords records;
-    private final StateRecorder keeping;
+    private final StateRecorder recordKeeper;
     private final Replicator replica;
     private final Committer committer;
     private final Consumer<Frame> broadcast;
     private Set<String> drainedByConsensus = Set.of();
     private final Map<String, Long> storedMetadata = new HashMap<>();
-    private PeerConnections peers;
+    private PeerConnections peerConnections;
     /** Null if consensus is not configured. */
     private ConsensusService consensus;
 
@@ -91,16 +91,16 @@
             made = new Committer(e, opening, pace, this::health);
         }
         committer = made;
-        keeping = new StateRecorder(records, settings.unconfirmedDrainMicros());
+        recordKeeper = new StateRecorder(records, settings.unconfirmedDrainMicros());
         replica = new Replicator(all.replication().cluster(), all.replication().peers().keySet(), records,
                 storedMetadata.getOrDefault(JOINED_KEY, 0L), all.replication().maxTombstones());
         if (!all.replication().peers().isEmpty()) {
             if (all.consensus().enabled()) {
                 consensus = new ConsensusService(all, this::setDrainedByConsensus);
             }
-            peers = new PeerConnections(all.replication(), this);
+            peerConnections = new PeerConnections(all.replication(), this);
             if (consensus != null) {
-                consensus.start(peers);
+                consensus.start(peerConnections);
             }
             Thread timer = new Thread(this::runTimer, "copies");
             timer.setDaemon(true);
@@ -173,7 +173,8 @@
             endpointListReported(frame.getNews().getBoxes());
         } else if (frame.hasKeep()) {
             Keep keep = frame.getKeep();
-            storeAndReplicate(keeping.recordModuleMemory(keep.getModule(), wallMicros() - keep.getClock(),
+            storeAndReplicate(recordKeeper.recordModuleMemory(keep.getModule(),
+                    wallMicros() - keep.getClock(),
                     wallMicros()));
         }
     }
@@ -186,11 +187,11 @@
             // from a finishing generation, which receives the list later than the serving one
             return;
         }
-        storeAndReplicate(keeping.recordEndpointList(reported, 0, wallMicros()));
+        storeAndReplicate(recordKeeper.recordEndpointList(reported, 0, wallMicros()));
         if (consensus != null) {
             consensus.applyingListVersion(reported.getAddress(), reported.getVersion());
         }
-        List<Kept> expired = keeping.dropOutdatedOverrides(wallMicros());
+        List<Kept> expired = recordKeeper.dropOutdatedOverrides(wallMicros());
         if (!expired.isEmpty()) {
             storeAndReplicate(expired);
             sendOverrides();
@@ -199,7 +200,7 @@
 
     /** Records the configuration text that is in force. */
     synchronized void configurationApplied(String text) {
-        Kept kept = keeping.recordSettings(text, wallMicros());
+        Kept kept = recordKeeper.recordSettings(text, wallMicros());
         if (kept != null) {
             storeAndReplicate(List.of(kept));
         }
@@ -237,7 +238,8 @@
 
     /** The state for a generation that has no predecessor to take it from; null if nothing is stored. */
     synchronized State initialState() {
-        State state = keeping.restartState(StateCodec.VERSION, StateCodec.MIN_READER_VERSION, wallMicros(),
+        State state = recordKeeper.restartState(StateCodec.VERSION, StateCodec.MIN_READER_VERSION,
+                wallMicros(),
                 System.nanoTime());
         return state == null ? null : state.toBuilder().setAfterRestart(true).build();
     }
@@ -249,7 +251,7 @@
 
     /** The local operator overrides, with those decided by consensus taking precedence. */
     private Frame overridesFrame() {
-        Map<String, Mark> all = new HashMap<>(keeping.overrides());
+        Map<String, Mark> all = new HashMap<>(recordKeeper.overrides());
         drainedByConsensus.forEach(server -> all.put(server,
                 Mark.newBuilder().setKind(Mark.Kind.DRAIN).setBy("agreement").build()));
         return Frame.newBuilder().setMarks(Marks.newBuilder().putAllByBox(all)).build();
@@ -262,9 +264,9 @@
     }
 
     /** Passes a frame from a generation to consensus, if that is configured. */
-    void consensus(int generation, ControlConnection link, Frame frame) {
+    void consensus(int generation, ControlConnection connection, Frame frame) {
         if (consensus != null) {
-            consensus.handleFrame(generation, link, frame);
+            consensus.handleFrame(generation, connection, frame);
         }
     }
 
@@ -307,11 +309,11 @@
     }
 
     private synchronized boolean isKnown(String server) {
-        return !keeping.knownServers(server).isEmpty();
+        return !recordKeeper.knownServers(server).isEmpty();
     }
 
     private synchronized void setOverride(String server, Mark.Kind kind, Consumer<Answer> answer) {
-        Mark previous = keeping.overrides().get(server);
+        Mark previous = recordKeeper.overrides().get(server);
         if (kind == Mark.Kind.NONE && previous == null) {
             answer.accept(lastAnswerLine(server + " has no mark", 1));
             return;
@@ -320,7 +322,7 @@
             answer.accept(lastAnswerLine("no server named " + server + " is known", 1));
             return;
         }
-        long ticket = storeAndReplicate(List.of(keeping.recordOverride(server, kind, records.instance(),
+        long ticket = storeAndReplicate(List.of(recordKeeper.recordOverride(server, kind, records.instance(),
                 wallMicros())));
         sendOverrides();
         String result = switch (kind) {
@@ -353,7 +355,7 @@
             lines.add("list: version " + list.getList().getVersion() + " of " + list.getList().getAddress()
                     + ", told " + formatAge(list.getWall()));
         }
-        keeping.overrides().forEach((server, mark) -> {
+        recordKeeper.overrides().forEach((server, mark) -> {
             Kept kept = records.getWithTombstones(RecordKeys.override(server));
             lines.add("mark: " + server + " " + mark.getKind().name().toLowerCase(Locale.ROOT) + ", by "
                     + mark.getBy() + " " + formatAge(kept.getWall()));
@@ -425,9 +427,9 @@
     private void reduce(ReplicationEvent event) {
         for (ReplicationEffect effect : replica.reduce(event, wallMicros())) {
             if (effect instanceof ReplicationEffect.SendToPeer e) {
-                peers.send(e.peer(), e.frame());
+                peerConnections.send(e.peer(), e.frame());
             } else if (effect instanceof ReplicationEffect.ClosePeer e) {
-                peers.close(e.peer());
+                peerConnections.close(e.peer());
             } else if (effect instanceof ReplicationEffect.StoreRecords e) {
                 store(e.keys());
                 if (e.keys().stream().anyMatch(k -> k.startsWith(RecordKeys.overridesPrefix()))) {
@@ -445,8 +447,8 @@
         if (consensus != null) {
             consensus.close();
         }
-        if (peers != null) {
-            peers.close();
+        if (peerConnections != null) {
+            peerConnections.close();
         }
         committer.close();
     }
--- a/src/main/java/yewdock/upgrade/SupervisorReducer.java
+++ b/src/main/java/yewdock/upgrade/SupervisorReducer.java
@@ -45,13 +45,13 @@
     private final UpgradeLimits limits;
     private final Map<Integer, SupervisedGeneration> generations = new TreeMap<>();
     private List<SupervisorEffect> effects = new ArrayList<>();
-    private long now;
+    private long nowMicros;
     private int lastNumber;
     private SupervisedGeneration servingGeneration;
     private SupervisedGeneration upcoming;
     private Stage stage;
-    private long stageBegan;
-    private long upgradeBegan;
+    private long stageStartedAt;
+    private long upgradeStartedAt;
     private long upgradeCommand;
     private final Map<Stage, Long> stageDurations = new EnumMap<>(Stage.class);
     /** Older generations that have yet to report their open requests, and those that have. */
@@ -90,8 +90,8 @@
     }
 
     /** Applies one event at this time in microseconds; returns the effects to execute, in order. */
-    public List<SupervisorEffect> reduce(SupervisorEvent event, long time) {
-        now = Math.max(now, time);
+    public List<SupervisorEffect> reduce(SupervisorEvent event, long timeMicros) {
+        nowMicros = Math.max(nowMicros, timeMicros);
         effects = new ArrayList<>();
         handle(event);
         if (shuttingDown && !stopped && generations.isEmpty()) {
@@ -102,7 +102,7 @@
 
     /** When the next {@link SupervisorEvent.Tick} is due, in microseconds; Long.MAX_VALUE if none is. */
     public long nextTimerDue() {
-        long due = upcoming == null ? restartAt : stageBegan + limits.stageTimeoutMicros().get(stage);
+        long due = upcoming == null ? restartAt : stageStartedAt + limits.stageTimeoutMicros().get(stage);
         for (SupervisedGeneration g : generations.values()) {
             due = Math.min(due, g.killAt);
         }
@@ -168,24 +168,24 @@
     }
 
     private void startGeneration(List<String> newProgram, long commandId) {
-        upcoming = new SupervisedGeneration(++lastNumber, newProgram, now);
+        upcoming = new SupervisedGeneration(++lastNumber, newProgram, nowMicros);
         generations.put(lastNumber, upcoming);
         upgradeCommand = commandId;
         restartAt = Long.MAX_VALUE;
         stageDurations.clear();
         awaitingShare.clear();
         shared.clear();
-        upgradeBegan = now;
+        upgradeStartedAt = nowMicros;
         stage = Stage.START;
-        stageBegan = now;
+        stageStartedAt = nowMicros;
         log("generation.start", "generation", lastNumber, "program", String.join(" ", newProgram));
         effects.add(new SupervisorEffect.StartProcess(lastNumber, newProgram));
     }
 
     private void enterStage(Stage newStage) {
-        stageDurations.put(stage, now - stageBegan);
+        stageDurations.put(stage, nowMicros - stageStartedAt);
         stage = newStage;
-        stageBegan = now;
+        stageStartedAt = nowMicros;
         log("upgrade.stage", "generation", upcoming.number, "stage", newStage);
     }
 
@@ -279,19 +279,20 @@
 
     private void upcomingServes() {
         enterStage(Stage.LET_GO);
-        upcoming.servesSince = now;
+        upcoming.servesSince = nowMicros;
         if (servingGeneration == null) {
             completeUpgrade("");
         } else {
-            send(servingGeneration, Frame.newBuilder().setLetGo(LetGo.newBuilder().setLimitMicros(limits.finishTimeoutMicros())));
+            send(servingGeneration, Frame.newBuilder().setLetGo(
+                    LetGo.newBuilder().setLimitMicros(limits.finishTimeoutMicros())));
         }
     }
 
     private void completeUpgrade(String remark) {
-        stageDurations.put(stage, now - stageBegan);
+        stageDurations.put(stage, nowMicros - stageStartedAt);
         SupervisedGeneration old = servingGeneration;
         if (old != null) {
-            old.killAt = now + limits.finishTimeoutMicros() + FINISH_SLACK_MICROS;
+            old.killAt = nowMicros + limits.finishTimeoutMicros() + FINISH_SLACK_MICROS;
         }
         servingGeneration = upcoming;
         program = servingGeneration.program;
@@ -304,7 +305,7 @@
             upgrades++;
         }
         log("upgrade.done", "generation", servingGeneration.number, "before", old == null ? 0 : old.number,
-                "took_ms", (now - upgradeBegan) / 1000, "stages_ms", stages);
+                "took_ms", (nowMicros - upgradeStartedAt) / 1000, "stages_ms", stages);
         reply("generation " + servingGeneration.number + " serves"
                 + (old == null ? "" : ", generation " + old.number + " finishes its requests") + "; ms: "
                 + stages + remark, 0);
@@ -439,7 +440,7 @@
 
     /** The serving process died: an upgrade in progress goes on without it, otherwise another one serves. */
     private void servingGenerationDied() {
-        long servedFor = now - servingGeneration.servesSince;
+        long servedFor = nowMicros - servingGeneration.servesSince;
         int number = servingGeneration.number;
         servingGeneration = null;
         deaths = servedFor >= STABLE_AFTER_MICROS ? 0 : deaths;
@@ -470,7 +471,7 @@
             return false;
         }
         servingGeneration.killAt = Long.MAX_VALUE;
-        servingGeneration.servesSince = now;
+        servingGeneration.servesSince = nowMicros;
         program = servingGeneration.program;
         log("generation.fall_back", "generation", servingGeneration.number, "dead", deadNumber);
         restoreOwnership(deadNumber);
@@ -478,12 +479,12 @@
     }
 
     private void scheduleRestart() {
-        restartAt = now + (RESTART_BACKOFF_MICROS << Math.min(deaths++, MAX_BACKOFF_DOUBLINGS));
-        log("generation.restart", "after_ms", (restartAt - now) / 1000);
+        restartAt = nowMicros + (RESTART_BACKOFF_MICROS << Math.min(deaths++, MAX_BACKOFF_DOUBLINGS));
+        log("generation.restart", "after_ms", (restartAt - nowMicros) / 1000);
     }
 
     private void tick() {
-        if (upcoming != null && now >= stageBegan + limits.stageTimeoutMicros().get(stage)) {
+        if (upcoming != null && nowMicros >= stageStartedAt + limits.stageTimeoutMicros().get(stage)) {
             if (stage == Stage.LET_GO) {
                 // the new generation serves; the old one hangs and will be killed at its limit
                 completeUpgrade("; generation " + servingGeneration.number
@@ -492,11 +493,11 @@
                 failUpgrade("timed out after " + limits.stageTimeoutMicros().get(stage) / 1000 + " ms");
             }
         }
-        if (now >= restartAt) {
+        if (nowMicros >= restartAt) {
             startGeneration(program, 0);
         }
         for (SupervisedGeneration g : List.copyOf(generations.values())) {
-            if (now >= g.killAt) {
+            if (nowMicros >= g.killAt) {
                 g.killAt = Long.MAX_VALUE;
                 log("generation.killed", "generation", g.number, "why", "over its limit");
                 effects.add(new SupervisorEffect.KillProcess(g.number));
@@ -515,7 +516,7 @@
             failUpgrade("the router was told to leave");
         }
         for (SupervisedGeneration g : generations.values()) {
-            g.killAt = Math.min(g.killAt, now + limits.finishTimeoutMicros() + FINISH_SLACK_MICROS);
+            g.killAt = Math.min(g.killAt, nowMicros + limits.finishTimeoutMicros() + FINISH_SLACK_MICROS);
             send(g, Frame.newBuilder().setLeave(Leave.getDefaultInstance()));
         }
     }
@@ -534,7 +535,7 @@
             String role = g == servingGeneration ? "serves" : g == upcoming ? "starts, at stage " + stage
                     : g.failed ? "failed and is being killed" : "finishes";
             effects.add(new SupervisorEffect.Reply(commandId, String.format(Locale.ROOT,
-                    "generation %d %s, started %.1f s ago", g.number, role, (now - g.startedAt) / 1e6),
+                    "generation %d %s, started %.1f s ago", g.number, role, (nowMicros - g.startedAt) / 1e6),
                     false, 0));
         }
         effects.add(new SupervisorEffect.Reply(commandId, "upgrades done " + upgrades + ", failed " + failures
--- a/src/test/java/yewdock/daemon/GenerationsSimTest.java
+++ b/src/test/java/yewdock/daemon/GenerationsSimTest.java
@@ -392,8 +392,9 @@
             private void handle(Frame frame) {
                 switch (frame.getWhatCase()) {
                     case STATE -> build(frame);
-                    case GIVE_STATE -> send(Frame.newBuilder().setState(StateCodec.write(reducer.generationState(),
-                            router.learnedState(), counters.all(), now, now * 1000)));
+                    case GIVE_STATE -> send(Frame.newBuilder().setState(StateCodec.write(
+                            reducer.generationState(), router.learnedState(), counters.all(), now,
+                            now * 1000)));
                     case TAKE -> send(Frame.newBuilder().setTook(Took.getDefaultInstance()));
                     case SHARE -> dispatch(new Event.HandoverStarted());
                     case SHARING -> {
@@ -417,7 +418,8 @@
                         awaitsTakeBack = false;
                         dispatch(new Event.HandoverAborted());
                     }
-                    case OTHER_GONE -> dispatch(new Event.GenerationGone(frame.getOtherGone().getGeneration()));
+                    case OTHER_GONE -> dispatch(new Event.GenerationGone(
+                            frame.getOtherGone().getGeneration()));
                     case NEWS -> dispatch(new Event.GenerationMessageReceived(frame.getNews().getGeneration(),
                             StateCodec.message(frame.getNews())));
                     default -> violations.add("unexpected frame " + frame.getWhatCase());
--- a/src/test/java/yewdock/daemon/StatesTest.java
+++ b/src/test/java/yewdock/daemon/StatesTest.java
@@ -53,8 +53,8 @@
         assertEquals(Map.of("answers.served", 5L), inherited.counters());
         assertEquals(GENERATION.requestIds(),
                 StateCodec.decodeGenerationState(StateCodec.encodeGenerationState(GENERATION)).requestIds());
-        assertEquals(GENERATION.attemptsInFlight(),
-                StateCodec.decodeGenerationState(StateCodec.encodeGenerationState(GENERATION)).attemptsInFlight());
+        assertEquals(GENERATION.attemptsInFlight(), StateCodec.decodeGenerationState(
+                StateCodec.encodeGenerationState(GENERATION)).attemptsInFlight());
     }
 
     @Test
