--- a/src/main/java/yewdock/daemon/ConsensusService.java
+++ b/src/main/java/yewdock/daemon/ConsensusService.java
@@ -274,9 +274,9 @@
             answer.accept(lastAnswerLine("exactly one server must be named", 1));
             return true;
         }
-        String box = arguments.get(0);
-        if (drain && !isKnown.test(box)) {
-            answer.accept(lastAnswerLine("no server named " + box + " is known", 1));
+        String server = arguments.get(0);
+        if (drain && !isKnown.test(server)) {
+            answer.accept(lastAnswerLine("no server named " + server + " is known", 1));
             return true;
         }
         byte[] id = new byte[ID_BYTES];
@@ -284,7 +284,7 @@
         RuleChange.Builder change = RuleChange.newBuilder().setId(HexFormat.of().formatHex(id))
                 .setWho(settings.replication().instance()).setWall(System.currentTimeMillis() * 1000)
                 .setWhy(arguments.size() > 1 ? arguments.get(1)
-                        : "").setSubject(RuleKind.SERVER.subject(box));
+                        : "").setSubject(RuleKind.SERVER.subject(server));
         if (drain) {
             change.setValue(RuleValue.newBuilder().setOut(true));
         }
--- a/src/main/java/yewdock/daemon/Generation.java
+++ b/src/main/java/yewdock/daemon/Generation.java
@@ -94,17 +94,17 @@
 
     /** Creates a generation from the arguments of {@link #Generation}. */
     public interface Factory<G> {
-        G make(int number, Path control, String secret, String file);
+        G create(int number, Path control, String secret, String file);
     }
 
     /** Creates the generation that the environment variables describe. */
-    public static <G> G fromEnvironment(Map<String, String> environment, Factory<G> maker) {
+    public static <G> G fromEnvironment(Map<String, String> environment, Factory<G> factory) {
         String number = environment.get(Supervisor.GENERATION_VARIABLE);
         String control = environment.get(Supervisor.CONTROL_VARIABLE);
         if (number == null || control == null) {
             throw new IllegalArgumentException("a generation can only be started by its daemon");
         }
-        return maker.make(Integer.parseInt(number), Path.of(control),
+        return factory.create(Integer.parseInt(number), Path.of(control),
                 environment.getOrDefault(Supervisor.SECRET_VARIABLE, ""), environment.get("PROXY_CONFIG"));
     }
 
@@ -266,16 +266,17 @@
     /** Creates the module, with the learned state of the previous process if there is any. */
     static GenerationRouter module(Config config, long seed, Routing.Actions actions,
             StateCodec.InheritedState inherited) {
-        return inherited == null || inherited.memory() == null
+        return inherited == null || inherited.learnedState() == null
                 ? new GenerationRouter(config.settings(), seed, actions)
-                : new GenerationRouter(config.settings(), seed, actions, inherited.memory(),
+                : new GenerationRouter(config.settings(), seed, actions, inherited.learnedState(),
                         inherited.clockShiftMicros());
     }
 
     /** Sends the reducer its first event, with the endpoint list of the previous process if there is one. */
     static void startReducer(ConnectionManager connectionManager, Reducer reducer, Config config,
             StateCodec.InheritedState inherited) {
-        boolean sameList = inherited != null && inherited.listAddress().equals(config.discoveryAddress());
+        boolean sameList = inherited != null
+                && inherited.discoveryAddress().equals(config.discoveryAddress());
         if (inherited == null || inherited.endpointList().servers().isEmpty()
                 && config.cachedEndpoints().version() >= 0) {
             connectionManager.start();
--- a/src/main/java/yewdock/daemon/JvmWarmUp.java
+++ b/src/main/java/yewdock/daemon/JvmWarmUp.java
@@ -44,10 +44,9 @@
     private JvmWarmUp(Config config) {
         this.config = config;
         Reducer reducer = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
-                config.bounds(),
-                counters, actions -> new GenerationRouter(config.settings(), 1, actions));
-        connectionManager = new ConnectionManager(config, reducer, counters, this, () -> nowMicros, line ->
-                { });
+                config.bounds(), counters, actions -> new GenerationRouter(config.settings(), 1, actions));
+        connectionManager = new ConnectionManager(config, reducer, counters, this, () -> nowMicros,
+                line -> { });
     }
 
     /** Plays this number of requests; returns how many were served. */
--- a/src/main/java/yewdock/daemon/StandaloneRouter.java
+++ b/src/main/java/yewdock/daemon/StandaloneRouter.java
@@ -20,24 +20,24 @@
 public final class StandaloneRouter {
     /** Creates the handover with a process that runs alongside this one. */
     public interface HandoverFactory {
-        ProcessHandover make(String folder, Config config);
+        ProcessHandover create(String folder, Config config);
     }
 
     private StandaloneRouter() {
     }
 
     /** Serves with the configuration in this file until the process ends; returns the exit code. */
-    public static int run(String file, HandoverFactory maker) {
+    public static int run(String configFile, HandoverFactory factory) {
         Consumer<String> log = line -> Logger.info("{}", line);
-        if (file == null) {
+        if (configFile == null) {
             Logger.error("the configuration can't be read: PROXY_CONFIG is not set");
             return 1;
         }
         // first of all: a SIGHUP before its handler is installed would end the process
-        ConfigurationFile configurationFile = ConfigurationFile.at(Path.of(file));
+        ConfigurationFile configurationFile = ConfigurationFile.at(Path.of(configFile));
         Config config;
         try {
-            config = read(file, log);
+            config = read(configFile, log);
         } catch (IOException | IllegalArgumentException e) {
             Logger.error("the configuration can't be read: {}", e.toString());
             return 1;
@@ -47,37 +47,34 @@
         Counters counters = new Counters();
         // only a router with an admin interface can be replaced by a process that runs alongside it
         ProcessHandover handover = operatorAddress.isEmpty() ? null
-                : maker.make(Objects.requireNonNullElse(System.getenv("TMPDIR"), ""), config);
+                : factory.create(Objects.requireNonNullElse(System.getenv("TMPDIR"), ""), config);
         if (handover != null) {
             handover.fetchPredecessorState();
         }
         Reducer reducer = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
-                config.bounds(), counters,
-                actions -> handover == null
+                config.bounds(), counters, actions -> handover == null
                         ? new BoundedLoadRouter(config.settings(), config.seed(), actions)
                         : handover.router(actions));
         MinaTransport transport = new MinaTransport(config.bounds().maxClientConnections(),
                 config.settings().contract().drainGrace());
         ConnectionManager connectionManager = new ConnectionManager(config, reducer, counters, transport,
-                transport.clock(),
-                log);
+                transport.clock(), log);
         // The JVM exits when its shutdown hooks have finished; this one waits for all open requests.
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             transport.shutDownGracefully();
             Logger.info("counters at exit:\n{}", counters);
             shutDownLogger();
         }, "leave"));
-        configurationFile.setReader(() -> reconfigure(transport, file, log));
+        configurationFile.setReader(() -> reconfigure(transport, configFile, log));
         if (!configurationFile.handlesSignal()) {
             Logger.warn("SIGHUP was ignored when this process was started: {} is read again whenever it has "
-                    + "changed", file);
+                    + "changed", configFile);
         }
         try {
             if (handover != null) {
                 AdminInterface adminInterface = new AdminInterface(connectionManager);
                 transport.listenForOperators(operatorAddress, AdminInterface.MAX_ACCEPTED_CONNECTIONS,
-                        AdminInterface.IDLE_TIMEOUT_SECONDS,
-                        adminInterface::accept);
+                        AdminInterface.IDLE_TIMEOUT_SECONDS, adminInterface::accept);
             }
         } catch (IOException | IllegalArgumentException e) {
             Logger.error("can't listen for operators on {}: {}", operatorAddress, e.getMessage());
@@ -96,9 +93,9 @@
         return 0;
     }
 
-    private static boolean reconfigure(MinaTransport transport, String file, Consumer<String> log) {
+    private static boolean reconfigure(MinaTransport transport, String configFile, Consumer<String> log) {
         try {
-            transport.reconfigure(read(file, log));
+            transport.reconfigure(read(configFile, log));
             return true;
         } catch (IOException | IllegalArgumentException e) {
             Logger.warn("the new configuration can't be read, the old one stays: {}", e.toString());
--- a/src/main/java/yewdock/daemon/StateCodec.java
+++ b/src/main/java/yewdock/daemon/StateCodec.java
@@ -36,20 +36,19 @@
     }
 
     /**
-     * The state that a generation takes over. Memory is the module's learned state, null if there is none;
-     * toldAt the time at which each server's state was reported, by server id in microseconds on the reader's
-     * clock; shift the offset in microseconds from the writer's clock to the reader's.
+     * The state that a generation takes over, with the discovery address that the endpoint list came from.
+     * StateReportedAt is the time at which each server's state was reported, by server id, in microseconds on
+     * the reader's clock; learnedState the module's learned state, null if there is none; clockShiftMicros
+     * the offset from the writer's clock to the reader's.
      */
-    public record InheritedState(EndpointList endpointList, String listAddress, Map<Long,
-            Long> stateReportedAt,
-            umberspread.LearnedState memory,
-            long clockShiftMicros, Map<String, Long> counters, boolean afterRestart) {
+    public record InheritedState(EndpointList endpointList, String discoveryAddress,
+            Map<Long, Long> stateReportedAt, umberspread.LearnedState learnedState, long clockShiftMicros,
+            Map<String, Long> counters, boolean afterRestart) {
     }
 
     /** Encodes the state of a generation at this time on its clock (microseconds) and the monotonic clock. */
-    public static State write(GenerationState generation, umberspread.LearnedState learnedState, Map<String,
-            Long> counters,
-            long clockMicros, long monoNanos) {
+    public static State write(GenerationState generation, umberspread.LearnedState learnedState,
+            Map<String, Long> counters, long clockMicros, long monoNanos) {
         return State.newBuilder().setVersion(VERSION).setLeastReader(MIN_READER_VERSION).setClock(clockMicros)
                 .setMonoNanos(monoNanos)
                 .setBoxes(encodeEndpointList(generation.endpointList(), generation.discoveryAddress(),
--- a/src/main/java/yewdock/daemon/StateService.java
+++ b/src/main/java/yewdock/daemon/StateService.java
@@ -52,7 +52,7 @@
     private final OperatorSettings.StoreSettings settings;
     private final MonotonicClock clock = new MonotonicClock();
     private final ReplicatedRecords records;
-    private final StateRecorder recordKeeper;
+    private final StateRecorder stateRecorder;
     private final Replicator replica;
     private final Committer committer;
     private final Consumer<Frame> broadcast;
@@ -91,7 +91,7 @@
             made = new Committer(e, opening, pace, this::health);
         }
         committer = made;
-        recordKeeper = new StateRecorder(records, settings.unconfirmedDrainMicros());
+        stateRecorder = new StateRecorder(records, settings.unconfirmedDrainMicros());
         replica = new Replicator(all.replication().cluster(), all.replication().peers().keySet(), records,
                 storedMetadata.getOrDefault(JOINED_KEY, 0L), all.replication().maxTombstones());
         if (!all.replication().peers().isEmpty()) {
@@ -173,9 +173,8 @@
             endpointListReported(frame.getNews().getBoxes());
         } else if (frame.hasKeep()) {
             Keep keep = frame.getKeep();
-            storeAndReplicate(recordKeeper.recordModuleMemory(keep.getModule(),
-                    wallMicros() - keep.getClock(),
-                    wallMicros()));
+            storeAndReplicate(stateRecorder.recordModuleMemory(keep.getModule(),
+                    wallMicros() - keep.getClock(), wallMicros()));
         }
     }
 
@@ -187,11 +186,11 @@
             // from a finishing generation, which receives the list later than the serving one
             return;
         }
-        storeAndReplicate(recordKeeper.recordEndpointList(reported, 0, wallMicros()));
+        storeAndReplicate(stateRecorder.recordEndpointList(reported, 0, wallMicros()));
         if (consensus != null) {
             consensus.applyingListVersion(reported.getAddress(), reported.getVersion());
         }
-        List<Kept> expired = recordKeeper.dropOutdatedOverrides(wallMicros());
+        List<Kept> expired = stateRecorder.dropOutdatedOverrides(wallMicros());
         if (!expired.isEmpty()) {
             storeAndReplicate(expired);
             sendOverrides();
@@ -200,7 +199,7 @@
 
     /** Records the configuration text that is in force. */
     synchronized void configurationApplied(String text) {
-        Kept kept = recordKeeper.recordSettings(text, wallMicros());
+        Kept kept = stateRecorder.recordSettings(text, wallMicros());
         if (kept != null) {
             storeAndReplicate(List.of(kept));
         }
@@ -238,9 +237,8 @@
 
     /** The state for a generation that has no predecessor to take it from; null if nothing is stored. */
     synchronized State initialState() {
-        State state = recordKeeper.restartState(StateCodec.VERSION, StateCodec.MIN_READER_VERSION,
-                wallMicros(),
-                System.nanoTime());
+        State state = stateRecorder.restartState(StateCodec.VERSION, StateCodec.MIN_READER_VERSION,
+                wallMicros(), System.nanoTime());
         return state == null ? null : state.toBuilder().setAfterRestart(true).build();
     }
 
@@ -251,7 +249,7 @@
 
     /** The local operator overrides, with those decided by consensus taking precedence. */
     private Frame overridesFrame() {
-        Map<String, Mark> all = new HashMap<>(recordKeeper.overrides());
+        Map<String, Mark> all = new HashMap<>(stateRecorder.overrides());
         drainedByConsensus.forEach(server -> all.put(server,
                 Mark.newBuilder().setKind(Mark.Kind.DRAIN).setBy("agreement").build()));
         return Frame.newBuilder().setMarks(Marks.newBuilder().putAllByBox(all)).build();
@@ -309,11 +307,11 @@
     }
 
     private synchronized boolean isKnown(String server) {
-        return !recordKeeper.knownServers(server).isEmpty();
+        return !stateRecorder.knownServers(server).isEmpty();
     }
 
     private synchronized void setOverride(String server, Mark.Kind kind, Consumer<Answer> answer) {
-        Mark previous = recordKeeper.overrides().get(server);
+        Mark previous = stateRecorder.overrides().get(server);
         if (kind == Mark.Kind.NONE && previous == null) {
             answer.accept(lastAnswerLine(server + " has no mark", 1));
             return;
@@ -322,7 +320,7 @@
             answer.accept(lastAnswerLine("no server named " + server + " is known", 1));
             return;
         }
-        long ticket = storeAndReplicate(List.of(recordKeeper.recordOverride(server, kind, records.instance(),
+        long ticket = storeAndReplicate(List.of(stateRecorder.recordOverride(server, kind, records.instance(),
                 wallMicros())));
         sendOverrides();
         String result = switch (kind) {
@@ -355,7 +353,7 @@
             lines.add("list: version " + list.getList().getVersion() + " of " + list.getList().getAddress()
                     + ", told " + formatAge(list.getWall()));
         }
-        recordKeeper.overrides().forEach((server, mark) -> {
+        stateRecorder.overrides().forEach((server, mark) -> {
             Kept kept = records.getWithTombstones(RecordKeys.override(server));
             lines.add("mark: " + server + " " + mark.getKind().name().toLowerCase(Locale.ROOT) + ", by "
                     + mark.getBy() + " " + formatAge(kept.getWall()));
--- a/src/main/java/yewdock/upgrade/SupervisorReducer.java
+++ b/src/main/java/yewdock/upgrade/SupervisorReducer.java
@@ -415,7 +415,7 @@
         }
         log("generation.ended", "generation", number, "how", reason);
         if (generation == upcoming) {
-            // fail() refers to the generation by its number, so it is removed only afterwards
+            // failUpgrade() refers to the generation by its number, so it is removed only afterwards
             failUpgrade(reason);
             generations.remove(number);
             return;
--- a/src/test/java/yewdock/daemon/GenerationsSimTest.java
+++ b/src/test/java/yewdock/daemon/GenerationsSimTest.java
@@ -50,8 +50,7 @@
  */
 class GenerationsSimTest {
     private static final CoreSettings SETTINGS = new CoreSettings(250_000, 5_000_000, false, 1_000_000,
-            10_000_000, false,
-            4, List.of(), List.of("chat"), 0);
+            10_000_000, false, 4, List.of(), List.of("chat"), 0);
     private static final int SEEDS = Integer.getInteger("sim.seeds", 60);
     private static final int REQUEST_IDS = 25;
     private static final int CLIENTS = 14;
@@ -230,8 +229,7 @@
             List<ModelServer> servers = new ArrayList<>();
             serverStates.forEach((id, state) ->
                     servers.add(new ModelServer("s-" + id, "127.0.0.1:" + (9000 + id), new ServerState(id, 0,
-                            0,
-                            0, 1, state.equals("up") ? Lifecycle.READY : Lifecycle.DRAINING, 0))));
+                            0, 0, 1, state.equals("up") ? Lifecycle.READY : Lifecycle.DRAINING, 0))));
             return new EndpointList(version, since < 0, servers);
         }
 
@@ -434,13 +432,14 @@
                     violations.add(e.getMessage());
                     return;
                 }
-                reducer = new Reducer(SETTINGS, new ResourceLimits(60, 60, 60, 1 << 20), counters, actions ->
-                        {
-                    router = inherited == null ? new GenerationRouter(config.settings(), number, actions)
-                            : new GenerationRouter(config.settings(), number, actions, inherited.memory(),
-                                    inherited.clockShiftMicros());
-                    return router;
-                });
+                reducer = new Reducer(SETTINGS, new ResourceLimits(60, 60, 60, 1 << 20), counters,
+                        actions -> {
+                            router = inherited == null
+                                    ? new GenerationRouter(config.settings(), number, actions)
+                                    : new GenerationRouter(config.settings(), number, actions,
+                                            inherited.learnedState(), inherited.clockShiftMicros());
+                            return router;
+                        });
                 if (inherited == null) {
                     // as after a restart: the endpoint list comes from the configuration
                     recordDrainsTold();
@@ -496,8 +495,7 @@
                 } else if (effect instanceof Effect.CallDiscovery e) {
                     long call = ++listCall;
                     schedule(random.nextLong(2_000), () -> answerDiscovery(this, e.sinceVersion(),
-                            e.maxWaitMicros(), call,
-                            e.maxWaitMicros() == 0));
+                            e.maxWaitMicros(), call, e.maxWaitMicros() == 0));
                 } else if (effect instanceof Effect.CancelDiscoveryCall) {
                     listCall++;
                 } else if (effect instanceof Effect.SendToGenerations e) {
@@ -546,8 +544,7 @@
                 boolean breaks = random.nextInt(30) == 0;
                 String mine = id;
                 schedule(first, () -> dispatchIfInFlight(e.connection(), mine,
-                        new Event.ResponseChunk(e.connection(),
-                        ByteBuffer.allocate(9))));
+                        new Event.ResponseChunk(e.connection(), ByteBuffer.allocate(9))));
                 schedule(whole, () -> {
                     if (breaks) {
                         connectionClosed(e.connection());
--- a/src/test/java/yewdock/daemon/StatesTest.java
+++ b/src/test/java/yewdock/daemon/StatesTest.java
@@ -26,15 +26,13 @@
 class StatesTest {
     private static final LearnedState LEARNED_STATE = new LearnedState(1, 2, 3, 4, 8, 9, List.of(1.0, 2.0),
             Map.of(0, 1.5), List.of(0.5), List.of(100L), List.of(101L),
-                    List.of(new LearnedState.LearnedServer(7, 64,
-            List.of(5L, 0L), List.of(1, 0), 900, 2, 1, 800, 50, 700, 600)),
+            List.of(new LearnedState.LearnedServer(7, 64, List.of(5L, 0L), List.of(1, 0), 900, 2, 1, 800, 50,
+                    700, 600)),
             List.of(new LearnedState.LearnedKey(42, 3.5, 4, 0)), List.of(11.0));
     private static final GenerationState GENERATION = new GenerationState(List.of("x", "y"),
             List.of(new GenerationMessage.AttemptSent(3, 7)),
             new EndpointList(41, true, List.of(new ModelServer("s-7", "127.0.0.1:9001", new ServerState(7, 1,
-                    2,
-                    3, 1.5,
-            Lifecycle.DRAINING, 123)))), "127.0.0.1:8500", Map.of(7L, 2_000L));
+                    2, 3, 1.5, Lifecycle.DRAINING, 123)))), "127.0.0.1:8500", Map.of(7L, 2_000L));
 
     private static State state() {
         return StateCodec.write(GENERATION, LEARNED_STATE, Map.of("answers.served", 5L), 1_000_000,
@@ -46,9 +44,9 @@
         // read 3 ms later by the monotonic clock; the reader's own clock is 1 s ahead of the writer's
         StateCodec.InheritedState inherited = StateCodec.read(state(), 2_003_000, 2_003_000_000L);
         assertEquals(1_000_000, inherited.clockShiftMicros());
-        assertEquals(LEARNED_STATE, inherited.memory());
+        assertEquals(LEARNED_STATE, inherited.learnedState());
         assertEquals(GENERATION.endpointList(), inherited.endpointList());
-        assertEquals("127.0.0.1:8500", inherited.listAddress());
+        assertEquals("127.0.0.1:8500", inherited.discoveryAddress());
         assertEquals(Map.of(7L, 1_002_000L), inherited.stateReportedAt());
         assertEquals(Map.of("answers.served", 5L), inherited.counters());
         assertEquals(GENERATION.requestIds(),
@@ -63,7 +61,7 @@
                 UnknownFieldSet.newBuilder().addField(500, UnknownFieldSet.Field.newBuilder()
                         .addLengthDelimited(ByteString.copyFromUtf8("news")).build()).build()).build();
         assertEquals(LEARNED_STATE, StateCodec.read(State.parseFrom(later.toByteArray()), 1,
-                2_000_000_000L).memory());
+                2_000_000_000L).learnedState());
     }
 
     @Test
