--- a/src/test/java/yewdock/admin/DoorTest.java
+++ b/src/test/java/yewdock/admin/AdminInterfaceTest.java
@@ -22,14 +22,14 @@
 import yewdock.platform.Transport;
 
 /** The admin interface under idle connections, and the consistency of its counters under load. */
-class DoorTest {
+class AdminInterfaceTest {
     private long micros = 1_000_000_000_000L;
     private final Counters counters = new Counters();
     private final Config config;
     private final ConnectionManager connectionManager;
     private final AdminInterface adminInterface;
 
-    DoorTest() throws Exception {
+    AdminInterfaceTest() throws Exception {
         config = Config.read(Files.readString(Path.of("src/test/resources/exchanges/config.json")),
                 line -> { });
         Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
--- a/src/test/java/yewdock/daemon/RehearsalTest.java
+++ b/src/test/java/yewdock/daemon/JvmWarmUpTest.java
@@ -10,7 +10,7 @@
 /**
  * Guards against a warm-up whose requests all fail: it would not load and compile the code that serves them.
  */
-class RehearsalTest {
+class JvmWarmUpTest {
     @Test
     void everyRequestIsServed() throws Exception {
         assertEquals(50, JvmWarmUp.run(Config.read(Files.readString(
--- a/src/test/java/yewdock/daemon/StatesTest.java
+++ b/src/test/java/yewdock/daemon/StateCodecTest.java
@@ -23,7 +23,7 @@
  * Encoding and decoding of the state that one generation hands to the next: nothing is lost, and a state that
  * can't be decoded is rejected with a clear message.
  */
-class StatesTest {
+class StateCodecTest {
     private static final LearnedState LEARNED_STATE = new LearnedState(1, 2, 3, 4, 8, 9, List.of(1.0, 2.0),
             Map.of(0, 1.5), List.of(0.5), List.of(100L), List.of(101L),
             List.of(new LearnedState.LearnedServer(7, 64, List.of(5L, 0L), List.of(1, 0), 900, 2, 1, 800, 50,
--- a/src/test/java/yewdock/upgrade/UpgradeTest.java
+++ b/src/test/java/yewdock/upgrade/SupervisorReducerTest.java
@@ -20,7 +20,7 @@
 import yewdock.wire.Took;
 
 /** The supervisor's decisions in each stage of an upgrade. */
-class UpgradeTest {
+class SupervisorReducerTest {
     private static final long STAGE_MICROS = 1_000_000;
     private final SupervisorReducer reducer =
             new SupervisorReducer(UpgradeLimits.uniform(STAGE_MICROS, 10 * STAGE_MICROS, 2));
@@ -54,7 +54,7 @@
         return all;
     }
 
-    /** Takes an upgrade to the begin of a stage, null: to its end; old is the serving generation, 0: none. */
+    /** Advances an upgrade to the start of a stage (null: to its end); old is the serving generation or 0. */
     private void advanceTo(Stage stage, int old, int next) {
         Map<Stage, Runnable> steps = new EnumMap<>(Stage.class);
         steps.put(Stage.START, () -> receive(next, Frame.newBuilder().setHello(Hello.getDefaultInstance())));
@@ -106,7 +106,7 @@
     void oldGenerationKeepsServingWhenTheNewOneFails() {
         for (Stage stage : Stage.values()) {
             for (String way : List.of("late", "exits", "lost", "fails", "nonsense")) {
-                UpgradeTest t = new UpgradeTest();
+                SupervisorReducerTest t = new SupervisorReducerTest();
                 t.failAt(stage, way);
             }
         }
@@ -170,7 +170,7 @@
     @Test
     void upgradeContinuesWhenTheOldGenerationDies() {
         for (Stage stage : Stage.values()) {
-            UpgradeTest t = new UpgradeTest();
+            SupervisorReducerTest t = new SupervisorReducerTest();
             t.startFirstGeneration();
             t.dispatch(new SupervisorEvent.UpgradeRequested(7, List.of()));
             t.advanceTo(stage, 1, 2);
