--- a/src/main/java/yewdock/admin/AdminConnection.java
+++ b/src/main/java/yewdock/admin/AdminConnection.java
@@ -7,104 +7,108 @@
 import yewdock.platform.Connection;
 import yewdock.platform.ConnectionHandler;
 
-/** An operator's connection: a line comes, an answer goes, and it is closed. */
+/** A connection to the admin interface: reads one command line, sends one answer and closes. */
 final class AdminConnection implements ConnectionHandler {
-    /** No call is longer. */
-    static final int MOST_LINE = 512;
+    /** Maximum length of a command line in bytes. */
+    static final int MAX_LINE_BYTES = 512;
 
-    private final AdminInterface door;
+    private final AdminInterface adminInterface;
     private final long id;
-    private final Connection wire;
+    private final Connection connection;
     private final StringBuilder line = new StringBuilder();
-    private boolean called;
+    /** Whether further bytes are ignored: a command was taken or rejected, or the connection is closed. */
+    private boolean inputClosed;
 
-    AdminConnection(AdminInterface door, long id, Connection wire) {
-        this.door = door;
+    AdminConnection(AdminInterface adminInterface, long id, Connection connection) {
+        this.adminInterface = adminInterface;
         this.id = id;
-        this.wire = wire;
+        this.connection = connection;
     }
 
     @Override
     public void onConnected() {
-        // a caller's connection is up from the first
+        // an accepted connection is always up
     }
 
     @Override
     public void onReceived(ByteBuffer bytes) {
-        if (called) {
+        if (inputClosed) {
             return;
         }
         while (bytes.hasRemaining()) {
             char c = (char) (bytes.get() & 0xff);
             if (c == '\n') {
-                call(line.toString());
+                parseCommand(line.toString());
                 return;
             }
             line.append(c);
-            if (line.length() > MOST_LINE) {
-                turnDown("the line is too long");
+            if (line.length() > MAX_LINE_BYTES) {
+                reject("the line is too long");
                 return;
             }
         }
     }
 
-    private void call(String text) {
+    private void parseCommand(String text) {
         String[] words = text.strip().split("\\s+");
-        OperatorCommand call = named(words[0]);
-        int wanted = call != null && call.namesServer() ? 2 : 1;
-        if (call == null) {
-            turnDown("unknown call; there are health, counters, cordon ID, uncordon ID, quiesce, resume");
+        OperatorCommand command = commandNamed(words[0]);
+        int wanted = command != null && command.namesServer() ? 2 : 1;
+        if (command == null) {
+            reject("unknown call; there are health, counters, cordon ID, uncordon ID, quiesce, resume");
         } else if (words.length != wanted) {
-            turnDown(wanted == 2 ? "one id is wanted" : "nothing is wanted behind this call");
+            reject(wanted == 2 ? "one id is wanted" : "nothing is wanted behind this call");
         } else {
-            called = true;
-            door.called(id, call, wanted == 2 ? words[1] : "");
+            inputClosed = true;
+            adminInterface.dispatch(id, command, wanted == 2 ? words[1] : "");
         }
     }
 
-    private static OperatorCommand named(String word) {
-        for (OperatorCommand call : OperatorCommand.values()) {
-            if (call.name().toLowerCase(Locale.ROOT).equals(word)) {
-                return call;
+    private static OperatorCommand commandNamed(String word) {
+        for (OperatorCommand command : OperatorCommand.values()) {
+            if (command.name().toLowerCase(Locale.ROOT).equals(word)) {
+                return command;
             }
         }
         return null;
     }
 
-    private void turnDown(String why) {
-        called = true;
-        answer("NO " + why + "\n");
+    private void reject(String reason) {
+        inputClosed = true;
+        answer("NO " + reason + "\n");
     }
 
+    /** Writes the answer and closes once the client has had time to read it. */
     void answer(String text) {
-        wire.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
-        wire.closeLingering();
+        connection.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
+        connection.closeLingering();
     }
 
-    /** Others need the place: one that is being answered goes by itself, one that says nothing goes now. */
-    void makeRoom() {
-        door.forget(id);
-        if (!called) {
-            called = true;
-            wire.close();
+    /** Frees the place for another connection; closes at once unless a command is already being answered. */
+    void evict() {
+        adminInterface.remove(id);
+        if (!inputClosed) {
+            inputClosed = true;
+            connection.close();
         }
     }
 
     @Override
     public void onWritten(int bytes) {
-        // the close waits for it
+        // closing waits until everything is written
     }
 
-    /** No call came for long, or it has lingered long enough. */
+    /**
+     * No command came within the idle timeout, or the connection has lingered long enough after an answer.
+     */
     @Override
     public void onIdle() {
-        called = true;
-        wire.close();
+        inputClosed = true;
+        connection.close();
     }
 
     @Override
     public void onClosed() {
-        called = true;
-        door.forget(id);
+        inputClosed = true;
+        adminInterface.remove(id);
     }
 }
--- a/src/main/java/yewdock/admin/AdminInterface.java
+++ b/src/main/java/yewdock/admin/AdminInterface.java
@@ -11,81 +11,82 @@
 import yewdock.platform.ConnectionManager;
 
 /**
- * The operators' door: one line to a connection, and one answer. It reads calls and prints answers; what they
- * do is the desk's business. Runs on the desk's thread.
+ * The admin interface for operators: one command line and one answer per connection. It parses commands and
+ * formats answers; the reducer executes them. Runs on the reducer's thread.
  *
- * <p>Callers that say nothing cost no good one its place: beyond a few, the one that has been silent longest
- * makes room.
+ * <p>Idle connections can't lock an operator out: above the maximum, the oldest connection is closed.
  */
 public final class AdminInterface {
-    /** So many callers at once; more take descriptors that clients and boxes need. */
+    /** Maximum number of open connections; more would use descriptors that clients and servers need. */
     public static final int MAX_CONNECTIONS = 16;
-    /** Those that are being given up still hold a descriptor for a moment. */
+    /** Accept limit, higher because connections that are being closed hold a descriptor for a moment. */
     public static final int MAX_ACCEPTED_CONNECTIONS = MAX_CONNECTIONS + 8;
-    /** A caller that sends nothing for so long is given up. */
+    /** A connection that sends nothing for this many seconds is closed. */
     public static final int IDLE_TIMEOUT_SECONDS = 3;
-    private static final String PREFIX = "edge_proxy.";
+    private static final String COUNTER_PREFIX = "edge_proxy.";
 
-    private final ConnectionManager front;
-    private final Map<Long, AdminConnection> callers = new LinkedHashMap<>();
-    private long last;
+    private final ConnectionManager connectionManager;
+    private final Map<Long, AdminConnection> connections = new LinkedHashMap<>();
+    private long lastId;
 
-    /** A door whose calls go through this front. */
+    /** Creates an admin interface whose commands go through this platform front. */
     public AdminInterface(ConnectionManager front) {
-        this.front = front;
+        this.connectionManager = front;
         front.forwardOperatorAnswersTo(this::answer);
     }
 
-    /** An operator has connected. */
-    public ConnectionHandler accept(Connection wire) {
-        AdminConnection caller = new AdminConnection(this, ++last, wire);
-        callers.put(last, caller);
-        if (callers.size() > MAX_CONNECTIONS) {
-            callers.values().iterator().next().makeRoom();
+    /** Handles a new connection. */
+    public ConnectionHandler accept(Connection transportConnection) {
+        AdminConnection connection = new AdminConnection(this, ++lastId, transportConnection);
+        connections.put(lastId, connection);
+        if (connections.size() > MAX_CONNECTIONS) {
+            connections.values().iterator().next().evict();
         }
-        return caller;
+        return connection;
     }
 
-    void called(long caller, OperatorCommand call, String box) {
-        front.dispatch(new Event.OperatorCommandReceived(caller, call, box));
+    /** Passes a command to the reducer; server is the name in the command, or "". */
+    void dispatch(long connectionId, OperatorCommand command, String server) {
+        connectionManager.dispatch(new Event.OperatorCommandReceived(connectionId, command, server));
     }
 
-    void forget(long caller) {
-        callers.remove(caller);
+    /** Forgets a connection; an answer that is still to come for it is dropped. */
+    void remove(long connectionId) {
+        connections.remove(connectionId);
     }
 
     private void answer(Effect effect) {
         if (effect instanceof Effect.AnswerCommand e) {
             answer(e.caller(), (e.accepted() ? "YES " : "NO ") + e.text() + "\n");
         } else if (effect instanceof Effect.AnswerStatistics e) {
-            answer(e.caller(), print(e.statistics()));
+            answer(e.caller(), format(e.statistics()));
         }
     }
 
-    private void answer(long caller, String text) {
-        AdminConnection to = callers.get(caller);
-        if (to != null) {
-            to.answer(text);
+    private void answer(long connectionId, String text) {
+        AdminConnection connection = connections.get(connectionId);
+        if (connection != null) {
+            connection.answer(text);
         }
     }
 
-    /** The figures, one a line, and a last line that tells that none is missing. */
-    static String print(RouterStatistics figures) {
+    /** Formats the counters one per line, followed by a line that shows that the answer is complete. */
+    static String format(RouterStatistics counters) {
         StringBuilder text = new StringBuilder();
-        for (RouterStatistics.ClassStatistics c : figures.classes()) {
-            String name = "downstream_requests." + c.name() + '.';
-            line(text, name + "completed", c.completed());
-            line(text, name + "rejected", c.rejected());
-            line(text, name + "failed", c.failed());
+        for (RouterStatistics.ClassStatistics classCounters : counters.classes()) {
+            String name = "downstream_requests." + classCounters.name() + '.';
+            appendCounter(text, name + "completed", classCounters.completed());
+            appendCounter(text, name + "rejected", classCounters.rejected());
+            appendCounter(text, name + "failed", classCounters.failed());
         }
-        line(text, "upstream_requests", figures.attempts());
-        line(text, "pending", figures.pending());
-        line(text, "members", figures.servers());
-        line(text, "members_unavailable", figures.unavailableServers());
+        appendCounter(text, "upstream_requests", counters.attempts());
+        appendCounter(text, "pending", counters.pending());
+        appendCounter(text, "members", counters.servers());
+        appendCounter(text, "members_unavailable", counters.unavailableServers());
         return text.append("END\n").toString();
     }
 
-    private static void line(StringBuilder text, String name, long figure) {
-        text.append(PREFIX).append(name).append('=').append(figure).append('\n');
+    private static void appendCounter(StringBuilder text, String name, long value) {
+        text.append(COUNTER_PREFIX).append(name).append('=').append(value).append('\n');
     }
 }
--- a/src/main/java/yewdock/daemon/Generation.java
+++ b/src/main/java/yewdock/daemon/Generation.java
@@ -40,133 +40,139 @@
 import yewdock.wire.Took;
 
 /**
- * One generation of a router: a process that takes its state from the one before it, serves, and gives what
- * it knows to the next. The keeper tells it when; everything it does for that is done on the desk's thread.
+ * One generation of a router: a process that takes over the state of its predecessor, serves, and hands its
+ * own state to its successor. The supervisor directs it; its commands run on the reducer's thread.
  */
 public class Generation {
-    private static final long LAST_WORDS_MILLIS = 500;
-    private static final int REHEARSED = 500;
-    private static final long KEEP_MILLIS = 1_000;
-    private static final long LIST_PATIENCE_MILLIS = 500;
-    /** A client that is refused in doubt: a lease comes back within a second of a majority. */
-    private static final long COME_BACK_MICROS = 1_000_000;
+    private static final long FLUSH_TIMEOUT_MILLIS = 500;
+    private static final int WARM_UP_REQUESTS = 500;
+    private static final long STORE_INTERVAL_MILLIS = 1_000;
+    private static final long LIST_TIMEOUT_MILLIS = 500;
+    /** Longest Retry-After without a lease: a lease is renewed within a second of a majority returning. */
+    private static final long MAX_RETRY_AFTER_MICROS = 1_000_000;
 
     private final int number;
-    private final Path control;
+    private final Path controlFolder;
     private final String secret;
-    private final String file;
-    /** Whether the keeper keeps what the list and the module tell. */
-    private final boolean keeping = System.getenv(Supervisor.KEEPS) != null;
-    /** Whether it may act only by what is agreed, and while a lease holds. */
-    private final boolean agreeing = System.getenv(Supervisor.AGREES) != null;
-    private Runnable whenListed;
-    private final BlockingQueue<Frame> early = new LinkedBlockingQueue<>();
-    private volatile boolean up;
+    private final String configFile;
+    /** Whether the supervisor stores endpoint lists and the module's learned state. */
+    private final boolean stateIsStored = System.getenv(Supervisor.STORE_VARIABLE) != null;
+    /** Whether it may serve only by rules decided by consensus, and only while a lease is valid. */
+    private final boolean needsLease = System.getenv(Supervisor.CONSENSUS_VARIABLE) != null;
+    private Runnable onListReceived;
+    private final BlockingQueue<Frame> queuedFrames = new LinkedBlockingQueue<>();
+    private volatile boolean started;
     private ControlConnection supervisorConnection;
     private Config config;
     private Counters counters;
-    private Reducer desk;
-    private ConnectionManager front;
-    private MinaTransport sockets;
-    private GenerationRouter router;
+    private Reducer reducer;
+    private ConnectionManager connectionManager;
+    private MinaTransport transport;
+    private GenerationRouter module;
     private ServerSocketChannel listener;
     private boolean accepting;
-    private Map<String, Long> countedBefore = Map.of();
-
-    /** A generation with this number, whose keeper is to be found there. */
+    private Map<String, Long> inheritedCounts = Map.of();
+
+    /**
+     * Creates a generation.
+     *
+     * @param control folder of the supervisor's control socket
+     * @param secret the secret that authenticates this generation to the supervisor
+     * @param file path of the configuration file; null if none was named
+     */
     public Generation(int number, Path control, String secret, String file) {
         this.number = number;
-        this.control = control;
+        this.controlFolder = control;
         this.secret = secret;
-        this.file = file;
+        this.configFile = file;
     }
 
-    /** Runs the generation that the environment describes, to its end; returns the exit code. */
+    /** Runs the generation that the environment variables describe until it ends; returns the exit code. */
     public static int run(Map<String, String> environment) {
         return fromEnvironment(environment, Generation::new).run();
     }
 
-    /** Makes a generation, as {@link #Generation} does. */
+    /** Creates a generation from the arguments of {@link #Generation}. */
     public interface Factory<G> {
-        G make(int number, Path control, String secret, String file);
+        G create(int number, Path control, String secret, String file);
     }
 
-    /** The generation that the environment describes. */
-    public static <G> G fromEnvironment(Map<String, String> environment, Factory<G> maker) {
-        String number = environment.get(Supervisor.GENERATION);
-        String control = environment.get(Supervisor.CONTROL);
+    /** Creates the generation that the environment variables describe. */
+    public static <G> G fromEnvironment(Map<String, String> environment, Factory<G> factory) {
+        String number = environment.get(Supervisor.GENERATION_VARIABLE);
+        String control = environment.get(Supervisor.CONTROL_VARIABLE);
         if (number == null || control == null) {
-            throw new IllegalArgumentException("a generation is started by its daemon, not by hand");
+            throw new IllegalArgumentException("a generation can only be started by its daemon");
         }
-        return maker.make(Integer.parseInt(number), Path.of(control),
-                environment.getOrDefault(Supervisor.SECRET, ""), environment.get("PROXY_CONFIG"));
+        return factory.create(Integer.parseInt(number), Path.of(control),
+                environment.getOrDefault(Supervisor.SECRET_VARIABLE, ""), environment.get("PROXY_CONFIG"));
     }
 
-    /** Called as each stage is reached, on whichever thread gets there; stand-ins make it fail. */
+    /** Called when a stage is reached, on the thread that reaches it; overridden for fault injection. */
     protected void stageReached(Stage stage) {
-        // nothing fails here
+        // no fault here
     }
 
-    /** The connection to the keeper. */
+    /** The connection to the supervisor. */
     protected final ControlConnection supervisorConnection() {
         return supervisorConnection;
     }
 
-    /** Serves to the end; returns the exit code. */
+    /** Takes over, serves and ends; returns the exit code. */
     public final int run() {
         try {
-            supervisorConnection = ControlConnection.inFolder(control);
+            supervisorConnection = ControlConnection.inFolder(controlFolder);
         } catch (IOException e) {
             EventLog.warn("generation.alone", "generation", number, "why", e.getMessage());
             return 1;
         }
-        supervisorConnection.start("keeper", this::heard, this::lost);
-        // the keeper passes SIGHUP on; one that comes here straight must not end the process
+        supervisorConnection.start("keeper", this::frameReceived, this::supervisorLost);
+        // the supervisor forwards SIGHUP; one sent directly to this process must not end it
         Signals.onHangUp(() -> {
-            if (up) {
+            if (started) {
                 reconfigure();
             }
         });
         stageReached(Stage.START);
-        supervisorConnection.send(Frame.newBuilder().setHello(
-                Hello.newBuilder().setGeneration(number).setSecret(secret).setProgram(
-                        String.valueOf(getClass().getPackage().getImplementationVersion()))).build());
+        supervisorConnection.send(Frame.newBuilder().setHello(Hello.newBuilder().setGeneration(number)
+                .setSecret(secret).setProgram(String.valueOf(
+                        getClass().getPackage().getImplementationVersion()))).build());
         stageReached(Stage.CHECK);
         try {
             config = read();
         } catch (IOException | IllegalArgumentException e) {
             supervisorConnection.send(Frame.newBuilder().setFailed(Failed.newBuilder()
                     .setWhy("the configuration can't be read: " + e.getMessage())).build());
-            supervisorConnection.flushAndClose(LAST_WORDS_MILLIS);
+            supervisorConnection.flushAndClose(FLUSH_TIMEOUT_MILLIS);
             return 1;
         }
         supervisorConnection.send(Frame.newBuilder().setChecked(Checked.getDefaultInstance()).build());
-        StateCodec.InheritedState left = awaitState();
+        StateCodec.InheritedState inherited = awaitPredecessorState();
         stageReached(Stage.READY);
-        JvmWarmUp.play(config, REHEARSED);
-        build(left);
-        sockets.serveWithoutListening(() -> begin(left), front, desk);
+        JvmWarmUp.run(config, WARM_UP_REQUESTS);
+        build(inherited);
+        transport.serveWithoutListening(() -> startReducer(inherited), connectionManager, reducer);
         supervisorConnection.send(Frame.newBuilder().setNews(News.newBuilder().setCounts(
-                Counts.newBuilder().putAllByName(countedSince()))).build());
+                Counts.newBuilder().putAllByName(countsSinceStart()))).build());
         EventLog.info("generation.ends", "generation", number, "counters", counters.toString().strip()
                 .replace('\n', ';'));
-        supervisorConnection.flushAndClose(LAST_WORDS_MILLIS);
+        supervisorConnection.flushAndClose(FLUSH_TIMEOUT_MILLIS);
         return 0;
     }
 
     private Config read() throws IOException {
-        return StandaloneRouter.read(file, this::log);
+        return StandaloneRouter.read(configFile, this::log);
     }
 
     private void log(String line) {
         EventLog.info("router", "generation", number, "line", line);
     }
 
-    /** Waits for the state; one that can't be read leaves this generation as after a restart. */
-    private StateCodec.InheritedState awaitState() {
+    /** Waits for the predecessor's state; null if it is empty or unreadable, as after a restart. */
+    private StateCodec.InheritedState awaitPredecessorState() {
         while (true) {
             try {
-                Frame frame = early.take();
+                Frame frame = queuedFrames.take();
                 if (!frame.hasState()) {
                     continue;
                 }
@@ -183,35 +189,37 @@
         }
     }
 
-    private void build(StateCodec.InheritedState left) {
+    private void build(StateCodec.InheritedState inherited) {
         counters = new Counters();
-        if (left != null) {
-            left.counters().forEach(counters::add);
+        if (inherited != null) {
+            inherited.counters().forEach(counters::add);
         }
-        countedBefore = counters.all();
-        desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()), config.bounds(),
+        inheritedCounts = counters.all();
+        reducer = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()), config.bounds(),
                 counters, actions -> {
-                    router = router(config, seed(), actions, left);
-                    return router;
+                    module = module(config, seed(), actions, inherited);
+                    return module;
                 });
-        sockets = new MinaTransport(config.bounds().maxClientConnections(),
+        transport = new MinaTransport(config.bounds().maxClientConnections(),
                 config.settings().contract().drainGrace());
-        front = new ConnectionManager(config, desk, counters, sockets, sockets.clock(), this::log);
-        front.forwardGenerationEffectsTo(this::tellOthers);
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> sockets.shutDownGracefully(), "leave"));
-        if (keeping) {
-            every(KEEP_MILLIS, () -> supervisorConnection.send(Frame.newBuilder().setKeep(
-                    StateCodec.keep(router.learnedState(false), sockets.clock().getAsLong())).build()));
+        connectionManager = new ConnectionManager(config, reducer, counters, transport, transport.clock(),
+                this::log);
+        connectionManager.forwardGenerationEffectsTo(this::sendToOthers);
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> transport.shutDownGracefully(), "leave"));
+        if (stateIsStored) {
+            runPeriodically(STORE_INTERVAL_MILLIS, () -> supervisorConnection.send(Frame.newBuilder().setKeep(
+                    StateCodec.encodeLearnedState(module.learnedState(false),
+                            transport.clock().getAsLong())).build()));
         }
     }
 
-    /** Does this on the desk's thread each time that so long has passed. */
-    private void every(long millis, Runnable work) {
+    /** Runs the work on the reducer's thread at this interval while the generation accepts connections. */
+    private void runPeriodically(long intervalMillis, Runnable work) {
         Thread timer = new Thread(() -> {
             try {
                 while (true) {
-                    Thread.sleep(millis);
-                    sockets.post(() -> {
+                    Thread.sleep(intervalMillis);
+                    transport.post(() -> {
                         if (accepting) {
                             work.run();
                         }
@@ -225,88 +233,90 @@
         timer.start();
     }
 
-    /** Generations of one router must not draw the same numbers. */
+    /** The seed of the module's random numbers, different in every generation of a router. */
     private long seed() {
         return config.seed() + number * 0x9e3779b97f4a7c15L;
     }
 
-    /** On the desk's thread, first of all. */
-    private void begin(StateCodec.InheritedState left) {
-        begin(front, desk, config, left);
-        if (keeping) {
-            front.dispatch(new Event.EndpointListRelayEnabled());
+    /** Starts the reducer; the first task on its thread. */
+    private void startReducer(StateCodec.InheritedState inherited) {
+        startReducer(connectionManager, reducer, config, inherited);
+        if (stateIsStored) {
+            connectionManager.dispatch(new Event.EndpointListRelayEnabled());
         }
-        if (agreeing) {
-            front.dispatch(new Event.LeaseGranted(0, 0));
+        if (needsLease) {
+            connectionManager.dispatch(new Event.LeaseGranted(0, 0));
         }
-        synchronized (early) {
-            for (Frame frame = early.poll(); frame != null; frame = early.poll()) {
+        synchronized (queuedFrames) {
+            for (Frame frame = queuedFrames.poll(); frame != null; frame = queuedFrames.poll()) {
                 handleSafely(frame);
             }
-            up = true;
+            started = true;
         }
-        Runnable ready = () -> ready(left);
-        if (keeping && (left == null || left.afterRestart())) {
-            // a drain told in the last moment before a kill is in no record: the list knows it
-            whenListed = ready;
-            sockets.postDelayed(LIST_PATIENCE_MILLIS, this::listed);
+        Runnable ready = () -> reportReady(inherited);
+        if (stateIsStored && (inherited == null || inherited.afterRestart())) {
+            // a drain reported just before a kill may not be stored: wait for the endpoint list, which has it
+            onListReceived = ready;
+            transport.postDelayed(LIST_TIMEOUT_MILLIS, this::listReceived);
         } else {
             ready.run();
         }
     }
 
-    /** The module, with what another process has learnt, if there is such. */
-    static GenerationRouter router(Config config, long seed, Routing.Actions actions,
-            StateCodec.InheritedState left) {
-        return left == null || left.memory() == null
+    /** Creates the module, with the learned state of the previous process if there is any. */
+    static GenerationRouter module(Config config, long seed, Routing.Actions actions,
+            StateCodec.InheritedState inherited) {
+        return inherited == null || inherited.learnedState() == null
                 ? new GenerationRouter(config.settings(), seed, actions)
-                : new GenerationRouter(config.settings(), seed, actions, left.memory(),
-                        left.clockShiftMicros());
+                : new GenerationRouter(config.settings(), seed, actions, inherited.learnedState(),
+                        inherited.clockShiftMicros());
     }
 
-    /** The first event of a process that goes on with what another left it, if there is such. */
-    static void begin(ConnectionManager front, Reducer desk, Config config, StateCodec.InheritedState left) {
-        boolean sameList = left != null && left.listAddress().equals(config.discoveryAddress());
-        if (left == null || left.endpointList().servers().isEmpty()
+    /** Sends the reducer its first event, with the endpoint list of the previous process if there is one. */
+    static void startReducer(ConnectionManager connectionManager, Reducer reducer, Config config,
+            StateCodec.InheritedState inherited) {
+        boolean sameList = inherited != null
+                && inherited.discoveryAddress().equals(config.discoveryAddress());
+        if (inherited == null || inherited.endpointList().servers().isEmpty()
                 && config.cachedEndpoints().version() >= 0) {
-            front.start();
+            connectionManager.start();
         } else {
-            // the versions of one list mean nothing to another: then the whole of it is asked for
-            front.start(new EndpointList(sameList ? left.endpointList().version() : -1, true,
-                    left.endpointList().servers()));
-            desk.restoreToldAt(left.stateReportedAt());
+            // list versions of another discovery address don't compare: -1 requests the full list
+            connectionManager.start(new EndpointList(sameList ? inherited.endpointList().version() : -1, true,
+                    inherited.endpointList().servers()));
+            reducer.restoreToldAt(inherited.stateReportedAt());
         }
     }
 
-    private void listed() {
-        Runnable then = whenListed;
-        whenListed = null;
+    private void listReceived() {
+        Runnable then = onListReceived;
+        onListReceived = null;
         if (then != null) {
             then.run();
         }
     }
 
-    private void ready(StateCodec.InheritedState left) {
-        supervisorConnection.send(Frame.newBuilder().setReady(Ready.newBuilder().setNote(left == null
-                ? "starts afresh"
-                : "goes on with " + left.endpointList().servers().size() + " boxes, list version "
-                + left.endpointList().version())).build());
+    private void reportReady(StateCodec.InheritedState inherited) {
+        supervisorConnection.send(Frame.newBuilder().setReady(Ready.newBuilder().setNote(inherited == null
+                ? "starts without state"
+                : "continues with " + inherited.endpointList().servers().size() + " servers, list version "
+                + inherited.endpointList().version())).build());
     }
 
-    private void heard(Frame frame) {
-        synchronized (early) {
-            if (!up) {
-                early.add(frame);
+    private void frameReceived(Frame frame) {
+        synchronized (queuedFrames) {
+            if (!started) {
+                queuedFrames.add(frame);
                 return;
             }
         }
-        sockets.post(() -> handleSafely(frame));
+        transport.post(() -> handleSafely(frame));
     }
 
-    private void lost(String why) {
-        EventLog.warn("keeper.lost", "generation", number, "why", why, "now", "serving on without upgrades");
-        if (!up) {
-            // nobody will ever tell it to serve
+    private void supervisorLost(String reason) {
+        EventLog.warn("keeper.lost", "generation", number, "why", reason, "now", "serving without upgrades");
+        if (!started) {
+            // without the supervisor it will never be told to serve
             Runtime.getRuntime().halt(1);
         }
     }
@@ -326,74 +336,81 @@
     private void handle(Frame frame) throws IOException {
         switch (frame.getWhatCase()) {
             case GIVE_STATE -> supervisorConnection.send(Frame.newBuilder().setState(
-                    StateCodec.write(desk.generationState(), router.learnedState(), counters.all(),
-                            sockets.clock().getAsLong(), System.nanoTime())).build());
-            case SHARE -> front.dispatch(new Event.HandoverStarted());
+                    StateCodec.write(reducer.generationState(), module.learnedState(), counters.all(),
+                            transport.clock().getAsLong(), System.nanoTime())).build());
+            case SHARE -> connectionManager.dispatch(new Event.HandoverStarted());
             case SHARING -> {
                 stageReached(Stage.SHARE);
-                front.dispatch(new Event.GenerationStateReceived(frame.getSharing().getGeneration(),
-                        StateCodec.holdings(frame.getSharing())));
+                connectionManager.dispatch(new Event.GenerationStateReceived(
+                        frame.getSharing().getGeneration(),
+                        StateCodec.decodeGenerationState(frame.getSharing())));
             }
-            case NEWS -> news(frame.getNews());
-            case OTHER_GONE -> front.dispatch(new Event.GenerationGone(frame.getOtherGone().getGeneration()));
-            case MARKS -> front.dispatch(new Event.OverridesReplaced(StateCodec.marks(frame.getMarks())));
-            case AGREED -> agreed(frame.getAgreed());
-            case ASK_LIST_ANEW -> front.dispatch(new Event.EndpointListOutdated());
-            case TAKE -> take();
-            case GO -> go();
-            case LET_GO -> letGo(frame.getLetGo().getLimitMicros());
-            case TAKE_BACK -> takeBack();
-            case LEAVE -> front.dispatch(new Event.ShutdownRequested());
+            case NEWS -> messageReceived(frame.getNews());
+            case OTHER_GONE -> connectionManager.dispatch(
+                    new Event.GenerationGone(frame.getOtherGone().getGeneration()));
+            case MARKS -> connectionManager.dispatch(
+                    new Event.OverridesReplaced(StateCodec.overrides(frame.getMarks())));
+            case AGREED -> applyAgreed(frame.getAgreed());
+            case ASK_LIST_ANEW -> connectionManager.dispatch(new Event.EndpointListOutdated());
+            case TAKE -> takeListener();
+            case GO -> startServing();
+            case LET_GO -> stopServing(frame.getLetGo().getLimitMicros());
+            case TAKE_BACK -> resumeServing();
+            case LEAVE -> connectionManager.dispatch(new Event.ShutdownRequested());
             case RECONFIGURE -> reconfigure();
             default -> EventLog.warn("frame.unknown", "generation", number, "frame", frame.getWhatCase());
         }
     }
 
-    /** The marks that came before it are in force here by now: the keeper may say so. */
-    private void agreed(Agreed agreed) {
+    /**
+     * Applies the end of the lease and acknowledges the step. The overrides of the step came earlier on the
+     * same connection and are in force by now.
+     */
+    private void applyAgreed(Agreed agreed) {
         long until = agreed.getUntil() == Long.MAX_VALUE ? Long.MAX_VALUE
-                : agreed.getUntil() + sockets.clock().getAsLong() - System.nanoTime() / 1000;
-        front.dispatch(new Event.LeaseGranted(until,
-                Math.min(COME_BACK_MICROS, config.settings().limits().retryAfterMax())));
+                : agreed.getUntil() + transport.clock().getAsLong() - System.nanoTime() / 1000;
+        connectionManager.dispatch(new Event.LeaseGranted(until,
+                Math.min(MAX_RETRY_AFTER_MICROS, config.settings().limits().retryAfterMax())));
         supervisorConnection.send(Frame.newBuilder().setTakenUp(TakenUp.newBuilder().setStep(agreed.getStep())
                 .setChain(agreed.getChain())).build());
     }
 
-    private void news(News told) {
-        if (told.hasCounts()) {
-            told.getCounts().getByNameMap().forEach(counters::add);
+    private void messageReceived(News encoded) {
+        if (encoded.hasCounts()) {
+            encoded.getCounts().getByNameMap().forEach(counters::add);
             return;
         }
-        GenerationMessage news = StateCodec.news(told);
-        if (news != null) {
-            front.dispatch(new Event.GenerationMessageReceived(told.getGeneration(), news));
+        GenerationMessage message = StateCodec.message(encoded);
+        if (message != null) {
+            connectionManager.dispatch(new Event.GenerationMessageReceived(encoded.getGeneration(), message));
         }
     }
 
-    private void tellOthers(Effect effect) {
+    private void sendToOthers(Effect effect) {
         if (effect instanceof Effect.SendGenerationState e) {
-            supervisorConnection.send(Frame.newBuilder().setSharing(StateCodec.sharing(e.state())).build());
+            supervisorConnection.send(Frame.newBuilder()
+                    .setSharing(StateCodec.encodeGenerationState(e.state())).build());
         } else if (effect instanceof Effect.SendToGenerations e) {
-            supervisorConnection.send(Frame.newBuilder().setNews(StateCodec.news(e.message())).build());
+            supervisorConnection.send(Frame.newBuilder().setNews(StateCodec.message(e.message())).build());
             if (e.message() instanceof GenerationMessage.EndpointListRelayed) {
-                sockets.post(this::listed);
+                transport.post(this::listReceived);
             }
         }
     }
 
-    private void take() throws IOException {
+    private void takeListener() throws IOException {
         listener = InheritedListener.inherited();
-        String answer = tryOut();
+        String answer = selfTest();
         if (!answer.startsWith("HTTP/1.1 200 ") && !answer.startsWith("HTTP/1.1 503 ")) {
-            throw new IOException("the try-out brought " + answer.lines().findFirst().orElse("nothing"));
+            throw new IOException("the self-test returned " + answer.lines().findFirst().orElse("nothing"));
         }
         stageReached(Stage.TAKE);
         supervisorConnection.send(Frame.newBuilder().setTook(Took.getDefaultInstance()).build());
     }
 
-    private void go() throws IOException {
+    private void startServing() throws IOException {
         stageReached(Stage.GO);
-        sockets.acceptFrom(listener);
+        transport.acceptFrom(listener);
         accepting = true;
         EventLog.info("generation.serves", "generation", number, "address", listener.getLocalAddress());
         supervisorConnection.send(Frame.newBuilder().setServing(Serving.newBuilder()
@@ -401,45 +418,48 @@
         stageReached(Stage.LET_GO);
     }
 
-    /** One request through the front and the desk, over a connection that is none. */
-    private String tryOut() {
+    /**
+     * Sends a readiness request through the platform and the reducer without a socket; returns the answer.
+     */
+    private String selfTest() {
         StringBuilder answer = new StringBuilder();
-        ConnectionHandler side = front.accept(new NoOpConnection() {
+        ConnectionHandler handler = connectionManager.accept(new NoOpConnection() {
             @Override
             public void write(ByteBuffer bytes) {
                 answer.append(StandardCharsets.ISO_8859_1.decode(bytes));
             }
         });
-        side.onReceived(ByteBuffer.wrap("GET /ready HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
-        side.onClosed();
+        handler.onReceived(ByteBuffer.wrap(
+                "GET /ready HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII)));
+        handler.onClosed();
         return answer.toString();
     }
 
-    private void letGo(long limit) {
+    private void stopServing(long limitMicros) {
         if (accepting) {
-            sockets.stopAccepting();
+            transport.stopAccepting();
             accepting = false;
         }
         EventLog.info("generation.lets_go", "generation", number, "open",
-                desk.generationState().requestIds().size());
+                reducer.generationState().requestIds().size());
         supervisorConnection.send(Frame.newBuilder().setLetGoDone(LetGoDone.getDefaultInstance()).build());
-        front.dispatch(new Event.HandedOver(limit));
+        connectionManager.dispatch(new Event.HandedOver(limitMicros));
     }
 
-    private void takeBack() throws IOException {
+    private void resumeServing() throws IOException {
         if (!accepting) {
-            sockets.acceptFrom(listener);
+            transport.acceptFrom(listener);
             accepting = true;
         }
         EventLog.info("generation.takes_back", "generation", number);
-        front.dispatch(new Event.HandoverAborted());
+        connectionManager.dispatch(new Event.HandoverAborted());
     }
 
-    /** Read on a thread of its own: a slow disk must not hold requests up. */
+    /** Reloads the configuration on a separate thread, because a slow disk must not delay requests. */
     private void reconfigure() {
         Thread reader = new Thread(() -> {
             try {
-                sockets.reconfigure(read());
+                transport.reconfigure(read());
             } catch (IOException | IllegalArgumentException e) {
                 EventLog.warn("configuration.refused", "generation", number, "why", e.getMessage(),
                         "now", "the old one stays");
@@ -449,10 +469,10 @@
         reader.start();
     }
 
-    private Map<String, Long> countedSince() {
+    private Map<String, Long> countsSinceStart() {
         Map<String, Long> since = new HashMap<>();
         counters.all().forEach((name, count) -> {
-            long more = count - countedBefore.getOrDefault(name, 0L);
+            long more = count - inheritedCounts.getOrDefault(name, 0L);
             if (more != 0) {
                 since.put(name, more);
             }
--- a/src/main/java/yewdock/daemon/ProcessHandover.java
+++ b/src/main/java/yewdock/daemon/ProcessHandover.java
@@ -38,74 +38,78 @@
 import yewdock.wire.State;
 
 /**
- * A router whose process is replaced by another, with no keeper between them: the newer one is started beside
- * the older, finds it by a socket in the folder that both have, takes its state, listens at the same address
- * and tells it to let go. What the two say to each other is what a daemon's generations say.
+ * Hands a router over from one process to its successor without a supervisor. The new process is started
+ * alongside the old one, finds it by a socket in their common folder, takes its state, listens at the same
+ * address and tells it to stop accepting. Both speak the protocol of a daemon's generations.
  *
- * <p>With nobody there, or with one that doesn't answer, the newer one serves by itself; it is never kept
- * from serving by what it finds in the folder. All but the finding happens on the desk's thread.
+ * <p>If there is no older process, or it does not respond, the new one serves on its own: nothing that it
+ * finds in the folder keeps it from serving. Everything but {@link #fetchPredecessorState} runs on the
+ * reducer's thread.
  */
 public class ProcessHandover {
-    private static final int OLDER = 1;
-    private static final int NEWER = 2;
-    /** An older process that is asked for its state, and then for what it has out, answers so soon. */
-    private static final long STATE_MILLIS = 1_500;
-    private static final long SHARE_MILLIS = 2_500;
-    /** A newer one that has taken the ids listens so soon, or is given up. */
-    private static final long TAKE_MILLIS = 3_000;
-    /** An older process that still finishes is waited for so long before a third may take over. */
-    private static final long FINISH_MILLIS = 2_000;
-    private static final long LOOK_MILLIS = 100;
+    private static final int PREDECESSOR = 1;
+    private static final int SUCCESSOR = 2;
+    /** Timeouts for the older process to send its state, and then its open requests. */
+    private static final long STATE_TIMEOUT_MILLIS = 1_500;
+    private static final long SHARE_TIMEOUT_MILLIS = 2_500;
+    /** Timeout for a newer process that owns the request ids to listen; after it, it is given up. */
+    private static final long TAKE_OVER_TIMEOUT_MILLIS = 3_000;
+    /** How long a third process has to wait for the oldest one to finish before it may take over. */
+    private static final long FINISH_TIMEOUT_MILLIS = 2_000;
+    private static final long POLL_MILLIS = 100;
     /**
-     * The older process is ended once this one says that it is ready, which is due within 6 s: until this age
-     * it lets the older one finish its streams. Both serve meanwhile.
+     * Age at which this process reports ready. The platform stops the older process at that moment, and
+     * requires it within 6 s; until then the older one can finish its streams. Both serve in the meantime.
      */
-    private static final long READY_MILLIS = 5_000;
-    /** Of the fields of a process's state behind its name, the one that tells its start. */
-    private static final int START_TICKS = 19;
-    private static final long MILLIS_A_TICK = 10;
+    private static final long READY_AGE_MILLIS = 5_000;
+    /**
+     * Index of the start time, in clock ticks since boot, among the fields of /proc/self/stat behind the
+     * name.
+     */
+    private static final int START_TICKS_FIELD = 19;
+    private static final long MILLIS_PER_TICK = 10;
     private static final long UNKNOWN_AGE_MILLIS = 2_000;
-    private static final long LET_GO_MICROS = 600_000_000L;
-    private static final int MOST_PATH = 100;
+    private static final long FINISH_LIMIT_MICROS = 600_000_000L;
+    private static final int MAX_SOCKET_PATH = 100;
 
     private final Config config;
-    /** Null where there is no folder that both processes would have. */
+    /** Null if the processes have no common folder, or its path is too long for a Unix socket. */
     private final Path socket;
-    private final OperatorOverridesFile marksFile;
+    private final OperatorOverridesFile overridesFile;
     private final CompletableFuture<State> state = new CompletableFuture<>();
-    private volatile Marks marksLeft;
+    private volatile Marks inheritedOverrides;
     private ControlConnection predecessor;
-    private StateCodec.InheritedState left;
+    private StateCodec.InheritedState inherited;
     private GenerationRouter router;
-    private final List<Runnable> early = new ArrayList<>();
-    private MinaTransport sockets;
-    private ConnectionManager front;
-    private Reducer desk;
-    private ServerSocketChannel door;
-    /** Written on the desk's thread only. */
-    private ControlConnection newer;
-    /** Where clients come; they come back to the same port. */
+    private final List<Runnable> queuedWork = new ArrayList<>();
+    private MinaTransport transport;
+    private ConnectionManager connectionManager;
+    private Reducer reducer;
+    private ServerSocketChannel successorListener;
+    /** Written on the reducer's thread only. */
+    private ControlConnection successor;
+    /** The address on which clients connect; the port stays the same when this process listens again. */
     private String address;
     private boolean tookOver;
     private boolean listening;
-    private boolean shared;
-    private boolean letGo;
+    private boolean idsShared;
+    private boolean toldToLetGo;
 
-    /** The router of this configuration, whose processes have this folder; "" if they have none. */
+    /** Creates the handover of a router whose processes share this folder; "" if they have none. */
     public ProcessHandover(String folder, Config config) {
         this.config = config;
         this.address = config.listenAddress();
         Path base = folder.isEmpty() ? null : Path.of(folder).toAbsolutePath()
                 .resolve("yewdock-" + config.name().replaceAll("[^A-Za-z0-9_-]", "_"));
-        this.marksFile = base == null ? null
+        this.overridesFile = base == null ? null
                 : new OperatorOverridesFile(base.resolveSibling(base.getFileName() + ".marks"));
-        this.socket = base == null || base.toString().length() > MOST_PATH ? null
+        this.socket = base == null || base.toString().length() > MAX_SOCKET_PATH ? null
                 : base.resolveSibling(base.getFileName() + ".sock");
     }
 
-    /** Called as each stage of taking over is reached; stand-ins make it fail. */
+    /** Called when a stage of taking over is reached; overridden for fault injection. */
     protected void stageReached(Stage stage) {
-        // nothing fails here
+        // no fault here
     }
 
     /** The connection to the older process; null if there is none. */
@@ -113,7 +117,9 @@
         return predecessor;
     }
 
-    /** Looks for an older process and takes its state; any thread may call it, once, before all else. */
+    /**
+     * Connects to an older process and reads its state. To be called once, before all else, on any thread.
+     */
     public final void fetchPredecessorState() {
         if (socket == null || !Files.exists(socket)) {
             return;
@@ -125,120 +131,123 @@
             return;
         }
         stageReached(Stage.CHECK);
-        predecessor.start("older", this::heardOfOlder, why -> {
+        predecessor.start("older", this::predecessorFrameReceived, why -> {
             state.complete(State.getDefaultInstance());
-            later(() -> olderGone(why));
+            runOnReducerThread(() -> predecessorGone(why));
         });
         predecessor.send(Frame.newBuilder().setHello(Hello.newBuilder().setProgram(
                 String.valueOf(getClass().getPackage().getImplementationVersion()))).build());
         predecessor.send(Frame.newBuilder().setGiveState(GiveState.getDefaultInstance()).build());
         try {
-            left = StateCodec.read(state.get(STATE_MILLIS, TimeUnit.MILLISECONDS),
-                    new MonotonicClock().getAsLong(),
-                    System.nanoTime());
+            inherited = StateCodec.read(state.get(STATE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS),
+                    new MonotonicClock().getAsLong(), System.nanoTime());
             stageReached(Stage.STATE);
         } catch (TimeoutException | ExecutionException | UnreadableStateException e) {
-            EventLog.warn("succession.no_state", "why", e.toString(), "now", "going on without");
+            EventLog.warn("succession.no_state", "why", e.toString(), "now", "continuing without");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** The module, with what the older process has learnt. */
+    /** Creates the module, with the learned state of the older process if there is any. */
     public final Routing.Events router(Routing.Actions actions) {
-        router = Generation.router(config, config.seed(), actions, left);
+        router = Generation.module(config, config.seed(), actions, inherited);
         return router;
     }
 
-    /** Serves until told to stop. */
-    public final void serve(MinaTransport on, ConnectionManager by, Reducer of) {
+    /** Serves until the process is told to stop. */
+    public final void serve(MinaTransport transport, ConnectionManager connectionManager, Reducer reducer) {
         synchronized (this) {
-            sockets = on;
-            early.forEach(on::post);
-            early.clear();
+            this.transport = transport;
+            queuedWork.forEach(transport::post);
+            queuedWork.clear();
         }
-        front = by;
-        desk = of;
-        front.forwardGenerationEffectsTo(this::tell);
-        sockets.serveWithoutListening(this::begin, front, desk);
-        if (newer == null && door != null) {
-            delete();
+        this.connectionManager = connectionManager;
+        this.reducer = reducer;
+        this.connectionManager.forwardGenerationEffectsTo(this::sendToOthers);
+        this.transport.serveWithoutListening(this::start, this.connectionManager, this.reducer);
+        if (successor == null && successorListener != null) {
+            deleteSocket();
         }
     }
 
-    /** On the desk's thread; what comes before there is one waits for it. */
-    private synchronized void later(Runnable work) {
-        if (sockets != null) {
-            sockets.post(work);
+    /** Runs the work on the reducer's thread; before there is one, queues it. */
+    private synchronized void runOnReducerThread(Runnable work) {
+        if (transport != null) {
+            transport.post(work);
         } else {
-            early.add(work);
+            queuedWork.add(work);
         }
     }
 
-    // ---- the newer process
+    // ---- as the newer process
 
-    private void begin() {
-        Generation.begin(front, desk, config, left);
-        Map<String, OperatorOverride> marks = marksLeft != null ? StateCodec.marks(marksLeft) : kept();
-        if (!marks.isEmpty()) {
-            front.dispatch(new Event.OverridesReplaced(marks));
-            EventLog.info("succession.marks", "boxes", marks.size());
+    private void start() {
+        Generation.startReducer(connectionManager, reducer, config, inherited);
+        Map<String, OperatorOverride> overrides = inheritedOverrides != null
+                ? StateCodec.overrides(inheritedOverrides)
+                : readOverrides();
+        if (!overrides.isEmpty()) {
+            connectionManager.dispatch(new Event.OverridesReplaced(overrides));
+            EventLog.info("succession.marks", "boxes", overrides.size());
         }
         if (predecessor == null) {
             takeOver();
             return;
         }
-        front.dispatch(new Event.OlderGenerationChanged(OlderGeneration.SERVING));
+        connectionManager.dispatch(new Event.OlderGenerationChanged(OlderGeneration.SERVING));
         stageReached(Stage.READY);
         predecessor.send(Frame.newBuilder().setShare(Share.getDefaultInstance()).build());
-        sockets.postDelayed(SHARE_MILLIS, () -> {
+        transport.postDelayed(SHARE_TIMEOUT_MILLIS, () -> {
             if (!tookOver) {
-                EventLog.warn("succession.silent", "now", "taking over all the same");
+                EventLog.warn("succession.silent", "now", "taking over anyway");
                 takeOver();
             }
         });
     }
 
-    private Map<String, OperatorOverride> kept() {
+    private Map<String, OperatorOverride> readOverrides() {
         try {
-            return marksFile == null ? Map.of() : marksFile.read();
+            return overridesFile == null ? Map.of() : overridesFile.read();
         } catch (IOException e) {
-            EventLog.warn("succession.marks_unreadable", "why", e.getMessage(), "now", "going on without");
+            EventLog.warn("succession.marks_unreadable", "why", e.getMessage(), "now", "continuing without");
             return Map.of();
         }
     }
 
-    /** Listens, and only then is ready; the older process lets go once this one takes connections. */
+    /**
+     * Listens and then becomes ready; the older process stops accepting once this one accepts connections.
+     */
     private void takeOver() {
         if (tookOver) {
             return;
         }
-        // once: the older process may end when this one has let go itself
+        // only once: the older process may end after this one has itself stopped accepting for a successor
         tookOver = true;
         listen();
         awaitSuccessor();
-        front.dispatch(new Event.OlderGenerationChanged(predecessor == null ? OlderGeneration.NONE
+        connectionManager.dispatch(new Event.OlderGenerationChanged(predecessor == null ? OlderGeneration.NONE
                 : OlderGeneration.FINISHING));
         if (predecessor != null) {
-            sockets.postDelayed(Math.max(0, READY_MILLIS - age()),
-                    () -> front.dispatch(new Event.OlderGenerationChanged(OlderGeneration.NONE)));
-            predecessor.send(Frame.newBuilder().setLetGo(
-                    LetGo.newBuilder().setLimitMicros(LET_GO_MICROS)).build());
+            transport.postDelayed(Math.max(0, READY_AGE_MILLIS - ageMillis()),
+                    () -> connectionManager.dispatch(new Event.OlderGenerationChanged(OlderGeneration.NONE)));
+            predecessor.send(Frame.newBuilder().setLetGo(LetGo.newBuilder()
+                    .setLimitMicros(FINISH_LIMIT_MICROS)).build());
             EventLog.info("succession.took_over", "boxes",
-                    desk.generationState().endpointList().servers().size());
+                    reducer.generationState().endpointList().servers().size());
         }
     }
 
     /**
-     * How long this process has been there, from the system's own counts since its boot: the start that Java
-     * tells is off by up to a second.
+     * The age of this process in milliseconds, from its start time and the uptime in /proc: the start time
+     * that Java reports is off by up to a second.
      */
-    private static long age() {
+    private static long ageMillis() {
         try {
             String stat = Files.readString(Path.of("/proc/self/stat"));
             String[] behindName = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
             double up = Double.parseDouble(Files.readString(Path.of("/proc/uptime")).split(" ")[0]);
-            return Math.round(up * 1000) - Long.parseLong(behindName[START_TICKS]) * MILLIS_A_TICK;
+            return Math.round(up * 1000) - Long.parseLong(behindName[START_TICKS_FIELD]) * MILLIS_PER_TICK;
         } catch (IOException | RuntimeException e) {
             return UNKNOWN_AGE_MILLIS;
         }
@@ -246,7 +255,7 @@
 
     private void listen() {
         try {
-            address = sockets.listenShared(address);
+            address = transport.listenShared(address);
             listening = true;
         } catch (IOException e) {
             EventLog.warn("succession.no_listener", "address", address, "why", e.getMessage());
@@ -254,64 +263,64 @@
         }
     }
 
-    private void heardOfOlder(Frame frame) {
+    private void predecessorFrameReceived(Frame frame) {
         if (frame.hasState()) {
             state.complete(frame.getState());
         } else if (frame.hasMarks() && !frame.getMarks().getChanges()) {
-            marksLeft = frame.getMarks();
+            inheritedOverrides = frame.getMarks();
         } else {
-            later(() -> fromOlder(frame));
+            runOnReducerThread(() -> handlePredecessorFrame(frame));
         }
     }
 
-    private void fromOlder(Frame frame) {
+    private void handlePredecessorFrame(Frame frame) {
         switch (frame.getWhatCase()) {
             case SHARING -> {
                 stageReached(Stage.SHARE);
-                front.dispatch(new Event.GenerationStateReceived(OLDER,
-                        StateCodec.holdings(frame.getSharing())));
+                connectionManager.dispatch(new Event.GenerationStateReceived(PREDECESSOR,
+                        StateCodec.decodeGenerationState(frame.getSharing())));
                 takeOver();
             }
-            case NEWS -> news(OLDER, frame.getNews());
-            case MARKS -> changed(frame.getMarks());
+            case NEWS -> messageReceived(PREDECESSOR, frame.getNews());
+            case MARKS -> overridesChanged(frame.getMarks());
             default -> EventLog.warn("frame.unknown", "from", "older", "frame", frame.getWhatCase());
         }
     }
 
-    private void olderGone(String why) {
-        EventLog.info("succession.older_gone", "why", why);
+    private void predecessorGone(String reason) {
+        EventLog.info("succession.older_gone", "why", reason);
         predecessor = null;
-        front.dispatch(new Event.GenerationGone(OLDER));
-        front.dispatch(new Event.OlderGenerationChanged(OlderGeneration.NONE));
+        connectionManager.dispatch(new Event.GenerationGone(PREDECESSOR));
+        connectionManager.dispatch(new Event.OlderGenerationChanged(OlderGeneration.NONE));
         takeOver();
     }
 
-    // ---- the older process
+    // ---- as the older process
 
-    /** Whoever is started next finds this process here. */
+    /** Opens the socket at which the next process finds this one. */
     private void awaitSuccessor() {
         if (socket == null) {
             return;
         }
         try {
-            delete();
-            door = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
-            door.bind(UnixDomainSocketAddress.of(socket));
+            deleteSocket();
+            successorListener = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
+            successorListener.bind(UnixDomainSocketAddress.of(socket));
         } catch (IOException | RuntimeException e) {
-            // Unix sockets may be refused here: the process can be replaced all the same, without its state
+            // if Unix sockets are not permitted, the process can still be replaced, but without its state
             EventLog.warn("succession.no_socket", "why", e.getMessage());
-            door = null;
+            successorListener = null;
             return;
         }
-        ServerSocketChannel mine = door;
+        ServerSocketChannel listener = successorListener;
         Thread acceptor = new Thread(() -> {
             try {
                 while (true) {
-                    ControlConnection link = new ControlConnection(mine.accept());
-                    later(() -> came(link));
+                    ControlConnection connection = new ControlConnection(listener.accept());
+                    runOnReducerThread(() -> successorConnected(connection));
                 }
             } catch (ClosedChannelException e) {
-                // not waiting any more
+                // the listener was closed
             } catch (IOException e) {
                 EventLog.warn("succession.no_socket", "why", e.getMessage());
             }
@@ -320,7 +329,7 @@
         acceptor.start();
     }
 
-    private void delete() {
+    private void deleteSocket() {
         try {
             Files.deleteIfExists(socket);
         } catch (IOException e) {
@@ -328,121 +337,127 @@
         }
     }
 
-    private void came(ControlConnection link) {
-        if (newer != null) {
-            EventLog.warn("succession.second", "now", "turned away: another process is taking over");
-            link.close();
+    private void successorConnected(ControlConnection connection) {
+        if (successor != null) {
+            EventLog.warn("succession.second", "now", "rejected: another process is already taking over");
+            connection.close();
             return;
         }
-        newer = link;
-        link.start("newer", frame -> later(() -> fromNewer(link, frame)),
-                why -> later(() -> newerGone(link, why)));
+        successor = connection;
+        connection.start("newer", frame -> runOnReducerThread(() -> handleSuccessorFrame(connection, frame)),
+                why -> runOnReducerThread(() -> successorGone(connection, why)));
     }
 
-    private void fromNewer(ControlConnection link, Frame frame) {
-        if (link != newer) {
+    private void handleSuccessorFrame(ControlConnection connection, Frame frame) {
+        if (connection != successor) {
             return;
         }
         switch (frame.getWhatCase()) {
             case HELLO -> EventLog.info("succession.newer", "program", frame.getHello().getProgram());
             case GIVE_STATE -> {
-                newer.send(Frame.newBuilder().setMarks(StateCodec.marks(desk.operatorOverrides(),
+                successor.send(Frame.newBuilder().setMarks(StateCodec.overrides(reducer.operatorOverrides(),
                         false)).build());
-                // each process counts from 0
-                newer.send(Frame.newBuilder().setState(StateCodec.write(desk.generationState(),
+                // no counters: each process counts from 0
+                successor.send(Frame.newBuilder().setState(StateCodec.write(reducer.generationState(),
                         router.learnedState(),
-                        Map.of(), sockets.clock().getAsLong(), System.nanoTime())).build());
+                        Map.of(), transport.clock().getAsLong(), System.nanoTime())).build());
             }
-            case SHARE -> share(link, System.nanoTime());
-            case NEWS -> news(NEWER, frame.getNews());
-            case MARKS -> changed(frame.getMarks());
+            case SHARE -> shareRequestIds(connection, System.nanoTime());
+            case NEWS -> messageReceived(SUCCESSOR, frame.getNews());
+            case MARKS -> overridesChanged(frame.getMarks());
             case LET_GO -> {
-                letGo = true;
+                toldToLetGo = true;
                 if (listening) {
                     listening = false;
-                    sockets.stopAccepting();
+                    transport.stopAccepting();
                 }
-                EventLog.info("succession.lets_go", "open", desk.generationState().requestIds().size());
-                front.dispatch(new Event.HandedOver(frame.getLetGo().getLimitMicros()));
+                EventLog.info("succession.lets_go", "open", reducer.generationState().requestIds().size());
+                connectionManager.dispatch(new Event.HandedOver(frame.getLetGo().getLimitMicros()));
             }
             default -> EventLog.warn("frame.unknown", "from", "newer", "frame", frame.getWhatCase());
         }
     }
 
-    /** Of three processes the middle one can't speak for the oldest: that one is waited for, but not long. */
-    private void share(ControlConnection link, long since) {
-        if (link != newer) {
+    /**
+     * Hands the request ids over. With a third, still older process, waits for it up to {@link
+     * #FINISH_TIMEOUT_MILLIS} first, because this process doesn't know its open requests.
+     */
+    private void shareRequestIds(ControlConnection connection, long sinceNanos) {
+        if (connection != successor) {
             return;
         }
-        if (predecessor != null && System.nanoTime() - since < TimeUnit.MILLISECONDS.toNanos(FINISH_MILLIS)) {
-            sockets.postDelayed(LOOK_MILLIS, () -> share(link, since));
+        if (predecessor != null && System.nanoTime() - sinceNanos
+                < TimeUnit.MILLISECONDS.toNanos(FINISH_TIMEOUT_MILLIS)) {
+            transport.postDelayed(POLL_MILLIS, () -> shareRequestIds(connection, sinceNanos));
             return;
         }
         if (predecessor != null) {
             predecessor.close();
         }
-        shared = true;
-        front.dispatch(new Event.HandoverStarted());
-        sockets.postDelayed(TAKE_MILLIS, () -> {
-            if (link == newer && !letGo) {
-                link.close();
-                newerGone(link, "it took the ids and then said nothing");
+        idsShared = true;
+        connectionManager.dispatch(new Event.HandoverStarted());
+        transport.postDelayed(TAKE_OVER_TIMEOUT_MILLIS, () -> {
+            if (connection == successor && !toldToLetGo) {
+                connection.close();
+                successorGone(connection, "it took over the request ids but did not start serving in time");
             }
         });
     }
 
-    /** The newer process died: this one serves as before, if it is not leaving itself. */
-    private void newerGone(ControlConnection link, String why) {
-        if (link != newer) {
+    /** Serves again after the newer process has died, unless this one is shutting down itself. */
+    private void successorGone(ControlConnection connection, String reason) {
+        if (connection != successor) {
             return;
         }
-        EventLog.warn("succession.newer_gone", "why", why, "shared", shared);
-        newer = null;
-        letGo = false;
-        if (!shared) {
+        EventLog.warn("succession.newer_gone", "why", reason, "shared", idsShared);
+        successor = null;
+        toldToLetGo = false;
+        if (!idsShared) {
             return;
         }
-        shared = false;
-        front.dispatch(new Event.GenerationGone(NEWER));
-        front.dispatch(new Event.HandoverAborted());
-        if (!listening && !desk.isShuttingDown()) {
+        idsShared = false;
+        connectionManager.dispatch(new Event.GenerationGone(SUCCESSOR));
+        connectionManager.dispatch(new Event.HandoverAborted());
+        if (!listening && !reducer.isShuttingDown()) {
             listen();
             awaitSuccessor();
         }
     }
 
-    // ---- both
+    // ---- in both roles
 
-    private void news(int who, News told) {
-        GenerationMessage news = StateCodec.news(told);
-        if (news != null) {
-            front.dispatch(new Event.GenerationMessageReceived(who, news));
+    private void messageReceived(int generation, News encoded) {
+        GenerationMessage message = StateCodec.message(encoded);
+        if (message != null) {
+            connectionManager.dispatch(new Event.GenerationMessageReceived(generation, message));
         }
     }
 
-    private void changed(Marks marks) {
-        StateCodec.marks(marks).forEach((box, mark) -> front.dispatch(new Event.OverrideChanged(box, mark)));
-        keep();
+    private void overridesChanged(Marks overrides) {
+        StateCodec.overrides(overrides).forEach((server, override) ->
+                connectionManager.dispatch(new Event.OverrideChanged(server, override)));
+        storeOverrides();
     }
 
-    private void tell(Effect effect) {
+    private void sendToOthers(Effect effect) {
         if (effect instanceof Effect.SendGenerationState e) {
-            send(newer, Frame.newBuilder().setSharing(StateCodec.sharing(e.state())).build());
+            send(successor, Frame.newBuilder()
+                    .setSharing(StateCodec.encodeGenerationState(e.state())).build());
         } else if (effect instanceof Effect.PublishOverride e) {
-            Frame frame = Frame.newBuilder().setMarks(StateCodec.marks(Map.of(e.server(), e.override()),
+            Frame frame = Frame.newBuilder().setMarks(StateCodec.overrides(Map.of(e.server(), e.override()),
                     true)).build();
-            send(newer, frame);
+            send(successor, frame);
             send(predecessor, frame);
-            keep();
+            storeOverrides();
         } else if (effect instanceof Effect.SendToGenerations e) {
-            Frame frame = Frame.newBuilder().setNews(StateCodec.news(e.message())).build();
+            Frame frame = Frame.newBuilder().setNews(StateCodec.message(e.message())).build();
             if (e.message() instanceof GenerationMessage.ClaimAnswer c) {
-                send(c.generation() == OLDER ? predecessor : newer, frame);
+                send(c.generation() == PREDECESSOR ? predecessor : successor, frame);
             } else if (e.message() instanceof GenerationMessage.EndpointListRelayed) {
-                send(newer, frame);
+                send(successor, frame);
                 send(predecessor, frame);
             } else {
-                send(newer, frame);
+                send(successor, frame);
             }
         }
     }
@@ -453,12 +468,12 @@
         }
     }
 
-    private void keep() {
-        if (marksFile == null) {
+    private void storeOverrides() {
+        if (overridesFile == null) {
             return;
         }
         try {
-            marksFile.write(desk.operatorOverrides());
+            overridesFile.write(reducer.operatorOverrides());
         } catch (IOException e) {
             EventLog.warn("succession.marks_unwritten", "why", e.getMessage());
         }
--- a/src/main/java/yewdock/daemon/StandaloneRouter.java
+++ b/src/main/java/yewdock/daemon/StandaloneRouter.java
@@ -16,78 +16,75 @@
 import yewdock.platform.ConnectionManager;
 import yewdock.sockets.MinaTransport;
 
-/** One router in this process, as the platform runs it: no keeper, no store. */
+/** Runs a single router in this process, without supervisor and store. */
 public final class StandaloneRouter {
-    /** Makes what a router needs to be replaced by a process beside it. */
+    /** Creates the handover with a process that runs alongside this one. */
     public interface HandoverFactory {
-        ProcessHandover make(String folder, Config config);
+        ProcessHandover create(String folder, Config config);
     }
 
     private StandaloneRouter() {
     }
 
-    /** Serves as the configuration in this file says, to the end; returns the exit code. */
-    public static int run(String file, HandoverFactory maker) {
+    /** Serves with the configuration in this file until the process ends; returns the exit code. */
+    public static int run(String configFile, HandoverFactory factory) {
         Consumer<String> log = line -> Logger.info("{}", line);
-        if (file == null) {
+        if (configFile == null) {
             Logger.error("the configuration can't be read: PROXY_CONFIG is not set");
             return 1;
         }
-        // before all else: a SIGHUP that comes meanwhile would end the process
-        ConfigurationFile configurationFile = ConfigurationFile.at(Path.of(file));
+        // first of all: a SIGHUP before its handler is installed would end the process
+        ConfigurationFile configurationFile = ConfigurationFile.at(Path.of(configFile));
         Config config;
         try {
-            config = read(file, log);
+            config = read(configFile, log);
         } catch (IOException | IllegalArgumentException e) {
             Logger.error("the configuration can't be read: {}", e.toString());
             return 1;
         }
-        String operator = config.operatorAddress().isEmpty()
+        String operatorAddress = config.operatorAddress().isEmpty()
                 ? Objects.requireNonNullElse(System.getenv("PROXY_OPERATOR"), "") : config.operatorAddress();
         Counters counters = new Counters();
-        // only a router with a door for operators is replaced by a process beside it
-        ProcessHandover succession = operator.isEmpty() ? null
-                : maker.make(Objects.requireNonNullElse(System.getenv("TMPDIR"), ""), config);
-        if (succession != null) {
-            succession.fetchPredecessorState();
+        // only a router with an admin interface can be replaced by a process that runs alongside it
+        ProcessHandover handover = operatorAddress.isEmpty() ? null
+                : factory.create(Objects.requireNonNullElse(System.getenv("TMPDIR"), ""), config);
+        if (handover != null) {
+            handover.fetchPredecessorState();
         }
-        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
-                config.bounds(),
-                counters,
-                actions -> succession == null
+        Reducer reducer = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
+                config.bounds(), counters, actions -> handover == null
                         ? new BoundedLoadRouter(config.settings(), config.seed(), actions)
-                        : succession.router(actions));
-        MinaTransport sockets = new MinaTransport(config.bounds().maxClientConnections(),
+                        : handover.router(actions));
+        MinaTransport transport = new MinaTransport(config.bounds().maxClientConnections(),
                 config.settings().contract().drainGrace());
-        ConnectionManager front = new ConnectionManager(config, desk, counters, sockets, sockets.clock(),
-                log);
-        // The JVM ends when its hooks have: this one holds it until nothing is owed.
+        ConnectionManager connectionManager = new ConnectionManager(config, reducer, counters, transport,
+                transport.clock(), log);
+        // The JVM exits when its shutdown hooks have finished; this one waits for all open requests.
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            sockets.shutDownGracefully();
+            transport.shutDownGracefully();
             Logger.info("counters at exit:\n{}", counters);
-            shutLogger();
+            shutDownLogger();
         }, "leave"));
-        configurationFile.readBy(() -> reconfigure(sockets, file, log));
-        if (!configurationFile.takesSignal()) {
+        configurationFile.setReader(() -> reconfigure(transport, configFile, log));
+        if (!configurationFile.handlesSignal()) {
             Logger.warn("SIGHUP was ignored when this process was started: {} is read again whenever it has "
-                    + "changed", file);
+                    + "changed", configFile);
         }
         try {
-            if (succession != null) {
-                AdminInterface door = new AdminInterface(front);
-                sockets.listenForOperators(operator, AdminInterface.MAX_ACCEPTED_CONNECTIONS,
-                        AdminInterface.IDLE_TIMEOUT_SECONDS,
-                        door::accept);
+            if (handover != null) {
+                AdminInterface adminInterface = new AdminInterface(connectionManager);
+                transport.listenForOperators(operatorAddress, AdminInterface.MAX_ACCEPTED_CONNECTIONS,
+                        AdminInterface.IDLE_TIMEOUT_SECONDS, adminInterface::accept);
             }
         } catch (IOException | IllegalArgumentException e) {
-            Logger.error("can't listen for operators on {}: {}", operator, e.getMessage());
+            Logger.error("can't listen for operators on {}: {}", operatorAddress, e.getMessage());
             Runtime.getRuntime().halt(1);
         }
         try {
-            if (succession == null) {
-                sockets.serve(config.listenAddress(), front, desk);
+            if (handover == null) {
+                transport.serve(config.listenAddress(), connectionManager, reducer);
             } else {
-                succession.serve(sockets, front, desk);
+                handover.serve(transport, connectionManager, reducer);
             }
         } catch (IOException e) {
             Logger.error("can't listen on {}: {}", config.listenAddress(), e.getMessage());
@@ -96,9 +93,9 @@
         return 0;
     }
 
-    private static boolean reconfigure(MinaTransport sockets, String file, Consumer<String> log) {
+    private static boolean reconfigure(MinaTransport transport, String configFile, Consumer<String> log) {
         try {
-            sockets.reconfigure(read(file, log));
+            transport.reconfigure(read(configFile, log));
             return true;
         } catch (IOException | IllegalArgumentException e) {
             Logger.warn("the new configuration can't be read, the old one stays: {}", e.toString());
@@ -106,7 +103,7 @@
         }
     }
 
-    /** Whether a configuration can be read from this file. */
+    /** Whether this file holds a readable configuration. */
     static boolean isReadable(Path file) {
         try {
             read(file.toString(), line -> { });
@@ -116,7 +113,7 @@
         }
     }
 
-    /** The configuration in this file; null where none was named. */
+    /** Reads the configuration file; throws IllegalArgumentException if file is null. */
     static Config read(String file, Consumer<String> log) throws IOException {
         if (file == null) {
             throw new IllegalArgumentException("PROXY_CONFIG is not set");
@@ -124,7 +121,7 @@
         return Config.read(Files.readString(Path.of(file)), log);
     }
 
-    private static void shutLogger() {
+    private static void shutDownLogger() {
         try {
             ProviderRegistry.getLoggingProvider().shutdown();
         } catch (InterruptedException e) {
--- a/src/main/java/yewdock/daemon/StateCodec.java
+++ b/src/main/java/yewdock/daemon/StateCodec.java
@@ -24,122 +24,133 @@
 import yewdock.wire.Sharing;
 import yewdock.wire.State;
 
-/** Turns what generations tell each other into messages, and back. No I/O. */
+/** Converts the state and messages that generations exchange to protobuf and back. No I/O. */
 public final class StateCodec {
-    /** The version that is written, and the oldest that is still read. */
+    /** Version of the state format that is written, and the oldest that can be read. */
     static final int VERSION = 1;
-    static final int OLDEST_READ = 1;
-    /** The least version that a reader must know to make sense of what is written now. */
-    static final int LEAST_READER = 1;
+    static final int OLDEST_READABLE_VERSION = 1;
+    /** Lowest format version that a reader must support to read what is written now. */
+    static final int MIN_READER_VERSION = 1;
 
     private StateCodec() {
     }
 
-    /** What a state holds for the next generation; memory is null if there is none to go on with. */
-    public record InheritedState(EndpointList endpointList, String listAddress, Map<Long,
-            Long> stateReportedAt,
-            umberspread.LearnedState memory,
-            long clockShiftMicros, Map<String, Long> counters, boolean afterRestart) {
+    /**
+     * The state that a generation takes over, with the discovery address that the endpoint list came from.
+     * StateReportedAt is the time at which each server's state was reported, by server id, in microseconds on
+     * the reader's clock; learnedState the module's learned state, null if there is none; clockShiftMicros
+     * the offset from the writer's clock to the reader's.
+     */
+    public record InheritedState(EndpointList endpointList, String discoveryAddress,
+            Map<Long, Long> stateReportedAt, umberspread.LearnedState learnedState, long clockShiftMicros,
+            Map<String, Long> counters, boolean afterRestart) {
     }
 
-    /** The state of a generation, as of this time on its clock and on the system's monotonic one. */
-    public static State write(GenerationState held, umberspread.LearnedState memory, Map<String,
-            Long> counters,
-            long clock, long monoNanos) {
-        return State.newBuilder().setVersion(VERSION).setLeastReader(LEAST_READER).setClock(clock)
-                .setMonoNanos(monoNanos).setBoxes(boxes(held.endpointList(), held.discoveryAddress(),
-                        held.toldAt()))
-                .setModule(memory(memory)).putAllCounters(counters).build();
+    /** Encodes the state of a generation at this time on its clock (microseconds) and the monotonic clock. */
+    public static State write(GenerationState generation, umberspread.LearnedState learnedState,
+            Map<String, Long> counters, long clockMicros, long monoNanos) {
+        return State.newBuilder().setVersion(VERSION).setLeastReader(MIN_READER_VERSION).setClock(clockMicros)
+                .setMonoNanos(monoNanos)
+                .setBoxes(encodeEndpointList(generation.endpointList(), generation.discoveryAddress(),
+                        generation.toldAt()))
+                .setModule(learnedState(learnedState)).putAllCounters(counters).build();
     }
 
-    /** Reads a state at this time on the reader's clock; null if there is none. */
-    public static InheritedState read(State s, long clock, long monoNanos) throws UnreadableStateException {
-        if (s.getVersion() == 0 && s.getLeastReader() == 0 && !s.hasModule()) {
+    /** Decodes a state at this time on the reader's clock in microseconds; null if the state is empty. */
+    public static InheritedState read(State encoded, long clockMicros, long monoNanos)
+            throws UnreadableStateException {
+        if (encoded.getVersion() == 0 && encoded.getLeastReader() == 0 && !encoded.hasModule()) {
             return null;
         }
-        if (s.getVersion() < OLDEST_READ) {
-            throw new UnreadableStateException("the state's version is " + s.getVersion()
-                    + "; this program reads versions from " + OLDEST_READ + " on");
+        if (encoded.getVersion() < OLDEST_READABLE_VERSION) {
+            throw new UnreadableStateException("the state's version is " + encoded.getVersion()
+                    + "; this program reads versions from " + OLDEST_READABLE_VERSION + " on");
         }
-        if (s.getLeastReader() > VERSION) {
-            throw new UnreadableStateException("the state's version is " + s.getVersion()
-                    + ", for readers of "
-                    + s.getLeastReader() + " or later; this program's is " + VERSION);
+        if (encoded.getLeastReader() > VERSION) {
+            throw new UnreadableStateException("the state's version is " + encoded.getVersion()
+                    + ", for readers of " + encoded.getLeastReader()
+                    + " or later; this program's is " + VERSION);
         }
-        long age = (monoNanos - s.getMonoNanos()) / 1000;
-        if (age < 0) {
-            throw new UnreadableStateException("the state comes from another start of this machine");
+        long ageMicros = (monoNanos - encoded.getMonoNanos()) / 1000;
+        if (ageMicros < 0) {
+            throw new UnreadableStateException("the state was written before this machine was rebooted");
         }
-        // the moment at which the state was written, on the reader's clock, less the same on the writer's
-        long shift = clock - age - s.getClock();
+        // when the state was written: the time on the reader's clock minus the time on the writer's
+        long shiftMicros = clockMicros - ageMicros - encoded.getClock();
         try {
             Map<Long, Long> toldAt = new HashMap<>();
-            for (Box box : s.getBoxes().getBoxesList()) {
+            for (Box box : encoded.getBoxes().getBoxesList()) {
                 if (box.getToldAt() != 0) {
-                    toldAt.put(box.getId(), box.getToldAt() + shift);
+                    toldAt.put(box.getId(), box.getToldAt() + shiftMicros);
                 }
             }
-            return new InheritedState(list(s.getBoxes()), s.getBoxes().getAddress(), toldAt,
-                    s.hasModule() ? memory(s.getModule()) : null, shift, Map.copyOf(s.getCountersMap()),
-                    s.getAfterRestart());
+            return new InheritedState(decodeEndpointList(encoded.getBoxes()), encoded.getBoxes().getAddress(),
+                    toldAt,
+                    encoded.hasModule() ? learnedState(encoded.getModule()) : null, shiftMicros,
+                    Map.copyOf(encoded.getCountersMap()), encoded.getAfterRestart());
         } catch (IllegalArgumentException e) {
             throw new UnreadableStateException("the state can't be read: " + e.getMessage());
         }
     }
 
-    /** The marks that hold. */
-    static Map<String, OperatorOverride> marks(Marks told) {
-        Map<String, OperatorOverride> marks = new HashMap<>();
-        told.getByBoxMap().forEach((box, mark) -> {
-            switch (mark.getKind()) {
-                case DRAIN -> marks.put(box, OperatorOverride.DRAINS);
-                case GONE -> marks.put(box, new OperatorOverride(OperatorOverride.Kind.GONE,
-                        mark.getStartedAt()));
-                case BACK -> marks.put(box, new OperatorOverride(OperatorOverride.Kind.BACK,
-                        mark.getStartedAt()));
+    /** Decodes operator overrides. */
+    static Map<String, OperatorOverride> overrides(Marks encoded) {
+        Map<String, OperatorOverride> overrides = new HashMap<>();
+        encoded.getByBoxMap().forEach((server, override) -> {
+            switch (override.getKind()) {
+                case DRAIN -> overrides.put(server, OperatorOverride.DRAINS);
+                case GONE -> overrides.put(server, new OperatorOverride(OperatorOverride.Kind.GONE,
+                        override.getStartedAt()));
+                case BACK -> overrides.put(server, new OperatorOverride(OperatorOverride.Kind.BACK,
+                        override.getStartedAt()));
                 default -> { }
             }
         });
-        return marks;
+        return overrides;
     }
 
-    /** Marks for another process; changes: those of other boxes hold as they did. */
-    static Marks marks(Map<String, OperatorOverride> marks, boolean changes) {
-        Marks.Builder all = Marks.newBuilder().setChanges(changes);
-        marks.forEach((box, mark) -> all.putByBox(box,
-                Mark.newBuilder().setKind(kind(mark)).setStartedAt(mark.atEpochMicros()).build()));
-        return all.build();
+    /** Encodes operator overrides; with changes set, the overrides of servers not named stay as they are. */
+    static Marks overrides(Map<String, OperatorOverride> overrides, boolean changes) {
+        Marks.Builder encoded = Marks.newBuilder().setChanges(changes);
+        overrides.forEach((server, override) -> encoded.putByBox(server,
+                Mark.newBuilder().setKind(kind(override)).setStartedAt(override.atEpochMicros()).build()));
+        return encoded.build();
     }
 
-    private static Mark.Kind kind(OperatorOverride mark) {
-        return switch (mark.kind()) {
+    private static Mark.Kind kind(OperatorOverride override) {
+        return switch (override.kind()) {
             case DRAINS -> Mark.Kind.DRAIN;
             case GONE -> Mark.Kind.GONE;
             case BACK -> Mark.Kind.BACK;
         };
     }
 
-    /** What the module has learnt, for the keeper to keep. */
-    static Keep keep(umberspread.LearnedState memory, long clock) {
-        return Keep.newBuilder().setClock(clock).setModule(memory(memory)).build();
+    /** Encodes the module's learned state for the supervisor to store. */
+    static Keep encodeLearnedState(umberspread.LearnedState learnedState, long clockMicros) {
+        return Keep.newBuilder().setClock(clockMicros).setModule(learnedState(learnedState)).build();
     }
 
-    static Sharing sharing(GenerationState held) {
-        Sharing.Builder all = Sharing.newBuilder().addAllIds(held.requestIds())
-                .setBoxes(boxes(held.endpointList(), held.discoveryAddress(), held.toldAt()));
-        held.attemptsInFlight().forEach(o ->
-                all.addOuts(Out.newBuilder().setToken(o.token()).setBox(o.server())));
-        return all.build();
+    /** Encodes what a generation holds: open request ids, attempts in flight and the endpoint list. */
+    static Sharing encodeGenerationState(GenerationState generation) {
+        Sharing.Builder encoded = Sharing.newBuilder().addAllIds(generation.requestIds())
+                .setBoxes(encodeEndpointList(generation.endpointList(), generation.discoveryAddress(),
+                        generation.toldAt()));
+        generation.attemptsInFlight().forEach(o ->
+                encoded.addOuts(Out.newBuilder().setToken(o.token()).setBox(o.server())));
+        return encoded.build();
     }
 
-    static GenerationState holdings(Sharing s) {
-        List<GenerationMessage.AttemptSent> out = new ArrayList<>();
-        s.getOutsList().forEach(o -> out.add(new GenerationMessage.AttemptSent(o.getToken(), o.getBox())));
-        return new GenerationState(s.getIdsList(), out, list(s.getBoxes()), s.getBoxes().getAddress(),
-                Map.of());
+    /** Decodes what another generation holds; without the report times of server states. */
+    static GenerationState decodeGenerationState(Sharing encoded) {
+        List<GenerationMessage.AttemptSent> attempts = new ArrayList<>();
+        encoded.getOutsList().forEach(o ->
+                attempts.add(new GenerationMessage.AttemptSent(o.getToken(), o.getBox())));
+        return new GenerationState(encoded.getIdsList(), attempts, decodeEndpointList(encoded.getBoxes()),
+                encoded.getBoxes().getAddress(), Map.of());
     }
 
-    static News news(GenerationMessage n) {
+    /** Encodes a message to other generations. */
+    static News message(GenerationMessage n) {
         News.Builder news = News.newBuilder();
         if (n instanceof GenerationMessage.Claim c) {
             news.setClaim(c.id()).setNumber(c.claimNumber());
@@ -157,13 +168,13 @@
         } else if (n instanceof GenerationMessage.AttemptEnded e) {
             news.setEnded(e.token());
         } else if (n instanceof GenerationMessage.EndpointListRelayed t) {
-            news.setBoxes(boxes(t.list(), t.discoveryAddress(), Map.of()));
+            news.setBoxes(encodeEndpointList(t.list(), t.discoveryAddress(), Map.of()));
         }
         return news.build();
     }
 
-    /** The news, or null where a later version tells of something that this one doesn't know. */
-    static GenerationMessage news(News n) {
+    /** Decodes a message from another generation; null if this version does not know its kind. */
+    static GenerationMessage message(News n) {
         return switch (n.getWhatCase()) {
             case CLAIM -> new GenerationMessage.Claim(n.getClaim(), n.getNumber());
             case GRANTED -> new GenerationMessage.ClaimAnswer(n.getOf(), n.getGranted(), n.getNumber(), true);
@@ -171,76 +182,77 @@
             case RELEASED -> new GenerationMessage.RequestReleased(n.getReleased());
             case SENT -> new GenerationMessage.AttemptSent(n.getSent().getToken(), n.getSent().getBox());
             case ENDED -> new GenerationMessage.AttemptEnded(n.getEnded());
-            case BOXES -> new GenerationMessage.EndpointListRelayed(list(n.getBoxes()),
+            case BOXES -> new GenerationMessage.EndpointListRelayed(decodeEndpointList(n.getBoxes()),
                     n.getBoxes().getAddress());
             default -> null;
         };
     }
 
-    private static Boxes boxes(EndpointList list, String address, Map<Long, Long> toldAt) {
-        Boxes.Builder all = Boxes.newBuilder().setVersion(list.version()).setFull(list.full())
+    private static Boxes encodeEndpointList(EndpointList list, String address, Map<Long, Long> toldAt) {
+        Boxes.Builder encoded = Boxes.newBuilder().setVersion(list.version()).setFull(list.full())
                 .setAddress(address == null ? "" : address);
-        for (ModelServer box : list.servers()) {
-            ServerState r = box.replica();
-            all.addBoxes(Box.newBuilder().setName(box.name()).setAddress(box.address()).setId(r.id())
-                    .setSite(r.zone()).setKind(r.kind()).setCell(r.cell()).setWeight(r.weight())
-                    .setLifecycle(r.lifecycle().ordinal()).setStartedAt(r.startedAt())
-                    .setToldAt(toldAt.getOrDefault(r.id(), 0L)));
+        for (ModelServer server : list.servers()) {
+            ServerState state = server.replica();
+            encoded.addBoxes(Box.newBuilder().setName(server.name()).setAddress(server.address())
+                    .setId(state.id()).setSite(state.zone()).setKind(state.kind()).setCell(state.cell())
+                    .setWeight(state.weight()).setLifecycle(state.lifecycle().ordinal())
+                    .setStartedAt(state.startedAt()).setToldAt(toldAt.getOrDefault(state.id(), 0L)));
         }
-        return all.build();
+        return encoded.build();
     }
 
-    private static EndpointList list(Boxes boxes) {
-        List<ModelServer> all = new ArrayList<>();
-        for (Box b : boxes.getBoxesList()) {
-            if (b.getLifecycle() < 0 || b.getLifecycle() >= Lifecycle.values().length) {
-                throw new IllegalArgumentException("box " + b.getName() + " is in an unknown state");
+    private static EndpointList decodeEndpointList(Boxes encoded) {
+        List<ModelServer> servers = new ArrayList<>();
+        for (Box server : encoded.getBoxesList()) {
+            if (server.getLifecycle() < 0 || server.getLifecycle() >= Lifecycle.values().length) {
+                throw new IllegalArgumentException("server " + server.getName() + " is in an unknown state");
             }
-            all.add(new ModelServer(b.getName(), b.getAddress(), new ServerState(b.getId(), b.getSite(),
-                    b.getKind(),
-                    b.getCell(), b.getWeight(), Lifecycle.values()[b.getLifecycle()], b.getStartedAt())));
+            servers.add(new ModelServer(server.getName(), server.getAddress(), new ServerState(server.getId(),
+                    server.getSite(), server.getKind(), server.getCell(), server.getWeight(),
+                    Lifecycle.values()[server.getLifecycle()], server.getStartedAt())));
         }
-        return new EndpointList(boxes.getVersion(), boxes.getFull(), all);
+        return new EndpointList(encoded.getVersion(), encoded.getFull(), servers);
     }
 
-    private static Memory memory(umberspread.LearnedState m) {
-        Memory.Builder all = Memory.newBuilder().setUnitWeight(m.referenceWeight())
+    private static Memory learnedState(umberspread.LearnedState m) {
+        Memory.Builder encoded = Memory.newBuilder().setUnitWeight(m.referenceWeight())
                 .setAverageWorth(m.averageWorth()).setSendTally(m.recentFirstTokens())
                 .setReadRate(m.prefillRate()).setUnnamed(m.unkeyedRequests()).setPlannedAt(m.plannedAt())
                 .addAllClassTime(m.classLatency()).putAllKindTime(m.kindLatencyRatio())
-                .addAllMunicipalityTally(m.tenantRequests()).addAllTaken(m.recentArrivals())
-                .addAllFurther(m.recentExtraAttempts()).addAllPoolArrivals(m.poolArrivals());
-        for (umberspread.LearnedState.LearnedServer r : m.servers()) {
-            all.addNodes(NodeMemory.newBuilder().setId(r.id()).setPoints(r.points())
-                    .addAllRestUntil(r.classBackoffUntil()).addAllStrikes(r.classFailures())
-                    .setEjectedUntil(r.ejectedUntil()).setEjections(r.ejections())
-                    .setBreaks(r.consecutiveResets()).setSlowUntil(r.slowUntil())
-                    .setLastDelay(r.lastFirstTokenDelay()).setColdBudgetAt(r.nextColdSendAt())
-                    .setBudgetedStart(r.coldBudgetStart()));
+                .addAllMunicipalityTally(m.tenantRequests())
+                .addAllTaken(m.recentArrivals()).addAllFurther(m.recentExtraAttempts())
+                .addAllPoolArrivals(m.poolArrivals());
+        for (umberspread.LearnedState.LearnedServer server : m.servers()) {
+            encoded.addNodes(NodeMemory.newBuilder().setId(server.id()).setPoints(server.points())
+                    .addAllRestUntil(server.classBackoffUntil()).addAllStrikes(server.classFailures())
+                    .setEjectedUntil(server.ejectedUntil()).setEjections(server.ejections())
+                    .setBreaks(server.consecutiveResets()).setSlowUntil(server.slowUntil())
+                    .setLastDelay(server.lastFirstTokenDelay())
+                    .setColdBudgetAt(server.nextColdSendAt()).setBudgetedStart(server.coldBudgetStart()));
         }
-        for (umberspread.LearnedState.LearnedKey k : m.keys()) {
-            all.addKeys(KeyMemory.newBuilder().setKey(k.key()).setTally(k.recentRequests())
-                    .setSpread(k.spread()).setPool(k.poolIndex()));
+        for (umberspread.LearnedState.LearnedKey key : m.keys()) {
+            encoded.addKeys(KeyMemory.newBuilder().setKey(key.key()).setTally(key.recentRequests())
+                    .setSpread(key.spread()).setPool(key.poolIndex()));
         }
-        return all.build();
+        return encoded.build();
     }
 
-    private static umberspread.LearnedState memory(Memory m) {
-        List<umberspread.LearnedState.LearnedServer> replicas = new ArrayList<>();
-        for (NodeMemory n : m.getNodesList()) {
-            replicas.add(new umberspread.LearnedState.LearnedServer(n.getId(), n.getPoints(),
-                    n.getRestUntilList(),
-                    n.getStrikesList(), n.getEjectedUntil(), n.getEjections(), n.getBreaks(),
-                    n.getSlowUntil(), n.getLastDelay(), n.getColdBudgetAt(), n.getBudgetedStart()));
+    private static umberspread.LearnedState learnedState(Memory m) {
+        List<umberspread.LearnedState.LearnedServer> servers = new ArrayList<>();
+        for (NodeMemory server : m.getNodesList()) {
+            servers.add(new umberspread.LearnedState.LearnedServer(server.getId(), server.getPoints(),
+                    server.getRestUntilList(), server.getStrikesList(), server.getEjectedUntil(),
+                    server.getEjections(), server.getBreaks(), server.getSlowUntil(), server.getLastDelay(),
+                    server.getColdBudgetAt(), server.getBudgetedStart()));
         }
         List<umberspread.LearnedState.LearnedKey> keys = new ArrayList<>();
-        for (KeyMemory k : m.getKeysList()) {
-            keys.add(new umberspread.LearnedState.LearnedKey(k.getKey(), k.getTally(), k.getSpread(),
-                    k.getPool()));
+        for (KeyMemory key : m.getKeysList()) {
+            keys.add(new umberspread.LearnedState.LearnedKey(key.getKey(), key.getTally(), key.getSpread(),
+                    key.getPool()));
         }
         return new umberspread.LearnedState(m.getUnitWeight(), m.getAverageWorth(), m.getSendTally(),
                 m.getReadRate(), m.getUnnamed(),
                 m.getPlannedAt(), m.getClassTimeList(), m.getKindTimeMap(), m.getMunicipalityTallyList(),
-                m.getTakenList(), m.getFurtherList(), replicas, keys, m.getPoolArrivalsList());
+                m.getTakenList(), m.getFurtherList(), servers, keys, m.getPoolArrivalsList());
     }
 }
--- a/src/main/java/yewdock/settings/OperatorSettings.java
+++ b/src/main/java/yewdock/settings/OperatorSettings.java
@@ -11,15 +11,15 @@
 import java.util.regex.Pattern;
 
 /**
- * The operator's own settings, read from HCL. Either all of a file is taken or none of it. Durations are
- * microseconds here and seconds in the file.
+ * The operator's settings, read from an HCL file. A file with any error is rejected as a whole. Durations are
+ * in microseconds here and in seconds in the file.
  */
 public record OperatorSettings(DaemonSettings daemon, UpgradeSettings upgrade, LogSettings log,
         StoreSettings store, ReplicationSettings replication,
         ConsensusSettings consensus) {
-    private static final double LONGEST_STAGE = 600;
-    private static final double LONGEST_FINISH = 86_400;
-    private static final Pattern NAME = Pattern.compile("[A-Za-z0-9.-]{1,64}");
+    private static final double MAX_STAGE_SECONDS = 600;
+    private static final double MAX_FINISH_SECONDS = 86_400;
+    private static final Pattern INSTANCE_NAME = Pattern.compile("[A-Za-z0-9.-]{1,64}");
     private static final Pattern ADDRESS = Pattern.compile("\\S+:[0-9]{1,5}");
 
     /**
@@ -33,34 +33,37 @@
         }
     }
 
-    /** How long the stages of an upgrade may take, and the old generation after it. */
+    /**
+     * Timeouts of the stages of an upgrade and of an old generation that finishes its requests, in
+     * microseconds, and the number of generations that may be finishing at once.
+     */
     public record UpgradeSettings(long startMicros, long checkMicros, long stateMicros, long readyMicros,
-            long takeMicros, long shareMicros,
-            long goMicros,
-            long letGoMicros,
-            long finishMicros, int maxFinishing) {
+            long takeMicros, long shareMicros, long goMicros,
+            long letGoMicros, long finishMicros, int maxFinishing) {
     }
 
-    /** The form of log lines: text or json. */
+    /** The format of log lines: text or json. */
     public record LogSettings(String form) {
     }
 
     /**
-     * The store: its folder (null: nothing is kept), how long changes are gathered before they are written,
-     * after how long a store that failed is tried again, after how long a kept drain that no list has told
-     * again is doubted at a start, and how many records are kept.
+     * The store: its folder (null: no store), how long changes are batched before they are written, the
+     * interval of attempts to reopen a failed store, the age at which a stored drain that no endpoint list
+     * has confirmed is no longer trusted at a start, and the maximum number of records. Times in
+     * microseconds.
      */
     public record StoreSettings(Path folder, long batchMicros, long reopenMicros, long unconfirmedDrainMicros,
             int maxRecords) {
-        /** Whether there is one. */
+        /** Whether a store is configured. */
         public boolean enabled() {
             return folder != null;
         }
     }
 
     /**
-     * The copies: the installation's name, this instance's, where it listens, and the others with their
-     * addresses; megabytes read of a peer in a second, and removals remembered though all peers know them.
+     * Replication: the names of the installation and this instance, its listen address, and the peers'
+     * addresses by name; the read rate limit per peer in megabytes per second, and the maximum number of
+     * tombstones that are kept although all peers have them.
      */
     public record ReplicationSettings(String cluster, String instance, String listen, Map<String,
             String> peers,
@@ -71,8 +74,9 @@
     }
 
     /**
-     * The agreement: the instances that vote, the stated time in which no router acts any more by what has
-     * changed (microseconds), how far clocks drift, and whether a router in doubt serves on.
+     * Consensus: the voting instances, the time in microseconds after which no router applies a rule any more
+     * that has been changed, the largest relative drift between clocks, and whether a router without a lease
+     * continues to serve.
      */
     public record ConsensusSettings(List<String> members, long agreedWithinMicros, double clockDrift,
             boolean serveInDoubt) {
@@ -80,34 +84,34 @@
             members = List.copyOf(members);
         }
 
-        /** Whether there is one. */
+        /** Whether consensus is configured. */
         public boolean enabled() {
             return !members.isEmpty();
         }
     }
 
-    /** The same with another form of log lines. */
+    /** These settings with other log settings. */
     public OperatorSettings withLog(LogSettings other) {
         return new OperatorSettings(daemon, upgrade, other, store, replication, consensus);
     }
 
-    /** What holds where a file says nothing. */
+    /** The settings of an empty file. */
     public static OperatorSettings defaults() {
-        List<String> mistakes = new ArrayList<>();
-        return of(new Section("", Map.of(), mistakes));
+        List<String> errors = new ArrayList<>();
+        return of(new Section("", Map.of(), errors));
     }
 
-    /** Reads a file; throws with one line for each mistake. */
+    /** Reads a file; throws with one line for each error. */
     public static OperatorSettings read(Path file) throws IOException, InvalidSettingsException {
         return parse(file.toString(), Files.readString(file));
     }
 
-    /** Reads a text that came from there. */
-    public static OperatorSettings parse(String where, String text) throws InvalidSettingsException {
-        List<String> mistakes = new ArrayList<>();
-        OperatorSettings settings = of(Section.read(where, text, mistakes));
-        if (!mistakes.isEmpty()) {
-            throw new InvalidSettingsException(mistakes);
+    /** Parses the text of a file; error lines begin with fileName. */
+    public static OperatorSettings parse(String fileName, String text) throws InvalidSettingsException {
+        List<String> errors = new ArrayList<>();
+        OperatorSettings settings = of(Section.read(fileName, text, errors));
+        if (!errors.isEmpty()) {
+            throw new InvalidSettingsException(errors);
         }
         return settings;
     }
@@ -120,11 +124,10 @@
         d.rejectUnknownKeys();
         Section u = all.section("upgrade");
         UpgradeSettings upgrade = new UpgradeSettings(stage(u, "start_s", 20), stage(u, "check_s", 10),
-                stage(u, "state_s",
-                5),
-                stage(u, "ready_s", 10), stage(u, "take_s", 5), stage(u, "share_s", 1), stage(u, "go_s", 1),
-                stage(u, "let_go_s", 2),
-                u.durationMicros("finish_s", 600, 1, LONGEST_FINISH), u.integer("most_finishing", 4, 1, 64));
+                stage(u, "state_s", 5), stage(u, "ready_s", 10), stage(u, "take_s", 5),
+                stage(u, "share_s", 1), stage(u, "go_s", 1), stage(u, "let_go_s", 2),
+                u.durationMicros("finish_s", 600, 1, MAX_FINISH_SECONDS), u.integer("most_finishing", 4, 1,
+                        64));
         u.rejectUnknownKeys();
         Section l = all.section("log");
         LogSettings log = new LogSettings(l.oneOf("form", "text", List.of("text", "json")));
@@ -140,8 +143,8 @@
         String folder = s.string("folder", "");
         StoreSettings store = new StoreSettings(folder.isEmpty() ? null : Path.of(folder),
                 s.durationMicros("gather_s", 0.02, 0.001, 0.08), s.durationMicros("retry_s", 5, 0.1,
-                        LONGEST_STAGE),
-                s.durationMicros("doubt_s", 3600, 10, LONGEST_FINISH * 30),
+                        MAX_STAGE_SECONDS),
+                s.durationMicros("doubt_s", 3600, 10, MAX_FINISH_SECONDS * 30),
                 s.integer("most_records", 100_000, 100, 1_000_000));
         s.rejectUnknownKeys();
         return store;
@@ -153,23 +156,23 @@
         Map<String, String> peers = new TreeMap<>();
         for (String peer : c.strings("peers", List.of())) {
             String[] parts = peer.split("=", 2);
-            if (parts.length != 2 || !NAME.matcher(parts[0]).matches()
+            if (parts.length != 2 || !INSTANCE_NAME.matcher(parts[0]).matches()
                     || !ADDRESS.matcher(parts[1]).matches() || peers.put(parts[0], parts[1]) != null) {
                 c.addError("peers", "name=host:port, each name once, not " + peer);
             }
         }
-        if (!name.isEmpty() && !NAME.matcher(name).matches()) {
+        if (!name.isEmpty() && !INSTANCE_NAME.matcher(name).matches()) {
             c.addError("instance", "1 to 64 letters, digits, dots or dashes, not " + name);
         }
         if (!peers.isEmpty()) {
             if (!store.enabled()) {
-                c.addError("peers", "none without store.folder: copies need a store");
+                c.addError("peers", "empty without store.folder: replication needs a store");
             }
             if (name.isEmpty() || peers.containsKey(name)) {
-                c.addError("instance", "a name of its own where there are peers, not \"" + name + "\"");
+                c.addError("instance", "a unique name if there are peers, not \"" + name + "\"");
             }
             if (!ADDRESS.matcher(listen).matches()) {
-                c.addError("listen", "host:port where there are peers, not \"" + listen + "\"");
+                c.addError("listen", "host:port if there are peers, not \"" + listen + "\"");
             }
         }
         ReplicationSettings copies = new ReplicationSettings(c.string("cluster", "yewdock"), name.isEmpty()
@@ -194,14 +197,14 @@
             }
         }
         ConsensusSettings agreement = new ConsensusSettings(members, a.durationMicros("agreed_within_s", 3, 1,
-                LONGEST_STAGE),
+                MAX_STAGE_SECONDS),
                 a.number("drift", 0.001, 0, 0.01),
                 a.oneOf("in_doubt", "refuse", List.of("refuse", "serve")).equals("serve"));
         a.rejectUnknownKeys();
         return agreement;
     }
 
-    private static long stage(Section u, String key, double byDefault) {
-        return u.durationMicros(key, byDefault, 0.1, LONGEST_STAGE);
+    private static long stage(Section u, String key, double defaultSeconds) {
+        return u.durationMicros(key, defaultSeconds, 0.1, MAX_STAGE_SECONDS);
     }
 }
--- a/src/main/java/yewdock/upgrade/SupervisorEvent.java
+++ b/src/main/java/yewdock/upgrade/SupervisorEvent.java
@@ -3,41 +3,43 @@
 import java.util.List;
 import yewdock.wire.Frame;
 
-/** All that can happen to the keeper. Generations go by numbers, which never repeat; so do commands. */
+/**
+ * An input of {@link SupervisorReducer}. Generations and operator commands are identified by unique numbers.
+ */
 public sealed interface SupervisorEvent {
-    /** The keeper has its listener: the first generation is to start. */
+    /** The supervisor has opened its listener, so the first generation can start with this program. */
     record ListenerOpened(List<String> program) implements SupervisorEvent {
     }
 
-    /** An operator wants an upgrade to this program, or with an empty list to the one that serves. */
+    /** An operator requests an upgrade to this program; an empty list stands for the one that serves. */
     record UpgradeRequested(long command, List<String> program) implements SupervisorEvent {
     }
 
-    /** An operator wants to know how things stand. */
+    /** An operator requests the status. */
     record StatusRequested(long command) implements SupervisorEvent {
     }
 
-    /** A generation says something. */
+    /** A generation has sent a frame. */
     record FrameReceived(int generation, Frame frame) implements SupervisorEvent {
     }
 
-    /** A generation's connection is closed, or what came over it makes no sense. */
+    /** A generation's connection was closed, or failed because of an unreadable frame. */
     record ConnectionLost(int generation, String reason) implements SupervisorEvent {
     }
 
-    /** A generation's process has ended, or could not be started. */
+    /** A generation's process has exited, or could not be started. */
     record ProcessEnded(int generation, String reason) implements SupervisorEvent {
     }
 
-    /** SIGHUP. */
+    /** SIGHUP was received, or the configuration file has changed: generations must reload it. */
     record ReloadRequested() implements SupervisorEvent {
     }
 
-    /** SIGTERM. */
+    /** SIGTERM was received: the router must shut down. */
     record ShutdownRequested() implements SupervisorEvent {
     }
 
-    /** Time has passed. */
+    /** The time of {@link SupervisorReducer#nextTimerDue} has come. */
     record Tick() implements SupervisorEvent {
     }
 }
--- a/src/main/java/yewdock/upgrade/SupervisorReducer.java
+++ b/src/main/java/yewdock/upgrade/SupervisorReducer.java
@@ -25,48 +25,49 @@
 import yewdock.wire.TakeBack;
 
 /**
- * Everything that the keeper decides: which generation serves, how far an upgrade has come, and the way back
+ * Makes the supervisor's decisions: which generation serves, the progress of an upgrade, and the rollback
  * from each of its stages. A pure reducer: events in, effects out, no I/O and no clock of its own.
  *
- * <p>At every moment one generation at least has the listener and has not been told to let it go, unless its
- * process has died. A new generation that fails in any way at any stage is killed, and the old one told to
- * take back what it had given.
+ * <p>At all times at least one generation has the listener and has not been told to stop accepting, unless
+ * its process has died. A new generation that fails at any stage is killed, and the old one is told to take
+ * back what it had handed over.
  */
 public final class SupervisorReducer {
-    /** A serving process that died is replaced after so long, doubled with each death in a row. */
-    static final long RESTART_AFTER = 100_000;
-    static final int MOST_DOUBLINGS = 6;
-    /** One that has served so long has started well: the next death counts as the first in a row. */
-    static final long SERVED_WELL = 10_000_000;
-    /** An old generation ends itself at its limit; so much later it is killed. */
-    static final long FINISH_SLACK = 5_000_000;
-    private static final double MICROS_A_MILLI = 1000.0;
+    /** Restart backoff of a serving process that died, in microseconds; doubles with each death in a row. */
+    static final long RESTART_BACKOFF_MICROS = 100_000;
+    static final int MAX_BACKOFF_DOUBLINGS = 6;
+    /** After serving this many microseconds, a generation's death counts as the first in a row. */
+    static final long STABLE_AFTER_MICROS = 10_000_000;
+    /** An old generation ends itself at its limit; it is killed this many microseconds later. */
+    static final long FINISH_SLACK_MICROS = 5_000_000;
+    private static final double MICROS_PER_MILLI = 1000.0;
 
     private final UpgradeLimits limits;
     private final Map<Integer, SupervisedGeneration> generations = new TreeMap<>();
     private List<SupervisorEffect> effects = new ArrayList<>();
-    private long now;
-    private int last;
+    private long nowMicros;
+    private int lastNumber;
     private SupervisedGeneration servingGeneration;
-    private SupervisedGeneration next;
+    private SupervisedGeneration upcoming;
     private Stage stage;
-    private long stageBegan;
-    private long upgradeBegan;
-    private long command;
-    private final Map<Stage, Long> took = new EnumMap<>(Stage.class);
-    /** Older generations that have yet to tell what they hold, and those that have. */
-    private final Set<Integer> awaited = new HashSet<>();
+    private long stageStartedAt;
+    private long upgradeStartedAt;
+    private long upgradeCommand;
+    private final Map<Stage, Long> stageDurations = new EnumMap<>(Stage.class);
+    /** Older generations that have yet to report their open requests, and those that have. */
+    private final Set<Integer> awaitingShare = new HashSet<>();
     private final Set<Integer> shared = new HashSet<>();
     private List<String> program = List.of();
     private int deaths;
     private long restartAt = Long.MAX_VALUE;
     private boolean everServed;
-    private boolean leaving;
+    private boolean shuttingDown;
     private boolean stopped;
     private long upgrades;
     private long failures;
     private String lastFailure = "";
 
+    /** The state of a generation's process; killAt and the other times are in microseconds. */
     private static final class SupervisedGeneration {
         private final int number;
         private final List<String> program;
@@ -83,59 +84,60 @@
         }
     }
 
+    /** Creates a reducer without any generation. */
     public SupervisorReducer(UpgradeLimits limits) {
         this.limits = limits;
     }
 
-    /** Takes one event and tells what to do about it. */
-    public List<SupervisorEffect> reduce(SupervisorEvent event, long time) {
-        now = Math.max(now, time);
+    /** Applies one event at this time in microseconds; returns the effects to execute, in order. */
+    public List<SupervisorEffect> reduce(SupervisorEvent event, long timeMicros) {
+        nowMicros = Math.max(nowMicros, timeMicros);
         effects = new ArrayList<>();
-        take(event);
-        if (leaving && !stopped && generations.isEmpty()) {
+        handle(event);
+        if (shuttingDown && !stopped && generations.isEmpty()) {
             stop(0);
         }
         return effects;
     }
 
-    /** When the next {@link SupervisorEvent.Tick} is due. */
+    /** When the next {@link SupervisorEvent.Tick} is due, in microseconds; Long.MAX_VALUE if none is. */
     public long nextTimerDue() {
-        long due = next == null ? restartAt : stageBegan + limits.stageTimeoutMicros().get(stage);
+        long due = upcoming == null ? restartAt : stageStartedAt + limits.stageTimeoutMicros().get(stage);
         for (SupervisedGeneration g : generations.values()) {
             due = Math.min(due, g.killAt);
         }
         return due;
     }
 
-    /** The generation that serves, or 0. */
+    /** The number of the serving generation, or 0. */
     public int servingGeneration() {
         return servingGeneration == null ? 0 : servingGeneration.number;
     }
 
-    /** The generation that an upgrade is bringing up, or 0. */
+    /** The number of the generation that is being started, or 0. */
     public int upcomingGeneration() {
-        return next == null ? 0 : next.number;
+        return upcoming == null ? 0 : upcoming.number;
     }
 
-    private void take(SupervisorEvent event) {
+    private void handle(SupervisorEvent event) {
         if (event instanceof SupervisorEvent.FrameReceived e) {
-            heard(e.generation(), e.frame());
+            frameReceived(e.generation(), e.frame());
         } else if (event instanceof SupervisorEvent.ListenerOpened e) {
             program = List.copyOf(e.program());
-            begin(program, 0);
+            startGeneration(program, 0);
         } else if (event instanceof SupervisorEvent.UpgradeRequested e) {
-            asked(e);
+            upgradeRequested(e);
         } else if (event instanceof SupervisorEvent.StatusRequested e) {
-            status(e.command());
+            replyStatus(e.command());
         } else if (event instanceof SupervisorEvent.ConnectionLost e) {
-            lost(e);
+            connectionLost(e);
         } else if (event instanceof SupervisorEvent.ProcessEnded e) {
-            ended(e.generation(), e.reason());
+            processEnded(e.generation(), e.reason());
         } else if (event instanceof SupervisorEvent.ReloadRequested) {
-            generations.values().stream().filter(g -> g.connected).forEach(g -> tell(g,
+            generations.values().stream().filter(g -> g.connected).forEach(g -> send(g,
                     Frame.newBuilder().setReconfigure(Reconfigure.getDefaultInstance())));
         } else if (event instanceof SupervisorEvent.ShutdownRequested) {
-            leave();
+            shutDown();
         } else if (event instanceof SupervisorEvent.Tick) {
             tick();
         }
@@ -143,316 +145,323 @@
 
     // ---- an upgrade, stage by stage
 
-    private void asked(SupervisorEvent.UpgradeRequested e) {
+    private void upgradeRequested(SupervisorEvent.UpgradeRequested e) {
         String refusal = null;
-        if (leaving) {
-            refusal = "the router is leaving";
-        } else if (next != null) {
-            refusal = "generation " + next.number + " is on its way, at stage " + stage;
+        if (shuttingDown) {
+            refusal = "the router is shutting down";
+        } else if (upcoming != null) {
+            refusal = "generation " + upcoming.number + " is on its way, at stage " + stage;
         } else if (servingGeneration == null) {
-            refusal = "no generation serves: one is being started";
-        } else if (finishing() >= limits.maxFinishing()) {
-            refusal = finishing() + " older generations are still finishing what they have";
+            refusal = "no generation serves yet: one is being started";
+        } else if (countFinishing() >= limits.maxFinishing()) {
+            refusal = countFinishing() + " older generations are still finishing their requests";
         }
         if (refusal != null) {
             effects.add(new SupervisorEffect.Reply(e.command(), "not now: " + refusal, true, 1));
             return;
         }
-        begin(e.program().isEmpty() ? program : List.copyOf(e.program()), e.command());
+        startGeneration(e.program().isEmpty() ? program : List.copyOf(e.program()), e.command());
     }
 
-    private long finishing() {
+    private long countFinishing() {
         return generations.values().stream().filter(g -> g != servingGeneration && !g.failed).count();
     }
 
-    private void begin(List<String> what, long asker) {
-        next = new SupervisedGeneration(++last, what, now);
-        generations.put(last, next);
-        command = asker;
+    private void startGeneration(List<String> newProgram, long commandId) {
+        upcoming = new SupervisedGeneration(++lastNumber, newProgram, nowMicros);
+        generations.put(lastNumber, upcoming);
+        upgradeCommand = commandId;
         restartAt = Long.MAX_VALUE;
-        took.clear();
-        awaited.clear();
+        stageDurations.clear();
+        awaitingShare.clear();
         shared.clear();
-        upgradeBegan = now;
+        upgradeStartedAt = nowMicros;
         stage = Stage.START;
-        stageBegan = now;
-        note("generation.start", "generation", last, "program", String.join(" ", what));
-        effects.add(new SupervisorEffect.StartProcess(last, what));
+        stageStartedAt = nowMicros;
+        log("generation.start", "generation", lastNumber, "program", String.join(" ", newProgram));
+        effects.add(new SupervisorEffect.StartProcess(lastNumber, newProgram));
     }
 
-    private void enter(Stage s) {
-        took.put(stage, now - stageBegan);
-        stage = s;
-        stageBegan = now;
-        note("upgrade.stage", "generation", next.number, "stage", s);
+    private void enterStage(Stage newStage) {
+        stageDurations.put(stage, nowMicros - stageStartedAt);
+        stage = newStage;
+        stageStartedAt = nowMicros;
+        log("upgrade.stage", "generation", upcoming.number, "stage", newStage);
     }
 
-    private void heard(int number, Frame frame) {
-        SupervisedGeneration g = generations.get(number);
-        if (g == null) {
+    private void frameReceived(int number, Frame frame) {
+        SupervisedGeneration generation = generations.get(number);
+        if (generation == null) {
             return;
         }
         if (frame.hasNews()) {
-            news(g, frame.getNews());
+            forwardMessage(generation, frame.getNews());
         } else if (frame.hasSay()) {
-            note("generation.says", "generation", number, "line", frame.getSay().getLine());
-        } else if (g == next) {
-            ofNext(frame);
-        } else if (frame.hasState() && g == servingGeneration && stage == Stage.STATE && next != null) {
-            tell(next, Frame.newBuilder().setState(frame.getState()));
-            enter(Stage.READY);
+            log("generation.says", "generation", number, "line", frame.getSay().getLine());
+        } else if (generation == upcoming) {
+            handleUpcomingFrame(frame);
+        } else if (frame.hasState() && generation == servingGeneration && stage == Stage.STATE
+                && upcoming != null) {
+            send(upcoming, Frame.newBuilder().setState(frame.getState()));
+            enterStage(Stage.READY);
         } else if (frame.hasSharing()) {
-            sharing(g, frame.getSharing());
-        } else if (frame.hasLetGoDone() && g == servingGeneration && next != null && stage == Stage.LET_GO) {
-            arrived("");
+            forwardShared(generation, frame.getSharing());
+        } else if (frame.hasLetGoDone() && generation == servingGeneration && upcoming != null
+                && stage == Stage.LET_GO) {
+            completeUpgrade("");
         }
     }
 
-    private void ofNext(Frame frame) {
+    private void handleUpcomingFrame(Frame frame) {
         if (frame.hasFailed()) {
-            fail(frame.getFailed().getWhy());
+            failUpgrade(frame.getFailed().getWhy());
         } else if (frame.hasHello() && stage == Stage.START) {
-            next.connected = true;
-            enter(Stage.CHECK);
+            upcoming.connected = true;
+            enterStage(Stage.CHECK);
         } else if (frame.hasChecked() && stage == Stage.CHECK) {
             if (servingGeneration != null) {
-                enter(Stage.STATE);
-                tell(servingGeneration, Frame.newBuilder().setGiveState(GiveState.getDefaultInstance()));
+                enterStage(Stage.STATE);
+                send(servingGeneration, Frame.newBuilder().setGiveState(GiveState.getDefaultInstance()));
             } else {
-                withoutState();
+                startWithoutState();
             }
         } else if (frame.hasReady() && stage == Stage.READY) {
             if (!frame.getReady().getNote().isEmpty()) {
-                note("upgrade.ready", "generation", next.number, "line", frame.getReady().getNote());
+                log("upgrade.ready", "generation", upcoming.number, "line", frame.getReady().getNote());
             }
-            enter(Stage.TAKE);
-            tell(next, Frame.newBuilder().setTake(Take.getDefaultInstance()));
+            enterStage(Stage.TAKE);
+            send(upcoming, Frame.newBuilder().setTake(Take.getDefaultInstance()));
         } else if (frame.hasTook() && stage == Stage.TAKE) {
             askToShare();
         } else if (frame.hasServing() && stage == Stage.GO) {
-            serves();
+            upcomingServes();
         } else {
-            fail("it said " + frame.getWhatCase().name().toLowerCase(Locale.ROOT) + ", which nobody asked");
+            failUpgrade("unexpected frame " + frame.getWhatCase().name().toLowerCase(Locale.ROOT)
+                    + " at this stage");
         }
     }
 
-    private void withoutState() {
-        tell(next, Frame.newBuilder().setState(State.getDefaultInstance()));
-        enter(Stage.READY);
+    private void startWithoutState() {
+        send(upcoming, Frame.newBuilder().setState(State.getDefaultInstance()));
+        enterStage(Stage.READY);
     }
 
     private void askToShare() {
-        enter(Stage.SHARE);
+        enterStage(Stage.SHARE);
         for (SupervisedGeneration g : generations.values()) {
-            if (g != next && g.connected) {
-                awaited.add(g.number);
-                tell(g, Frame.newBuilder().setShare(Share.getDefaultInstance()));
+            if (g != upcoming && g.connected) {
+                awaitingShare.add(g.number);
+                send(g, Frame.newBuilder().setShare(Share.getDefaultInstance()));
             }
         }
         goIfAllShared();
     }
 
-    /** What a generation holds goes to the one that owns the ids next, and all it says after that, too. */
-    private void sharing(SupervisedGeneration g, Sharing held) {
-        Frame.Builder named = Frame.newBuilder().setSharing(held.toBuilder().setGeneration(g.number));
-        if (next != null && awaited.remove(g.number)) {
-            shared.add(g.number);
-            tell(next, named);
+    /** Forwards a generation's open requests to the next owner of the ids; its later news go there, too. */
+    private void forwardShared(SupervisedGeneration generation, Sharing sharing) {
+        Frame.Builder numbered = Frame.newBuilder().setSharing(
+                sharing.toBuilder().setGeneration(generation.number));
+        if (upcoming != null && awaitingShare.remove(generation.number)) {
+            shared.add(generation.number);
+            send(upcoming, numbered);
             goIfAllShared();
-        } else if (servingGeneration != null && g != servingGeneration) {
-            tell(servingGeneration, named);
+        } else if (servingGeneration != null && generation != servingGeneration) {
+            send(servingGeneration, numbered);
         }
     }
 
     private void goIfAllShared() {
-        if (stage == Stage.SHARE && awaited.isEmpty()) {
-            enter(Stage.GO);
-            tell(next, Frame.newBuilder().setGo(Go.getDefaultInstance()));
+        if (stage == Stage.SHARE && awaitingShare.isEmpty()) {
+            enterStage(Stage.GO);
+            send(upcoming, Frame.newBuilder().setGo(Go.getDefaultInstance()));
         }
     }
 
-    private void serves() {
-        enter(Stage.LET_GO);
-        next.servesSince = now;
+    private void upcomingServes() {
+        enterStage(Stage.LET_GO);
+        upcoming.servesSince = nowMicros;
         if (servingGeneration == null) {
-            arrived("");
+            completeUpgrade("");
         } else {
-            tell(servingGeneration, Frame.newBuilder().setLetGo(
+            send(servingGeneration, Frame.newBuilder().setLetGo(
                     LetGo.newBuilder().setLimitMicros(limits.finishTimeoutMicros())));
         }
     }
 
-    private void arrived(String remark) {
-        took.put(stage, now - stageBegan);
+    private void completeUpgrade(String remark) {
+        stageDurations.put(stage, nowMicros - stageStartedAt);
         SupervisedGeneration old = servingGeneration;
         if (old != null) {
-            old.killAt = now + limits.finishTimeoutMicros() + FINISH_SLACK;
+            old.killAt = nowMicros + limits.finishTimeoutMicros() + FINISH_SLACK_MICROS;
         }
-        servingGeneration = next;
+        servingGeneration = upcoming;
         program = servingGeneration.program;
-        next = null;
+        upcoming = null;
         everServed = true;
         StringBuilder stages = new StringBuilder();
-        took.forEach((s, t) -> stages.append(stages.length() == 0 ? "" : ", ").append(s)
-                .append(String.format(Locale.ROOT, " %.1f", t / MICROS_A_MILLI)));
-        if (old != null || command != 0) {
+        stageDurations.forEach((s, t) -> stages.append(stages.length() == 0 ? "" : ", ").append(s)
+                .append(String.format(Locale.ROOT, " %.1f", t / MICROS_PER_MILLI)));
+        if (old != null || upgradeCommand != 0) {
             upgrades++;
         }
-        note("upgrade.done", "generation", servingGeneration.number, "before", old == null ? 0 : old.number,
-                "took_ms", (now - upgradeBegan) / 1000, "stages_ms", stages);
+        log("upgrade.done", "generation", servingGeneration.number, "before", old == null ? 0 : old.number,
+                "took_ms", (nowMicros - upgradeStartedAt) / 1000, "stages_ms", stages);
         reply("generation " + servingGeneration.number + " serves"
-                + (old == null ? "" : ", generation " + old.number + " finishes what it has") + "; ms: "
+                + (old == null ? "" : ", generation " + old.number + " finishes its requests") + "; ms: "
                 + stages + remark, 0);
     }
 
-    /** The new generation is given up, and everything is again as it was before. */
-    private void fail(String why) {
-        SupervisedGeneration failed = next;
-        Stage at = stage;
-        next = null;
+    /** Gives the new generation up and rolls the upgrade back. */
+    private void failUpgrade(String reason) {
+        SupervisedGeneration failed = upcoming;
+        Stage failedAt = stage;
+        upcoming = null;
         failed.connected = false;
         failed.failed = true;
         failures++;
-        lastFailure = "generation " + failed.number + " at stage " + at + ": " + why;
-        note("upgrade.failed", "generation", failed.number, "stage", at, "why", why);
+        lastFailure = "generation " + failed.number + " at stage " + failedAt + ": " + reason;
+        log("upgrade.failed", "generation", failed.number, "stage", failedAt, "why", reason);
         effects.add(new SupervisorEffect.KillProcess(failed.number));
         if (servingGeneration != null) {
-            if (at.compareTo(Stage.SHARE) >= 0) {
-                takeBack(failed.number);
+            if (failedAt.compareTo(Stage.SHARE) >= 0) {
+                restoreOwnership(failed.number);
             }
-        } else if (leaving) {
-            // nothing to go back to, and nothing is wanted
+        } else if (shuttingDown) {
+            // nothing to roll back to, and no restart during shutdown
             restartAt = Long.MAX_VALUE;
         } else if (everServed) {
-            restart();
+            scheduleRestart();
         } else {
             stop(1);
         }
-        reply("upgrade failed at stage " + at + ": " + why
+        reply("upgrade failed at stage " + failedAt + ": " + reason
                 + (servingGeneration == null ? "" : "; generation " + servingGeneration.number
                         + " serves as before"), 1);
     }
 
-    private void takeBack(int failed) {
-        tell(servingGeneration, Frame.newBuilder().setTakeBack(TakeBack.getDefaultInstance()));
-        tell(servingGeneration, Frame.newBuilder().setOtherGone(
+    private void restoreOwnership(int failed) {
+        send(servingGeneration, Frame.newBuilder().setTakeBack(TakeBack.getDefaultInstance()));
+        send(servingGeneration, Frame.newBuilder().setOtherGone(
                 OtherGone.newBuilder().setGeneration(failed)));
         for (SupervisedGeneration g : generations.values()) {
-            // what these have told the failed one since, the one that owns the ids again doesn't know
+            // the owner lacks what these have reported to the failed generation: they report everything again
             if (g != servingGeneration && g.number != failed && g.connected) {
-                tell(g, Frame.newBuilder().setShare(Share.getDefaultInstance()));
+                send(g, Frame.newBuilder().setShare(Share.getDefaultInstance()));
             }
         }
     }
 
-    // ---- what generations tell each other
+    // ---- messages between generations
 
-    private void news(SupervisedGeneration from, News told) {
-        News named = told.toBuilder().setGeneration(from.number).build();
-        Frame.Builder frame = Frame.newBuilder().setNews(named);
-        switch (told.getWhatCase()) {
+    private void forwardMessage(SupervisedGeneration from, News news) {
+        News numbered = news.toBuilder().setGeneration(from.number).build();
+        Frame.Builder frame = Frame.newBuilder().setNews(numbered);
+        switch (news.getWhatCase()) {
             case GRANTED, DENIED -> {
-                SupervisedGeneration to = generations.get(told.getOf());
+                SupervisedGeneration to = generations.get(news.getOf());
                 if (to != null) {
-                    tell(to, frame);
+                    send(to, frame);
                 }
             }
-            case BOXES -> toAllBut(from, frame, named.getBoxes());
+            case BOXES -> sendToOthers(from, frame, numbered.getBoxes());
             default -> {
                 SupervisedGeneration owner = ownerFor(from);
                 if (owner != null && owner != from) {
-                    tell(owner, frame);
+                    send(owner, frame);
                 }
             }
         }
     }
 
-    private void toAllBut(SupervisedGeneration from, Frame.Builder frame, Boxes boxes) {
+    private void sendToOthers(SupervisedGeneration from, Frame.Builder frame, Boxes boxes) {
         for (SupervisedGeneration g : generations.values()) {
-            boolean knowsNothingYet = g == next && stage.compareTo(Stage.READY) < 0;
+            boolean knowsNothingYet = g == upcoming && stage.compareTo(Stage.READY) < 0;
             if (g != from && g.connected && !knowsNothingYet && boxes.getBoxesCount() > 0) {
-                tell(g, frame);
+                send(g, frame);
             }
         }
     }
 
-    /** Who owns the ids as far as this generation is concerned. */
+    /** The generation that owns the request ids, as seen by this one. */
     private SupervisedGeneration ownerFor(SupervisedGeneration from) {
-        if (next != null && (shared.contains(from.number) || stage == Stage.LET_GO)) {
-            return next;
+        if (upcoming != null && (shared.contains(from.number) || stage == Stage.LET_GO)) {
+            return upcoming;
         }
         return servingGeneration;
     }
 
-    // ---- ends
+    // ---- lost connections and exited processes
 
-    private void lost(SupervisorEvent.ConnectionLost e) {
-        SupervisedGeneration g = generations.get(e.generation());
-        if (g == null) {
+    private void connectionLost(SupervisorEvent.ConnectionLost e) {
+        SupervisedGeneration generation = generations.get(e.generation());
+        if (generation == null) {
             return;
         }
-        g.connected = false;
-        if (g == next) {
-            fail(e.reason());
+        generation.connected = false;
+        if (generation == upcoming) {
+            failUpgrade(e.reason());
         } else {
-            note("generation.lost", "generation", g.number, "why", e.reason());
-            if (next != null && awaited.remove(g.number)) {
+            log("generation.lost", "generation", generation.number, "why", e.reason());
+            if (upcoming != null && awaitingShare.remove(generation.number)) {
                 goIfAllShared();
             }
         }
     }
 
-    private void ended(int number, String how) {
-        SupervisedGeneration g = generations.get(number);
-        if (g == null) {
+    private void processEnded(int number, String reason) {
+        SupervisedGeneration generation = generations.get(number);
+        if (generation == null) {
             return;
         }
-        note("generation.ended", "generation", number, "how", how);
-        if (g == next) {
-            // fail kills by number: the process is gone, and must be forgotten only after that
-            fail(how);
+        log("generation.ended", "generation", number, "how", reason);
+        if (generation == upcoming) {
+            // failUpgrade() refers to the generation by its number, so it is removed only afterwards
+            failUpgrade(reason);
             generations.remove(number);
             return;
         }
         generations.remove(number);
-        toldGone(number);
-        if (g == servingGeneration) {
-            servingDied();
-        } else if (next != null && awaited.remove(number)) {
+        announceGone(number);
+        if (generation == servingGeneration) {
+            servingGenerationDied();
+        } else if (upcoming != null && awaitingShare.remove(number)) {
             goIfAllShared();
         }
     }
 
-    private void toldGone(int number) {
+    private void announceGone(int number) {
         for (SupervisedGeneration other : generations.values()) {
             if (other.connected) {
-                tell(other, Frame.newBuilder().setOtherGone(
+                send(other, Frame.newBuilder().setOtherGone(
                         OtherGone.newBuilder().setGeneration(number)));
             }
         }
     }
 
-    /** The one that serves was killed. One on its way goes on without it; otherwise another is started. */
-    private void servingDied() {
-        long servedFor = now - servingGeneration.servesSince;
+    /** The serving process died: an upgrade in progress goes on without it, otherwise another one serves. */
+    private void servingGenerationDied() {
+        long servedFor = nowMicros - servingGeneration.servesSince;
         int number = servingGeneration.number;
         servingGeneration = null;
-        deaths = servedFor >= SERVED_WELL ? 0 : deaths;
-        if (next == null) {
-            if (!leaving && !fallBack(number)) {
-                restart();
+        deaths = servedFor >= STABLE_AFTER_MICROS ? 0 : deaths;
+        if (upcoming == null) {
+            if (!shuttingDown && !fallBack(number)) {
+                scheduleRestart();
             }
         } else if (stage == Stage.STATE) {
-            withoutState();
-        } else if (stage == Stage.SHARE && awaited.remove(number)) {
+            startWithoutState();
+        } else if (stage == Stage.SHARE && awaitingShare.remove(number)) {
             goIfAllShared();
         } else if (stage == Stage.LET_GO) {
-            arrived("; generation " + number + " was gone before it had let go");
+            completeUpgrade("; generation " + number + " exited before it stopped accepting");
         }
     }
 
-    /** The newest of those that still finish serves again: it is there at once, and it served well before. */
-    private boolean fallBack(int dead) {
+    /**
+     * Lets the newest generation that is still finishing serve again: it needs no start, and is known to
+     * work. Returns false if there is none.
+     */
+    private boolean fallBack(int deadNumber) {
         for (SupervisedGeneration g : generations.values()) {
             if (g.connected && (servingGeneration == null || g.number > servingGeneration.number)) {
                 servingGeneration = g;
@@ -462,52 +471,53 @@
             return false;
         }
         servingGeneration.killAt = Long.MAX_VALUE;
-        servingGeneration.servesSince = now;
+        servingGeneration.servesSince = nowMicros;
         program = servingGeneration.program;
-        note("generation.fall_back", "generation", servingGeneration.number, "dead", dead);
-        takeBack(dead);
+        log("generation.fall_back", "generation", servingGeneration.number, "dead", deadNumber);
+        restoreOwnership(deadNumber);
         return true;
     }
 
-    private void restart() {
-        restartAt = now + (RESTART_AFTER << Math.min(deaths++, MOST_DOUBLINGS));
-        note("generation.restart", "after_ms", (restartAt - now) / 1000);
+    private void scheduleRestart() {
+        restartAt = nowMicros + (RESTART_BACKOFF_MICROS << Math.min(deaths++, MAX_BACKOFF_DOUBLINGS));
+        log("generation.restart", "after_ms", (restartAt - nowMicros) / 1000);
     }
 
     private void tick() {
-        if (next != null && now >= stageBegan + limits.stageTimeoutMicros().get(stage)) {
+        if (upcoming != null && nowMicros >= stageStartedAt + limits.stageTimeoutMicros().get(stage)) {
             if (stage == Stage.LET_GO) {
-                // the new one serves: what hangs is the old one, and its time is limited
-                arrived("; generation " + servingGeneration.number + " has not said that it let go");
+                // the new generation serves; the old one hangs and will be killed at its limit
+                completeUpgrade("; generation " + servingGeneration.number
+                        + " did not confirm that it stopped accepting");
             } else {
-                fail("nothing came within " + limits.stageTimeoutMicros().get(stage) / 1000 + " ms");
+                failUpgrade("timed out after " + limits.stageTimeoutMicros().get(stage) / 1000 + " ms");
             }
         }
-        if (now >= restartAt) {
-            begin(program, 0);
+        if (nowMicros >= restartAt) {
+            startGeneration(program, 0);
         }
         for (SupervisedGeneration g : List.copyOf(generations.values())) {
-            if (now >= g.killAt) {
+            if (nowMicros >= g.killAt) {
                 g.killAt = Long.MAX_VALUE;
-                note("generation.killed", "generation", g.number, "why", "over its limit");
+                log("generation.killed", "generation", g.number, "why", "over its limit");
                 effects.add(new SupervisorEffect.KillProcess(g.number));
             }
         }
     }
 
-    private void leave() {
-        if (leaving) {
+    private void shutDown() {
+        if (shuttingDown) {
             return;
         }
-        leaving = true;
+        shuttingDown = true;
         restartAt = Long.MAX_VALUE;
-        note("keeper.leaves", "generations", generations.size());
-        if (next != null && stage != Stage.LET_GO) {
-            fail("the router was told to leave");
+        log("keeper.leaves", "generations", generations.size());
+        if (upcoming != null && stage != Stage.LET_GO) {
+            failUpgrade("the router was told to leave");
         }
         for (SupervisedGeneration g : generations.values()) {
-            g.killAt = Math.min(g.killAt, now + limits.finishTimeoutMicros() + FINISH_SLACK);
-            tell(g, Frame.newBuilder().setLeave(Leave.getDefaultInstance()));
+            g.killAt = Math.min(g.killAt, nowMicros + limits.finishTimeoutMicros() + FINISH_SLACK_MICROS);
+            send(g, Frame.newBuilder().setLeave(Leave.getDefaultInstance()));
         }
     }
 
@@ -518,33 +528,33 @@
         }
     }
 
-    // ---- words
+    // ---- answers and logging
 
-    private void status(long asker) {
+    private void replyStatus(long commandId) {
         for (SupervisedGeneration g : generations.values()) {
-            String role = g == servingGeneration ? "serves" : g == next ? "comes, at stage " + stage
-                    : g.failed ? "failed and is being ended" : "finishes";
-            effects.add(new SupervisorEffect.Reply(asker, String.format(Locale.ROOT,
-                    "generation %d %s, started %.1f s ago", g.number, role, (now - g.startedAt) / 1e6),
+            String role = g == servingGeneration ? "serves" : g == upcoming ? "starts, at stage " + stage
+                    : g.failed ? "failed and is being killed" : "finishes";
+            effects.add(new SupervisorEffect.Reply(commandId, String.format(Locale.ROOT,
+                    "generation %d %s, started %.1f s ago", g.number, role, (nowMicros - g.startedAt) / 1e6),
                     false, 0));
         }
-        effects.add(new SupervisorEffect.Reply(asker, "upgrades done " + upgrades + ", failed " + failures
+        effects.add(new SupervisorEffect.Reply(commandId, "upgrades done " + upgrades + ", failed " + failures
                 + (lastFailure.isEmpty() ? "" : "; last failure: " + lastFailure), true,
                 servingGeneration == null ? 1 : 0));
     }
 
     private void reply(String line, int exit) {
-        if (command != 0) {
-            effects.add(new SupervisorEffect.Reply(command, line, true, exit));
-            command = 0;
+        if (upgradeCommand != 0) {
+            effects.add(new SupervisorEffect.Reply(upgradeCommand, line, true, exit));
+            upgradeCommand = 0;
         }
     }
 
-    private void tell(SupervisedGeneration g, Frame.Builder frame) {
-        effects.add(new SupervisorEffect.SendFrame(g.number, frame.build()));
+    private void send(SupervisedGeneration generation, Frame.Builder frame) {
+        effects.add(new SupervisorEffect.SendFrame(generation.number, frame.build()));
     }
 
-    private void note(String event, Object... fields) {
+    private void log(String event, Object... fields) {
         effects.add(new SupervisorEffect.WriteLog(event, LogFields.of(fields)));
     }
 }
--- a/src/test/java/yewdock/admin/DoorTest.java
+++ b/src/test/java/yewdock/admin/AdminInterfaceTest.java
@@ -21,67 +21,68 @@
 import yewdock.platform.ConnectionManager;
 import yewdock.platform.Transport;
 
-/** The door against callers that hold it open, and what it prints under load. */
-class DoorTest {
+/** The admin interface under idle connections, and the consistency of its counters under load. */
+class AdminInterfaceTest {
     private long micros = 1_000_000_000_000L;
     private final Counters counters = new Counters();
     private final Config config;
-    private final ConnectionManager front;
-    private final AdminInterface door;
+    private final ConnectionManager connectionManager;
+    private final AdminInterface adminInterface;
 
-    DoorTest() throws Exception {
+    AdminInterfaceTest() throws Exception {
         config = Config.read(Files.readString(Path.of("src/test/resources/exchanges/config.json")),
                 line -> { });
         Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
-                config.bounds(),
-                counters,
+                config.bounds(), counters,
                 actions -> new GenerationRouter(config.settings(), 1, actions));
-        front = new ConnectionManager(config, desk, counters, new NoNetwork(), () -> micros, line -> { });
-        door = new AdminInterface(front);
-        front.start();
+        connectionManager = new ConnectionManager(config, desk, counters, new NoNetwork(), () -> micros,
+                line -> { });
+        adminInterface = new AdminInterface(connectionManager);
+        connectionManager.start();
     }
 
-    /** Two hundred that say nothing: no more than a few hold descriptors, and the good one is answered. */
+    /** Of 200 idle connections only the maximum number stays open, and a command is still answered. */
     @Test
-    void silentCallersCostNoGoodOneItsPlace() {
-        List<Heard> silent = new ArrayList<>();
+    void idleConnectionsDoNotLockOutACommand() {
+        List<RecordingConnection> idle = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            Heard wire = new Heard();
-            wire.side = door.accept(wire);
+            RecordingConnection connection = new RecordingConnection();
+            connection.side = adminInterface.accept(connection);
             if (i % 2 == 0) {
-                wire.side.onReceived(bytes("heal"));
+                connection.side.onReceived(bytes("heal"));
             }
-            silent.add(wire);
+            idle.add(connection);
         }
-        assertEquals(AdminInterface.MAX_CONNECTIONS, silent.stream().filter(w -> !w.closed).count());
-        assertEquals("YES ready\n", call("health"));
-        assertTrue(silent.stream().allMatch(w -> w.text.isEmpty()));
+        assertEquals(AdminInterface.MAX_CONNECTIONS, idle.stream().filter(w -> !w.closed).count());
+        assertEquals("YES ready\n", sendCommand("health"));
+        assertTrue(idle.stream().allMatch(w -> w.text.isEmpty()));
     }
 
     @Test
-    void binaryAndEndlessLinesAreTurnedDown() {
-        assertTrue(call("\0\u00ff\u00fe").startsWith("NO "));
-        Heard wire = new Heard();
-        wire.side = door.accept(wire);
-        for (int i = 0; i < 600 && !wire.closed; i++) {
-            wire.side.onReceived(bytes("x"));
+    void binaryAndOverlongLinesAreRejected() {
+        assertTrue(sendCommand("\0\u00ff\u00fe").startsWith("NO "));
+        RecordingConnection connection = new RecordingConnection();
+        connection.side = adminInterface.accept(connection);
+        for (int i = 0; i < 600 && !connection.closed; i++) {
+            connection.side.onReceived(bytes("x"));
         }
-        assertTrue(wire.text.toString().startsWith("NO the line is too long"), wire.text.toString());
+        assertTrue(connection.text.toString().startsWith("NO the line is too long"),
+                connection.text.toString());
     }
 
-    /** Asked at any moment, each request taken is in exactly one figure. */
+    /** Whenever the counters are read, each accepted request is in exactly one of them. */
     @Test
-    void figuresBalanceAtEveryMoment() {
-        Heard client = null;
-        long mostPending = 0;
+    void countersAddUpAtAnyTime() {
+        RecordingConnection client = null;
+        long maxPending = 0;
         for (int i = 0; i < 1000; i++) {
             micros += 7_000;
             if (i % 100 == 50) {
-                front.reconfigure(config);
+                connectionManager.reconfigure(config);
             }
             if (i % 3 == 0) {
-                client = new Heard();
-                client.side = front.accept(client);
+                client = new RecordingConnection();
+                client.side = connectionManager.accept(client);
                 client.side.onReceived(bytes("POST /v1/chat/completions HTTP/1.1\r\nX-Correlation-Id: "
                         + i / 2
                         + "\r\nX-Service-Class: chat\r\nX-Account: lalitpur-metro\r\nX-Time-Left: 4\r\n"
@@ -89,36 +90,36 @@
             } else if (i % 5 == 0) {
                 client.side.onClosed();
             } else {
-                front.dispatch(new yewdock.core.Event.Tick());
+                connectionManager.dispatch(new yewdock.core.Event.Tick());
             }
             long sum = 0;
-            for (String line : call("counters").split("\n")) {
+            for (String line : sendCommand("counters").split("\n")) {
                 String name = line.contains("=") ? line.substring(0, line.indexOf('=')) : "";
                 if (name.contains("downstream_requests") || name.endsWith(".pending")) {
-                    long figure = Long.parseLong(line.substring(line.indexOf('=') + 1));
-                    sum += figure;
-                    mostPending = name.endsWith(".pending") ? Math.max(mostPending, figure) : mostPending;
+                    long value = Long.parseLong(line.substring(line.indexOf('=') + 1));
+                    sum += value;
+                    maxPending = name.endsWith(".pending") ? Math.max(maxPending, value) : maxPending;
                 }
             }
             assertEquals(counters.get("requests.taken"), sum, "at " + i);
         }
         assertTrue(counters.get("requests.chat.failed") > 0);
-        assertTrue(mostPending > 0);
+        assertTrue(maxPending > 0);
     }
 
-    private String call(String line) {
-        Heard wire = new Heard();
-        wire.side = door.accept(wire);
-        wire.side.onReceived(bytes(line + "\n"));
-        wire.side.onClosed();
-        return wire.text.toString();
+    private String sendCommand(String line) {
+        RecordingConnection connection = new RecordingConnection();
+        connection.side = adminInterface.accept(connection);
+        connection.side.onReceived(bytes(line + "\n"));
+        connection.side.onClosed();
+        return connection.text.toString();
     }
 
     private static ByteBuffer bytes(String text) {
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private static final class Heard implements Connection {
+    private static final class RecordingConnection implements Connection {
         private final StringBuilder text = new StringBuilder();
         private ConnectionHandler side;
         private boolean closed;
@@ -156,20 +157,20 @@
 
         @Override
         public void setReadingPaused(boolean held) {
-            // nothing comes by itself
+            // tests deliver all bytes themselves
         }
     }
 
-    /** Connections that never come up. */
+    /** Outgoing connections that are never established. */
     private static final class NoNetwork implements Transport {
         @Override
         public <S extends ConnectionHandler> S connect(String address, Function<Connection, S> makeSide) {
-            return makeSide.apply(new Heard());
+            return makeSide.apply(new RecordingConnection());
         }
 
         @Override
         public void stop() {
-            // never asked to
+            // not used
         }
     }
 }
