--- a/src/main/java/yewdock/verification/AgreedInstallation.java
+++ b/src/main/java/yewdock/verification/AgreedInstallation.java
@@ -13,57 +13,73 @@
 import yewdock.testbed.ListenPorts;
 import yewdock.testbed.Relay;
 
-/** Daemons that agree, each a process with a store of its own, and a relay between any two of them. */
+/**
+ * A consensus cluster of daemons for fault injection, each a process with a store of its own. Any two of them
+ * talk through a relay, which can hold back, delay or reset their traffic.
+ */
 public final class AgreedInstallation implements Closeable {
-    private static final long PATIENCE_SECONDS = 40;
-    /** Several start at once, on a machine that may be busy: a first generation given up ends its daemon. */
-    private static final String PATIENT_STAGES = """
+    private static final long STATUS_TIMEOUT_SECONDS = 40;
+    /**
+     * Long timeouts, because several daemons start at once on a machine that may be busy, and a daemon whose
+     * first generation times out exits.
+     */
+    private static final String LONG_STAGE_TIMEOUTS = """
               start_s = 60
               check_s = 60
               ready_s = 60
               finish_s = 5""";
-    private final String main;
+    private final String mainClass;
     private final Path folder;
     private final Fleet fleet;
     private final int members;
-    private final int[] ports;
-    private final int[] clients;
+    private final int[] peerPorts;
+    private final int[] clientPorts;
     private final Relay[][] relays;
-    private final Router[] routers;
-    private final String more;
-
-    /** Starts them all: so many members, and so many that follow. */
-    public AgreedInstallation(String main, Path folder, Fleet fleet, int members, int followers, String more)
+    private final Router[] daemons;
+    private final String agreementSettings;
+
+    /**
+     * Starts all daemons and waits until each serves.
+     *
+     * @param mainClass the main class of the daemons' program
+     * @param folder holds the files and the store of every instance
+     * @param fleet the servers that all instances route to
+     * @param members number of voting members, which get the first indexes
+     * @param followers number of non-voting instances
+     * @param agreementSettings further lines of each daemon's agreement block
+     */
+    public AgreedInstallation(String mainClass, Path folder, Fleet fleet, int members, int followers,
+            String agreementSettings)
             throws IOException {
         int size = members + followers;
-        this.main = main;
+        this.mainClass = mainClass;
         this.folder = folder;
         this.fleet = fleet;
         this.members = members;
-        this.more = more;
-        ports = new int[size];
-        clients = new int[size];
+        this.agreementSettings = agreementSettings;
+        peerPorts = new int[size];
+        clientPorts = new int[size];
         relays = new Relay[size][size];
-        routers = new Router[size];
+        daemons = new Router[size];
         for (int i = 0; i < size; i++) {
-            ports[i] = ListenPorts.reserve();
-            clients[i] = ListenPorts.reserve();
+            peerPorts[i] = ListenPorts.reserve();
+            clientPorts[i] = ListenPorts.reserve();
         }
-        // of two instances the one whose name comes first calls the other
+        // of two instances, the one whose name sorts first opens the connection
         for (int i = 0; i < size; i++) {
             for (int j = i + 1; j < size; j++) {
-                relays[i][j] = new Relay(new InetSocketAddress("127.0.0.1", ports[j]));
+                relays[i][j] = new Relay(new InetSocketAddress("127.0.0.1", peerPorts[j]));
             }
         }
         try {
             for (int i = 0; i < size; i++) {
-                routers[i] = launch(i);
+                daemons[i] = launch(i);
             }
             for (int i = 0; i < size; i++) {
-                serves(i);
+                awaitServing(i);
             }
         } catch (IOException e) {
-            // nobody else has these processes yet
+            // the caller never gets this object, so the processes must be stopped here
             close();
             throw e;
         }
@@ -71,88 +87,97 @@
 
     private Router launch(int i) throws IOException {
         List<String> peers = new ArrayList<>();
-        List<String> voting = new ArrayList<>();
-        for (int j = 0; j < ports.length; j++) {
+        List<String> votingMembers = new ArrayList<>();
+        for (int j = 0; j < peerPorts.length; j++) {
             if (j < members) {
-                voting.add("\"i" + j + "\"");
+                votingMembers.add("\"i" + j + "\"");
             }
             if (j != i) {
-                peers.add("\"i" + j + "=127.0.0.1:" + (j > i ? relays[i][j].port() : ports[j]) + "\"");
+                peers.add("\"i" + j + "=127.0.0.1:" + (j > i ? relays[i][j].port() : peerPorts[j]) + "\"");
             }
         }
-        String blocks = "store {\n  folder = \"" + store(i) + "\"\n}\ncopies {\n  instance = \"i" + i
-                + "\"\n  listen = \"127.0.0.1:" + ports[i] + "\"\n  peers = [" + String.join(", ", peers)
-                + "]\n}\nagreement {\n  members = [" + String.join(", ", voting) + "]\n" + more + "}\n";
-        return Router.launch(main, Files.createDirectories(folder.resolve("r" + i)),
-                fleet.configuration("127.0.0.1:" + clients[i]), PATIENT_STAGES, blocks);
-    }
-
-    private void serves(int i) throws IOException {
-        if (routers[i].await(line -> line.contains("upgrade.done")) == null) {
-            throw new IOException("instance " + i + " did not come up:\n" + routers[i].log());
+        String settingsBlocks = "store {\n  folder = \"" + storeFolder(i)
+                + "\"\n}\ncopies {\n  instance = \"i" + i
+                + "\"\n  listen = \"127.0.0.1:" + peerPorts[i] + "\"\n  peers = [" + String.join(", ", peers)
+                + "]\n}\nagreement {\n  members = [" + String.join(", ", votingMembers) + "]\n"
+                + agreementSettings + "}\n";
+        return Router.launch(mainClass, Files.createDirectories(folder.resolve("r" + i)),
+                fleet.configuration("127.0.0.1:" + clientPorts[i]), LONG_STAGE_TIMEOUTS, settingsBlocks);
+    }
+
+    private void awaitServing(int i) throws IOException {
+        if (daemons[i].await(line -> line.contains("upgrade.done")) == null) {
+            throw new IOException("instance " + i + " did not start serving:\n" + daemons[i].log());
         }
     }
 
+    /** Number of instances, members and followers. */
     public int size() {
-        return routers.length;
+        return daemons.length;
     }
 
+    /** The current process of an instance. */
     public Router router(int i) {
-        return routers[i];
+        return daemons[i];
     }
 
-    /** Where an instance keeps its store. */
-    public Path store(int i) {
+    /** The store folder of an instance. */
+    public Path storeFolder(int i) {
         return folder.resolve("s" + i);
     }
 
-    /** Where an instance's clients go, also over a restart. */
+    /** The client address of an instance; a restart keeps it. */
     public InetSocketAddress address(int i) {
-        return new InetSocketAddress("127.0.0.1", clients[i]);
+        return new InetSocketAddress("127.0.0.1", clientPorts[i]);
     }
 
-    /** Between these two. */
-    public Relay between(int i, int j) {
+    /** The relay between two instances, in either order. */
+    public Relay relayBetween(int i, int j) {
         return relays[Math.min(i, j)][Math.max(i, j)];
     }
 
-    /** Holds back what this instance sends to the others, what they send to it, or both. */
-    public void cutOff(int one, boolean out, boolean in) {
-        for (int j = 0; j < routers.length; j++) {
-            if (j != one) {
-                boolean calls = one < j;
-                between(one, j).hold(calls ? out : in, calls ? in : out);
+    /**
+     * Partitions an instance from all others.
+     *
+     * @param out hold back what the instance sends
+     * @param in hold back what the others send to it
+     */
+    public void cutOff(int isolated, boolean out, boolean in) {
+        for (int j = 0; j < daemons.length; j++) {
+            if (j != isolated) {
+                boolean connects = isolated < j;
+                relayBetween(isolated, j).hold(connects ? out : in, connects ? in : out);
             }
         }
     }
 
-    /** All is passed on again. */
+    /** Ends all partitions and delays. */
     public void heal() {
-        for (int i = 0; i < routers.length; i++) {
-            for (int j = i + 1; j < routers.length; j++) {
+        for (int i = 0; i < daemons.length; i++) {
+            for (int j = i + 1; j < daemons.length; j++) {
                 relays[i][j].hold(false, false);
                 relays[i][j].late(0);
             }
         }
     }
 
-    /** Kills an instance with all its processes, and starts it again on what it has kept. */
+    /** Kills all processes of an instance, starts it again on its store, and waits until it serves. */
     public void restart(int i) throws IOException {
-        routers[i].close();
-        routers[i] = launch(i);
-        serves(i);
+        daemons[i].close();
+        daemons[i] = launch(i);
+        awaitServing(i);
     }
 
-    /** Kills an instance with all its processes. */
+    /** Kills all processes of an instance. */
     public void kill(int i) {
-        routers[i].close();
+        daemons[i].close();
     }
 
-    /** Stops or continues all processes of an instance. */
-    public void signal(int i, String name) throws IOException {
+    /** Sends a signal, such as STOP or CONT, to all processes of an instance. */
+    public void sendSignal(int i, String name) throws IOException {
         List<String> command = new ArrayList<>(List.of("kill", "-" + name));
-        command.add(Long.toString(routers[i].process().pid()));
-        routers[i].generations().forEach(p -> command.add(Long.toString(p.pid())));
+        command.add(Long.toString(daemons[i].process().pid()));
+        daemons[i].generations().forEach(p -> command.add(Long.toString(p.pid())));
         try {
             new ProcessBuilder(command).start().waitFor();
         } catch (InterruptedException e) {
@@ -160,14 +185,14 @@
         }
     }
 
-    /** What an instance says of itself. */
+    /** The output of an instance's status command. */
     public String status(int i) throws IOException {
-        return routers[i].ask("status", List.of()).lines();
+        return daemons[i].ask("status", List.of()).lines();
     }
 
-    /** Waits until the status of an instance is so. */
+    /** Waits until the status of an instance matches, and returns it; throws if it does not in time. */
     public String await(int i, Predicate<String> wanted) throws IOException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(STATUS_TIMEOUT_SECONDS);
         String status = "";
         while (System.nanoTime() < end) {
             status = status(i);
@@ -176,20 +201,21 @@
             }
             Thread.onSpinWait();
         }
-        throw new IOException("instance " + i + " never came so far:\n" + status + "\n" + routers[i].log());
+        throw new IOException("instance " + i + " did not reach the expected status:\n" + status + "\n"
+                + daemons[i].log());
     }
 
-    /** Waits until all hold a lease. */
+    /** Waits until every instance holds a lease. */
     public void whole() throws IOException {
-        for (int i = 0; i < routers.length; i++) {
+        for (int i = 0; i < daemons.length; i++) {
             await(i, s -> s.contains("agreement: lease"));
         }
     }
 
-    /** The instance that leads, -1 for none. */
+    /** The index of the member that leads, or -1 if none does. */
     public int leader() throws IOException {
         for (int i = 0; i < members; i++) {
-            if (routers[i].process().isAlive() && status(i).contains("leader this instance")) {
+            if (daemons[i].process().isAlive() && status(i).contains("leader this instance")) {
                 return i;
             }
         }
@@ -198,7 +224,7 @@
 
     @Override
     public void close() {
-        for (Router router : routers) {
+        for (Router router : daemons) {
             if (router != null) {
                 router.close();
             }
--- a/src/main/java/yewdock/verification/AgreementProof.java
+++ b/src/main/java/yewdock/verification/AgreementProof.java
@@ -20,259 +20,287 @@
 import yewdock.testbed.Load;
 
 /**
- * Routers that agree, with faults all along: thousands of seeds in virtual time, sizes up to two hundred
- * followers, and daemons in processes of their own, under load.
+ * Checks the consensus among routers under faults: thousands of seeded simulations in virtual time, clusters
+ * of up to two hundred followers, and daemons as real processes under load.
  */
 public final class AgreementProof {
+    /** One second, in microseconds. */
     private static final long SECOND = 1_000_000;
     private static final int MEMBERS = 3;
     private static final int FOLLOWERS = 3;
-    private static final int BOXES = 5;
-    /** The last boxes are drained by operators; the others always serve. */
-    private static final int DRAINED = 3;
-    private static final double AGREED_WITHIN_SECONDS = 3;
-    private static final int MOST_SHOWN = 10;
+    private static final int SERVERS = 5;
+    /** This many servers, the last ones, are drained by operators; the others always serve. */
+    private static final int DRAINABLE_SERVERS = 3;
+    private static final double MAX_STALENESS_SECONDS = 3;
+    private static final int MAX_REPORTED = 10;
 
-    private final String main;
-    private final Consumer<String> out;
-    private final List<String> broken = new ArrayList<>();
+    private final String mainClass;
+    private final Consumer<String> output;
+    private final List<String> violations = new ArrayList<>();
 
-    /** A proof whose daemons have this main class, and that tells how far it is. */
-    public AgreementProof(String main, Consumer<String> out) {
-        this.main = main;
-        this.out = out;
+    /** Takes the main class of the daemons and the consumer of the report lines. */
+    public AgreementProof(String mainClass, Consumer<String> output) {
+        this.mainClass = mainClass;
+        this.output = output;
     }
 
-    /** What was broken so far. */
+    /** The violations found so far, one line each; empty if there are none. */
     public List<String> broken() {
-        return broken;
+        return violations;
     }
 
-    private static String text(String format, Object... values) {
+    private static String format(String format, Object... values) {
         return String.format(Locale.ROOT, format, values);
     }
 
     // ---- virtual time
 
-    private record Run(long seed, List<String> broken, long behind, long contradiction, int forced,
-            long decisions, long inDoubt, List<Long> times) {
+    /** The results of one simulation. */
+    private record SimulationResult(long seed, List<String> violations, long longestStalenessMicros,
+            long longestContradictionMicros, int changesInForce, long decisions, long inDoubt,
+            List<Long> activationTimesMicros) {
     }
 
-    private static Run run(long seed) {
+    private static SimulationResult simulate(long seed) {
         CouncilSim sim = new CouncilSim(seed % 2 == 0 ? 3 : 5, 3, seed, CouncilSim.Plant.NONE);
         sim.run(5 * SECOND);
         sim.trouble(20 * SECOND);
         sim.run(15 * SECOND);
-        CouncilJudge judge = sim.judge();
+        ConsensusChecker checker = sim.judge();
         if (sim.leader() == null) {
-            judge.broken().add("nobody leads 15 s after all was whole");
+            checker.broken().add("no leader 15 s after all faults ended");
         } else {
-            judge.nothingLost(sim.leader().council().committedRules());
+            checker.nothingLost(sim.leader().council().committedRules());
         }
-        return new Run(seed, judge.broken(), judge.longestBehind(), judge.longestContradiction(),
-                judge.forced(), judge.decisions(), judge.inDoubt(), judge.timesToForce());
+        return new SimulationResult(seed, checker.broken(), checker.longestBehind(),
+                checker.longestContradiction(), checker.forced(), checker.decisions(), checker.inDoubt(),
+                checker.timesToForce());
     }
 
-    /** So many seeds, on all cores. */
+    /**
+     * Runs one simulation per seed, on all cores, and reports the sums.
+     *
+     * @param first the first seed
+     * @param count number of consecutive seeds
+     */
     public void seeds(long first, int count) {
-        List<Run> runs = LongStream.range(first, first + count).parallel().mapToObj(AgreementProof::run)
-                .toList();
-        Histogram times = new Histogram(3);
-        runs.forEach(r -> {
-            r.times.forEach(t -> times.recordValue(Math.max(0, t)));
-            r.broken.stream().limit(2).forEach(b -> broken.add("seed " + r.seed + ": " + b));
+        List<SimulationResult> runs = LongStream.range(first, first + count).parallel()
+                .mapToObj(AgreementProof::simulate).toList();
+        Histogram activationTimes = new Histogram(3);
+        runs.forEach(result -> {
+            result.activationTimesMicros.forEach(micros -> activationTimes.recordValue(Math.max(0, micros)));
+            result.violations.stream().limit(2).forEach(violation ->
+                    violations.add("seed " + result.seed + ": " + violation));
         });
-        out.accept(text("%d seeds from %d: %d changes in force, greatest contradiction %.3f s, "
-                + "longest without knowing of a prepared change %.3f s of %.0f s, in doubt %.2f%% of %d "
-                + "decisions; to force p50 %.0f ms, p99 %.0f ms", count, first,
-                runs.stream().mapToInt(Run::forced).sum(),
-                runs.stream().mapToLong(Run::contradiction).max().orElse(0) / 1e6,
-                runs.stream().mapToLong(Run::behind).max().orElse(0) / 1e6, AGREED_WITHIN_SECONDS,
-                100.0 * runs.stream().mapToLong(Run::inDoubt).sum()
-                        / runs.stream().mapToLong(Run::decisions).sum(),
-                runs.stream().mapToLong(Run::decisions).sum(), times.getValueAtPercentile(50) / 1e3,
-                times.getValueAtPercentile(99) / 1e3));
+        output.accept(format("%d seeds from %d: %d changes in force, longest contradiction %.3f s, "
+                + "longest unaware of a prepared change %.3f s of %.0f s, in doubt %.2f%% of %d "
+                + "decisions; prepared to in force p50 %.0f ms, p99 %.0f ms", count, first,
+                runs.stream().mapToInt(SimulationResult::changesInForce).sum(),
+                runs.stream().mapToLong(SimulationResult::longestContradictionMicros).max().orElse(0) / 1e6,
+                runs.stream().mapToLong(SimulationResult::longestStalenessMicros).max().orElse(0) / 1e6,
+                MAX_STALENESS_SECONDS, 100.0 * runs.stream().mapToLong(SimulationResult::inDoubt).sum()
+                        / runs.stream().mapToLong(SimulationResult::decisions).sum(),
+                runs.stream().mapToLong(SimulationResult::decisions).sum(),
+                activationTimes.getValueAtPercentile(50) / 1e3,
+                activationTimes.getValueAtPercentile(99) / 1e3));
     }
 
-    /** What an agreement costs by its size, with nothing wrong. */
+    /** Reports message rate and commit latency by number of followers, without faults. */
     public void sizes() {
         for (int followers : new int[] {0, 10, 50, 200}) {
             CouncilSim sim = new CouncilSim(5, followers, 1, CouncilSim.Plant.NONE);
             sim.run(5 * SECOND);
-            long before = sim.sent();
+            long before = sim.messagesSent();
             sim.run(10 * SECOND);
-            long quiet = sim.sent() - before;
+            long idleMessages = sim.messagesSent() - before;
             for (int i = 0; i < 20; i++) {
                 sim.propose(sim.host(i % sim.size()));
                 sim.run(SECOND);
             }
-            Histogram times = new Histogram(3);
-            sim.judge().timesToForce().forEach(times::recordValue);
-            sim.judge().broken().forEach(b -> broken.add("size " + followers + ": " + b));
-            out.accept(text("5 members and %d followers: %d messages a second in quiet, %d changes in "
-                    + "force, to force p50 %.1f ms, most %.1f ms", followers, quiet / 10,
-                    sim.judge().forced(), times.getValueAtPercentile(50) / 1e3, times.getMaxValue() / 1e3));
+            Histogram activationTimes = new Histogram(3);
+            sim.judge().timesToForce().forEach(activationTimes::recordValue);
+            sim.judge().broken().forEach(violation -> violations.add("size " + followers + ": " + violation));
+            output.accept(format("5 members and %d followers: %d messages/s when idle, %d changes in "
+                    + "force, prepared to in force p50 %.1f ms, max %.1f ms", followers, idleMessages / 10,
+                    sim.judge().forced(), activationTimes.getValueAtPercentile(50) / 1e3,
+                    activationTimes.getMaxValue() / 1e3));
         }
     }
 
-    // ---- processes
+    // ---- real processes
 
-    /** So many seconds with three members and three that follow, under load. */
+    /**
+     * Runs three members and three followers as processes, under load and random faults, for some seconds.
+     */
     public void processes(int seconds, long seed) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("agreement");
         SplittableRandom random = new SplittableRandom(seed);
-        Map<String, Long> drained = new HashMap<>();
-        List<Rules.Marked> marks = new ArrayList<>();
-        Map<String, Integer> faults = new TreeMap<>();
-        Histogram acknowledged = new Histogram(3);
-        AtomicInteger unknown = new AtomicInteger();
-        try (Fleet fleet = new Fleet(BOXES, 32);
-                AgreedInstallation all = new AgreedInstallation(main, folder, fleet, MEMBERS, FOLLOWERS,
-                        "")) {
-            all.whole();
+        Map<String, Long> drainAcknowledgedAt = new HashMap<>();
+        List<Rules.OperatorDrain> operatorDrains = new ArrayList<>();
+        Map<String, Integer> faultCounts = new TreeMap<>();
+        Histogram commandMillis = new Histogram(3);
+        AtomicInteger unknownOutcomes = new AtomicInteger();
+        try (Fleet fleet = new Fleet(SERVERS, 32);
+                AgreedInstallation cluster = new AgreedInstallation(mainClass, folder, fleet, MEMBERS,
+                        FOLLOWERS, "")) {
+            cluster.whole();
             List<Load> loads = new ArrayList<>();
-            for (int i = 0; i < all.size(); i++) {
-                loads.add(new Load(new Load.Plan(all.address(i), 4, 40, 10, 5, seed + i), fleet.ledger()));
+            for (int i = 0; i < cluster.size(); i++) {
+                loads.add(new Load(new Load.Plan(cluster.address(i), 4, 40, 10, 5, seed + i),
+                        fleet.ledger()));
                 loads.get(i).start();
             }
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
-            Thread staff = new Thread(() -> {
-                SplittableRandom draws = new SplittableRandom(seed + 1);
+            Thread operator = new Thread(() -> {
+                SplittableRandom operatorRandom = new SplittableRandom(seed + 1);
                 while (System.nanoTime() < end) {
-                    unknown.addAndGet(command(all, draws.nextInt(all.size()), fleet, draws, drained, marks,
-                            acknowledged));
+                    unknownOutcomes.addAndGet(toggleDrain(cluster, operatorRandom.nextInt(cluster.size()),
+                            fleet, operatorRandom, drainAcknowledgedAt, operatorDrains,
+                            commandMillis));
                 }
             }, "staff");
-            staff.start();
+            operator.start();
             int round = 0;
             while (System.nanoTime() < end) {
-                fault(all, random.nextInt(all.size()), random, faults);
+                injectFault(cluster, random.nextInt(cluster.size()), random, faultCounts);
                 Thread.sleep(random.nextLong(500, 4_000));
                 if (random.nextInt(3) > 0) {
-                    all.heal();
+                    cluster.heal();
                     Thread.sleep(random.nextLong(500, 4_000));
                 }
                 if (++round % 20 == 0) {
-                    out.accept("rounds " + round + ", faults " + faults);
+                    output.accept("rounds " + round + ", faults " + faultCounts);
                 }
             }
-            all.heal();
-            staff.join();
-            all.whole();
-            same(all);
+            cluster.heal();
+            operator.join();
+            cluster.whole();
+            checkSameRules(cluster);
             for (Load load : loads) {
                 load.stop();
             }
-            drained.forEach((box, at) -> marks.add(new Rules.Marked(box, at, Long.MAX_VALUE)));
-            judge(fleet.ledger(), marks, faults, acknowledged, unknown.get());
+            drainAcknowledgedAt.forEach((server, at) ->
+                    operatorDrains.add(new Rules.OperatorDrain(server, at, Long.MAX_VALUE)));
+            checkAndReport(fleet.ledger(), operatorDrains, faultCounts, commandMillis, unknownOutcomes.get());
         } finally {
-            UpgradeProof.delete(folder);
+            UpgradeProof.deleteRecursively(folder);
         }
     }
 
-    /** One more fault, beside those that still are. */
-    private static void fault(AgreedInstallation all, int one, SplittableRandom random,
-            Map<String, Integer> faults) throws IOException, InterruptedException {
+    /** Injects a random fault at an instance, in addition to those that still last. */
+    private static void injectFault(AgreedInstallation cluster, int instance, SplittableRandom random,
+            Map<String, Integer> faultCounts) throws IOException, InterruptedException {
         String name;
         switch (random.nextInt(6)) {
             case 0 -> {
-                name = "cut off both ways";
-                all.cutOff(one, true, true);
+                name = "isolated both ways";
+                cluster.cutOff(instance, true, true);
             }
             case 1 -> {
-                name = "cut off one way";
-                boolean there = random.nextBoolean();
-                all.cutOff(one, there, !there);
+                name = "isolated one way";
+                boolean outgoing = random.nextBoolean();
+                cluster.cutOff(instance, outgoing, !outgoing);
             }
             case 2 -> {
                 name = "one pair cut";
-                all.between(one, (one + 1) % all.size()).hold(random.nextBoolean(), true);
+                cluster.relayBetween(instance, (instance + 1) % cluster.size()).hold(random.nextBoolean(),
+                        true);
             }
             case 3 -> {
                 name = "killed";
-                all.restart(one);
+                cluster.restart(instance);
             }
             case 4 -> {
-                name = "stopped for a while";
-                all.signal(one, "STOP");
+                name = "paused";
+                cluster.sendSignal(instance, "STOP");
                 Thread.sleep(random.nextLong(500, 6_000));
-                all.signal(one, "CONT");
+                cluster.sendSignal(instance, "CONT");
             }
             default -> {
                 name = "connections reset";
-                for (int i = 0; i < all.size(); i++) {
-                    if (i != one) {
-                        all.between(one, i).reset();
+                for (int i = 0; i < cluster.size(); i++) {
+                    if (i != instance) {
+                        cluster.relayBetween(instance, i).reset();
                     }
                 }
             }
         }
-        faults.merge(name, 1, Integer::sum);
+        faultCounts.merge(name, 1, Integer::sum);
     }
 
-    /** An operator drains a box or takes that back; returns 1 if what came of it is not known. */
-    private static int command(AgreedInstallation all, int at, Fleet fleet, SplittableRandom random,
-            Map<String, Long> drained, List<Rules.Marked> marks, Histogram acknowledged) {
-        String box = fleet.boxes().get(BOXES - 1 - random.nextInt(DRAINED)).name();
-        Long since = drained.remove(box);
+    /**
+     * Drains a random drainable server, or undrains it if it is drained.
+     *
+     * @return 0 if the command succeeded, 1 if its outcome is unknown
+     */
+    private static int toggleDrain(AgreedInstallation cluster, int at, Fleet fleet, SplittableRandom random,
+            Map<String, Long> drainAcknowledgedAt, List<Rules.OperatorDrain> operatorDrains,
+            Histogram commandMillis) {
+        String server = fleet.boxes().get(SERVERS - 1 - random.nextInt(DRAINABLE_SERVERS)).name();
+        Long drainedSince = drainAcknowledgedAt.remove(server);
         long asked = System.nanoTime();
-        if (since != null) {
-            marks.add(new Rules.Marked(box, since, asked));
+        if (drainedSince != null) {
+            operatorDrains.add(new Rules.OperatorDrain(server, drainedSince, asked));
         }
         try {
-            Router.Said said = all.router(at).ask(since == null ? "drain" : "undrain", List.of(box));
-            if (said.exit() == 0 && said.lines().contains("by agreement") && since == null) {
-                drained.put(box, System.nanoTime());
+            Router.Said result = cluster.router(at).ask(drainedSince == null ? "drain" : "undrain",
+                    List.of(server));
+            if (result.exit() == 0 && result.lines().contains("by agreement") && drainedSince == null) {
+                drainAcknowledgedAt.put(server, System.nanoTime());
             }
-            if (said.exit() == 0) {
-                acknowledged.recordValue((System.nanoTime() - asked) / 1_000_000);
+            if (result.exit() == 0) {
+                commandMillis.recordValue((System.nanoTime() - asked) / 1_000_000);
                 return 0;
             }
         } catch (IOException e) {
-            // its process is away: it may have been agreed or not
+            // the process is down: the command may have been committed or not
         }
         return 1;
     }
 
-    /** Every instance holds the same rules, by the hash of all steps. */
-    private void same(AgreedInstallation all) throws IOException {
-        List<String> last = new ArrayList<>();
-        for (int tries = 0; tries < 100; tries++) {
-            last.clear();
-            for (int i = 0; i < all.size(); i++) {
-                String[] lines = all.router(i).ask("rules", List.of()).lines().split("\n");
-                last.add(lines[lines.length - 1]);
+    /** Checks that all instances hold the same rules, by the chain hash over all steps. */
+    private void checkSameRules(AgreedInstallation cluster) throws IOException {
+        List<String> lastLines = new ArrayList<>();
+        for (int attempt = 0; attempt < 100; attempt++) {
+            lastLines.clear();
+            for (int i = 0; i < cluster.size(); i++) {
+                String[] lines = cluster.router(i).ask("rules", List.of()).lines().split("\n");
+                lastLines.add(lines[lines.length - 1]);
             }
-            if (last.stream().distinct().count() == 1) {
+            if (lastLines.stream().distinct().count() == 1) {
                 return;
             }
         }
-        broken.add("instances hold different rules: " + last);
+        violations.add("instances hold different rules: " + lastLines);
     }
 
-    private void judge(Ledger ledger, List<Rules.Marked> marks, Map<String, Integer> faults,
-            Histogram acknowledged, int unknown) {
-        long longest = 0;
-        long late = 0;
-        for (Ledger.AtBox a : ledger.atBoxes()) {
-            for (Rules.Marked m : marks) {
-                if (m.box().equals(a.box()) && a.began() > m.acknowledged() && a.began() < m.takenBack()) {
-                    late++;
-                    longest = Math.max(longest, a.began() - m.acknowledged());
+    private void checkAndReport(Ledger ledger, List<Rules.OperatorDrain> operatorDrains,
+            Map<String, Integer> faultCounts, Histogram commandMillis, int unknownOutcomes) {
+        long longestNanos = 0;
+        long lateRequests = 0;
+        for (Ledger.AtBox attempt : ledger.atBoxes()) {
+            for (Rules.OperatorDrain drain : operatorDrains) {
+                if (drain.server().equals(attempt.box()) && attempt.began() > drain.acknowledgedAt()
+                        && attempt.began() < drain.revokedAt()) {
+                    lateRequests++;
+                    longestNanos = Math.max(longestNanos, attempt.began() - drain.acknowledgedAt());
                 }
             }
         }
-        if (longest > AGREED_WITHIN_SECONDS * 1e9) {
-            broken.add("work at a drained box " + longest / 1_000_000 + " ms after the drain was in force");
+        if (longestNanos > MAX_STALENESS_SECONDS * 1e9) {
+            violations.add("request at a drained server " + longestNanos / 1_000_000
+                    + " ms after the drain came into force");
         }
-        ledger.atClients().stream().filter(a -> a.end() == Ledger.End.SERVED && !a.exact()).limit(MOST_SHOWN)
-                .forEach(a -> broken.add("request " + a.id() + ": its stream is not the reference"));
-        out.accept(text("processes: %d drains in force, %d requests of %d at a box that was out, the latest "
-                + "%.3f s after the force; %d commands answered, p50 %d ms, p99 %d ms, most %d ms, %d with "
-                + "no sure answer; refused %d; faults %s", marks.size(), late, ledger.atClients().size(),
-                longest / 1e9, acknowledged.getTotalCount(),
-                acknowledged.getValueAtPercentile(50),
-                acknowledged.getValueAtPercentile(99), acknowledged.getMaxValue(), unknown,
-                Rules.count(ledger, Ledger.End.REFUSED), faults));
+        ledger.atClients().stream().filter(answer -> answer.end() == Ledger.End.SERVED
+                && !answer.exact()).limit(MAX_REPORTED)
+                .forEach(answer -> violations.add("request " + answer.id()
+                + ": its stream differs from the reference"));
+        output.accept(format("processes: %d drains in force, %d of %d requests at a drained server, latest "
+                + "%.3f s after the drain; %d commands answered, p50 %d ms, p99 %d ms, max %d ms, %d with "
+                + "unknown outcome; refused %d; faults %s", operatorDrains.size(), lateRequests,
+                ledger.atClients().size(), longestNanos / 1e9, commandMillis.getTotalCount(),
+                commandMillis.getValueAtPercentile(50),
+                commandMillis.getValueAtPercentile(99), commandMillis.getMaxValue(), unknownOutcomes,
+                Rules.count(ledger, Ledger.End.REFUSED), faultCounts));
     }
 }
--- a/src/main/java/yewdock/verification/CopiesProof.java
+++ b/src/main/java/yewdock/verification/CopiesProof.java
@@ -11,35 +11,46 @@
 import yewdock.wire.Kept;
 import yewdock.wire.Mark;
 
-/** Five instances, split and joined again and again, in virtual time: until they agree, and what it takes. */
+/**
+ * Measures record replication in virtual time: five instances are partitioned and healed again and again.
+ * Reports the time and the bytes that they take to converge; not to converge in time is a violation.
+ */
 public final class CopiesProof {
     private static final int INSTANCES = 5;
+    /** One second, in microseconds. */
     private static final long SECOND = 1_000_000;
-    private static final long MOST = 10 * SECOND;
-    private static final int CHANGES = 50;
+    private static final long MAX_CONVERGENCE_MICROS = 10 * SECOND;
+    private static final int CHANGES_PER_SPLIT = 50;
 
     private final int splits;
     private final long seed;
-    private final Consumer<String> out;
+    private final Consumer<String> output;
 
-    public CopiesProof(int splits, long seed, Consumer<String> out) {
+    /**
+     * Prepares a run.
+     *
+     * @param splits number of partitions for each number of records
+     * @param seed draws the partitions, the changes and the network delays
+     * @param output receives the report lines
+     */
+    public CopiesProof(int splits, long seed, Consumer<String> output) {
         this.splits = splits;
         this.seed = seed;
-        this.out = out;
+        this.output = output;
     }
 
-    /** Runs it for each number of records; returns what was broken. */
+    /** Runs once for each number of records; returns the violations, one text each. */
     public List<String> run(int... sizes) {
-        List<String> broken = new ArrayList<>();
-        out.accept("records | first snapshot s / kB | agreed after a join s p50 / p99 / longest"
-                + " | kB a join p50 / longest | kB/s at rest");
+        List<String> violations = new ArrayList<>();
+        output.accept("records | first snapshot s / kB | converged after healing s p50 / p99 / max"
+                + " | kB per healing p50 / max | kB/s when idle");
         for (int size : sizes) {
-            one(size, broken);
+            measure(size, violations);
         }
-        return broken;
+        return violations;
     }
 
-    private void one(int size, List<String> broken) {
+    private void measure(int size, List<String> violations) {
         List<String> names = new ArrayList<>();
         for (int i = 0; i < INSTANCES; i++) {
             names.add("i" + i);
@@ -52,51 +63,52 @@
                     .setName("s-" + i).setAddress("10.0.0." + i % 250 + ":8000").setId(i).setWeight(1)));
         }
         sim.join();
-        long before = sim.bytes();
-        long first = sim.untilAgreed(60 * SECOND);
-        long snapshot = sim.bytes() - before;
-        if (first < 0) {
-            broken.add(size + " records: no agreement at first\n" + sim.differences());
+        long bytesBefore = sim.bytesSent();
+        long firstMicros = sim.runUntilConverged(60 * SECOND);
+        long snapshotBytes = sim.bytesSent() - bytesBefore;
+        if (firstMicros < 0) {
+            violations.add(size + " records: no initial convergence\n" + sim.differences());
             return;
         }
-        before = sim.bytes();
+        bytesBefore = sim.bytesSent();
         sim.run(20 * SECOND);
-        double rest = (sim.bytes() - before) / 20.0;
-        Histogram took = new Histogram(3);
-        Histogram bytes = new Histogram(3);
+        double idleBytesPerSecond = (sim.bytesSent() - bytesBefore) / 20.0;
+        Histogram convergenceMillis = new Histogram(3);
+        Histogram convergenceBytes = new Histogram(3);
         for (int split = 0; split < splits; split++) {
             sim.split(random.nextInt(1, (1 << INSTANCES) - 1));
-            for (int i = 0; i < CHANGES; i++) {
+            for (int i = 0; i < CHANGES_PER_SPLIT; i++) {
                 change(sim, random, size);
                 sim.run(random.nextLong(SECOND / 10));
             }
             sim.run(6 * SECOND);
-            before = sim.bytes();
+            bytesBefore = sim.bytesSent();
             sim.join();
-            long agreed = sim.untilAgreed(MOST);
-            if (agreed < 0) {
-                broken.add(size + " records, split " + split + ": no agreement within " + MOST / SECOND
-                        + " s\n" + sim.differences());
+            long converged = sim.runUntilConverged(MAX_CONVERGENCE_MICROS);
+            if (converged < 0) {
+                violations.add(size + " records, split " + split + ": no convergence within "
+                        + MAX_CONVERGENCE_MICROS / SECOND + " s\n" + sim.differences());
                 return;
             }
-            took.recordValue(agreed / 1000);
-            bytes.recordValue(sim.bytes() - before);
+            convergenceMillis.recordValue(converged / 1000);
+            convergenceBytes.recordValue(sim.bytesSent() - bytesBefore);
         }
-        out.accept(String.format(Locale.ROOT,
-                "%d | %.2f / %.0f | %.2f / %.2f / %.2f | %.0f / %.0f | %.1f", size, first / 1e6,
-                snapshot / 1e3, took.getValueAtPercentile(50) / 1e3, took.getValueAtPercentile(99) / 1e3,
-                took.getMaxValue() / 1e3, bytes.getValueAtPercentile(50) / 1e3, bytes.getMaxValue() / 1e3,
-                rest / 1e3));
+        output.accept(String.format(Locale.ROOT,
+                "%d | %.2f / %.0f | %.2f / %.2f / %.2f | %.0f / %.0f | %.1f", size, firstMicros / 1e6,
+                snapshotBytes / 1e3, convergenceMillis.getValueAtPercentile(50) / 1e3,
+                convergenceMillis.getValueAtPercentile(99) / 1e3,
+                convergenceMillis.getMaxValue() / 1e3, convergenceBytes.getValueAtPercentile(50) / 1e3,
+                convergenceBytes.getMaxValue() / 1e3, idleBytesPerSecond / 1e3));
     }
 
     private static void change(CopiesSim sim, SplittableRandom random, int size) {
-        CopiesSim.Node node = sim.node(random.nextInt(INSTANCES));
-        // the same box is marked at several sides of a split, and differently
+        CopiesSim.SimulatedInstance instance = sim.node(random.nextInt(INSTANCES));
+        // the same server gets different overrides on several sides of a partition
         String key = RecordKeys.override("s-" + random.nextInt(Math.min(size, 20)));
         if (random.nextInt(3) == 0) {
-            node.drop(key);
+            instance.drop(key);
         } else {
-            node.write(key, Kept.newBuilder().setMark(Mark.newBuilder()
+            instance.write(key, Kept.newBuilder().setMark(Mark.newBuilder()
                     .setKindValue(1 + random.nextInt(2)).setBy("i" + random.nextInt(INSTANCES))));
         }
     }
--- a/src/main/java/yewdock/verification/CopiesSim.java
+++ b/src/main/java/yewdock/verification/CopiesSim.java
@@ -18,234 +18,250 @@
 import yewdock.wire.PeerHello;
 
 /**
- * Instances that copy each other's records, in virtual time: the real reducers, their frames as bytes over
- * connections with a delay, which are cut and made anew. One seed gives one run. Times are microseconds.
+ * Simulates record replication among instances in virtual time: the real replicators exchange serialized
+ * frames over links with delay and bandwidth, which are cut and reopened. The same seed gives the same run.
+ * Times are in microseconds.
  */
 public final class CopiesSim {
-    private static final long DELAY = 2_000;
-    private static final long REDIAL = 500_000;
-    private static final int MOST = 200_000;
-    /** So fast do bytes pass over one connection. */
-    private static final double BYTES_A_MICRO = 50;
-
-    /** An instance. */
-    public final class Node {
-        private final int number;
+    private static final long DELAY_MICROS = 2_000;
+    private static final long REDIAL_MICROS = 500_000;
+    private static final int MAX_RECORDS = 200_000;
+    /** Bandwidth of one link in each direction. */
+    private static final double BYTES_PER_MICRO = 50;
+
+    /** An instance with its records; its replicator is null while it is stopped. */
+    public final class SimulatedInstance {
+        private final int index;
         private final String name;
         private ReplicatedRecords records;
         private Replicator replica;
-        private long wallOff;
+        private long clockOffsetMicros;
 
-        private Node(int number, String name) {
-            this.number = number;
+        private SimulatedInstance(int number, String name) {
+            this.index = number;
             this.name = name;
         }
 
+        /** The records that it holds, also while it is stopped. */
         public ReplicatedRecords records() {
             return records;
         }
 
+        /** Its replicator, or null while it is stopped. */
         public Replicator replica() {
             return replica;
         }
 
-        /** Writes a record. */
+        /** Writes a record under this key and replicates it. */
         public void write(String key, Kept.Builder content) {
-            records.write(key, content, now() + wallOff);
+            records.write(key, content, now() + clockOffsetMicros);
             reduce(this, new ReplicationEvent.RecordsChanged(List.of(key)));
         }
 
-        /** Removes one, if it is there. */
+        /** Deletes the record of this key, if it exists, and replicates that. */
         public void drop(String key) {
-            if (records.delete(key, now() + wallOff) != null) {
+            if (records.delete(key, now() + clockOffsetMicros) != null) {
                 reduce(this, new ReplicationEvent.RecordsChanged(List.of(key)));
             }
         }
     }
 
-    /** A connection between two, one of whose ends is a and the other b; dead once it is cut. */
-    private static final class Pipe {
+    /** An open connection between two instances; unusable once it is cut. */
+    private static final class SimulatedLink {
         private boolean cut;
-        private final Map<Integer, Long> freeAt = new HashMap<>();
+        /** The time at which each sender's direction has transmitted all that was sent, by instance index. */
+        private final Map<Integer, Long> idleAt = new HashMap<>();
     }
 
-    private final List<Node> nodes = new ArrayList<>();
-    private final Map<String, Pipe> pipes = new HashMap<>();
+    private final List<SimulatedInstance> instances = new ArrayList<>();
+    /** Open links by the indexes of both ends, the lower one first, such as "0-2". */
+    private final Map<String, SimulatedLink> links = new HashMap<>();
     private final Calendar calendar = new Calendar();
     private final SplittableRandom random;
-    private final int mostTombstones;
-    private List<String> names;
-    private int side;
-    private long bytes;
-    private long frames;
-
+    private final int maxTombstones;
+    /** The names in the configuration of every running instance. */
+    private List<String> configuredNames;
+    /** Bit i tells the side of instance i; only instances on the same side reach each other. */
+    private int partitionBits;
+    private long bytesSent;
+    private long framesSent;
+
+    /** Starts instances of these names, each keeping at most 10,000 tombstones. */
     public CopiesSim(List<String> names, long seed) {
         this(names, seed, 10_000);
     }
 
+    /** Starts instances of these names, each keeping at most so many tombstones. */
     public CopiesSim(List<String> names, long seed, int mostTombstones) {
-        this.names = List.copyOf(names);
+        this.configuredNames = List.copyOf(names);
         this.random = new SplittableRandom(seed);
-        this.mostTombstones = mostTombstones;
+        this.maxTombstones = mostTombstones;
         for (int i = 0; i < names.size(); i++) {
-            Node node = new Node(i, names.get(i));
-            nodes.add(node);
-            begin(node, new ReplicatedRecords(node.name, MOST), 0);
+            SimulatedInstance instance = new SimulatedInstance(i, names.get(i));
+            instances.add(instance);
+            startReplicator(instance, new ReplicatedRecords(instance.name, MAX_RECORDS), 0);
         }
         redial();
     }
 
-    /** A peer's first frame. */
+    /** The hello frame with which a peer begins a connection. */
     public static PeerFrame hello(String cluster, String from, String to) {
         return PeerFrame.newBuilder().setHello(PeerHello.newBuilder().setVersion(Replicator.VERSION)
                 .setLeastReader(Replicator.VERSION).setCluster(cluster).setInstance(from).setTo(to)
                 .setJoined(1)).build();
     }
 
-    private void begin(Node node, ReplicatedRecords records, long joined) {
-        Set<String> peers = new TreeSet<>(names);
-        peers.remove(node.name);
-        node.records = records;
-        node.replica = new Replicator("sim", peers, records, joined, mostTombstones);
-        tick(node, node.replica);
+    private void startReplicator(SimulatedInstance instance, ReplicatedRecords records, long syncedUntil) {
+        Set<String> peers = new TreeSet<>(configuredNames);
+        peers.remove(instance.name);
+        instance.records = records;
+        instance.replica = new Replicator("sim", peers, records, syncedUntil, maxTombstones);
+        scheduleTick(instance, instance.replica);
     }
 
-    private void tick(Node node, Replicator life) {
-        if (node.replica == life) {
-            reduce(node, new ReplicationEvent.Tick());
-            at(Math.max(now() + 1, life.nextTickDue()), () -> tick(node, life));
+    private void scheduleTick(SimulatedInstance instance, Replicator current) {
+        if (instance.replica == current) {
+            reduce(instance, new ReplicationEvent.Tick());
+            runAt(Math.max(now() + 1, current.nextTickDue()), () -> scheduleTick(instance, current));
         }
     }
 
-    public Node node(int i) {
-        return nodes.get(i);
+    /** The instance with this index. */
+    public SimulatedInstance node(int i) {
+        return instances.get(i);
     }
 
-    public long bytes() {
-        return bytes;
+    /** Total size of the frames sent so far, with their length prefixes. */
+    public long bytesSent() {
+        return bytesSent;
     }
 
-    public long frames() {
-        return frames;
+    /** Number of frames sent so far. */
+    public long framesSent() {
+        return framesSent;
     }
 
+    /** The current virtual time. */
     public long now() {
         return calendar.now();
     }
 
-    /** Lets so much time pass. */
+    /** Advances the virtual time. */
     public void run(long micros) {
         calendar.runTo(calendar.now() + micros);
     }
 
-    /** Runs until all agree, so long at most; returns how long it took, or -1. */
-    public long untilAgreed(long most) {
-        long began = now();
-        while (now() - began <= most) {
+    /**
+     * Runs until all instances hold the same records; returns how long it took, or -1 if it took longer than
+     * allowed.
+     */
+    public long runUntilConverged(long maxMicros) {
+        long startedAt = now();
+        while (now() - startedAt <= maxMicros) {
             if (agree()) {
-                return now() - began;
+                return now() - startedAt;
             }
             run(10_000);
         }
         return -1;
     }
 
-    /** Cuts those whose bit is set off from those whose bit is not. */
-    public void split(int bits) {
-        side = bits;
-        pipes.forEach((pair, pipe) -> {
+    /** Partitions the instances whose bit is set from those whose bit is not. */
+    public void split(int newPartitionBits) {
+        partitionBits = newPartitionBits;
+        links.forEach((pair, link) -> {
             String[] ends = pair.split("-");
-            if (!joined(Integer.parseInt(ends[0]), Integer.parseInt(ends[1]))) {
-                cut(pair, pipe);
+            if (!sameSide(Integer.parseInt(ends[0]), Integer.parseInt(ends[1]))) {
+                cut(pair, link);
             }
         });
-        pipes.values().removeIf(p -> p.cut);
+        links.values().removeIf(p -> p.cut);
     }
 
-    /** All can reach all again. */
+    /** Ends the partition. */
     public void join() {
-        side = 0;
+        partitionBits = 0;
     }
 
-    private boolean joined(int a, int b) {
-        return (side >> a & 1) == (side >> b & 1);
+    private boolean sameSide(int a, int b) {
+        return (partitionBits >> a & 1) == (partitionBits >> b & 1);
     }
 
-    private void cut(String pair, Pipe pipe) {
-        pipe.cut = true;
+    private void cut(String pair, SimulatedLink link) {
+        link.cut = true;
         for (String end : pair.split("-")) {
-            Node node = nodes.get(Integer.parseInt(end));
+            SimulatedInstance instance = instances.get(Integer.parseInt(end));
             for (String other : pair.split("-")) {
                 if (!other.equals(end)) {
-                    reduce(node, new ReplicationEvent.PeerDisconnected(
-                            nodes.get(Integer.parseInt(other)).name, "cut"));
+                    reduce(instance, new ReplicationEvent.PeerDisconnected(
+                            instances.get(Integer.parseInt(other)).name, "cut"));
                 }
             }
         }
     }
 
-    /** An instance's clock is off by so much. */
+    /** Sets the offset of an instance's clock. */
     public void wallOff(int i, long micros) {
-        nodes.get(i).wallOff = micros;
+        instances.get(i).clockOffsetMicros = micros;
     }
 
-    /** An instance is started anew with an empty disk. */
+    /** Restarts an instance with no records. */
     public void wipe(int i) {
         stop(i);
-        begin(nodes.get(i), new ReplicatedRecords(nodes.get(i).name, MOST), 0);
+        startReplicator(instances.get(i), new ReplicatedRecords(instances.get(i).name, MAX_RECORDS), 0);
     }
 
-    /** An instance is stopped. */
+    /** Stops an instance and cuts its links. */
     public void stop(int i) {
-        pipes.forEach((pair, pipe) -> {
+        links.forEach((pair, link) -> {
             if (List.of(pair.split("-")).contains(Integer.toString(i))) {
-                cut(pair, pipe);
+                cut(pair, link);
             }
         });
-        pipes.values().removeIf(p -> p.cut);
-        nodes.get(i).replica = null;
+        links.values().removeIf(p -> p.cut);
+        instances.get(i).replica = null;
     }
 
-    /** What an instance has on its disk. */
+    /** The stored records of an instance, as an encoded Records message. */
     public byte[] disk(int i) {
         yewdock.wire.Records.Builder all = yewdock.wire.Records.newBuilder();
-        nodes.get(i).records.recordsAfter("").forEach(all::addRecords);
+        instances.get(i).records.recordsAfter("").forEach(all::addRecords);
         return all.build().toByteArray();
     }
 
-    /** An instance is started with what was on its disk. */
+    /** Starts an instance on the records that {@link #disk} returned. */
     public void start(int i, byte[] disk) {
-        ReplicatedRecords records = new ReplicatedRecords(nodes.get(i).name, MOST);
+        ReplicatedRecords records = new ReplicatedRecords(instances.get(i).name, MAX_RECORDS);
         try {
             yewdock.wire.Records.parseFrom(disk).getRecordsList().forEach(records::merge);
         } catch (InvalidProtocolBufferException e) {
             throw new IllegalStateException(e);
         }
-        begin(nodes.get(i), records, records.clock());
+        startReplicator(instances.get(i), records, records.clock());
     }
 
-    /** The file of every instance that runs names these from now on, as after a restart of each. */
-    public void rename(List<String> now) {
-        names = List.copyOf(now);
-        for (Node node : nodes) {
-            if (node.replica != null) {
-                long joined = node.replica.lastSyncedStamp();
-                stop(node.number);
-                begin(node, node.records, joined);
+    /** Restarts every running instance with a configuration that names these instances. */
+    public void rename(List<String> newNames) {
+        configuredNames = List.copyOf(newNames);
+        for (SimulatedInstance instance : instances) {
+            if (instance.replica != null) {
+                long syncedUntil = instance.replica.lastSyncedStamp();
+                stop(instance.index);
+                startReplicator(instance, instance.records, syncedUntil);
             }
         }
     }
 
-    /** Whether all that run hold the same. */
+    /** Whether all running instances hold the same records. */
     public boolean agree() {
-        return nodes.stream().filter(n -> n.replica != null).map(n -> n.records.bucketSums()).distinct()
+        return instances.stream().filter(n -> n.replica != null).map(n -> n.records.bucketSums()).distinct()
                 .count() == 1;
     }
 
-    /** What they hold differently, for a failed test. */
+    /** A summary of what each instance holds, for the message of a failed test. */
     public String differences() {
         StringBuilder all = new StringBuilder();
-        nodes.forEach(n -> all.append(n.name).append(": ").append(n.records.size()).append(" records, ")
+        instances.forEach(n -> all.append(n.name).append(": ").append(n.records.size()).append(" records, ")
                 .append(n.records.tombstones()).append(" tombstones, horizon ").append(n.records.horizon())
                 .append(n.replica == null ? "" : " " + n.replica.peerStatuses()).append('\n'));
         return all.toString();
@@ -253,67 +269,68 @@
 
     // ---- the network
 
-    private void at(long time, Runnable task) {
+    private void runAt(long time, Runnable task) {
         calendar.at(time, task);
     }
 
     private void redial() {
-        for (int a = 0; a < nodes.size(); a++) {
-            for (int b = a + 1; b < nodes.size(); b++) {
-                if (nodes.get(a).replica != null && nodes.get(b).replica != null && joined(a, b)
-                        && names.contains(nodes.get(a).name) && names.contains(nodes.get(b).name)
-                        && !pipes.containsKey(a + "-" + b)) {
-                    pipes.put(a + "-" + b, new Pipe());
-                    reduce(nodes.get(a), new ReplicationEvent.PeerConnected(nodes.get(b).name));
-                    reduce(nodes.get(b), new ReplicationEvent.PeerConnected(nodes.get(a).name));
+        for (int a = 0; a < instances.size(); a++) {
+            for (int b = a + 1; b < instances.size(); b++) {
+                if (instances.get(a).replica != null && instances.get(b).replica != null && sameSide(a, b)
+                        && configuredNames.contains(instances.get(a).name)
+                                && configuredNames.contains(instances.get(b).name)
+                        && !links.containsKey(a + "-" + b)) {
+                    links.put(a + "-" + b, new SimulatedLink());
+                    reduce(instances.get(a), new ReplicationEvent.PeerConnected(instances.get(b).name));
+                    reduce(instances.get(b), new ReplicationEvent.PeerConnected(instances.get(a).name));
                 }
             }
         }
-        at(now() + REDIAL / 2 + random.nextLong(REDIAL), this::redial);
+        runAt(now() + REDIAL_MICROS / 2 + random.nextLong(REDIAL_MICROS), this::redial);
     }
 
-    private void reduce(Node node, ReplicationEvent event) {
-        if (node.replica == null) {
+    private void reduce(SimulatedInstance instance, ReplicationEvent event) {
+        if (instance.replica == null) {
             return;
         }
-        for (ReplicationEffect effect : node.replica.reduce(event, now())) {
+        for (ReplicationEffect effect : instance.replica.reduce(event, now())) {
             if (effect instanceof ReplicationEffect.SendToPeer e) {
-                send(node, e.peer(), e.frame());
+                send(instance, e.peer(), e.frame());
             } else if (effect instanceof ReplicationEffect.ClosePeer e) {
-                int other = numberOf(e.peer());
-                String pair = Math.min(node.number, other) + "-" + Math.max(node.number, other);
-                Pipe pipe = pipes.remove(pair);
-                if (pipe != null) {
-                    pipe.cut = true;
-                    at(now() + DELAY, () -> reduce(nodes.get(other),
-                            new ReplicationEvent.PeerDisconnected(node.name,
+                int other = indexOf(e.peer());
+                String pair = Math.min(instance.index, other) + "-" + Math.max(instance.index, other);
+                SimulatedLink link = links.remove(pair);
+                if (link != null) {
+                    link.cut = true;
+                    runAt(now() + DELAY_MICROS, () -> reduce(instances.get(other),
+                            new ReplicationEvent.PeerDisconnected(instance.name,
                             "closed: " + e.why())));
                 }
             }
         }
     }
 
-    private int numberOf(String name) {
-        return nodes.stream().filter(n -> n.name.equals(name)).findFirst().orElseThrow().number;
+    private int indexOf(String name) {
+        return instances.stream().filter(n -> n.name.equals(name)).findFirst().orElseThrow().index;
     }
 
-    private void send(Node from, String to, PeerFrame frame) {
-        int other = numberOf(to);
-        Pipe pipe = pipes.get(Math.min(from.number, other) + "-" + Math.max(from.number, other));
-        if (pipe == null || pipe.cut) {
+    private void send(SimulatedInstance from, String to, PeerFrame frame) {
+        int other = indexOf(to);
+        SimulatedLink link = links.get(Math.min(from.index, other) + "-" + Math.max(from.index, other));
+        if (link == null || link.cut) {
             return;
         }
-        byte[] sent = frame.toByteArray();
-        bytes += sent.length + Integer.BYTES;
-        frames++;
-        long free = Math.max(now(), pipe.freeAt.getOrDefault(from.number, 0L))
-                + (long) (sent.length / BYTES_A_MICRO);
-        pipe.freeAt.put(from.number, free);
-        at(free + DELAY / 2 + random.nextLong(DELAY) / 8, () -> {
-            if (!pipe.cut) {
+        byte[] encodedFrame = frame.toByteArray();
+        bytesSent += encodedFrame.length + Integer.BYTES;
+        framesSent++;
+        long transmittedAt = Math.max(now(), link.idleAt.getOrDefault(from.index, 0L))
+                + (long) (encodedFrame.length / BYTES_PER_MICRO);
+        link.idleAt.put(from.index, transmittedAt);
+        runAt(transmittedAt + DELAY_MICROS / 2 + random.nextLong(DELAY_MICROS) / 8, () -> {
+            if (!link.cut) {
                 try {
-                    reduce(nodes.get(other), new ReplicationEvent.PeerFrameReceived(from.name,
-                            PeerFrame.parseFrom(sent)));
+                    reduce(instances.get(other), new ReplicationEvent.PeerFrameReceived(from.name,
+                            PeerFrame.parseFrom(encodedFrame)));
                 } catch (InvalidProtocolBufferException e) {
                     throw new IllegalStateException(e);
                 }
--- a/src/main/java/yewdock/verification/CouncilSim.java
+++ b/src/main/java/yewdock/verification/CouncilSim.java
@@ -29,362 +29,394 @@
 import yewdock.wire.RuleValue;
 
 /**
- * Routers that agree, in virtual time: members and followers, each with a clock and a disk of its own,
- * between them a network that loses, doubles, delays and cuts, one way or both. {@link CouncilJudge} looks
- * at every decision. One seed, one run.
+ * Simulates consensus among routers in virtual time: members and followers, each with its own clock and
+ * store, on a network that loses, duplicates and delays messages and can be cut in one direction or both.
+ * {@link ConsensusChecker} checks every decision. The same seed gives the same run. Times are in
+ * microseconds.
  */
 public final class CouncilSim {
-    /** What can be made wrong on purpose, to see that the judge sees it. */
+    /**
+     * Deliberate defects that the checker must detect: a lease twice as long as allowed at one member; leases
+     * cut short at the members; writes acknowledged before they are synced; a clock that runs at half speed;
+     * and decisions that trust the lease timer without checking the clock.
+     */
     public enum Plant {
         NONE, LEASE_TWICE, LEASE_CUT_SHORT_AT_MEMBERS, ACK_BEFORE_SYNC, CLOCK_AT_HALF, TIMER_ALONE
     }
 
+    /** One second, in microseconds. */
     static final long SECOND = 1_000_000;
-    private static final long AGREED_WITHIN = 3 * SECOND;
-    private static final double DRIFT = 0.001;
-    private static final long DECIDE_EVERY = 25_000;
-    private static final long LATENCY = 2_000;
-    private static final int BOXES = 4;
+    private static final long MAX_STALENESS_MICROS = 3 * SECOND;
+    private static final double MAX_CLOCK_DRIFT = 0.001;
+    private static final long DECISION_INTERVAL_MICROS = 25_000;
+    private static final long LATENCY_MICROS = 2_000;
+    private static final int SERVERS = 4;
 
     private final SplittableRandom random;
-    private final Plant plant;
+    private final Plant defect;
     private final Calendar calendar = new Calendar();
-    private final List<Host> hosts = new ArrayList<>();
-    private final Map<String, Host> byName = new HashMap<>();
+    private final List<Host> routers = new ArrayList<>();
+    private final Map<String, Host> routersByName = new HashMap<>();
     private final List<String> members;
-    private final Set<String> cut = new HashSet<>();
-    private final CouncilJudge judge = new CouncilJudge(AGREED_WITHIN);
-    private double loss;
-    private long sent;
-    private int changes;
-    private int asked;
+    /** Directed links that lose all messages, as "from>to". */
+    private final Set<String> cutLinks = new HashSet<>();
+    private final ConsensusChecker checker = new ConsensusChecker(MAX_STALENESS_MICROS);
+    private double lossRate;
+    private long messagesSent;
+    private int proposedChanges;
+    private int proposalsSent;
     private int listsCaughtUp;
 
-    /** So many members and followers. */
-    public CouncilSim(int members, int followers, long seed, Plant plant) {
+    /**
+     * Starts all instances.
+     *
+     * @param members number of voting members, which come first
+     * @param followers number of non-voting instances
+     * @param seed draws everything that is random
+     * @param defect the deliberate defect, or NONE
+     */
+    public CouncilSim(int members, int followers, long seed, Plant defect) {
         EventLog.muteLibraryLogs();
         this.random = new SplittableRandom(seed);
-        this.plant = plant;
+        this.defect = defect;
         List<String> names = new ArrayList<>();
         for (int i = 0; i < members + followers; i++) {
             names.add(String.format("r%03d", i));
         }
         this.members = names.subList(0, members);
         for (String name : names) {
-            Host host = new Host(name);
-            hosts.add(host);
-            byName.put(name, host);
+            Host router = new Host(name);
+            routers.add(router);
+            routersByName.put(name, router);
         }
-        hosts.forEach(Host::start);
-        at(0, this::decide);
+        routers.forEach(Host::start);
+        runAfter(0, this::checkDecisions);
     }
 
-    private void at(long delay, Runnable work) {
+    private void runAfter(long delay, Runnable work) {
         calendar.at(now() + delay, work);
     }
 
-    /** Lets so much time pass. */
+    /** Advances the virtual time. */
     public void run(long micros) {
         calendar.runTo(now() + micros);
     }
 
-    /** The judge of this run. */
-    public CouncilJudge judge() {
-        return judge;
+    /** The checker of this run, with its results. */
+    public ConsensusChecker judge() {
+        return checker;
     }
 
-    /** Messages sent so far. */
-    public long sent() {
-        return sent;
+    /** Number of messages sent so far, including lost ones. */
+    public long messagesSent() {
+        return messagesSent;
     }
 
-    /** How often a router found that another had a newer list, and got it. */
+    /** How often a router learned of a newer endpoint list from another one and fetched it. */
     public int listsCaughtUp() {
         return listsCaughtUp;
     }
 
-    /** Changes that were asked for. */
-    public int asked() {
-        return asked;
+    /** Number of proposals sent so far, including retries. */
+    public int proposalsSent() {
+        return proposalsSent;
     }
 
+    /** The current virtual time. */
     public long now() {
         return calendar.now();
     }
 
+    /** Number of instances, members and followers. */
     public int size() {
-        return hosts.size();
+        return routers.size();
     }
 
-    /** An instance, members first. */
+    /** The instance with this index; members come first. */
     public Host host(int number) {
-        return hosts.get(number);
+        return routers.get(number);
     }
 
-    /** The instance that leads, or null. */
+    /** The instance that leads and is not paused, or null. */
     public Host leader() {
-        return hosts.stream().filter(h -> h.council != null && !h.paused && h.council.isLeader()).findFirst()
-                .orElse(null);
+        return routers.stream().filter(router -> router.council != null && !router.paused
+                && router.council.isLeader())
+                .findFirst().orElse(null);
     }
 
-    /** Nothing goes from the one to the other any more. */
-    public void cut(Host from, Host to) {
-        cut.add(from.name + ">" + to.name);
+    /** Cuts the link from one instance to another, in this direction only. */
+    public void cutLink(Host from, Host to) {
+        cutLinks.add(from.name + ">" + to.name);
     }
 
-    /** Nothing goes between this one and the others, in one direction or both. */
-    public void cutOff(Host one, boolean in, boolean out) {
-        for (Host h : hosts) {
-            if (h != one && out) {
-                cut(one, h);
+    /**
+     * Partitions an instance from all others.
+     *
+     * @param in cut what the others send to it
+     * @param out cut what it sends
+     */
+    public void cutOff(Host isolated, boolean in, boolean out) {
+        for (Host router : routers) {
+            if (router != isolated && out) {
+                cutLink(isolated, router);
             }
-            if (h != one && in) {
-                cut(h, one);
+            if (router != isolated && in) {
+                cutLink(router, isolated);
             }
         }
     }
 
-    /** All cuts and losses end, all that are paused or dead go on. */
+    /** Ends all cuts, losses and full disks, and resumes or restarts every instance. */
     public void heal() {
-        cut.clear();
-        loss = 0;
-        for (Host h : hosts) {
-            h.full(false);
-            h.resume();
-            if (h.council == null) {
-                h.start();
+        cutLinks.clear();
+        lossRate = 0;
+        for (Host router : routers) {
+            router.full(false);
+            router.resume();
+            if (router.council == null) {
+                router.start();
             }
         }
     }
 
-    /** Of all messages this part is lost. */
-    public void lose(double part) {
-        loss = part;
+    /** Sets the share of all messages that is lost, from 0 to 1. */
+    public void setLossRate(double share) {
+        lossRate = share;
     }
 
-    /** One trouble after the other, drawn from the seed, with changes all along; ends whole. */
+    /**
+     * Injects random faults one after the other while changes are proposed, and heals all of them at the end.
+     */
     public void trouble(long micros) {
         long until = now() + micros;
         while (now() < until) {
             switch (random.nextInt(10)) {
-                case 0 -> cutOff(any(), true, true);
-                case 1 -> cutOff(any(), random.nextBoolean(), true);
-                case 2 -> cut(any(), any());
-                case 3 -> any().pause((long) (SECOND * Math.exp(random.nextDouble() * 4 - 2)));
-                case 4 -> any().kill();
-                case 8 -> any().full(true);
-                case 5 -> lose(random.nextDouble() * 0.3);
+                case 0 -> cutOff(randomRouter(), true, true);
+                case 1 -> cutOff(randomRouter(), random.nextBoolean(), true);
+                case 2 -> cutLink(randomRouter(), randomRouter());
+                case 3 -> randomRouter().pause((long) (SECOND * Math.exp(random.nextDouble() * 4 - 2)));
+                case 4 -> randomRouter().kill();
+                case 8 -> randomRouter().full(true);
+                case 5 -> setLossRate(random.nextDouble() * 0.3);
                 case 6 -> {
-                    Host l = leader();
-                    if (l != null) {
-                        propose(any());
+                    Host leader = leader();
+                    if (leader != null) {
+                        propose(randomRouter());
                         run(random.nextLong(10_000));
-                        cutOff(l, true, random.nextBoolean());
+                        cutOff(leader, true, random.nextBoolean());
                     }
                 }
                 case 7 -> {
-                    Host l = leader();
-                    if (l != null) {
-                        l.kill();
+                    Host leader = leader();
+                    if (leader != null) {
+                        leader.kill();
                     }
                 }
                 default -> heal();
             }
             for (int i = 0; i < 3; i++) {
                 run(random.nextLong(SECOND / 2));
-                propose(any());
+                propose(randomRouter());
             }
         }
         heal();
     }
 
-    private Host any() {
-        return hosts.get(random.nextInt(hosts.size()));
+    private Host randomRouter() {
+        return routers.get(random.nextInt(routers.size()));
     }
 
-    /** Somebody wants another value of some subject. */
+    /** Proposes at an instance to cordon a random server, or to uncordon it if it is cordoned. */
     public void propose(Host at) {
         if (at.council == null || at.paused) {
             return;
         }
-        String box = "b" + random.nextInt(BOXES);
-        String subject = RuleKind.SERVER.subject(box);
-        RuleChange.Builder change = RuleChange.newBuilder().setId("c" + ++changes).setWho("staff")
+        String server = "b" + random.nextInt(SERVERS);
+        String subject = RuleKind.SERVER.subject(server);
+        RuleChange.Builder change = RuleChange.newBuilder().setId("c" + ++proposedChanges).setWho("staff")
                 .setSubject(subject).setBase(at.council.localRules().revision(subject));
-        if (!at.council.localRules().view().cordonedServers().contains(box)) {
+        if (!at.council.localRules().view().cordonedServers().contains(server)) {
             change.setValue(RuleValue.newBuilder().setOut(true));
         }
         propose(at, change.build(), 3);
     }
 
-    /** The same change again where nobody took it: it must be applied once. */
-    private void propose(Host at, RuleChange change, int tries) {
-        asked++;
-        CouncilJudge.Call call = judge.asks(change);
+    /**
+     * Proposes a change. It is retried where it got no outcome, and sometimes where it did: a change must be
+     * applied once however often it is proposed.
+     */
+    private void propose(Host at, RuleChange change, int attempts) {
+        proposalsSent++;
+        ConsensusChecker.ProposedChange proposal = checker.proposed(change);
         at.council.propose(change, (Proposed answer) -> {
-            judge.answered(call, answer, calendar.now());
-            if (answer.hasOutcome() && random.nextInt(4) == 0 || !answer.hasOutcome() && tries > 1) {
-                at(random.nextLong(SECOND), () -> {
-                    if (at.council != null && !at.paused && tries > 1) {
-                        propose(at, change, tries - 1);
+            checker.answered(proposal, answer, calendar.now());
+            if (answer.hasOutcome() && random.nextInt(4) == 0 || !answer.hasOutcome() && attempts > 1) {
+                runAfter(random.nextLong(SECOND), () -> {
+                    if (at.council != null && !at.paused && attempts > 1) {
+                        propose(at, change, attempts - 1);
                     }
                 });
             }
         });
     }
 
-    /** Every router that runs decides about each box. */
-    private void decide() {
-        for (Host h : hosts) {
-            if (h.council != null && !h.paused) {
-                boolean may = plant == Plant.TIMER_ALONE ? h.leased : h.council.holdsLease();
-                judge.decides(h.name, may, h.council.localRules().step(), h.view, calendar.now());
+    /** Checks the decision of each running router, periodically. */
+    private void checkDecisions() {
+        for (Host router : routers) {
+            if (router.council != null && !router.paused) {
+                boolean mayDecide = defect == Plant.TIMER_ALONE ? router.leaseTimerRunning
+                        : router.council.holdsLease();
+                checker.checkDecision(router.name, mayDecide, router.council.localRules().step(), router.view,
+                        calendar.now());
             }
         }
-        at(DECIDE_EVERY, this::decide);
+        runAfter(DECISION_INTERVAL_MICROS, this::checkDecisions);
     }
 
-    /** An instance: its clock, its disk, its process. */
+    /** A simulated instance: its clock, its store and its process. */
     public final class Host implements TaskScheduler, ConsensusNode.ConsensusHost {
         private final String name;
-        private final double rate;
-        private final long offset;
-        private final List<Runnable> held = new ArrayList<>();
-        private Disk disk = new Disk();
+        private final double clockRate;
+        private final long clockOffsetMicros;
+        private final List<Runnable> pausedTasks = new ArrayList<>();
+        private SimulatedStore store = new SimulatedStore();
         private ConsensusNode council;
         private RulesView view = RulesView.EMPTY;
         private boolean paused;
-        private boolean leased;
-        private int life;
-        private long until;
+        private boolean leaseTimerRunning;
+        /** Counts the processes of this instance, so that work of an earlier process is dropped. */
+        private int incarnation;
+        private long leaseEnd;
 
         Host(String name) {
             this.name = name;
-            boolean slow = plant == Plant.CLOCK_AT_HALF && name.equals("r000");
-            this.rate = slow ? 0.5 : 1 + (random.nextDouble() * 2 - 1) * DRIFT;
-            this.offset = random.nextLong(1_000 * SECOND);
+            boolean halfSpeed = defect == Plant.CLOCK_AT_HALF && name.equals("r000");
+            this.clockRate = halfSpeed ? 0.5 : 1 + (random.nextDouble() * 2 - 1) * MAX_CLOCK_DRIFT;
+            this.clockOffsetMicros = random.nextLong(1_000 * SECOND);
         }
 
+        /** The name of the instance. */
         public String name() {
             return name;
         }
 
-        /** Its process, null while it is dead. */
+        /** The consensus node in its process, or null while the process is dead. */
         public ConsensusNode council() {
             return council;
         }
 
-        private LeaseTiming lease() {
-            LeaseTiming right = LeaseTiming.forMaxDelay(AGREED_WITHIN, DRIFT);
-            if (plant == Plant.LEASE_TWICE && name.equals("r001")) {
-                return new LeaseTiming(2 * right.lengthMicros(), DRIFT);
+        private LeaseTiming leaseTiming() {
+            LeaseTiming correct = LeaseTiming.forMaxDelay(MAX_STALENESS_MICROS, MAX_CLOCK_DRIFT);
+            if (defect == Plant.LEASE_TWICE && name.equals("r001")) {
+                return new LeaseTiming(2 * correct.lengthMicros(), MAX_CLOCK_DRIFT);
             }
-            return plant == Plant.LEASE_CUT_SHORT_AT_MEMBERS && members.contains(name)
-                    ? new LeaseTiming(right.lengthMicros() / 20, DRIFT) : right;
+            return defect == Plant.LEASE_CUT_SHORT_AT_MEMBERS && members.contains(name)
+                    ? new LeaseTiming(correct.lengthMicros() / 20, MAX_CLOCK_DRIFT) : correct;
         }
 
-        /** A new process on the disk that is there. */
+        /** Starts a new process on the present store. */
         public void start() {
-            life++;
+            incarnation++;
             view = RulesView.EMPTY;
-            leased = false;
+            leaseTimerRunning = false;
             try {
-                council = new ConsensusNode(new ConsensusNode.ConsensusConfig("sim", name, members, lease()),
-                        this, this,
-                        members.contains(name) ? new DurableRaftStore(() -> disk) : null,
+                council = new ConsensusNode(new ConsensusNode.ConsensusConfig("sim", name, members,
+                        leaseTiming()), this, this,
+                        members.contains(name) ? new DurableRaftStore(() -> store) : null,
                                 random.nextLong() >>> 1);
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
         }
 
-        /** The process dies at once. */
+        /** Kills the process. */
         public void kill() {
-            life++;
+            incarnation++;
             if (council != null) {
                 council.close();
             }
             council = null;
-            held.clear();
+            pausedTasks.clear();
             paused = false;
         }
 
-        /** Dies, and comes back with an empty disk. */
+        /** Kills the process and erases the store; {@link #start} starts it again. */
         public void wipe() {
             kill();
-            disk = new Disk();
+            store = new SimulatedStore();
         }
 
-        /** Its disk takes nothing more, until it has room again. */
-        public void full(boolean yes) {
-            disk.full = yes;
+        /** Lets all writes to the store fail as on a full disk, or succeed again. */
+        public void full(boolean isFull) {
+            store.full = isFull;
         }
 
-        /** Stands still for so long, as a stopped process does. */
+        /** Pauses the process for some time, like SIGSTOP; a paused one stays as it is. */
         public void pause(long micros) {
             if (council != null && !paused) {
                 paused = true;
-                int mine = life;
-                at(micros, () -> {
-                    if (mine == life) {
+                int scheduledIn = incarnation;
+                runAfter(micros, () -> {
+                    if (scheduledIn == incarnation) {
                         resume();
                     }
                 });
             }
         }
 
-        /** Goes on with what has come meanwhile. */
+        /** Resumes a paused process and delivers what has come meanwhile. */
         public void resume() {
             if (paused) {
                 paused = false;
-                List<Runnable> all = new ArrayList<>(held);
-                held.clear();
+                List<Runnable> delivered = new ArrayList<>(pausedTasks);
+                pausedTasks.clear();
                 if (council != null) {
-                    // the first thing that a woken process does may be to take a decision
-                    judge.decides(name, plant == Plant.TIMER_ALONE ? leased : council.holdsLease(),
-                            council.localRules().step(), view, calendar.now());
+                    // a resumed process may take a decision before it does anything else
+                    checker.checkDecision(name, defect == Plant.TIMER_ALONE ? leaseTimerRunning
+                            : council.holdsLease(), council.localRules().step(), view, calendar.now());
                 }
-                all.forEach(Runnable::run);
+                delivered.forEach(Runnable::run);
             }
         }
 
-        private void whenRunning(int inLife, Runnable work) {
-            if (inLife != life) {
+        private void runUnlessPaused(int expectedIncarnation, Runnable work) {
+            if (expectedIncarnation != incarnation) {
                 return;
             }
             if (paused) {
-                held.add(() -> whenRunning(inLife, work));
+                pausedTasks.add(() -> runUnlessPaused(expectedIncarnation, work));
             } else {
                 work.run();
                 if (council != null && members.contains(name)) {
-                    judge.stands(name, council, calendar.now());
+                    checker.checkCommittedRules(name, council, calendar.now());
                 }
             }
         }
 
         @Override
         public long nowMicros() {
-            return offset + (long) (calendar.now() * rate);
+            return clockOffsetMicros + (long) (calendar.now() * clockRate);
         }
 
         @Override
         public void schedule(long micros, Runnable task) {
-            int mine = life;
-            at((long) Math.ceil(micros / rate), () -> whenRunning(mine, task));
+            int scheduledIn = incarnation;
+            runAfter((long) Math.ceil(micros / clockRate), () -> runUnlessPaused(scheduledIn, task));
         }
 
         @Override
         public void send(String to, CouncilFrame frame) {
-            sent++;
-            if (cut.contains(name + ">" + to) || random.nextDouble() < loss) {
+            messagesSent++;
+            if (cutLinks.contains(name + ">" + to) || random.nextDouble() < lossRate) {
                 return;
             }
             byte[] bytes = frame.toByteArray();
-            Host target = byName.get(to);
-            int copies = loss > 0 && random.nextInt(20) == 0 ? 2 : 1;
+            Host target = routersByName.get(to);
+            int copies = lossRate > 0 && random.nextInt(20) == 0 ? 2 : 1;
             for (int i = 0; i < copies; i++) {
-                long late = loss > 0 && random.nextInt(10) == 0 ? random.nextLong(SECOND) : 0;
-                at(LATENCY / 2 + random.nextLong(LATENCY) + late, () -> target.receive(name, bytes));
+                long extraDelay = lossRate > 0 && random.nextInt(10) == 0 ? random.nextLong(SECOND) : 0;
+                runAfter(LATENCY_MICROS / 2 + random.nextLong(LATENCY_MICROS) + extraDelay, () ->
+                        target.receive(name, bytes));
             }
         }
 
@@ -392,7 +424,7 @@
             if (council == null) {
                 return;
             }
-            whenRunning(life, () -> {
+            runUnlessPaused(incarnation, () -> {
                 try {
                     council.receive(from, CouncilFrame.parseFrom(bytes));
                 } catch (InvalidProtocolBufferException e) {
@@ -414,48 +446,49 @@
 
         @Override
         public void leaseExtended(long end) {
-            until = end;
-            leased = true;
-            schedule(Math.max(0, end - nowMicros()), () -> leased = nowMicros() < until);
+            leaseEnd = end;
+            leaseTimerRunning = true;
+            schedule(Math.max(0, end - nowMicros()), () -> leaseTimerRunning = nowMicros() < leaseEnd);
         }
 
         @Override
         public void endpointListOutdated(long newest) {
-            // asked at once, and had
+            // the simulated router fetches the newer list at once
             council.endpointListInUse("list", newest);
             listsCaughtUp++;
         }
 
         @Override
         public void logEvent(String event, Object... fields) {
-            judge.notes(event, name + " " + Arrays.toString(fields), calendar.now());
+            checker.eventLogged(event, name + " " + Arrays.toString(fields), calendar.now());
         }
     }
 
     /**
-     * A disk in memory; where writes are answered before the sync, a crash finds that none has come to it.
+     * A store in memory. With the defect {@link Plant#ACK_BEFORE_SYNC} it acknowledges writes without keeping
+     * them, as if the process always crashed before the sync.
      */
-    private final class Disk implements KeyValueStore {
-        private final TreeMap<String, byte[]> kept = new TreeMap<>();
+    private final class SimulatedStore implements KeyValueStore {
+        private final TreeMap<String, byte[]> records = new TreeMap<>();
         private boolean full;
         private long writes;
 
         @Override
         public SortedMap<String, byte[]> all() {
-            return new TreeMap<>(kept);
+            return new TreeMap<>(records);
         }
 
         @Override
         public long write(Map<String, byte[]> changes) throws StoreException {
             if (full) {
-                throw new StoreException(StoreException.Kind.UNWRITABLE, "no room");
+                throw new StoreException(StoreException.Kind.UNWRITABLE, "disk full");
             }
-            if (plant != Plant.ACK_BEFORE_SYNC) {
+            if (defect != Plant.ACK_BEFORE_SYNC) {
                 changes.forEach((k, v) -> {
                     if (v == null) {
-                        kept.remove(k);
+                        records.remove(k);
                     } else {
-                        kept.put(k, v);
+                        records.put(k, v);
                     }
                 });
             }
@@ -464,7 +497,7 @@
 
         @Override
         public void compactIfLarge(int mostMillis) {
-            // takes no room
+            // nothing to compact in memory
         }
 
         @Override
@@ -474,7 +507,7 @@
 
         @Override
         public void close() {
-            // stays
+            // the records outlive the process
         }
     }
 }
--- a/src/main/java/yewdock/verification/DeploymentsProof.java
+++ b/src/main/java/yewdock/verification/DeploymentsProof.java
@@ -7,67 +7,76 @@
 import java.util.function.Consumer;
 import yewdock.core.Counters;
 
-/** Plays many drawn deployments, sums them up by what they allow, and plants faults for the judge to find. */
+/**
+ * Runs many random deployments and reports the sums by what their settings allow. Also injects each kind of
+ * fault to verify that the checks detect it.
+ */
 public final class DeploymentsProof {
-    private final Consumer<String> say;
+    private final Consumer<String> output;
 
-    public DeploymentsProof(Consumer<String> say) {
-        this.say = say;
+    /** Takes the consumer of the report lines. */
+    public DeploymentsProof(Consumer<String> output) {
+        this.output = output;
     }
 
-    /** What deployments of one sort came to. */
-    private static final class Sum {
-        private int played;
-        private int broken;
-        private long taken;
+    /** The sums over deployments of one kind. */
+    private static final class Totals {
+        private int runs;
+        private int runsWithViolations;
+        private long accepted;
         private long served;
-        private long copies;
+        private long hedgedAttempts;
     }
 
-    /** Plays seeds 1 to so many, and each fault over them until it is found; returns what went wrong. */
+    /**
+     * Runs seeds 1 to {@code seeds}, then each fault over the same seeds until it is detected.
+     *
+     * @return the violations, and the faults that were not detected
+     */
     public List<String> run(int seeds) {
-        List<String> wrong = new ArrayList<>();
-        TreeMap<String, Sum> sums = new TreeMap<>();
+        List<String> problems = new ArrayList<>();
+        TreeMap<String, Totals> totalsByKind = new TreeMap<>();
         for (long seed = 1; seed <= seeds; seed++) {
-            DeploymentSim sim = new DeploymentSim(seed, DeploymentSim.Plant.NONE);
-            List<String> broken = sim.run();
-            DrawnDeployment deployment = DrawnDeployment.of(seed);
+            DeploymentSimulation sim = new DeploymentSimulation(seed,
+                    DeploymentSimulation.InjectedFault.NONE);
+            List<String> violations = sim.run();
+            RandomDeployment deployment = RandomDeployment.fromSeed(seed);
             Counters counters = sim.counters();
-            Sum sum = sums.computeIfAbsent((deployment.settings().pullsEndpointList() ? "asked" : "pushed")
-                    + ", "
-                    + (deployment.settings().limits().allowsHedging() ? "copies" : "one try at a time"),
-                    k -> new Sum());
-            sum.played++;
-            sum.broken += broken.isEmpty() ? 0 : 1;
-            sum.taken += counters.get("requests.taken");
-            sum.served += counters.get("answers.served");
-            sum.copies += counters.get("tries.copies");
-            for (String line : broken.subList(0, Math.min(3, broken.size()))) {
-                wrong.add("seed " + seed + " (" + deployment.words() + "): " + line);
+            Totals totals = totalsByKind.computeIfAbsent(
+                    (deployment.settings().pullsEndpointList() ? "pull" : "push")
+                    + ", " + (deployment.settings().limits().allowsHedging() ? "hedging" : "no hedging"),
+                    k -> new Totals());
+            totals.runs++;
+            totals.runsWithViolations += violations.isEmpty() ? 0 : 1;
+            totals.accepted += counters.get("requests.taken");
+            totals.served += counters.get("answers.served");
+            totals.hedgedAttempts += counters.get("tries.copies");
+            for (String violation : violations.subList(0, Math.min(3, violations.size()))) {
+                problems.add("seed " + seed + " (" + deployment.summary() + "): " + violation);
             }
         }
-        say.accept("| deployments | played | with a broken rule | requests | served | copies |");
-        say.accept("| --- | --- | --- | --- | --- | --- |");
-        sums.forEach((name, s) -> say.accept(String.format(Locale.ROOT, "| %s | %d | %d | %d | %.3f | %d |",
-                name, s.played, s.broken, s.taken,
-                (double) s.served / Math.max(1, s.taken), s.copies)));
-        for (DeploymentSim.Plant plant : DeploymentSim.Plant.values()) {
-            if (plant != DeploymentSim.Plant.NONE) {
-                long found = foundAt(plant, seeds);
-                say.accept("planted " + plant + ": "
-                        + (found > 0 ? "found at seed " + found : "NOT FOUND"));
-                if (found == 0) {
-                    wrong.add("the judge does not find " + plant);
+        output.accept("| deployments | runs | runs with violations | requests | served | hedged attempts |");
+        output.accept("| --- | --- | --- | --- | --- | --- |");
+        totalsByKind.forEach((kind, sum) -> output.accept(String.format(Locale.ROOT,
+                "| %s | %d | %d | %d | %.3f | %d |", kind, sum.runs, sum.runsWithViolations, sum.accepted,
+                (double) sum.served / Math.max(1, sum.accepted), sum.hedgedAttempts)));
+        for (DeploymentSimulation.InjectedFault fault : DeploymentSimulation.InjectedFault.values()) {
+            if (fault != DeploymentSimulation.InjectedFault.NONE) {
+                long detectedAt = firstDetectingSeed(fault, seeds);
+                output.accept("injected " + fault + ": "
+                        + (detectedAt > 0 ? "detected at seed " + detectedAt : "NOT DETECTED"));
+                if (detectedAt == 0) {
+                    problems.add("the checks do not detect " + fault);
                 }
             }
         }
-        return wrong;
+        return problems;
     }
 
-    /** The first seed at which the judge finds a planted fault; 0 if it finds it nowhere. */
-    public static long foundAt(DeploymentSim.Plant plant, int seeds) {
+    /** The first seed at which the checks detect an injected fault, or 0 if none does. */
+    public static long firstDetectingSeed(DeploymentSimulation.InjectedFault fault, int seeds) {
         for (long seed = 1; seed <= seeds; seed++) {
-            if (!new DeploymentSim(seed, plant).run().isEmpty()) {
+            if (!new DeploymentSimulation(seed, fault).run().isEmpty()) {
                 return seed;
             }
         }
--- a/src/main/java/yewdock/verification/Instance.java
+++ b/src/main/java/yewdock/verification/Instance.java
@@ -12,12 +12,15 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 
-/** A router's process as the platform starts it, with a door for operators; several make one router. */
+/**
+ * A router process started with {@code serve}, as the platform starts it, with an address for operator
+ * commands. Several of them in succession form one router.
+ */
 public final class Instance implements Closeable {
-    private static final long PATIENCE_MILLIS = 30_000;
-    private static final int CALL_MILLIS = 5_000;
-    private static final String LISTENS = "listens on /";
-    private static final String CALLED = "operators call /";
+    private static final long WAIT_MILLIS = 30_000;
+    private static final int COMMAND_TIMEOUT_MILLIS = 5_000;
+    private static final String LISTEN_MESSAGE = "listens on /";
+    private static final String OPERATOR_LISTEN_MESSAGE = "operators call /";
 
     private final Process process;
     private final ProcessLog log;
@@ -29,76 +32,86 @@
     }
 
     /**
-     * Starts a process with this main class and its words, and with its files in this folder; the
-     * configuration has an address of its own for operators.
+     * Starts a process.
+     *
+     * @param mainAndArguments the main class, followed by its arguments
+     * @param folder holds the files of the process
+     * @param configuration the platform's configuration, with an address for operators
      */
-    public static Instance start(List<String> main, Path folder, String configuration) throws IOException {
+    public static Instance start(List<String> mainAndArguments, Path folder, String configuration)
+            throws IOException {
         Path config = Files.writeString(Files.createTempFile(folder, "config", ".json"), configuration);
         List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin",
                 "java").toString(), "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx64m", "-cp",
                 System.getProperty("java.class.path")));
-        command.addAll(main);
+        command.addAll(mainAndArguments);
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().put("PROXY_CONFIG", config.toString());
         builder.environment().put("TMPDIR", Files.createDirectories(folder.resolve("tmp")).toString());
         return new Instance(builder.start());
     }
 
-    /** Where it listens for clients, once it does. */
+    /** The client address; waits until the process listens on it. */
     public InetSocketAddress address() throws IOException {
-        return said(LISTENS);
+        return awaitAddress(LISTEN_MESSAGE);
     }
 
-    private InetSocketAddress said(String words) throws IOException {
-        String line = await(l -> l.contains(words));
+    private InetSocketAddress awaitAddress(String message) throws IOException {
+        String line = await(l -> l.contains(message));
         if (line == null) {
-            throw new IOException("the process did not come so far:\n" + log());
+            throw new IOException("the process did not log its address:\n" + log());
         }
-        return ProcessLog.address(line.substring(line.indexOf(words) + words.length()));
+        return ProcessLog.parseAddress(line.substring(line.indexOf(message) + message.length()));
     }
 
-    /** What a call at its door brings. */
+    /** Sends an operator command and returns the whole answer. */
     public String call(String line) throws IOException {
-        InetSocketAddress at = said(CALLED);
+        InetSocketAddress at = awaitAddress(OPERATOR_LISTEN_MESSAGE);
         try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
-            socket.setSoTimeout(CALL_MILLIS);
+            socket.setSoTimeout(COMMAND_TIMEOUT_MILLIS);
             socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         }
     }
 
-    /** Waits until it says that it is ready; returns how long after its start, in nanoseconds. */
+    /** Waits until the process reports ready; returns the time since its start, in nanoseconds. */
     public long ready() throws IOException {
-        long began = System.nanoTime();
-        while (System.nanoTime() - began < TimeUnit.MILLISECONDS.toNanos(PATIENCE_MILLIS)) {
+        long waitStart = System.nanoTime();
+        while (System.nanoTime() - waitStart < TimeUnit.MILLISECONDS.toNanos(WAIT_MILLIS)) {
             if (call("health").startsWith("YES")) {
                 return System.nanoTime() - startedAt;
             }
             Thread.onSpinWait();
         }
-        throw new IOException("never ready:\n" + log());
+        throw new IOException("the process did not become ready:\n" + log());
     }
 
-    /** When it was started, by the system's monotonic clock. */
+    /** The start time, in nanoseconds as by {@link System#nanoTime}. */
     public long startedAt() {
         return startedAt;
     }
 
-    /** Waits for a line of the log, also one that has come before; null if it ends without it. */
+    /**
+     * Waits for a matching log line, also among those already written.
+     *
+     * @return the line, or null if the process ends or the wait times out without one
+     */
     public String await(Predicate<String> wanted) {
-        return log.await(wanted, PATIENCE_MILLIS);
+        return log.await(wanted, WAIT_MILLIS);
     }
 
+    /** All log lines so far. */
     public String log() {
         return log.text();
     }
 
+    /** The handle of the process. */
     public ProcessHandle process() {
         return process.toHandle();
     }
 
-    /** What it holds in memory, in kilobytes; 0 if it is gone. */
-    public long resident() {
+    /** Resident memory in kilobytes, or 0 if the process has ended. */
+    public long residentKilobytes() {
         try {
             return Files.readAllLines(Path.of("/proc", Long.toString(process.pid()), "status")).stream()
                     .filter(l -> l.startsWith("VmRSS:"))
@@ -108,27 +121,27 @@
         }
     }
 
-    /** SIGTERM. */
+    /** Sends SIGTERM. */
     public void leave() {
         process.destroy();
     }
 
-    /** Whether it has ended by itself, waiting for that. */
+    /** Waits for the process to end; returns false if it does not in time. */
     public boolean ended() {
         try {
-            return process.waitFor(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+            return process.waitFor(WAIT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return false;
         }
     }
 
-    /** The exit code of a process that has ended. */
+    /** The exit code; the process must have ended. */
     public int exit() {
         return process.exitValue();
     }
 
-    /** SIGKILL. */
+    /** Kills the process and waits until it has ended. */
     @Override
     public void close() {
         process.destroyForcibly();
--- a/src/main/java/yewdock/verification/ProcessLog.java
+++ b/src/main/java/yewdock/verification/ProcessLog.java
@@ -9,27 +9,27 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 
-/** What a process that was started says, line by line as it comes. Thread-safe. */
+/** The output of a started process, collected line by line. Thread-safe. */
 final class ProcessLog {
     private final Process process;
     private final List<String> lines = new ArrayList<>();
 
-    /** Reads all that the process says; each line goes to this consumer too, on a thread of its own. */
-    ProcessLog(Process process, Consumer<String> each) {
+    /** Starts a thread that reads all output of the process and passes each line to the consumer. */
+    ProcessLog(Process process, Consumer<String> onLine) {
         this.process = process;
-        Thread reader = new Thread(() -> read(each), "log");
+        Thread reader = new Thread(() -> read(onLine), "log");
         reader.setDaemon(true);
         reader.start();
     }
 
-    private void read(Consumer<String> each) {
+    private void read(Consumer<String> onLine) {
         try (BufferedReader reader = process.inputReader()) {
             for (String line = reader.readLine(); line != null; line = reader.readLine()) {
                 synchronized (lines) {
                     lines.add(line);
                     lines.notifyAll();
                 }
-                each.accept(line);
+                onLine.accept(line);
             }
         } catch (IOException e) {
             // the process has ended
@@ -39,23 +39,28 @@
         }
     }
 
-    /** Waits for a line, also one that has come before; null if the process ends without it, or in time. */
+    /**
+     * Waits for a matching line, also among those already read.
+     *
+     * @param millis the timeout in milliseconds
+     * @return the line, or null if the process ends or the timeout passes without one
+     */
     String await(Predicate<String> wanted, long millis) {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
         synchronized (lines) {
-            int seen = 0;
+            int checked = 0;
             while (true) {
-                for (; seen < lines.size(); seen++) {
-                    if (wanted.test(lines.get(seen))) {
-                        return lines.get(seen);
+                for (; checked < lines.size(); checked++) {
+                    if (wanted.test(lines.get(checked))) {
+                        return lines.get(checked);
                     }
                 }
-                long left = (end - System.nanoTime()) / 1_000_000;
-                if (left <= 0 || !process.isAlive() && seen == lines.size()) {
+                long millisLeft = (end - System.nanoTime()) / 1_000_000;
+                if (millisLeft <= 0 || !process.isAlive() && checked == lines.size()) {
                     return null;
                 }
                 try {
-                    lines.wait(Math.min(left, 100));
+                    lines.wait(Math.min(millisLeft, 100));
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                     return null;
@@ -64,15 +69,15 @@
         }
     }
 
-    /** All lines so far. */
+    /** All lines so far, joined by line feeds. */
     String text() {
         synchronized (lines) {
             return String.join("\n", lines);
         }
     }
 
-    /** An address as logs have it. */
-    static InetSocketAddress address(String text) {
+    /** Parses an address in the form of the logs, host:port. */
+    static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
--- a/src/main/java/yewdock/verification/ProcessSignals.java
+++ b/src/main/java/yewdock/verification/ProcessSignals.java
@@ -12,16 +12,16 @@
 /** Sends signals to processes of this machine. */
 public final class ProcessSignals {
     private static final String STOP = "STOP";
-    private static final long LONGEST_WAIT_SECONDS = 10;
-    /** States in which a thread has yet to stop: running, sleeping, in a system call that can't be broken. */
-    private static final String RUNNABLE = "RSD";
+    private static final long STOP_TIMEOUT_SECONDS = 10;
+    /** States of a thread that has not stopped yet: running, sleeping, in uninterruptible sleep. */
+    private static final String RUNNING_STATES = "RSD";
 
     private ProcessSignals() {
     }
 
     /**
-     * Sends the signal of this name, such as STOP, CONT or HUP. After STOP it returns when every thread of
-     * the processes has stopped: each of them does so only when it is next scheduled.
+     * Sends the signal of this name, such as STOP, CONT or HUP. For STOP, returns once every thread of the
+     * processes has stopped, because each thread stops only when it is next scheduled.
      */
     public static void send(String name, List<Long> pids) throws IOException {
         List<String> command = new ArrayList<>(List.of("kill", "-" + name));
@@ -40,11 +40,11 @@
     }
 
     private static void awaitStopped(List<Long> pids) throws IOException, InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LONGEST_WAIT_SECONDS);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(STOP_TIMEOUT_SECONDS);
         for (long pid : pids) {
             while (!isStopped(pid)) {
                 if (System.nanoTime() > end) {
-                    throw new IOException("process " + pid + " does not stop");
+                    throw new IOException("process " + pid + " did not stop after SIGSTOP");
                 }
                 Thread.sleep(1);
             }
@@ -58,7 +58,7 @@
         }
         try (Stream<Path> all = Files.list(threads)) {
             for (Path thread : all.toList()) {
-                if (RUNNABLE.indexOf(state(thread)) >= 0) {
+                if (RUNNING_STATES.indexOf(threadState(thread)) >= 0) {
                     return false;
                 }
             }
@@ -66,8 +66,8 @@
         return true;
     }
 
-    /** The letter of a thread's state; a thread that has ended counts as stopped. */
-    private static char state(Path thread) throws IOException {
+    /** The state letter of a thread; a thread that has ended counts as stopped. */
+    private static char threadState(Path thread) throws IOException {
         try (var reader = Files.newBufferedReader(thread.resolve("stat"))) {
             String line = reader.readLine();
             return line.charAt(line.lastIndexOf(')') + 2);
--- a/src/main/java/yewdock/verification/ReplacementProof.java
+++ b/src/main/java/yewdock/verification/ReplacementProof.java
@@ -20,159 +20,174 @@
 import yewdock.upgrade.Stage;
 
 /**
- * Processes that replace one another under load, as the platform does it: a second one beside the first,
- * which is told to leave when the second is ready. Boxes are taken out of use and put back meanwhile, at
- * the door of whichever process serves; clients are sent away and taken back; and a part of the second
- * processes is made to fail.
+ * Replaces router processes under load, as the platform does it: a newer process is started beside the older
+ * one, which is told to terminate when the newer one is ready. Meanwhile an operator cordons and uncordons
+ * servers and quiesces and resumes whichever process serves, and some of the newer processes fail on purpose.
  */
 public final class ReplacementProof {
-    private static final int BOXES = 6;
-    private static final int SLOTS = 64;
-    private static final List<Stage> FAILING = List.of(Stage.CHECK, Stage.STATE, Stage.READY, Stage.SHARE);
+    private static final int SERVERS = 6;
+    private static final int SLOTS_PER_SERVER = 64;
+    private static final List<Stage> FAILING_STAGES = List.of(Stage.CHECK, Stage.STATE, Stage.READY,
+            Stage.SHARE);
     private static final List<Fault> FAULTS = List.of(Fault.EXIT, Fault.KILLED, Fault.HANG, Fault.NONSENSE);
-    private static final int FAIL_EVERY = 4;
+    private static final int FAILURE_INTERVAL = 4;
 
-    private final String main;
+    private final String mainClass;
     private final int replacements;
-    private final double perSecond;
+    private final double requestsPerSecond;
     private final long seed;
-    private final Consumer<String> out;
-    private final List<Rules.Marked> marks = new ArrayList<>();
-    private final List<String> broken = new ArrayList<>();
+    private final Consumer<String> output;
+    private final List<Rules.OperatorDrain> operatorDrains = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
     private final List<Instance> started = new ArrayList<>();
-    private final Map<String, Integer> faults = new LinkedHashMap<>();
-    private final Histogram serves = new Histogram(3);
-    private final Histogram ready = new Histogram(3);
-    private final Histogram memory = new Histogram(3);
-    private String cordoned;
+    private final Map<String, Integer> faultCounts = new LinkedHashMap<>();
+    private final Histogram serveTimes = new Histogram(3);
+    private final Histogram readyTimes = new Histogram(3);
+    private final Histogram memoryKilobytes = new Histogram(3);
+    private String cordonedServer;
     private long cordonedAt;
 
-    /** A proof of so many replacements, a quarter of them failing, under so many requests a second. */
-    public ReplacementProof(String main, int replacements, double perSecond, long seed,
-            Consumer<String> out) {
-        this.main = main;
+    /**
+     * Prepares a run.
+     *
+     * @param mainClass the main class of the router
+     * @param replacements number of replacements, of which every fourth fails on purpose
+     * @param requestsPerSecond request rate of the load
+     * @param seed draws the load and the servers to cordon
+     * @param output receives the report lines
+     */
+    public ReplacementProof(String mainClass, int replacements, double requestsPerSecond, long seed,
+            Consumer<String> output) {
+        this.mainClass = mainClass;
         this.replacements = replacements;
-        this.perSecond = perSecond;
+        this.requestsPerSecond = requestsPerSecond;
         this.seed = seed;
-        this.out = out;
+        this.output = output;
     }
 
-    /** Runs it; returns what was broken, which is nothing if all is well. */
+    /** Runs all replacements; returns the violations, one text each, empty if there are none. */
     public List<String> run() throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("yewdock-proof");
-        try (Fleet fleet = new Fleet(BOXES, SLOTS)) {
+        try (Fleet fleet = new Fleet(SERVERS, SLOTS_PER_SERVER)) {
             Instance serving = start(folder, fleet.withDoor("127.0.0.1:0"));
             InetSocketAddress address = serving.address();
             String config = fleet.withDoor("127.0.0.1:" + address.getPort());
             serving.ready();
-            Load load = new Load(new Load.Plan(address, 48, perSecond, 40, 10, seed), fleet.ledger());
+            Load load = new Load(new Load.Plan(address, 48, requestsPerSecond, 40, 10, seed), fleet.ledger());
             load.start();
             SplittableRandom random = new SplittableRandom(seed);
             for (int i = 0; i < replacements; i++) {
                 cordon(serving, fleet, random);
-                if (i % FAIL_EVERY == FAIL_EVERY - 1) {
-                    fail(serving, folder, config, i / FAIL_EVERY);
+                if (i % FAILURE_INTERVAL == FAILURE_INTERVAL - 1) {
+                    replaceWithFault(serving, folder, config, i / FAILURE_INTERVAL);
                 } else {
                     serving = replace(serving, folder, config);
                 }
                 if (i % 5 == 2) {
-                    sendAway(serving);
+                    quiesceAndResume(serving);
                 }
             }
             load.stop();
             serving.leave();
             check(serving.ended(), "the last process did not end");
-            broken.addAll(Rules.broken(fleet.ledger(), marks));
+            violations.addAll(Rules.broken(fleet.ledger(), operatorDrains));
             report(fleet.ledger());
         } finally {
             started.forEach(Instance::close);
-            UpgradeProof.delete(folder);
+            UpgradeProof.deleteRecursively(folder);
         }
-        return broken;
+        return violations;
     }
 
     private Instance start(Path folder, String config) throws IOException {
-        Instance instance = Instance.start(List.of(main, "serve"), folder, config);
+        Instance instance = Instance.start(List.of(mainClass, "serve"), folder, config);
         started.add(instance);
         return instance;
     }
 
     private void check(boolean holds, String what) {
         if (!holds) {
-            broken.add(what);
+            violations.add(what);
         }
     }
 
-    /** Puts the box that is out of use back, and takes the next one out. */
-    private void cordon(Instance at, Fleet fleet, SplittableRandom random) throws IOException {
-        if (cordoned != null) {
-            marks.add(new Rules.Marked(cordoned, cordonedAt, System.nanoTime()));
-            check(at.call("uncordon " + cordoned).startsWith("YES "), "no yes to an uncordon");
+    /** Uncordons the server that is cordoned, if any, and cordons a random one. */
+    private void cordon(Instance instance, Fleet fleet, SplittableRandom random) throws IOException {
+        if (cordonedServer != null) {
+            operatorDrains.add(new Rules.OperatorDrain(cordonedServer, cordonedAt, System.nanoTime()));
+            check(instance.call("uncordon " + cordonedServer).startsWith("YES "),
+                    "the uncordon command failed");
         }
-        cordoned = fleet.boxes().get(random.nextInt(BOXES)).name();
-        check(at.call("cordon " + cordoned).startsWith("YES "), "no yes to a cordon");
+        cordonedServer = fleet.boxes().get(random.nextInt(SERVERS)).name();
+        check(instance.call("cordon " + cordonedServer).startsWith("YES "), "the cordon command failed");
         cordonedAt = System.nanoTime();
     }
 
     private Instance replace(Instance older, Path folder, String config) throws IOException {
         Instance newer = start(folder, config);
-        check(newer.await(l -> l.contains("succession.took_over")) != null, "did not take over:\n"
-                + newer.log() + "\nthe older one:\n" + older.log());
-        serves.recordValue((System.nanoTime() - newer.startedAt()) / 1_000);
-        memory.recordValue(older.resident() + newer.resident());
-        ready.recordValue(newer.ready() / 1_000);
+        check(newer.await(l -> l.contains("succession.took_over")) != null,
+                "the newer process did not take over:\n"
+                + newer.log() + "\nthe older process:\n" + older.log());
+        serveTimes.recordValue((System.nanoTime() - newer.startedAt()) / 1_000);
+        memoryKilobytes.recordValue(older.residentKilobytes() + newer.residentKilobytes());
+        readyTimes.recordValue(newer.ready() / 1_000);
         older.leave();
         check(older.ended(), "the older process did not end:\n" + older.log());
         check(!(older.log() + newer.log()).contains("fault"), "a fault in the log");
         return newer;
     }
 
-    private void fail(Instance older, Path folder, String config, int number) throws IOException {
-        Stage stage = FAILING.get(number % FAILING.size());
-        Fault fault = FAULTS.get(number / FAILING.size() % FAULTS.size());
-        // nonsense needs a link that is up, and one that hangs before it has one asks nothing of the older
-        Fault made = stage == Stage.CHECK && (fault == Fault.NONSENSE || fault == Fault.HANG)
+    private void replaceWithFault(Instance older, Path folder, String config, int index) throws IOException {
+        Stage stage = FAILING_STAGES.get(index % FAILING_STAGES.size());
+        Fault fault = FAULTS.get(index / FAILING_STAGES.size() % FAULTS.size());
+        // a process that fails in the check stage is not connected to the older one yet: it can send nothing
+        // invalid, and if it hangs the older one does not notice
+        Fault injected = stage == Stage.CHECK && (fault == Fault.NONSENSE || fault == Fault.HANG)
                 ? Fault.EXIT : fault;
-        faults.merge(stage + " " + made, 1, Integer::sum);
+        faultCounts.merge(stage + " " + injected, 1, Integer::sum);
         try (Instance newer = Instance.start(List.of(FaultySuccession.class.getName(), stage.name(),
-                made.name()), folder, config)) {
-            if (made == Fault.EXIT || made == Fault.KILLED) {
-                check(newer.ended(), "one that fails has not ended");
+                injected.name()), folder, config)) {
+            if (injected == Fault.EXIT || injected == Fault.KILLED) {
+                check(newer.ended(), "a newer process that fails did not end");
             } else {
-                check(older.await(l -> l.contains("succession.newer ")) != null, "nobody came");
+                check(older.await(l -> l.contains("succession.newer ")) != null,
+                        "the newer process did not connect");
                 if (stage == Stage.SHARE) {
                     check(older.await(l -> l.contains("succession.newer_gone")) != null,
-                            "one that hangs with the ids was not given up:\n" + older.log());
+                            "the older process did not give up a newer one that hangs in the share stage:\n"
+                            + older.log());
                 }
             }
         }
-        check(older.call("health").startsWith("YES "), "the older one does not serve on after " + stage + ' '
-                + made + ":\n" + older.log());
+        check(older.call("health").startsWith("YES "),
+                "the older process does not serve any more after " + stage + ' '
+                + injected + ":\n" + older.log());
     }
 
-    /** Clients are sent away, and come back. */
-    private void sendAway(Instance at) throws IOException {
-        check(at.call("quiesce").startsWith("YES "), "no yes to a quiesce");
-        check(at.call("health").startsWith("NO "), "ready though it sends clients away");
-        check(at.call("resume").startsWith("YES "), "no yes to a resume");
-        check(at.call("health").startsWith("YES "), "not ready though it takes clients");
+    /** Quiesces the process and resumes it, and checks the health that it reports. */
+    private void quiesceAndResume(Instance instance) throws IOException {
+        check(instance.call("quiesce").startsWith("YES "), "the quiesce command failed");
+        check(instance.call("health").startsWith("NO "), "ready though it is quiesced");
+        check(instance.call("resume").startsWith("YES "), "the resume command failed");
+        check(instance.call("health").startsWith("YES "), "not ready though it is resumed");
     }
 
     private void report(Ledger ledger) {
-        out.accept("replacements " + replacements + ", of them made to fail "
-                + faults.values().stream().mapToInt(Integer::intValue).sum() + " " + faults);
-        out.accept(Load.summary(ledger.atClients()));
+        output.accept("replacements " + replacements + ", of them failing on purpose "
+                + faultCounts.values().stream().mapToInt(Integer::intValue).sum() + " " + faultCounts);
+        output.accept(Load.summary(ledger.atClients()));
         for (Ledger.End end : Ledger.End.values()) {
-            out.accept("ended " + end.name().toLowerCase(Locale.ROOT) + ": " + Rules.count(ledger, end));
+            output.accept("ended " + end.name().toLowerCase(Locale.ROOT) + ": " + Rules.count(ledger, end));
         }
-        line("serves after, ms", serves);
-        line("says that it is ready after, ms", ready);
-        line("memory of both, MB", memory);
-        out.accept("broken rules: " + broken.size());
+        reportHistogram("start to serving, ms", serveTimes);
+        reportHistogram("start to ready, ms", readyTimes);
+        reportHistogram("memory of both processes, MB", memoryKilobytes);
+        output.accept("broken rules: " + violations.size());
     }
 
-    private void line(String what, Histogram h) {
-        out.accept(String.format(Locale.ROOT, "%s: least %.1f, p50 %.1f, most %.1f", what,
-                h.getMinValue() / 1e3, h.getValueAtPercentile(50) / 1e3, h.getMaxValue() / 1e3));
+    private void reportHistogram(String what, Histogram histogram) {
+        output.accept(String.format(Locale.ROOT, "%s: min %.1f, p50 %.1f, max %.1f", what,
+                histogram.getMinValue() / 1e3, histogram.getValueAtPercentile(50) / 1e3,
+                histogram.getMaxValue() / 1e3));
     }
 }
--- a/src/main/java/yewdock/verification/Router.java
+++ b/src/main/java/yewdock/verification/Router.java
@@ -12,11 +12,11 @@
 import java.util.function.Predicate;
 import yewdock.daemon.OperatorClient;
 
-/** A daemon in a process of its own, with its log, for proofs and tests. */
+/** A daemon running as a process, with its log and its operator commands. */
 public final class Router implements Closeable {
-    private static final long ANSWER_MILLIS = 60_000;
-    private static final long END_SECONDS = 30;
-    private static final int TERMINATED = 128 + 15;
+    private static final long RESPONSE_TIMEOUT_MILLIS = 60_000;
+    private static final long EXIT_TIMEOUT_SECONDS = 30;
+    private static final int SIGTERM_EXIT_CODE = 128 + 15;
 
     private final Path folder;
     private final Process process;
@@ -26,71 +26,80 @@
     private Router(Path folder, Process process) {
         this.folder = folder;
         this.process = process;
-        this.log = new ProcessLog(process, this::listens);
+        this.log = new ProcessLog(process, this::parseListenAddress);
     }
 
     /**
-     * Starts a daemon, whose program has this main class, with its files in this folder, the platform's
-     * configuration as given, and the words of an upgrade block; returns once it listens and its first
-     * generation serves.
+     * Starts a daemon; returns once it listens and its first generation serves.
+     *
+     * @param mainClass the main class of the daemon
+     * @param folder holds the files of the daemon
+     * @param configuration the platform's configuration
+     * @param upgradeBlock the content of the upgrade block in the operator's settings file
      */
-    public static Router start(String main, Path folder, String configuration,
+    public static Router start(String mainClass, Path folder, String configuration,
             String upgradeBlock) throws IOException {
-        return start(main, folder, configuration, upgradeBlock, "");
+        return start(mainClass, folder, configuration, upgradeBlock, "");
     }
 
-    /** The same with more blocks in the operator's file. */
-    public static Router start(String main, Path folder, String configuration, String upgradeBlock,
-            String more) throws IOException {
-        Router router = launch(main, folder, configuration, upgradeBlock, more);
+    /** Starts a daemon as above, with more blocks in the operator's settings file. */
+    public static Router start(String mainClass, Path folder, String configuration, String upgradeBlock,
+            String moreBlocks) throws IOException {
+        Router router = launch(mainClass, folder, configuration, upgradeBlock, moreBlocks);
         if (router.await(line -> line.contains("upgrade.done")) == null) {
-            throw new IOException("the daemon did not come up:\n" + router.log());
+            throw new IOException("the daemon did not start serving:\n" + router.log());
         }
         return router;
     }
 
-    /** The same, but returns at once. */
-    public static Router launch(String main, Path folder, String configuration, String upgradeBlock,
-            String more) throws IOException {
+    /** Starts a daemon as above, but returns at once. */
+    public static Router launch(String mainClass, Path folder, String configuration, String upgradeBlock,
+            String moreBlocks) throws IOException {
         Path config = Files.writeString(folder.resolve("config.json"), configuration);
         Path operator = Files.writeString(folder.resolve("operator.hcl"), "daemon {\n  config = \"" + config
                 + "\"\n  control = \"" + folder.resolve("run")
-                        + "\"\n}\nupgrade {\n" + upgradeBlock + "\n}\n" + more);
-        // whoever runs the proof may ignore SIGHUP, and a daemon would inherit that
+                        + "\"\n}\nupgrade {\n" + upgradeBlock + "\n}\n" + moreBlocks);
+        // the calling process may ignore SIGHUP, and the daemon would inherit that
         Process process = new ProcessBuilder("env", "--default-signal=HUP,TERM",
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx32m", "-cp",
-                System.getProperty("java.class.path"), main, "daemon", "--settings",
+                System.getProperty("java.class.path"), mainClass, "daemon", "--settings",
                 operator.toString()).redirectErrorStream(true).start();
         return new Router(folder, process);
     }
 
-    private void listens(String line) {
+    private void parseListenAddress(String line) {
         int at = line.indexOf("keeper.listens address=/");
         if (at >= 0) {
-            address.complete(ProcessLog.address(line.substring(at + 24).split(" ")[0]));
+            address.complete(ProcessLog.parseAddress(line.substring(at + 24).split(" ")[0]));
         }
     }
 
-    /** Waits for a line of the log, also one that has come before; null if the daemon ends without it. */
+    /**
+     * Waits for a matching log line, also among those already written.
+     *
+     * @return the line, or null if the daemon ends or the wait times out without one
+     */
     public String await(Predicate<String> wanted) {
-        return log.await(wanted, ANSWER_MILLIS);
+        return log.await(wanted, RESPONSE_TIMEOUT_MILLIS);
     }
 
-    /** All lines so far. */
+    /** All log lines so far. */
     public String log() {
         return log.text();
     }
 
+    /** The client address; waits until the daemon listens on it. */
     public InetSocketAddress address() {
         return address.join();
     }
 
+    /** The folder with the daemon's files. */
     public Path folder() {
         return folder;
     }
 
-    /** The keeper's process. */
+    /** The daemon's own process. */
     public ProcessHandle process() {
         return process.toHandle();
     }
@@ -100,40 +109,43 @@
         return process.toHandle().children().sorted((a, b) -> Long.compare(a.pid(), b.pid())).toList();
     }
 
-    /** What an operator's command brings: its lines, and last its exit code. */
-    public Said ask(String command, List<String> words) throws IOException {
+    /** Sends an operator command with its arguments and returns its output and exit code. */
+    public Said ask(String command, List<String> arguments) throws IOException {
         List<String> lines = new ArrayList<>();
-        int exit = OperatorClient.sendCommand(folder.resolve("run"), command, words, ANSWER_MILLIS,
-                lines::add);
+        int exit = OperatorClient.sendCommand(folder.resolve("run"), command, arguments,
+                RESPONSE_TIMEOUT_MILLIS, lines::add);
         return new Said(String.join("\n", lines), exit);
     }
 
-    /** Lines and exit code of a command. */
+    /** The output and the exit code of an operator command. */
     public record Said(String lines, int exit) {
     }
 
-    /** SIGTERM; tells whether it ended by itself and in time, as a JVM does after that signal. */
+    /**
+     * Sends SIGTERM; returns whether the daemon ended in time with the exit code of a JVM after that signal.
+     */
     public boolean leave() {
         process.destroy();
         try {
-            return process.waitFor(END_SECONDS, TimeUnit.SECONDS) && process.exitValue() == TERMINATED;
+            return process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)
+                    && process.exitValue() == SIGTERM_EXIT_CODE;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return false;
         }
     }
 
-    /** How it ended by itself, waiting for that; -1 if it did not in time. */
+    /** Waits for the daemon to end and returns its exit code, or -1 if it does not end in time. */
     public int exit() {
         try {
-            return process.waitFor(END_SECONDS, TimeUnit.SECONDS) ? process.exitValue() : -1;
+            return process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS) ? process.exitValue() : -1;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return -1;
         }
     }
 
-    /** Ends it and its generations at once, by SIGKILL. */
+    /** Kills the daemon and its generations and waits until they have ended. */
     @Override
     public void close() {
         List<ProcessHandle> all = new ArrayList<>(process.descendants().toList());
@@ -141,7 +153,7 @@
         all.forEach(ProcessHandle::destroyForcibly);
         all.add(process.toHandle());
         for (ProcessHandle each : all) {
-            // one that has ended and that nobody has waited for yet has no command any more
+            // a zombie counts as alive but has no command any more
             while (each.isAlive() && each.info().command().isPresent()) {
                 Thread.onSpinWait();
             }
--- a/src/main/java/yewdock/verification/Rules.java
+++ b/src/main/java/yewdock/verification/Rules.java
@@ -13,142 +13,159 @@
 import yewdock.testbed.Ledger.End;
 import yewdock.testbed.Ledger.Told;
 
-/** Judges a run by the stand-ins' own records: each broken rule is one line. */
+/** Checks a run against the rules of the platform, by the records of the stand-in servers and clients. */
 public final class Rules {
     /**
-     * Nothing new to a box later than this after the router was told that it drains; 50 ms as on the bench.
+     * A server gets no new attempt later than this after the router was told that it drains: the platform's
+     * grace of one second, and the same 50 ms of tolerance as on the bench.
      */
-    static final long DRAIN_GRACE = 1_050_000_000L;
+    static final long DRAIN_GRACE_NANOS = 1_050_000_000L;
 
-    private static final long SHOWN = 6_000_000_000L;
+    /** Messages show the states of a server this long before and after the violation. */
+    private static final long SHOWN_RANGE_NANOS = 6_000_000_000L;
 
     private Rules() {
     }
 
-    /** All that a run broke. */
+    /** All violations of a run, one line each. */
     public static List<String> broken(Ledger ledger) {
-        List<String> broken = new ArrayList<>();
-        answers(ledger.atClients(), broken);
-        twice(ledger.atBoxes(), broken);
-        drains(ledger.atBoxes(), ledger.told(), broken);
-        return broken;
+        List<String> violations = new ArrayList<>();
+        checkResponses(ledger.atClients(), violations);
+        checkConcurrentAttempts(ledger.atBoxes(), violations);
+        checkDrains(ledger.atBoxes(), ledger.told(), violations);
+        return violations;
     }
 
-    /** What a run broke in which routers are killed, so that requests are lost with them. */
-    public static List<String> brokenOverKills(Ledger ledger, List<Marked> marks) {
-        List<String> broken = new ArrayList<>();
-        ledger.atClients().stream().filter(a -> a.end() == End.SERVED && !a.exact()).forEach(a ->
-                broken.add("request " + a.id() + ": its stream is not the reference"));
-        drains(ledger.atBoxes(), ledger.told(), broken);
-        marks(ledger.atBoxes(), marks, broken);
-        return broken;
+    /**
+     * The violations of a run in which routers are killed. Requests are lost with them, so only wrong streams
+     * and attempts at drained servers count.
+     */
+    public static List<String> brokenOverKills(Ledger ledger, List<OperatorDrain> operatorDrains) {
+        List<String> violations = new ArrayList<>();
+        ledger.atClients().stream().filter(answer -> answer.end() == End.SERVED && !answer.exact())
+                .forEach(answer ->
+                violations.add("request " + answer.id() + ": its stream differs from the reference"));
+        checkDrains(ledger.atBoxes(), ledger.told(), violations);
+        checkOperatorDrains(ledger.atBoxes(), operatorDrains, violations);
+        return violations;
     }
 
-    /** All that a run broke in which operators took boxes out of use. */
-    public static List<String> broken(Ledger ledger, List<Marked> marks) {
-        List<String> broken = broken(ledger);
-        marks(ledger.atBoxes(), marks, broken);
-        return broken;
+    /** All violations of a run in which operators drained servers. */
+    public static List<String> broken(Ledger ledger, List<OperatorDrain> operatorDrains) {
+        List<String> violations = broken(ledger);
+        checkOperatorDrains(ledger.atBoxes(), operatorDrains, violations);
+        return violations;
     }
 
-    private static void marks(List<AtBox> all, List<Marked> marks, List<String> broken) {
-        for (AtBox a : all) {
-            for (Marked m : marks) {
-                if (m.box().equals(a.box()) && a.began() > m.acknowledged() + DRAIN_GRACE
-                        && a.began() < m.takenBack()) {
-                    broken.add("at " + clock(a.began()) + " request " + a.id() + " came to " + a.box() + " "
-                            + (a.began() - m.acknowledged()) / 1_000_000
-                            + " ms after an operator's drain of it was acknowledged");
+    private static void checkOperatorDrains(List<AtBox> attempts, List<OperatorDrain> operatorDrains,
+            List<String> violations) {
+        for (AtBox attempt : attempts) {
+            for (OperatorDrain drain : operatorDrains) {
+                if (drain.server().equals(attempt.box()) && attempt.began()
+                        > drain.acknowledgedAt() + DRAIN_GRACE_NANOS && attempt.began() < drain.revokedAt()) {
+                    violations.add("at " + wallClock(attempt.began()) + " request " + attempt.id()
+                            + " came to " + attempt.box() + " "
+                            + (attempt.began() - drain.acknowledgedAt()) / 1_000_000
+                            + " ms after an operator's drain of the server was acknowledged");
                 }
             }
         }
     }
 
-    /** An operator's drain: when it was acknowledged, and when it was asked to be taken back, nanoseconds. */
-    public record Marked(String box, long acknowledged, long takenBack) {
+    /**
+     * A drain by an operator. Times are in nanoseconds as by {@link System#nanoTime}.
+     *
+     * @param server the name of the drained server
+     * @param acknowledgedAt when the drain was acknowledged
+     * @param revokedAt when its end was requested, or Long.MAX_VALUE if it lasts
+     */
+    public record OperatorDrain(String server, long acknowledgedAt, long revokedAt) {
     }
 
-    /** One final answer each, streams as they should be, no connection refused or reset. */
-    private static void answers(List<AtClient> all, List<String> broken) {
-        Map<String, Integer> count = new HashMap<>();
-        for (AtClient a : all) {
-            if (count.merge(a.id(), 1, Integer::sum) > 1) {
-                broken.add("request " + a.id() + " has more than one final answer");
+    /**
+     * Each request has one final answer, streams match the reference, and no connection is refused or reset.
+     */
+    private static void checkResponses(List<AtClient> answers, List<String> violations) {
+        Map<String, Integer> answersById = new HashMap<>();
+        for (AtClient answer : answers) {
+            if (answersById.merge(answer.id(), 1, Integer::sum) > 1) {
+                violations.add("request " + answer.id() + " has more than one final answer");
             }
-            switch (a.end()) {
+            switch (answer.end()) {
                 case SERVED -> {
-                    if (!a.exact()) {
-                        broken.add("request " + a.id() + ": its stream is not the reference");
+                    if (!answer.exact()) {
+                        violations.add("request " + answer.id() + ": its stream differs from the reference");
                     }
                 }
                 case REFUSED, FAILED -> {
-                    if (a.status() == 0) {
-                        broken.add("request " + a.id() + ": an answer that can't be read");
+                    if (answer.status() == 0) {
+                        violations.add("request " + answer.id() + ": its answer is unreadable");
                     }
                 }
-                default -> broken.add("request " + a.id() + ": " + a.end());
+                default -> violations.add("request " + answer.id() + ": " + answer.end());
             }
         }
     }
 
-    /** No id at two places at once. */
-    private static void twice(List<AtBox> all, List<String> broken) {
+    /** No request is in flight at two servers at once. */
+    private static void checkConcurrentAttempts(List<AtBox> attempts, List<String> violations) {
         Map<String, List<AtBox>> byId = new HashMap<>();
-        all.forEach(a -> byId.computeIfAbsent(a.id(), id -> new ArrayList<>()).add(a));
-        byId.forEach((id, tries) -> {
-            tries.sort(Comparator.comparingLong(AtBox::began));
-            for (int i = 1; i < tries.size(); i++) {
-                if (tries.get(i).began() < tries.get(i - 1).ended()) {
-                    broken.add("request " + id + " is out twice at once, at " + tries.get(i - 1).box()
-                            + " and "
-                            + tries.get(i).box());
+        attempts.forEach(attempt -> byId.computeIfAbsent(attempt.id(), id -> new ArrayList<>()).add(attempt));
+        byId.forEach((id, attemptsOfId) -> {
+            attemptsOfId.sort(Comparator.comparingLong(AtBox::began));
+            for (int i = 1; i < attemptsOfId.size(); i++) {
+                if (attemptsOfId.get(i).began() < attemptsOfId.get(i - 1).ended()) {
+                    violations.add("request " + id + " is in flight twice at once, at "
+                            + attemptsOfId.get(i - 1).box() + " and " + attemptsOfId.get(i).box());
                 }
             }
         });
     }
 
-    /** A box that drains, as any router process was told, gets nothing new after the grace. */
-    private static void drains(List<AtBox> all, List<Told> told, List<String> broken) {
+    /** After the grace, a server gets no new attempt while it drains, as any router process was told. */
+    private static void checkDrains(List<AtBox> attempts, List<Told> notices, List<String> violations) {
         Map<String, TreeMap<Long, Boolean>> states = new HashMap<>();
-        List<Told> inOrder = new ArrayList<>(told);
+        List<Told> inOrder = new ArrayList<>(notices);
         inOrder.sort(Comparator.comparingLong(Told::at));
-        for (Told t : inOrder) {
-            TreeMap<Long, Boolean> of = states.computeIfAbsent(t.box(), b -> new TreeMap<>());
-            boolean takes = t.state().equals("up");
-            // told again to another process, it still counts from the first telling
-            if (of.isEmpty() || of.lastEntry().getValue() != takes) {
-                of.put(t.at(), takes);
+        for (Told notice : inOrder) {
+            TreeMap<Long, Boolean> statesOfServer = states.computeIfAbsent(notice.box(), name ->
+                    new TreeMap<>());
+            boolean isUp = notice.state().equals("up");
+            // a repeated notice to another process does not restart the grace
+            if (statesOfServer.isEmpty() || statesOfServer.lastEntry().getValue() != isUp) {
+                statesOfServer.put(notice.at(), isUp);
             }
         }
-        for (AtBox a : all) {
-            Map.Entry<Long, Boolean> state = states.getOrDefault(a.box(), new TreeMap<>())
-                    .floorEntry(a.began());
-            if (state != null && !state.getValue() && a.began() > state.getKey() + DRAIN_GRACE) {
-                broken.add("at " + clock(a.began()) + " request " + a.id() + " came to " + a.box() + " "
-                        + (a.began() - state.getKey()) / 1_000_000 + " ms after its drain was told; "
-                        + around(a, inOrder));
+        for (AtBox attempt : attempts) {
+            Map.Entry<Long, Boolean> state = states.getOrDefault(attempt.box(), new TreeMap<>())
+                    .floorEntry(attempt.began());
+            if (state != null && !state.getValue() && attempt.began() > state.getKey() + DRAIN_GRACE_NANOS) {
+                violations.add("at " + wallClock(attempt.began()) + " request " + attempt.id() + " came to "
+                        + attempt.box() + " " + (attempt.began() - state.getKey()) / 1_000_000
+                        + " ms after the server's drain was told; " + statesAround(attempt, inOrder));
             }
         }
     }
 
-    private static LocalTime clock(long nanos) {
+    private static LocalTime wallClock(long nanos) {
         return LocalTime.now().minusNanos(System.nanoTime() - nanos);
     }
 
-    /** What was told of a request's box around the time at which it came, in milliseconds from then. */
-    private static String around(AtBox a, List<Told> told) {
-        StringBuilder all = new StringBuilder("told");
-        for (Told t : told) {
-            if (t.box().equals(a.box()) && Math.abs(t.at() - a.began()) < SHOWN) {
-                all.append(' ').append((t.at() - a.began()) / 1_000_000).append(':').append(t.state())
-                        .append("->").append(t.connection());
+    /** The states told of an attempt's server around its arrival, in milliseconds from then. */
+    private static String statesAround(AtBox attempt, List<Told> notices) {
+        StringBuilder text = new StringBuilder("told");
+        for (Told notice : notices) {
+            if (notice.box().equals(attempt.box()) && Math.abs(
+                    notice.at() - attempt.began()) < SHOWN_RANGE_NANOS) {
+                text.append(' ').append((notice.at() - attempt.began()) / 1_000_000).append(':')
+                        .append(notice.state()).append("->").append(notice.connection());
             }
         }
-        return all.toString();
+        return text.toString();
     }
 
-    /** How many of the requests ended in this way. */
+    /** Number of requests that ended in this way. */
     public static long count(Ledger ledger, End end) {
-        return ledger.atClients().stream().filter(a -> a.end() == end).count();
+        return ledger.atClients().stream().filter(answer -> answer.end() == end).count();
     }
 }
--- a/src/main/java/yewdock/verification/StoreCost.java
+++ b/src/main/java/yewdock/verification/StoreCost.java
@@ -27,85 +27,99 @@
 import yewdock.wire.Kept;
 
 /**
- * What the store costs: the same load on a daemon without one, with one, and with one and a peer that takes a
- * connection and never reads; by turns, so that a noisy machine is noisy for all. And how long a start takes
- * with many records and with none.
+ * Measures the cost of the store: the same load on a daemon without a store, with one, with one and a peer
+ * that accepts a connection and never reads, and with one and a peer that floods it. The setups take turns,
+ * so that noise on the machine affects all of them. Also measures how long a daemon takes to start with many
+ * records and with none.
  */
 public final class StoreCost {
-    /** Each setup in turn, by its name. */
+    /** The names of all setups. */
     public static final List<String> SETUPS = List.of("off", "on", "on, a peer hangs", "on, a peer floods");
-    private static final int STARTS = 5;
+    private static final int STARTS_PER_STORE = 5;
     private static final int RECORDS = 10_000;
     private static final int CONNECTIONS = 64;
-    private static final double PER_SECOND = 600;
-    private static final long WARM_MILLIS = 4_000;
-    private static final double NANOS_A_MILLI = 1e6;
-    /** Bytes a second that the flooding peer has to give. */
-    private static final double FLOOD = 10e6;
+    private static final double REQUESTS_PER_SECOND = 600;
+    private static final long WARM_UP_MILLIS = 4_000;
+    private static final double NANOS_PER_MILLI = 1e6;
+    /** Rate at which the flooding peer offers data. */
+    private static final double FLOOD_BYTES_PER_SECOND = 10e6;
 
-    private final String main;
+    private final String mainClass;
     private final List<String> setups;
     private final int rounds;
     private final int seconds;
     private final long seed;
-    private final Consumer<String> out;
+    private final Consumer<String> output;
 
-    /** The cost of these setups, so many times each, so many seconds at a time. */
-    public StoreCost(String main, List<String> setups, int rounds, int seconds, long seed,
-            Consumer<String> out) {
-        this.main = main;
+    /**
+     * Prepares a run.
+     *
+     * @param mainClass the main class of the daemon
+     * @param setups some of {@link #SETUPS}; must include "off", to which the others are compared
+     * @param rounds how often each setup is measured
+     * @param seconds how long each measurement takes
+     * @param seed draws the load
+     * @param output receives the report lines
+     */
+    public StoreCost(String mainClass, List<String> setups, int rounds, int seconds, long seed,
+            Consumer<String> output) {
+        this.mainClass = mainClass;
         this.setups = List.copyOf(setups);
         this.rounds = rounds;
         this.seconds = seconds;
         this.seed = seed;
-        this.out = out;
+        this.output = output;
     }
 
-    private record Cost(double perSecond, double cpuMicros, double keeperMicros, double p50, double p99,
-            long keeperMegabytes) {
+    /** One measurement; CPU times are per request, first-token times in milliseconds. */
+    private record Measurement(double requestsPerSecond, double cpuMicros, double daemonMicros,
+            double firstTokenP50Millis, double firstTokenP99Millis, long daemonMegabytes) {
     }
 
-    /** Runs it; returns what was broken. */
+    /** Runs all measurements; returns the violations, one line each. */
     public List<String> run() throws IOException, InterruptedException, StoreException {
-        List<String> broken = new ArrayList<>();
+        List<String> violations = new ArrayList<>();
         Path folder = Files.createTempDirectory("yewdock-store-cost");
-        Map<String, List<Cost>> costs = new TreeMap<>();
-        // a listener that never accepts: the system takes the connection, nobody reads it
-        try (ServerSocket hangs = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-                FloodingPeer floods = new FloodingPeer("b", "a", FLOOD)) {
+        Map<String, List<Measurement>> measurements = new TreeMap<>();
+        // a listener that never accepts: the kernel completes the connection, and nothing reads from it
+        try (ServerSocket hangingPeer = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+                FloodingPeer floodingPeer = new FloodingPeer("b", "a", FLOOD_BYTES_PER_SECOND)) {
             for (int round = 0; round < rounds; round++) {
-                // by turns in turn: what comes first in a round must not always be the same
-                List<String> inTurn = new ArrayList<>(setups);
-                Collections.rotate(inTurn, round);
-                for (String setup : inTurn) {
-                    costs.computeIfAbsent(setup, s -> new ArrayList<>()).add(
-                            one(setup, folder.resolve(setup.replaceAll("\\W+", "-") + round),
-                                    setup.endsWith("floods") ? floods.port() : hangs.getLocalPort(),
-                                    broken));
+                // rotate the order, so that no setup is always first in its round
+                List<String> rotated = new ArrayList<>(setups);
+                Collections.rotate(rotated, round);
+                for (String setup : rotated) {
+                    measurements.computeIfAbsent(setup, s -> new ArrayList<>()).add(
+                            measure(setup, folder.resolve(setup.replaceAll("\\W+", "-") + round),
+                                    setup.endsWith("floods") ? floodingPeer.port()
+                                    : hangingPeer.getLocalPort(), violations));
                 }
             }
-            out.accept("store | requests/s | CPU us a request, the serving process | the keeper, % of a core"
-                    + " | keeper MB resident | first token ms p50 / p99");
-            double off = median(costs.get("off").stream().mapToDouble(Cost::cpuMicros));
-            costs.forEach((setup, all) -> {
-                double cpu = median(all.stream().mapToDouble(Cost::cpuMicros));
-                double keeper = median(all.stream().mapToDouble(c -> c.keeperMicros * c.perSecond / 1e4));
-                out.accept(String.format(Locale.ROOT,
+            output.accept("store | requests/s | CPU us per request, serving process | daemon, % of a core"
+                    + " | daemon MB resident | first token ms p50 / p99");
+            double cpuWithoutStore = median(measurements.get("off").stream()
+                    .mapToDouble(Measurement::cpuMicros));
+            measurements.forEach((setup, all) -> {
+                double cpuMicros = median(all.stream().mapToDouble(Measurement::cpuMicros));
+                double daemonPercent = median(all.stream().mapToDouble(measurement ->
+                        measurement.daemonMicros * measurement.requestsPerSecond / 1e4));
+                output.accept(String.format(Locale.ROOT,
                         "%s | %.0f | %.0f (%+.1f%%) | %.2f | %.0f | %.2f / %.2f", setup,
-                        median(all.stream().mapToDouble(Cost::perSecond)), cpu, (cpu / off - 1) * 100, keeper,
-                        median(all.stream().mapToDouble(Cost::keeperMegabytes)),
-                        median(all.stream().mapToDouble(Cost::p50)),
-                        median(all.stream().mapToDouble(Cost::p99))));
+                        median(all.stream().mapToDouble(Measurement::requestsPerSecond)), cpuMicros,
+                        (cpuMicros / cpuWithoutStore - 1) * 100, daemonPercent,
+                        median(all.stream().mapToDouble(Measurement::daemonMegabytes)),
+                        median(all.stream().mapToDouble(Measurement::firstTokenP50Millis)),
+                        median(all.stream().mapToDouble(Measurement::firstTokenP99Millis))));
             });
-            costs.forEach((setup, all) -> out.accept("CPU us a request by rounds, " + setup + ": "
-                    + all.stream().map(c -> Math.round(c.cpuMicros)).toList()));
-            out.accept("the flooding peer was read at " + floods.written() / 1_000_000 / (seconds
-                    + WARM_MILLIS / 1000) + " MB/s, of " + FLOOD / 1e6);
-            starts(folder);
+            measurements.forEach((setup, all) -> output.accept("CPU us per request by round, " + setup + ": "
+                    + all.stream().map(measurement -> Math.round(measurement.cpuMicros)).toList()));
+            output.accept("read from the flooding peer: " + floodingPeer.written() / 1_000_000 / (seconds
+                    + WARM_UP_MILLIS / 1000) + " MB/s of " + FLOOD_BYTES_PER_SECOND / 1e6);
+            measureStarts(folder);
         } finally {
-            UpgradeProof.delete(folder);
+            UpgradeProof.deleteRecursively(folder);
         }
-        return broken;
+        return violations;
     }
 
     private static double median(java.util.stream.DoubleStream all) {
@@ -113,53 +127,54 @@
         return sorted[sorted.length / 2];
     }
 
-    private static String blocks(String setup, Path folder, int peer) {
+    private static String settingsBlocks(String setup, Path folder, int peer) {
         return setup.equals("off") ? "" : "store {\n  folder = \"" + folder.resolve("store") + "\"\n}\n"
                 + (setup.equals("on") ? "" : "copies {\n  instance = \"a\"\n  listen = \"127.0.0.1:0\"\n"
                 + "  peers = [\"b=127.0.0.1:" + peer + "\"]\n}\n");
     }
 
-    private Cost one(String setup, Path folder, int peer, List<String> broken)
+    private Measurement measure(String setup, Path folder, int peer, List<String> violations)
             throws IOException, InterruptedException {
         Files.createDirectory(folder);
         try (Fleet fleet = new Fleet(8, 64);
-                Router router = Router.start(main, folder, fleet.configuration("127.0.0.1:0"),
-                        UpgradeProof.QUICK_STAGES, blocks(setup, folder, peer))) {
-            Load load = new Load(new Load.Plan(router.address(), CONNECTIONS, PER_SECOND, 10, 2, seed),
-                    fleet.ledger());
+                Router router = Router.start(mainClass, folder, fleet.configuration("127.0.0.1:0"),
+                        UpgradeProof.QUICK_STAGES, settingsBlocks(setup, folder, peer))) {
+            Load load = new Load(new Load.Plan(router.address(), CONNECTIONS, REQUESTS_PER_SECOND, 10, 2,
+                    seed), fleet.ledger());
             load.start();
-            Thread.sleep(WARM_MILLIS);
+            Thread.sleep(WARM_UP_MILLIS);
             List<ProcessHandle> processes = router.generations();
-            List<ProcessHandle> keeper = List.of(router.process());
-            long cpu = cpu(processes);
-            long keeperCpu = cpu(keeper);
-            long began = System.nanoTime();
+            List<ProcessHandle> daemon = List.of(router.process());
+            long cpuBefore = cpuNanos(processes);
+            long daemonCpuBefore = cpuNanos(daemon);
+            long startedAt = System.nanoTime();
             Thread.sleep(seconds * 1000L);
-            long used = cpu(processes) - cpu;
-            long keeperUsed = cpu(keeper) - keeperCpu;
-            long resident = resident(router.process().pid());
-            long ended = System.nanoTime();
+            long cpuUsed = cpuNanos(processes) - cpuBefore;
+            long daemonCpuUsed = cpuNanos(daemon) - daemonCpuBefore;
+            long residentMegabytes = residentMegabytes(router.process().pid());
+            long endedAt = System.nanoTime();
             load.stop();
-            Histogram first = new Histogram(3);
-            for (Ledger.AtClient a : fleet.ledger().atClients()) {
-                if (a.ended() >= began && a.ended() < ended && a.end() == Ledger.End.SERVED) {
-                    first.recordValue((a.firstToken() - a.began()) / 1000);
+            Histogram firstTokenMicros = new Histogram(3);
+            for (Ledger.AtClient answer : fleet.ledger().atClients()) {
+                if (answer.ended() >= startedAt && answer.ended() < endedAt
+                        && answer.end() == Ledger.End.SERVED) {
+                    firstTokenMicros.recordValue((answer.firstToken() - answer.began()) / 1000);
                 }
             }
-            Rules.broken(fleet.ledger()).forEach(b -> broken.add(setup + ": " + b));
-            long served = first.getTotalCount();
-            return new Cost(served / ((ended - began) / 1e9), used / 1000.0 / served,
-                    keeperUsed / 1000.0 / served, first.getValueAtPercentile(50) / 1000.0,
-                    first.getValueAtPercentile(99) / 1000.0, resident);
+            Rules.broken(fleet.ledger()).forEach(violation -> violations.add(setup + ": " + violation));
+            long served = firstTokenMicros.getTotalCount();
+            return new Measurement(served / ((endedAt - startedAt) / 1e9), cpuUsed / 1000.0 / served,
+                    daemonCpuUsed / 1000.0 / served, firstTokenMicros.getValueAtPercentile(50) / 1000.0,
+                    firstTokenMicros.getValueAtPercentile(99) / 1000.0, residentMegabytes);
         }
     }
 
-    private static long cpu(List<ProcessHandle> processes) {
-        return processes.stream().mapToLong(p -> p.info().totalCpuDuration().orElse(Duration.ZERO).toNanos())
-                .sum();
+    private static long cpuNanos(List<ProcessHandle> processes) {
+        return processes.stream().mapToLong(process -> process.info().totalCpuDuration().orElse(Duration.ZERO)
+                .toNanos()).sum();
     }
 
-    private static long resident(long pid) throws IOException {
+    private static long residentMegabytes(long pid) throws IOException {
         for (String line : Files.readAllLines(Path.of("/proc/" + pid + "/status"))) {
             if (line.startsWith("VmRSS")) {
                 return Long.parseLong(line.replaceAll("\\D", "")) / 1024;
@@ -168,31 +183,31 @@
         return 0;
     }
 
-    private void starts(Path folder) throws IOException, StoreException {
-        double[][] took = new double[2][STARTS];
-        for (int i = 0; i < STARTS; i++) {
+    private void measureStarts(Path folder) throws IOException, StoreException {
+        double[][] startMillis = new double[2][STARTS_PER_STORE];
+        for (int i = 0; i < STARTS_PER_STORE; i++) {
             for (int full = 0; full < 2; full++) {
-                Path own = Files.createDirectory(folder.resolve("start-" + i + "-" + full));
+                Path startFolder = Files.createDirectory(folder.resolve("start-" + i + "-" + full));
                 if (full == 1) {
-                    fill(own.resolve("store"));
+                    fill(startFolder.resolve("store"));
                 } else {
-                    RecordFile.open(own.resolve("store")).close();
+                    RecordFile.open(startFolder.resolve("store")).close();
                 }
                 try (Fleet fleet = new Fleet(8, 64)) {
-                    long began = System.nanoTime();
-                    Router router = Router.start(main, own, fleet.configuration("127.0.0.1:0"),
-                            UpgradeProof.QUICK_STAGES, blocks("on", own, 0));
-                    took[full][i] = (System.nanoTime() - began) / NANOS_A_MILLI;
+                    long startedAt = System.nanoTime();
+                    Router router = Router.start(mainClass, startFolder, fleet.configuration("127.0.0.1:0"),
+                            UpgradeProof.QUICK_STAGES, settingsBlocks("on", startFolder, 0));
+                    startMillis[full][i] = (System.nanoTime() - startedAt) / NANOS_PER_MILLI;
                     router.close();
                 }
             }
         }
-        out.accept(String.format(Locale.ROOT, "from start to serving, ms, median of %d: empty store %.0f, "
-                + "%d records %.0f", STARTS, median(Arrays.stream(took[0])), RECORDS,
-                median(Arrays.stream(took[1]))));
+        output.accept(String.format(Locale.ROOT, "start to serving, ms, median of %d: empty store %.0f, "
+                + "%d records %.0f", STARTS_PER_STORE, median(Arrays.stream(startMillis[0])), RECORDS,
+                median(Arrays.stream(startMillis[1]))));
     }
 
-    /** As an installation of five has it: mostly copies of what the others were told. */
+    /** Fills a store as in a cluster of five: mostly replicated records of the other instances. */
     private static void fill(Path folder) throws StoreException {
         ReplicatedRecords records = new ReplicatedRecords("other", RECORDS);
         Map<String, byte[]> all = new TreeMap<>();
--- a/src/main/java/yewdock/verification/StoreProof.java
+++ b/src/main/java/yewdock/verification/StoreProof.java
@@ -18,151 +18,168 @@
 import yewdock.testbed.Load;
 
 /**
- * A daemon with a store that is killed again and again under load, keeper and generations together, while
- * the list and an operator tell drains all along. Judged by the stand-ins' records and by what was
- * acknowledged.
+ * Kills a daemon with a store again and again under load, together with its generations, while discovery and
+ * an operator drain servers. Checks by the stand-in servers' records that drains are kept, and by the status
+ * after each restart that no acknowledged command is lost.
  */
 public final class StoreProof {
-    private static final int BOXES = 8;
-    private static final int SLOTS = 64;
-    /** The last two boxes are the operator's, the others the list's. */
-    private static final int MARKED = 2;
-    private static final double PER_SECOND = 150;
+    private static final int SERVERS = 8;
+    private static final int SLOTS_PER_SERVER = 64;
+    /** Number of servers, the last ones, that the operator drains; discovery drains the others. */
+    private static final int OPERATOR_SERVERS = 2;
+    private static final double REQUESTS_PER_SECOND = 150;
     private static final int CONNECTIONS = 32;
-    private static final long LONGEST_LIFE = 1_200;
+    private static final long MAX_LIFETIME_MILLIS = 1_200;
 
-    private final String main;
+    private final String mainClass;
     private final int kills;
     private final long seed;
-    private final Consumer<String> out;
-    private final List<Rules.Marked> marks = new ArrayList<>();
-    private final Map<String, Long> drained = new HashMap<>();
-    /** What must be there after a restart: true a drain, false none; absent: asked and not answered. */
-    private final Map<String, Boolean> sure = new HashMap<>();
-    private final Histogram acknowledged = new Histogram(3);
-    private final Histogram back = new Histogram(3);
+    private final Consumer<String> output;
+    private final List<Rules.OperatorDrain> operatorDrains = new ArrayList<>();
+    private final Map<String, Long> drainAcknowledgedAt = new HashMap<>();
+    /**
+     * Whether a server must be drained by the operator after a restart: true or false by the last
+     * acknowledged command, absent if there is none or if a later command got no answer.
+     */
+    private final Map<String, Boolean> expectedDrains = new HashMap<>();
+    private final Histogram acknowledgementMicros = new Histogram(3);
+    private final Histogram restartTimes = new Histogram(3);
     private int commands;
-    private int lost;
+    private int commandsWithoutAnswer;
 
-    public StoreProof(String main, int kills, long seed, Consumer<String> out) {
-        this.main = main;
+    /**
+     * Prepares a run.
+     *
+     * @param mainClass the main class of the daemon
+     * @param kills number of kills
+     * @param seed draws the load, the commands and the times of the kills
+     * @param output receives the report lines
+     */
+    public StoreProof(String mainClass, int kills, long seed, Consumer<String> output) {
+        this.mainClass = mainClass;
         this.kills = kills;
         this.seed = seed;
-        this.out = out;
+        this.output = output;
     }
 
-    /** Runs it; returns what was broken, which is nothing if all is well. */
+    /** Runs all kills; returns the violations, one text each, empty if there are none. */
     public List<String> run() throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("yewdock-store-proof");
-        List<String> broken = new ArrayList<>();
-        String store = "store {\n  folder = \"" + folder.resolve("store") + "\"\n}\n";
+        List<String> violations = new ArrayList<>();
+        String storeBlock = "store {\n  folder = \"" + folder.resolve("store") + "\"\n}\n";
         SplittableRandom random = new SplittableRandom(seed);
         int port = ListenPorts.reserve();
-        try (Fleet fleet = new Fleet(BOXES, SLOTS)) {
+        try (Fleet fleet = new Fleet(SERVERS, SLOTS_PER_SERVER)) {
             String configuration = fleet.configuration("127.0.0.1:" + port);
             AtomicBoolean over = new AtomicBoolean();
-            Thread told = new Thread(() -> drains(fleet, over, new SplittableRandom(seed + 1)), "drains");
+            Thread discoveryDrains = new Thread(() ->
+                    drainByEndpointList(fleet, over, new SplittableRandom(seed + 1)),
+                    "drains");
             Load load = null;
-            for (int life = 0; life <= kills; life++) {
-                long began = System.nanoTime();
-                try (Router router = Router.start(main, folder, configuration, UpgradeProof.QUICK_STAGES,
-                        store)) {
-                    back.recordValue((System.nanoTime() - began) / 1_000_000);
+            for (int lifetime = 0; lifetime <= kills; lifetime++) {
+                long startedAt = System.nanoTime();
+                try (Router router = Router.start(mainClass, folder, configuration, UpgradeProof.QUICK_STAGES,
+                        storeBlock)) {
+                    restartTimes.recordValue((System.nanoTime() - startedAt) / 1_000_000);
                     if (load == null) {
-                        load = new Load(new Load.Plan(router.address(), CONNECTIONS, PER_SECOND, 30, 10,
-                                seed), fleet.ledger());
+                        load = new Load(new Load.Plan(router.address(), CONNECTIONS, REQUESTS_PER_SECOND, 30,
+                                10, seed), fleet.ledger());
                         load.start();
-                        told.start();
+                        discoveryDrains.start();
                     }
-                    missing(router, life, broken);
-                    live(router, fleet, random);
-                    faults(router.log(), broken);
+                    checkExpectedDrains(router, lifetime, violations);
+                    runLifetime(router, fleet, random);
+                    checkLog(router.log(), violations);
                 }
-                if (life % 10 == 9) {
-                    out.accept("kills " + (life + 1) + " of " + kills + ", broken so far " + broken.size());
+                if (lifetime % 10 == 9) {
+                    output.accept("kills " + (lifetime + 1) + " of " + kills + ", violations so far "
+                            + violations.size());
                 }
             }
             over.set(true);
-            told.join();
+            discoveryDrains.join();
             load.stop();
-            drained.forEach((box, at) -> marks.add(new Rules.Marked(box, at, Long.MAX_VALUE)));
-            broken.addAll(Rules.brokenOverKills(fleet.ledger(), marks));
-            report(fleet.ledger(), broken);
+            drainAcknowledgedAt.forEach((server, at) ->
+                    operatorDrains.add(new Rules.OperatorDrain(server, at, Long.MAX_VALUE)));
+            violations.addAll(Rules.brokenOverKills(fleet.ledger(), operatorDrains));
+            report(fleet.ledger(), violations);
         } finally {
-            UpgradeProof.delete(folder);
+            UpgradeProof.deleteRecursively(folder);
         }
-        return broken;
+        return violations;
     }
 
-    /** One life: some commands, of which the last may be cut short by the kill that follows. */
-    private void live(Router router, Fleet fleet, SplittableRandom random) throws InterruptedException {
-        long end = System.nanoTime() + random.nextLong(100, LONGEST_LIFE) * 1_000_000;
+    /** Sends commands until the next kill, which may come while the last command is in progress. */
+    private void runLifetime(Router router, Fleet fleet, SplittableRandom random)
+            throws InterruptedException {
+        long end = System.nanoTime() + random.nextLong(100, MAX_LIFETIME_MILLIS) * 1_000_000;
         while (System.nanoTime() < end) {
-            command(router, fleet, random);
+            toggleDrain(router, fleet, random);
             Thread.sleep(random.nextLong(200));
         }
         if (random.nextBoolean()) {
-            Thread last = new Thread(() -> command(router, fleet, random), "last");
-            last.start();
+            Thread lastCommand = new Thread(() -> toggleDrain(router, fleet, random), "last");
+            lastCommand.start();
             Thread.sleep(random.nextLong(40));
             router.close();
-            last.join();
+            lastCommand.join();
         }
     }
 
-    private void command(Router router, Fleet fleet, SplittableRandom random) {
-        String box = fleet.boxes().get(BOXES - 1 - random.nextInt(MARKED)).name();
-        boolean drain = !drained.containsKey(box);
-        long asked = System.nanoTime();
+    private void toggleDrain(Router router, Fleet fleet, SplittableRandom random) {
+        String server = fleet.boxes().get(SERVERS - 1 - random.nextInt(OPERATOR_SERVERS)).name();
+        boolean drain = !drainAcknowledgedAt.containsKey(server);
+        long sentAt = System.nanoTime();
         if (!drain) {
-            // from the asking on, work may come again
-            marks.add(new Rules.Marked(box, drained.remove(box), asked));
+            // once the undrain is requested, the server may get requests again
+            operatorDrains.add(new Rules.OperatorDrain(server, drainAcknowledgedAt.remove(server), sentAt));
         }
-        Boolean before = sure.remove(box);
+        Boolean expectedBefore = expectedDrains.remove(server);
         commands++;
         try {
-            Router.Said said = router.ask(drain ? "drain" : "undrain", List.of(box));
+            Router.Said result = router.ask(drain ? "drain" : "undrain", List.of(server));
             long now = System.nanoTime();
-            boolean undone = said.lines().contains("has no mark");
-            if (said.exit() == 0 || undone && !drain && before == null) {
-                acknowledged.recordValue((now - asked) / 1000);
-                sure.put(box, drain);
+            boolean notDrained = result.lines().contains("has no mark");
+            if (result.exit() == 0 || notDrained && !drain && expectedBefore == null) {
+                acknowledgementMicros.recordValue((now - sentAt) / 1000);
+                expectedDrains.put(server, drain);
                 if (drain) {
-                    drained.put(box, now);
+                    drainAcknowledgedAt.put(server, now);
                 }
             } else {
-                lost++;
+                commandsWithoutAnswer++;
             }
         } catch (IOException e) {
-            // killed in the middle: it may hold or not
-            lost++;
+            // the daemon was killed meanwhile: the command may have taken effect or not
+            commandsWithoutAnswer++;
         }
     }
 
-    private void missing(Router router, int life, List<String> broken) throws IOException {
+    private void checkExpectedDrains(Router router, int lifetime, List<String> violations)
+            throws IOException {
         String status = router.ask("status", List.of()).lines();
-        sure.forEach((box, drain) -> {
-            if (status.contains("mark: " + box + " drain") != drain) {
-                broken.add("after kill " + life + " the " + (drain ? "drain" : "undrain") + " of " + box
-                        + " is missing, though it was acknowledged:\n" + status);
+        expectedDrains.forEach((server, drain) -> {
+            if (status.contains("mark: " + server + " drain") != drain) {
+                violations.add("after kill " + lifetime + " the " + (drain ? "drain" : "undrain") + " of "
+                        + server + " is lost, though it was acknowledged:\n" + status);
             }
         });
     }
 
-    private static void faults(String log, List<String> broken) {
-        log.lines().filter(l -> l.contains("fault") || l.contains("store.failed")
-                || l.contains("store.damaged") || l.contains("store.unusable"))
-                .forEach(l -> broken.add("in the log: " + l));
+    private static void checkLog(String log, List<String> violations) {
+        log.lines().filter(line -> line.contains("fault") || line.contains("store.failed")
+                || line.contains("store.damaged") || line.contains("store.unusable"))
+                .forEach(line -> violations.add("in the log: " + line));
     }
 
-    /** The list drains a box and takes it back, all along. */
-    private static void drains(Fleet fleet, AtomicBoolean over, SplittableRandom random) {
+    /** Discovery drains servers and brings them up again until the run is over. */
+    private static void drainByEndpointList(Fleet fleet, AtomicBoolean over, SplittableRandom random) {
         try {
             while (!over.get()) {
-                String box = fleet.boxes().get(random.nextInt(BOXES - MARKED)).name();
-                fleet.list().state(box, "draining");
+                String server = fleet.boxes().get(random.nextInt(SERVERS - OPERATOR_SERVERS)).name();
+                fleet.list().state(server, "draining");
                 Thread.sleep(random.nextLong(1_500, 6_000));
-                fleet.list().state(box, "up");
+                fleet.list().state(server, "up");
                 Thread.sleep(random.nextLong(300));
             }
         } catch (InterruptedException e) {
@@ -170,16 +187,17 @@
         }
     }
 
-    private void report(Ledger ledger, List<String> broken) {
-        out.accept("kills " + kills + ", seed " + seed + "; commands " + commands + ", cut short " + lost
-                + "; drains and returns told by the list " + ledger.told().size());
-        out.accept(Load.summary(ledger.atClients()));
-        out.accept("at boxes " + ledger.atBoxes().size());
-        out.accept(String.format(Locale.ROOT, "acknowledged after ms p50 %.1f p99 %.1f longest %.1f",
-                acknowledged.getValueAtPercentile(50) / 1000.0, acknowledged.getValueAtPercentile(99)
-                / 1000.0, acknowledged.getMaxValue() / 1000.0));
-        out.accept("serving again after ms p50 " + back.getValueAtPercentile(50) + " p99 "
-                + back.getValueAtPercentile(99) + " longest " + back.getMaxValue());
-        out.accept("broken rules: " + broken.size());
+    private void report(Ledger ledger, List<String> violations) {
+        output.accept("kills " + kills + ", seed " + seed + "; commands " + commands + ", without answer "
+                + commandsWithoutAnswer + "; state changes told by discovery " + ledger.told().size());
+        output.accept(Load.summary(ledger.atClients()));
+        output.accept("attempts at servers " + ledger.atBoxes().size());
+        output.accept(String.format(Locale.ROOT, "command to acknowledgement ms p50 %.1f p99 %.1f max %.1f",
+                acknowledgementMicros.getValueAtPercentile(50) / 1000.0,
+                acknowledgementMicros.getValueAtPercentile(99)
+                / 1000.0, acknowledgementMicros.getMaxValue() / 1000.0));
+        output.accept("restart to serving ms p50 " + restartTimes.getValueAtPercentile(50) + " p99 "
+                + restartTimes.getValueAtPercentile(99) + " max " + restartTimes.getMaxValue());
+        output.accept("broken rules: " + violations.size());
     }
 }
--- a/src/main/java/yewdock/verification/UpgradeProof.java
+++ b/src/main/java/yewdock/verification/UpgradeProof.java
@@ -21,11 +21,11 @@
 import yewdock.upgrade.Stage;
 
 /**
- * Upgrades under load: real processes, real sockets, streams open all the time, boxes that drain and come
- * back, and a part of the upgrades made to fail. What came of it is judged by {@link Rules}.
+ * Upgrades a daemon again and again under load, with real processes and sockets, streams that stay open,
+ * servers that drain and come back, and some upgrades that fail on purpose. {@link Rules} checks the results.
  */
 public final class UpgradeProof {
-    /** Deadlines short enough that a hung process doesn't stretch the run. */
+    /** An upgrade block with timeouts short enough that a hung process doesn't prolong the run. */
     public static final String QUICK_STAGES = """
               start_s = 8
               check_s = 5
@@ -37,173 +37,190 @@
               let_go_s = 1
               finish_s = 60
               most_finishing = 24""";
-    private static final int BOXES = 8;
-    private static final int SLOTS = 64;
+    private static final int SERVERS = 8;
+    private static final int SLOTS_PER_SERVER = 64;
     private static final int LONG_STREAMS = 8;
     private static final int LONG_TOKENS = 300;
-    private static final int LONG_PACE = 20;
+    private static final int LONG_PACE_MILLIS = 20;
     private static final long DRAIN_MILLIS = 2_500;
-    private static final long PAUSE_MILLIS = 150;
-    /** What the first, cold process does with its first requests is no figure of upgrades. */
-    private static final long WARM_MILLIS = 4_000;
+    private static final long MAX_PAUSE_MILLIS = 150;
+    /** Requests of this first time are left out: a cold JVM answers them slowly, with or without upgrades. */
+    private static final long WARM_UP_MILLIS = 4_000;
     private static final List<Fault> FAULTS = List.of(Fault.EXIT, Fault.HANG, Fault.KILLED, Fault.NONSENSE);
-    private static final List<Stage> FAILING = List.of(Stage.START, Stage.CHECK, Stage.STATE, Stage.READY,
-            Stage.TAKE, Stage.SHARE, Stage.GO);
+    private static final List<Stage> FAILING_STAGES = List.of(Stage.START, Stage.CHECK, Stage.STATE,
+            Stage.READY, Stage.TAKE, Stage.SHARE, Stage.GO);
 
-    private final String main;
+    private final String mainClass;
     private final int upgrades;
     private final int connections;
-    private final double perSecond;
+    private final double requestsPerSecond;
     private final long seed;
-    private final Consumer<String> out;
-    private final Map<String, Histogram> stages = new LinkedHashMap<>();
-    private final List<long[]> spans = new ArrayList<>();
-    private int failures;
+    private final Consumer<String> output;
+    private final Map<String, Histogram> stageTimes = new LinkedHashMap<>();
+    /** Start and end of each upgrade, in nanoseconds. */
+    private final List<long[]> upgradeSpans = new ArrayList<>();
+    private int failedUpgrades;
     private long measuredFrom;
-    private final Map<String, Integer> faults = new LinkedHashMap<>();
+    private final Map<String, Integer> faultCounts = new LinkedHashMap<>();
 
-    /** A proof of so many upgrades, a fifth of them failing, under a load of so many requests a second. */
-    public UpgradeProof(String main, int upgrades, int connections, double perSecond, long seed,
-            Consumer<String> out) {
-        this.main = main;
+    /**
+     * Prepares a run.
+     *
+     * @param mainClass the main class of the daemon
+     * @param upgrades number of upgrades, of which every fifth fails on purpose
+     * @param connections number of client connections
+     * @param requestsPerSecond request rate of the load
+     * @param seed draws the load, the drains and the faults
+     * @param output receives the report lines
+     */
+    public UpgradeProof(String mainClass, int upgrades, int connections, double requestsPerSecond, long seed,
+            Consumer<String> output) {
+        this.mainClass = mainClass;
         this.upgrades = upgrades;
         this.connections = connections;
-        this.perSecond = perSecond;
+        this.requestsPerSecond = requestsPerSecond;
         this.seed = seed;
-        this.out = out;
+        this.output = output;
     }
 
-    /** Runs it; returns what was broken, which is nothing if all is well. */
+    /** Runs all upgrades; returns the violations, one text each, empty if there are none. */
     public List<String> run() throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("yewdock-proof");
-        List<String> broken = new ArrayList<>();
-        try (Fleet fleet = new Fleet(BOXES, SLOTS);
-                Router router = Router.start(main, folder, fleet.configuration("127.0.0.1:0"),
+        List<String> violations = new ArrayList<>();
+        try (Fleet fleet = new Fleet(SERVERS, SLOTS_PER_SERVER);
+                Router router = Router.start(mainClass, folder, fleet.configuration("127.0.0.1:0"),
                         QUICK_STAGES)) {
-            Load load = new Load(new Load.Plan(router.address(), connections, perSecond, 40, 10, seed),
-                    fleet.ledger());
-            Load streams = new Load(new Load.Plan(router.address(), LONG_STREAMS, 2, LONG_TOKENS, LONG_PACE,
-                    seed + 1), fleet.ledger());
+            Load load = new Load(new Load.Plan(router.address(), connections, requestsPerSecond, 40, 10,
+                    seed), fleet.ledger());
+            Load streams = new Load(new Load.Plan(router.address(), LONG_STREAMS, 2, LONG_TOKENS,
+                    LONG_PACE_MILLIS, seed + 1), fleet.ledger());
             AtomicBoolean over = new AtomicBoolean();
-            Thread drains = new Thread(() -> drains(fleet, over), "drains");
+            Thread drains = new Thread(() -> drainServers(fleet, over), "drains");
             load.start();
             streams.start();
             drains.start();
-            Thread.sleep(WARM_MILLIS);
+            Thread.sleep(WARM_UP_MILLIS);
             measuredFrom = System.nanoTime();
             SplittableRandom random = new SplittableRandom(seed);
             for (int i = 0; i < upgrades; i++) {
-                upgrade(router, i % 5 == 4, random, broken);
-                Thread.sleep(random.nextLong(PAUSE_MILLIS));
+                upgrade(router, i % 5 == 4, random, violations);
+                Thread.sleep(random.nextLong(MAX_PAUSE_MILLIS));
             }
             over.set(true);
             drains.join();
             load.stop();
             streams.stop();
             if (!router.leave()) {
-                broken.add("the daemon did not end well:\n" + router.log());
+                violations.add("the daemon did not end on SIGTERM in time:\n" + router.log());
             }
-            faultsLogged(router.log(), broken);
-            broken.addAll(Rules.broken(fleet.ledger()));
-            report(fleet.ledger(), broken);
-            if (!broken.isEmpty()) {
-                out.accept("the daemon's log: " + Files.writeString(
+            checkLog(router.log(), violations);
+            violations.addAll(Rules.broken(fleet.ledger()));
+            report(fleet.ledger(), violations);
+            if (!violations.isEmpty()) {
+                output.accept("the daemon's log: " + Files.writeString(
                         Files.createTempFile("yewdock-proof", ".log"), router.log()));
             }
         } finally {
-            delete(folder);
+            deleteRecursively(folder);
         }
-        return broken;
+        return violations;
     }
 
-    private static void faultsLogged(String log, List<String> broken) {
-        log.lines().filter(l -> l.contains("fault")).forEach(l -> broken.add("a fault in the log: " + l));
+    private static void checkLog(String log, List<String> violations) {
+        log.lines().filter(l -> l.contains("fault")).forEach(l -> violations.add("a fault in the log: " + l));
     }
 
-    private void upgrade(Router router, boolean fails, SplittableRandom random, List<String> broken)
+    private void upgrade(Router router, boolean fails, SplittableRandom random, List<String> violations)
             throws IOException {
-        List<String> words = new ArrayList<>();
-        String name = "none";
+        List<String> arguments = new ArrayList<>();
+        String faultName = "none";
         Path config = router.folder().resolve("config.json");
-        String good = Files.readString(config);
+        String validConfiguration = Files.readString(config);
         if (fails) {
-            Stage stage = FAILING.get(failures % FAILING.size());
+            Stage stage = FAILING_STAGES.get(failedUpgrades % FAILING_STAGES.size());
             Fault fault = FAULTS.get(random.nextInt(FAULTS.size()));
-            failures++;
+            failedUpgrades++;
             if (stage == Stage.CHECK && fault == Fault.EXIT) {
-                name = "check CONFIGURATION";
+                faultName = "check CONFIGURATION";
                 Files.writeString(config, "{\"name\":");
             } else {
-                name = stage + " " + fault;
-                words.addAll(List.of(System.getProperty("java.class.path"), FaultyGeneration.class.getName(),
-                        stage.name(), fault.name()));
+                faultName = stage + " " + fault;
+                arguments.addAll(List.of(System.getProperty("java.class.path"),
+                        FaultyGeneration.class.getName(), stage.name(), fault.name()));
             }
         }
-        long began = System.nanoTime();
-        Router.Said said = router.ask("upgrade", words);
-        spans.add(new long[] {began, System.nanoTime()});
-        Files.writeString(config, good);
+        long startedAt = System.nanoTime();
+        Router.Said result = router.ask("upgrade", arguments);
+        upgradeSpans.add(new long[] {startedAt, System.nanoTime()});
+        Files.writeString(config, validConfiguration);
         if (fails) {
-            faults.merge(name, 1, Integer::sum);
+            faultCounts.merge(faultName, 1, Integer::sum);
         } else {
-            stages(said.lines());
+            stageTimes(result.lines());
         }
-        if (fails ? said.exit() != 1 || !said.lines().contains("serves as before") : said.exit() != 0) {
-            broken.add("an upgrade with fault " + name + " ended with " + said.exit() + ": " + said.lines());
+        if (fails ? result.exit() != 1 || !result.lines().contains("serves as before") : result.exit() != 0) {
+            violations.add("an upgrade with fault " + faultName + " ended with " + result.exit() + ": "
+                    + result.lines());
         }
     }
 
-    private void stages(String line) {
+    private void stageTimes(String line) {
         int at = line.indexOf("ms: ");
         if (at < 0) {
             return;
         }
         for (String part : line.substring(at + 4).split(", ")) {
             String[] words = part.split(" ");
-            stages.computeIfAbsent(words[0], s -> new Histogram(3))
+            stageTimes.computeIfAbsent(words[0], s -> new Histogram(3))
                     .recordValue(Math.round(Double.parseDouble(words[1]) * 1000));
         }
     }
 
-    /** One box after the other drains for a while; it would take what it is sent, so that it shows. */
-    private void drains(Fleet fleet, AtomicBoolean over) {
+    /**
+     * Drains random servers one after the other. They still accept requests, so that a request sent to a
+     * draining server is recorded.
+     */
+    private void drainServers(Fleet fleet, AtomicBoolean over) {
         SplittableRandom random = new SplittableRandom(seed + 2);
         while (!over.get()) {
-            BoxStandin box = fleet.boxes().get(random.nextInt(BOXES));
-            fleet.list().state(box.name(), "draining");
+            BoxStandin server = fleet.boxes().get(random.nextInt(SERVERS));
+            fleet.list().state(server.name(), "draining");
             try {
                 Thread.sleep(DRAIN_MILLIS);
             } catch (InterruptedException e) {
                 return;
             }
-            fleet.list().state(box.name(), "up");
+            fleet.list().state(server.name(), "up");
         }
     }
 
-    private void report(Ledger ledger, List<String> broken) {
-        List<Ledger.AtClient> in = new ArrayList<>();
+    private void report(Ledger ledger, List<String> violations) {
+        List<Ledger.AtClient> during = new ArrayList<>();
         List<Ledger.AtClient> outside = new ArrayList<>();
-        for (Ledger.AtClient a : ledger.atClients()) {
-            long until = a.firstToken() == 0 ? a.ended() : a.firstToken();
-            boolean during = spans.stream().anyMatch(s -> a.began() < s[1] && until > s[0]);
-            if (a.began() >= measuredFrom) {
-                (during ? in : outside).add(a);
+        for (Ledger.AtClient answer : ledger.atClients()) {
+            long answeredAt = answer.firstToken() == 0 ? answer.ended() : answer.firstToken();
+            boolean overlapsUpgrade = upgradeSpans.stream()
+                    .anyMatch(s -> answer.began() < s[1] && answeredAt > s[0]);
+            if (answer.began() >= measuredFrom) {
+                (overlapsUpgrade ? during : outside).add(answer);
             }
         }
-        int failed = faults.values().stream().mapToInt(Integer::intValue).sum();
-        out.accept("upgrades " + upgrades + ", of them made to fail " + failed + " " + faults);
-        out.accept("during upgrades: " + Load.summary(in));
-        out.accept("outside them:    " + Load.summary(outside));
+        int failed = faultCounts.values().stream().mapToInt(Integer::intValue).sum();
+        output.accept("upgrades " + upgrades + ", of them failing on purpose " + failed + " " + faultCounts);
+        output.accept("during upgrades:  " + Load.summary(during));
+        output.accept("outside upgrades: " + Load.summary(outside));
         for (Ledger.End end : Ledger.End.values()) {
-            out.accept("ended " + end.name().toLowerCase(Locale.ROOT) + ": " + Rules.count(ledger, end));
+            output.accept("ended " + end.name().toLowerCase(Locale.ROOT) + ": " + Rules.count(ledger, end));
         }
-        stages.forEach((stage, h) -> out.accept(String.format(Locale.ROOT,
-                "stage %-7s ms p50 %7.1f p99 %7.1f longest %7.1f", stage, h.getValueAtPercentile(50) / 1e3,
-                h.getValueAtPercentile(99) / 1e3, h.getMaxValue() / 1e3)));
-        out.accept("broken rules: " + broken.size());
+        stageTimes.forEach((stage, histogram) -> output.accept(String.format(Locale.ROOT,
+                "stage %-7s ms p50 %7.1f p99 %7.1f max %7.1f", stage,
+                histogram.getValueAtPercentile(50) / 1e3,
+                histogram.getValueAtPercentile(99) / 1e3, histogram.getMaxValue() / 1e3)));
+        output.accept("broken rules: " + violations.size());
     }
 
-    static void delete(Path folder) throws IOException {
+    /** Deletes a folder with all that it contains. */
+    static void deleteRecursively(Path folder) throws IOException {
         try (var files = Files.walk(folder)) {
             for (Path file : files.sorted((a, b) -> b.compareTo(a)).toList()) {
                 Files.deleteIfExists(file);
