--- a/src/main/java/yewdock/testbed/BoxStandin.java
+++ b/src/main/java/yewdock/testbed/BoxStandin.java
@@ -9,123 +9,130 @@
 import yewdock.http.MessageReader;
 
 /**
- * A model box: streams the reference answer of each request, as many tokens as the request asks for, one
- * after each pause that it names. It can drain, break streams in the middle, crash, and run slower while
- * cold.
+ * A stub model server: answers each request with its reference stream, with as many tokens and as long a
+ * pause between them as the request asks for. It can refuse new requests, reset streams midway, crash, and
+ * run slower during its slow start.
  */
-public final class BoxStandin extends Server {
-    private static final Pattern TOKENS = Pattern.compile("\"max_tokens\":\\s*([0-9]{1,6})");
-    private static final Pattern PACE = Pattern.compile("\"pace_ms\":\\s*([0-9]{1,6})");
-    private static final long COLD_NANOS = 8_700_000_000L;
-    private static final double COLD_FROM = 0.32;
+public final class BoxStandin extends LoopbackListener {
+    private static final Pattern MAX_TOKENS = Pattern.compile("\"max_tokens\":\\s*([0-9]{1,6})");
+    private static final Pattern PACE_MILLIS = Pattern.compile("\"pace_ms\":\\s*([0-9]{1,6})");
+    private static final long SLOW_START_NANOS = 8_700_000_000L;
+    /** The share of its capacity that a server has right after a restart. */
+    private static final double COLD_CAPACITY = 0.32;
 
     private final String name;
     private final Ledger ledger;
     private final int slots;
-    private final AtomicInteger inWork = new AtomicInteger();
+    private final AtomicInteger inFlight = new AtomicInteger();
     private volatile boolean draining;
     private volatile int breakAfter = -1;
-    private volatile long startedAt;
+    private volatile long restartedAtNanos;
 
-    /** A box of this name that works on so many requests at once. */
+    /** Starts a server that processes at most slots requests at once and refuses the others. */
     public BoxStandin(String name, int slots, Ledger ledger) throws IOException {
         super("box " + name);
         this.name = name;
         this.slots = slots;
         this.ledger = ledger;
-        begin();
+        startAccepting();
     }
 
+    /** The id of the server in the endpoint list. */
     public String name() {
         return name;
     }
 
-    /** Turns away what is new, or takes it again. */
-    public void drain(boolean on) {
+    /** Sets whether the server refuses new requests. */
+    public void setDraining(boolean on) {
         draining = on;
     }
 
-    /** Breaks each stream after so many tokens; -1: none. */
+    /** Resets each stream after this many events; -1 lets all of them complete. */
     public void breakAfter(int tokens) {
         breakAfter = tokens;
     }
 
-    /** The process dies and comes back empty: its connections are reset and it is cold. */
+    /** Simulates a crash and restart: all connections are reset and the slow start begins. */
     public void crash() {
-        startedAt = System.nanoTime();
+        restartedAtNanos = System.nanoTime();
         resetAll();
     }
 
     @Override
     void serve(Socket socket) throws IOException {
-        Conversation talk = new Conversation(socket, MessageReader.Kind.REQUEST);
+        BlockingHttpConnection connection = new BlockingHttpConnection(socket, MessageReader.Kind.REQUEST);
         while (true) {
-            MessageHead head = talk.next();
-            long began = System.nanoTime();
+            MessageHead head = connection.readMessage();
+            long startedAt = System.nanoTime();
             String id = head.field("X-Correlation-Id");
             if (id == null) {
-                talk.write("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
-            } else if (draining || inWork.get() >= slots) {
-                ledger.add(new Ledger.AtBox(id, name, began, System.nanoTime(), false));
-                talk.write("HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nX-Backend-Load: inflight="
-                        + inWork.get() + "\r\nContent-Length: 0\r\n\r\n");
+                connection.write("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
+            } else if (draining || inFlight.get() >= slots) {
+                ledger.add(new Ledger.AtBox(id, name, startedAt, System.nanoTime(), false));
+                connection.write(
+                        "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nX-Backend-Load: inflight="
+                        + inFlight.get() + "\r\nContent-Length: 0\r\n\r\n");
             } else {
-                work(talk, socket, id, began);
+                streamResponse(connection, socket, id, startedAt);
             }
         }
     }
 
-    private void work(Conversation talk, Socket socket, String id, long began) throws IOException {
-        inWork.incrementAndGet();
-        // A closed connection shows at the second write after the close: it was surely open at the one
-        // before the last that went well, and what comes after is no longer out.
-        long open = began;
-        long written = began;
-        boolean whole = false;
+    private void streamResponse(BlockingHttpConnection connection, Socket socket, String id, long startedAt)
+            throws IOException {
+        inFlight.incrementAndGet();
+        // Only the second write after the client's close fails, so the connection was certainly open at the
+        // last successful write but one. The attempt counts as ended then.
+        long lastSurelyOpen = startedAt;
+        long lastWritten = startedAt;
+        boolean complete = false;
         try {
-            int tokens = number(TOKENS, talk.body(), 8);
-            int pace = number(PACE, talk.body(), 5);
-            talk.write("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
+            int tokens = intField(MAX_TOKENS, connection.body(), 8);
+            int paceMillis = intField(PACE_MILLIS, connection.body(), 5);
+            connection.write("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
                     + "Transfer-Encoding: chunked\r\n\r\n");
             int sent = 0;
-            for (String event : Reference.events(id, tokens)) {
+            for (String event : ReferenceStream.events(id, tokens)) {
                 if (sent > 0 && sent < tokens) {
-                    pause(pace);
+                    pauseForToken(paceMillis);
                 }
                 if (sent++ == breakAfter) {
                     socket.setSoLinger(true, 0);
-                    throw new IOException("broken on purpose");
+                    throw new IOException("stream reset by breakAfter");
                 }
-                chunk(talk, event);
-                open = written;
-                written = System.nanoTime();
+                writeChunk(connection, event);
+                lastSurelyOpen = lastWritten;
+                lastWritten = System.nanoTime();
             }
-            chunk(talk, ": X-Backend-Load: inflight=" + inWork.get() + ",qps=0,eps=0,x1=0\n\n");
-            talk.write("0\r\n\r\n");
-            whole = true;
+            writeChunk(connection, ": X-Backend-Load: inflight=" + inFlight.get() + ",qps=0,eps=0,x1=0\n\n");
+            connection.write("0\r\n\r\n");
+            complete = true;
         } finally {
-            inWork.decrementAndGet();
-            ledger.add(new Ledger.AtBox(id, name, began, whole ? System.nanoTime() : open, true));
+            inFlight.decrementAndGet();
+            ledger.add(new Ledger.AtBox(id, name, startedAt, complete ? System.nanoTime() : lastSurelyOpen,
+                    true));
         }
     }
 
-    private static void chunk(Conversation talk, String text) throws IOException {
-        talk.write(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
+    private static void writeChunk(BlockingHttpConnection connection, String text) throws IOException {
+        connection.write(Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
     }
 
-    /** A cold box is slower by what it lacks in capacity. */
-    private void pause(int millis) {
-        double share = startedAt == 0 ? 1
-                : Math.min(1, COLD_FROM + (1 - COLD_FROM) * (System.nanoTime() - startedAt) / COLD_NANOS);
+    /** Waits between two tokens; during the slow start longer, in inverse proportion to the capacity. */
+    private void pauseForToken(int millis) {
+        double capacity = restartedAtNanos == 0 ? 1
+                : Math.min(1, COLD_CAPACITY
+                + (1 - COLD_CAPACITY) * (System.nanoTime() - restartedAtNanos) / SLOW_START_NANOS);
         try {
-            Thread.sleep(Math.round(millis / share));
+            Thread.sleep(Math.round(millis / capacity));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    static int number(Pattern pattern, String text, int ifAbsent) {
-        Matcher found = pattern.matcher(text);
-        return found.find() ? Integer.parseInt(found.group(1)) : ifAbsent;
+    /** The first number that the pattern captures in the text, or ifAbsent. */
+    static int intField(Pattern pattern, String text, int ifAbsent) {
+        Matcher matcher = pattern.matcher(text);
+        return matcher.find() ? Integer.parseInt(matcher.group(1)) : ifAbsent;
     }
 }
--- a/src/main/java/yewdock/testbed/Faults.java
+++ b/src/main/java/yewdock/testbed/FaultInjector.java
@@ -5,16 +5,20 @@
 import yewdock.daemon.ControlConnection;
 import yewdock.testbed.FaultyGeneration.Fault;
 
-/** How a process fails on purpose. */
-final class Faults {
+/** Makes the current process fail, so that tests and verifications can check that others survive it. */
+final class FaultInjector {
     private static final int EXIT_CODE = 3;
     private static final long SLOW_MILLIS = 300;
 
-    private Faults() {
+    private FaultInjector() {
     }
 
-    /** Fails in this way; link is where nonsense goes. */
-    static void happen(Fault fault, ControlConnection link) {
+    /**
+     * Injects a fault into this process. Returns only for a slow stage; the others end or hang the process.
+     *
+     * @param connection the connection on which NONSENSE sends invalid bytes
+     */
+    static void inject(Fault fault, ControlConnection connection) {
         try {
             switch (fault) {
                 case EXIT -> Runtime.getRuntime().halt(EXIT_CODE);
@@ -23,7 +27,7 @@
                 case NONSENSE -> {
                     byte[] nonsense = new byte[64];
                     Arrays.fill(nonsense, (byte) 0x7f);
-                    link.sendRaw(nonsense);
+                    connection.sendRaw(nonsense);
                     hang();
                 }
                 case SLOW -> Thread.sleep(SLOW_MILLIS);
--- a/src/main/java/yewdock/testbed/FaultyGeneration.java
+++ b/src/main/java/yewdock/testbed/FaultyGeneration.java
@@ -5,31 +5,43 @@
 import yewdock.upgrade.Stage;
 
 /**
- * A new process that fails on purpose as it reaches a stage: it exits, hangs, is killed or talks nonsense.
+ * A generation that fails on purpose when it reaches a given stage of an upgrade, to check that the
+ * supervisor falls back to the older generation.
  */
 public final class FaultyGeneration extends Generation {
-    /** The ways of failing. */
-    public enum Fault { EXIT, HANG, KILLED, NONSENSE, SLOW }
+    /** The ways in which a process can fail. */
+    public enum Fault {
+        /** The process exits with an error code. */
+        EXIT,
+        /** The process stops responding. */
+        HANG,
+        /** The process is killed with SIGKILL. */
+        KILLED,
+        /** The process sends invalid bytes on its control connection, then hangs. */
+        NONSENSE,
+        /** The stage takes a little longer. */
+        SLOW
+    }
 
-    private static Stage at;
+    private static Stage failingStage;
     private static Fault fault;
 
     private FaultyGeneration(int number, Path control, String secret, String file) {
         super(number, control, secret, file);
     }
 
-    /** Runs it; the words are the stage and the fault. */
+    /** Runs the generation; the arguments are the names of the stage and of the fault. */
     public static void main(String[] args) {
-        at = Stage.valueOf(args[0]);
+        failingStage = Stage.valueOf(args[0]);
         fault = Fault.valueOf(args[1]);
         System.exit(Generation.fromEnvironment(System.getenv(), FaultyGeneration::new).run());
     }
 
     @Override
     protected void stageReached(Stage stage) {
-        if (stage != at) {
+        if (stage != failingStage) {
             return;
         }
-        Faults.happen(fault, supervisorConnection());
+        FaultInjector.inject(fault, supervisorConnection());
     }
 }
--- a/src/main/java/yewdock/testbed/FaultySuccession.java
+++ b/src/main/java/yewdock/testbed/FaultySuccession.java
@@ -6,28 +6,30 @@
 import yewdock.testbed.FaultyGeneration.Fault;
 import yewdock.upgrade.Stage;
 
-/** A router's second process that fails on purpose as it reaches a stage of taking over. */
+/**
+ * A newer router process that fails on purpose when it reaches a given stage of the handover from the older
+ * one.
+ */
 public final class FaultySuccession extends ProcessHandover {
-    private final Stage at;
+    private final Stage failingStage;
     private final Fault fault;
 
     private FaultySuccession(String folder, Config config, Stage at, Fault fault) {
         super(folder, config);
-        this.at = at;
+        this.failingStage = at;
         this.fault = fault;
     }
 
-    /** Runs it; the words are the stage and the fault. */
+    /** Runs the router; the arguments are the names of the stage and of the fault. */
     public static void main(String[] args) {
         System.exit(StandaloneRouter.run(System.getenv("PROXY_CONFIG"), (folder, config) ->
-                new FaultySuccession(folder,
-                config, Stage.valueOf(args[0]), Fault.valueOf(args[1]))));
+                new FaultySuccession(folder, config, Stage.valueOf(args[0]), Fault.valueOf(args[1]))));
     }
 
     @Override
     protected void stageReached(Stage stage) {
-        if (stage == at) {
-            Faults.happen(fault, predecessor());
+        if (stage == failingStage) {
+            FaultInjector.inject(fault, predecessor());
         }
     }
 }
--- a/src/main/java/yewdock/testbed/Fleet.java
+++ b/src/main/java/yewdock/testbed/Fleet.java
@@ -5,15 +5,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A box list and boxes that are on it, all on this machine. */
+/** A stub discovery service and the stub servers that it lists, all on loopback ports. */
 public final class Fleet implements Closeable {
-    /** The tenant whose requests the fleet's routers know. */
+    /** The only tenant in the routers' settings. */
     public static final String TENANT = "tenant-1";
-    /** Where the first server is, and its kind. */
+    /** The zone of the first server, and of every second one. */
     public static final String ZONE = "zone-1";
+    /** The kind of the first server, and of every third one. */
     public static final String KIND = "large";
-    private static final String OTHER_ZONE = "zone-2";
-    private static final String OTHER_KIND = "small";
+    private static final String SECOND_ZONE = "zone-2";
+    private static final String SECOND_KIND = "small";
     private static final String SETTINGS = """
             {"instances":1,"ordinal":0,"zone":0,"discovery":"ask","zones":["zone-1","zone-2"],
              "shapes":["large","small"],"orgs":[{"name":"tenant-1","quota_rps":1000.0}],
@@ -26,40 +27,47 @@
               "ask_within":10.0}}""";
 
     private final Ledger ledger = new Ledger();
-    private final ListStandin list;
+    private final StubDiscovery list;
     private final List<BoxStandin> boxes = new ArrayList<>();
 
-    /** So many boxes, each with so many slots. */
+    /** Starts count servers, each of which processes at most slots requests at once. */
     public Fleet(int count, int slots) throws IOException {
-        list = new ListStandin(ledger);
+        list = new StubDiscovery(ledger);
         for (int i = 0; i < count; i++) {
-            BoxStandin box = new BoxStandin("s-" + Integer.toHexString(i + 1), slots, ledger);
-            boxes.add(box);
-            list.set(box.name(), box.address(), i % 2 == 0 ? ZONE : OTHER_ZONE,
-                    i % 3 == 0 ? KIND : OTHER_KIND, "up", 0);
+            BoxStandin server = new BoxStandin("s-" + Integer.toHexString(i + 1), slots, ledger);
+            boxes.add(server);
+            list.set(server.name(), server.address(), i % 2 == 0 ? ZONE : SECOND_ZONE,
+                    i % 3 == 0 ? KIND : SECOND_KIND, "up", 0);
         }
     }
 
+    /** What the servers and the discovery service observed; clients add their results. */
     public Ledger ledger() {
         return ledger;
     }
 
-    public ListStandin list() {
+    /** The stub discovery service. */
+    public StubDiscovery list() {
         return list;
     }
 
+    /** The servers, in the order of their names. */
     public List<BoxStandin> boxes() {
         return boxes;
     }
 
-    /** The platform's configuration of a router that listens there and uses this fleet. */
+    /**
+     * Returns the configuration file, as JSON, of a router that uses this fleet.
+     *
+     * @param listen the host:port on which the router accepts clients
+     */
     public String configuration(String listen) {
         return "{\"name\":\"demo\",\"listen\":\"" + listen + "\",\"discovery\":\"" + list.address()
                 + "\",\"seed\":\"92094eb940cf389a\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,"
                 + "\"sockets\":1024},\"settings\":" + SETTINGS + "}";
     }
 
-    /** The same with a door for operators, on a free port. */
+    /** Like {@link #configuration}, with the operator interface on a free port. */
     public String withDoor(String listen) {
         return configuration(listen).replace("\"discovery\"", "\"operator\":\"127.0.0.1:0\",\"discovery\"");
     }
--- a/src/main/java/yewdock/testbed/FloodingPeer.java
+++ b/src/main/java/yewdock/testbed/FloodingPeer.java
@@ -17,44 +17,54 @@
 import yewdock.wire.PeerFrame;
 import yewdock.wire.PeerHello;
 
-/** An instance that sends valid records without end, up to so many bytes a second, and takes none. */
+/**
+ * A peer instance that sends valid records without end, up to a given rate, and ignores what it receives.
+ * It serves to measure a router whose peer sends more than it can take.
+ */
 public final class FloodingPeer implements Closeable {
-    private static final int RECORDS = 256;
-    private static final int KEYS = 2_000;
-    private static final double NANOS = 1e9;
+    private static final int RECORDS_PER_BATCH = 256;
+    private static final int DISTINCT_KEYS = 2_000;
+    private static final double NANOS_PER_SECOND = 1e9;
 
     private final ServerSocket listener;
     private final String name;
-    private final String to;
-    private final double perSecond;
+    private final String receiver;
+    private final double bytesPerSecond;
     private final AtomicLong written = new AtomicLong();
 
-    /** An instance of this name that is called by the one of that name. */
-    public FloodingPeer(String name, String to, double perSecond) throws IOException {
+    /**
+     * Listens for the connection of another instance.
+     *
+     * @param name the name of this instance
+     * @param receiver the name of the instance that connects to it
+     * @param bytesPerSecond the rate at which records are sent, at most
+     */
+    public FloodingPeer(String name, String receiver, double bytesPerSecond) throws IOException {
         this.name = name;
-        this.to = to;
-        this.perSecond = perSecond;
+        this.receiver = receiver;
+        this.bytesPerSecond = bytesPerSecond;
         listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        Thread thread = new Thread(this::accept, "flood");
+        Thread thread = new Thread(this::acceptLoop, "flood");
         thread.setDaemon(true);
         thread.start();
     }
 
+    /** The port on which the peer listens. */
     public int port() {
         return listener.getLocalPort();
     }
 
-    /** Bytes that were taken from it. */
+    /** The number of bytes sent over the latest connection. */
     public long written() {
         return written.get();
     }
 
-    private void accept() {
+    private void acceptLoop() {
         while (!listener.isClosed()) {
             try (Socket socket = listener.accept()) {
                 flood(socket);
             } catch (IOException e) {
-                // the other side has had enough, or this one is closed
+                // the other instance closed the connection, or this peer was closed
             }
         }
     }
@@ -63,29 +73,30 @@
         DataInputStream in = new DataInputStream(socket.getInputStream());
         DataOutputStream out = new DataOutputStream(socket.getOutputStream());
         in.readFully(new byte[in.readInt()]);
-        write(out, PeerFrame.newBuilder().setHello(PeerHello.newBuilder().setVersion(Replicator.VERSION)
-                .setLeastReader(Replicator.VERSION).setCluster("yewdock").setInstance(name).setTo(to)
+        writeFrame(out, PeerFrame.newBuilder().setHello(PeerHello.newBuilder().setVersion(Replicator.VERSION)
+                .setLeastReader(Replicator.VERSION).setCluster("yewdock").setInstance(name).setTo(receiver)
                 .setJoined(1)).build());
         SplittableRandom random = new SplittableRandom(1);
-        long began = System.nanoTime();
+        long startedAt = System.nanoTime();
         long sent = 0;
         for (long number = 1;; number++) {
             Batch.Builder batch = Batch.newBuilder().setNumber(number);
-            for (int i = 0; i < RECORDS; i++) {
-                int box = random.nextInt(KEYS);
-                batch.addRecords(Kept.newBuilder().setKey(RecordKeys.server(name, box)).setStamp(number)
-                        .setInstance(name).setBox(Box.newBuilder().setName("s-" + box)
-                        .setAddress("10.0.0.1:8000").setId(box).setToldAt(number)));
+            for (int i = 0; i < RECORDS_PER_BATCH; i++) {
+                int server = random.nextInt(DISTINCT_KEYS);
+                batch.addRecords(Kept.newBuilder().setKey(RecordKeys.server(name, server)).setStamp(number)
+                        .setInstance(name).setBox(Box.newBuilder().setName("s-" + server)
+                        .setAddress("10.0.0.1:8000").setId(server).setToldAt(number)));
             }
-            sent += write(out, PeerFrame.newBuilder().setBatch(batch).build());
+            sent += writeFrame(out, PeerFrame.newBuilder().setBatch(batch).build());
             written.set(sent);
             while (in.available() > 0) {
                 in.skipBytes(in.available());
             }
-            long ahead = (long) (sent / perSecond * NANOS) - (System.nanoTime() - began);
-            if (ahead > 0) {
+            long aheadNanos = (long) (sent / bytesPerSecond * NANOS_PER_SECOND)
+                    - (System.nanoTime() - startedAt);
+            if (aheadNanos > 0) {
                 try {
-                    Thread.sleep(ahead / 1_000_000, (int) (ahead % 1_000_000));
+                    Thread.sleep(aheadNanos / 1_000_000, (int) (aheadNanos % 1_000_000));
                 } catch (InterruptedException e) {
                     return;
                 }
@@ -93,7 +104,7 @@
         }
     }
 
-    private static long write(DataOutputStream out, PeerFrame frame) throws IOException {
+    private static long writeFrame(DataOutputStream out, PeerFrame frame) throws IOException {
         byte[] bytes = frame.toByteArray();
         out.writeInt(bytes.length);
         out.write(bytes);
@@ -106,7 +117,7 @@
         try {
             listener.close();
         } catch (IOException e) {
-            // closed all the same
+            // nothing is left to release
         }
     }
 }
--- a/src/main/java/yewdock/testbed/ListenPorts.java
+++ b/src/main/java/yewdock/testbed/ListenPorts.java
@@ -8,30 +8,30 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Ports for listeners that another process opens, or that are closed and opened again. They lie below the
- * range from which the kernel takes the local ports of outgoing connections and of listeners on port 0, and
- * none is handed out twice, so that nothing else of a test run takes one while nobody listens on it.
+ * Reserves ports for listeners that another process opens, or that are closed and opened again. The ports are
+ * below the range from which the kernel assigns local ports to outgoing connections and to listeners on
+ * port 0, and none is returned twice, so nothing else in a test run takes one while nobody listens on it.
  */
 public final class ListenPorts {
-    private static final int FIRST = 10_240;
-    /** Where the kernel's own range begins by default, see {@code net.ipv4.ip_local_port_range}. */
-    private static final int END = 32_768;
-    /** Starts anywhere, since other programs on the machine may reserve ports the same way. */
+    private static final int FIRST_PORT = 10_240;
+    /** The first port of the kernel's default range, see {@code net.ipv4.ip_local_port_range}. */
+    private static final int END_PORT = 32_768;
+    /** Starts at random, since other processes on the machine may reserve ports the same way. */
     private static final AtomicInteger NEXT =
-            new AtomicInteger(ThreadLocalRandom.current().nextInt(END - FIRST));
+            new AtomicInteger(ThreadLocalRandom.current().nextInt(END_PORT - FIRST_PORT));
 
     private ListenPorts() {
     }
 
-    /** Returns a port of the loopback address on which nobody listens. */
+    /** Returns a loopback port on which nobody listens; throws BindException if none is free. */
     public static int reserve() throws IOException {
-        for (int tried = FIRST; tried < END; tried++) {
-            int port = FIRST + Math.floorMod(NEXT.getAndIncrement(), END - FIRST);
+        for (int attempt = FIRST_PORT; attempt < END_PORT; attempt++) {
+            int port = FIRST_PORT + Math.floorMod(NEXT.getAndIncrement(), END_PORT - FIRST_PORT);
             if (isFree(port)) {
                 return port;
             }
         }
-        throw new BindException("no port from " + FIRST + " to " + (END - 1) + " is free");
+        throw new BindException("no port from " + FIRST_PORT + " to " + (END_PORT - 1) + " is free");
     }
 
     private static boolean isFree(int port) throws IOException {
--- a/src/main/java/yewdock/testbed/Load.java
+++ b/src/main/java/yewdock/testbed/Load.java
@@ -17,18 +17,27 @@
 import yewdock.http.MessageReader;
 
 /**
- * Clients: so many connections, on each one request at a time, so many requests a second in all. Each stream
- * is compared with its reference byte for byte, and each request leaves one record in the ledger.
+ * A load generator: sends requests at a given overall rate over a given number of connections, one at a time
+ * on each. It compares each stream with its reference byte for byte and adds one record per request to the
+ * ledger.
  */
 public final class Load {
-    private static final int PATIENCE_MILLIS = 30_000;
-    private static final int CONNECT_MILLIS = 10_000;
-    private static final double NANOS = 1e9;
-
-    /** Where to, over how many connections, how fast, tokens of a stream and pause between them at most. */
-    public record Plan(InetSocketAddress to, int connections, double perSecond, int mostTokens,
-            int paceMillis,
-            long seed) {
+    private static final int READ_TIMEOUT_MILLIS = 30_000;
+    private static final int CONNECT_TIMEOUT_MILLIS = 10_000;
+    private static final double NANOS_PER_SECOND = 1e9;
+
+    /**
+     * What load to send.
+     *
+     * @param router the address to connect to
+     * @param connections the number of client connections
+     * @param requestsPerSecond the rate over all connections
+     * @param maxTokens the longest stream, in tokens
+     * @param maxPaceMillis the longest pause between two tokens of a stream
+     * @param seed determines ids, lengths and pauses
+     */
+    public record Plan(InetSocketAddress router, int connections, double requestsPerSecond, int maxTokens,
+            int maxPaceMillis, long seed) {
     }
 
     private final Plan plan;
@@ -36,97 +45,102 @@
     private final AtomicBoolean stopped = new AtomicBoolean();
     private final List<Thread> threads = new ArrayList<>();
 
+    /** Prepares the load; nothing is sent before {@link #start}. */
     public Load(Plan plan, Ledger ledger) {
         this.plan = plan;
         this.ledger = ledger;
     }
 
-    /** Begins. */
+    /** Starts a thread for each connection. */
     public void start() {
         for (int i = 0; i < plan.connections(); i++) {
             int number = i;
-            Thread thread = new Thread(() -> client(number), "client " + i);
+            Thread thread = new Thread(() -> runClient(number), "client " + i);
             thread.setDaemon(true);
             threads.add(thread);
             thread.start();
         }
     }
 
-    /** Sends nothing more, and waits until every open request has its end. */
+    /** Stops sending new requests and waits until those in flight have ended. */
     public void stop() {
         stopped.set(true);
         for (Thread thread : threads) {
             try {
-                thread.join(PATIENCE_MILLIS + CONNECT_MILLIS);
+                thread.join(READ_TIMEOUT_MILLIS + CONNECT_TIMEOUT_MILLIS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }
     }
 
-    private void client(int number) {
+    private void runClient(int number) {
         SplittableRandom random = new SplittableRandom(plan.seed() * 1_000_003 + number);
-        double gap = plan.connections() / plan.perSecond() * NANOS;
-        long due = System.nanoTime() + (long) (gap * random.nextDouble());
-        Client client = new Client();
+        double gapNanos = plan.connections() / plan.requestsPerSecond() * NANOS_PER_SECOND;
+        long dueNanos = System.nanoTime() + (long) (gapNanos * random.nextDouble());
+        LoadClient client = new LoadClient();
         for (int i = 0; !stopped.get(); i++) {
-            long wait = due - System.nanoTime();
-            if (wait > 0) {
+            long waitNanos = dueNanos - System.nanoTime();
+            if (waitNanos > 0) {
                 try {
-                    Thread.sleep(wait / 1_000_000, (int) (wait % 1_000_000));
+                    Thread.sleep(waitNanos / 1_000_000, (int) (waitNanos % 1_000_000));
                 } catch (InterruptedException e) {
                     return;
                 }
             }
-            // late clients don't catch up: a burst after a stall would measure itself
-            due = Math.max(due, System.nanoTime() - (long) gap) + (long) (gap * (0.5 + random.nextDouble()));
+            // a client that falls behind doesn't catch up: the burst would distort the measured latency
+            dueNanos = Math.max(dueNanos, System.nanoTime() - (long) gapNanos)
+                    + (long) (gapNanos * (0.5 + random.nextDouble()));
             String id = String.format(Locale.ROOT, "%x-%x-%x", plan.seed(), number, i);
-            int tokens = 1 + random.nextInt(plan.mostTokens());
-            int pace = random.nextInt(plan.paceMillis() + 1);
-            ledger.add(client.ask(id, tokens, pace, random.nextInt(40)));
+            int tokens = 1 + random.nextInt(plan.maxTokens());
+            int paceMillis = random.nextInt(plan.maxPaceMillis() + 1);
+            ledger.add(client.send(id, tokens, paceMillis, random.nextInt(40)));
         }
         client.close();
     }
 
-    /** One client's connection, made anew when the router has closed it. */
-    private final class Client {
+    /** One client connection, opened again after the router has closed it. */
+    private final class LoadClient {
         private Socket socket;
-        private Conversation talk;
+        private BlockingHttpConnection connection;
 
-        Ledger.AtClient ask(String id, int tokens, int pace, int topic) {
-            long began = System.nanoTime();
-            boolean crossed = false;
+        /** Sends one request and reads its response; paceMillis is the pause between tokens. */
+        Ledger.AtClient send(String id, int tokens, int paceMillis, int prefix) {
+            long startedAt = System.nanoTime();
+            boolean resent = false;
             while (true) {
-                boolean fresh = socket == null;
+                boolean newConnection = socket == null;
                 try {
-                    if (fresh) {
+                    if (newConnection) {
                         connect();
                     }
-                    talk.write(request(id, tokens, pace, topic));
-                    MessageHead head = talk.next();
-                    Ledger.AtClient record = whole(id, tokens, began, head, crossed);
+                    connection.write(request(id, tokens, paceMillis, prefix));
+                    MessageHead head = connection.readMessage();
+                    Ledger.AtClient record = completed(id, tokens, startedAt, head, resent);
                     if (!head.keepsAlive()) {
                         close();
                     }
                     return record;
                 } catch (ConnectException e) {
                     close();
-                    return ended(id, began, Ledger.End.NOT_CONNECTED, crossed);
+                    return incomplete(id, startedAt, Ledger.End.NOT_CONNECTED, resent);
                 } catch (EOFException | SocketException e) {
-                    boolean nothing = talk != null && !talk.touched();
-                    boolean begun = talk != null && talk.head() != null;
+                    boolean nothingReceived = connection != null && !connection.receivedAny();
+                    boolean headReceived = connection != null && connection.head() != null;
                     close();
-                    if (e instanceof EOFException && nothing && !fresh && !crossed) {
-                        // the router's close between requests crossed this one: it goes out once more
-                        crossed = true;
+                    if (e instanceof EOFException && nothingReceived && !newConnection && !resent) {
+                        // the router closed the idle connection as this request was sent: send it once more
+                        resent = true;
                         continue;
                     }
-                    return ended(id, began, begun ? Ledger.End.CUT_OFF : e instanceof SocketException
-                            ? Ledger.End.RESET : Ledger.End.UNANSWERED, crossed);
+                    return incomplete(id, startedAt, headReceived ? Ledger.End.CUT_OFF
+                            : e instanceof SocketException ? Ledger.End.RESET : Ledger.End.UNANSWERED,
+                            resent);
                 } catch (IOException e) {
-                    boolean late = e instanceof SocketTimeoutException;
+                    boolean timedOut = e instanceof SocketTimeoutException;
                     close();
-                    return ended(id, began, late ? Ledger.End.UNANSWERED : Ledger.End.FAILED, crossed);
+                    return incomplete(id, startedAt, timedOut ? Ledger.End.UNANSWERED : Ledger.End.FAILED,
+                            resent);
                 }
             }
         }
@@ -134,25 +148,26 @@
         private void connect() throws IOException {
             socket = new Socket();
             socket.setTcpNoDelay(true);
-            socket.setSoTimeout(PATIENCE_MILLIS);
-            socket.connect(plan.to(), CONNECT_MILLIS);
-            talk = new Conversation(socket, MessageReader.Kind.RESPONSE);
+            socket.setSoTimeout(READ_TIMEOUT_MILLIS);
+            socket.connect(plan.router(), CONNECT_TIMEOUT_MILLIS);
+            connection = new BlockingHttpConnection(socket, MessageReader.Kind.RESPONSE);
         }
 
-        private Ledger.AtClient whole(String id, int tokens, long began, MessageHead head, boolean crossed) {
+        private Ledger.AtClient completed(String id, int tokens, long startedAt, MessageHead head,
+                boolean resent) {
             long now = System.nanoTime();
             int status = head.status();
             if (status == 200) {
-                String stream = talk.body().replaceAll("(?m)^:.*\n\n", "");
-                return new Ledger.AtClient(id, began, talk.firstBody(), now, Ledger.End.SERVED, status,
-                        stream.equals(Reference.stream(id, tokens)), crossed);
+                String stream = connection.body().replaceAll("(?m)^:.*\n\n", "");
+                return new Ledger.AtClient(id, startedAt, connection.firstBodyNanos(), now, Ledger.End.SERVED,
+                        status, stream.equals(ReferenceStream.stream(id, tokens)), resent);
             }
             Ledger.End end = status == 503 || status == 429 ? Ledger.End.REFUSED : Ledger.End.FAILED;
-            return new Ledger.AtClient(id, began, 0, now, end, status, true, crossed);
+            return new Ledger.AtClient(id, startedAt, 0, now, end, status, true, resent);
         }
 
-        private Ledger.AtClient ended(String id, long began, Ledger.End end, boolean crossed) {
-            return new Ledger.AtClient(id, began, 0, System.nanoTime(), end, 0, false, crossed);
+        private Ledger.AtClient incomplete(String id, long startedAt, Ledger.End end, boolean resent) {
+            return new Ledger.AtClient(id, startedAt, 0, System.nanoTime(), end, 0, false, resent);
         }
 
         private void close() {
@@ -160,44 +175,45 @@
                 try {
                     socket.close();
                 } catch (IOException e) {
-                    // closed all the same
+                    // nothing is left to release
                 }
                 socket = null;
             }
         }
     }
 
-    private static String request(String id, int tokens, int pace, int topic) {
-        String body = "{\"model\":\"chat\",\"stream\":true,\"max_tokens\":" + tokens + ",\"pace_ms\":" + pace
-                + "}";
+    private static String request(String id, int tokens, int paceMillis, int prefix) {
+        String body = "{\"model\":\"chat\",\"stream\":true,\"max_tokens\":" + tokens + ",\"pace_ms\":"
+                + paceMillis + "}";
         return "POST /v1/chat/completions HTTP/1.1\r\nHost: demo\r\nX-Correlation-Id: " + id
                 + "\r\nX-Service-Class: chat\r\nX-Account: " + Fleet.TENANT + "\r\nX-Session-Key: "
                 + Integer.toHexString(id.hashCode() | 1) + "\r\nX-Time-Left: 4.000\r\nX-Facts: prefix="
-                + Integer.toHexString(topic + 1) + ",prompt_len=100,prefix_len=40,max_out=" + tokens
+                + Integer.toHexString(prefix + 1) + ",prompt_len=100,prefix_len=40,max_out=" + tokens
                 + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** What came of the requests that began in this span, in one line. */
-    public static String summary(List<Ledger.AtClient> all) {
-        Histogram first = new Histogram(3);
-        Histogram whole = new Histogram(3);
+    /** Summarizes results in one line: counts, and latencies in milliseconds. */
+    public static String summary(List<Ledger.AtClient> results) {
+        Histogram firstToken = new Histogram(3);
+        Histogram total = new Histogram(3);
         long served = 0;
         long exact = 0;
-        long crossed = 0;
-        for (Ledger.AtClient a : all) {
-            whole.recordValue(Math.max(0, (a.ended() - a.began()) / 1000));
-            crossed += a.crossed() ? 1 : 0;
-            if (a.end() == Ledger.End.SERVED) {
+        long resent = 0;
+        for (Ledger.AtClient result : results) {
+            total.recordValue(Math.max(0, (result.ended() - result.began()) / 1000));
+            resent += result.crossed() ? 1 : 0;
+            if (result.end() == Ledger.End.SERVED) {
                 served++;
-                exact += a.exact() ? 1 : 0;
-                first.recordValue(Math.max(0, (a.firstToken() - a.began()) / 1000));
+                exact += result.exact() ? 1 : 0;
+                firstToken.recordValue(Math.max(0, (result.firstToken() - result.began()) / 1000));
             }
         }
         return String.format(Locale.ROOT, "requests %d, served %d, exact %d, other ends %d, sent anew %d; "
                 + "first token ms p50 %.2f p99 %.2f longest %.2f; whole ms p50 %.1f p99 %.1f longest %.1f",
-                all.size(), served, exact, all.size() - served, crossed, first.getValueAtPercentile(50) / 1e3,
-                first.getValueAtPercentile(99) / 1e3, first.getMaxValue() / 1e3,
-                whole.getValueAtPercentile(50) / 1e3, whole.getValueAtPercentile(99) / 1e3,
-                whole.getMaxValue() / 1e3);
+                results.size(), served, exact, results.size() - served, resent,
+                firstToken.getValueAtPercentile(50) / 1e3, firstToken.getValueAtPercentile(99) / 1e3,
+                firstToken.getMaxValue() / 1e3,
+                total.getValueAtPercentile(50) / 1e3, total.getValueAtPercentile(99) / 1e3,
+                total.getMaxValue() / 1e3);
     }
 }
--- a/src/main/java/yewdock/testbed/Server.java
+++ b/src/main/java/yewdock/testbed/LoopbackListener.java
@@ -9,75 +9,80 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A stand-in that listens on a free port of this machine and serves each connection on a thread of its own.
+ * Base class of the stub servers: listens on a free loopback port and serves each connection on a thread of
+ * its own.
  */
-abstract class Server implements Closeable {
+abstract class LoopbackListener implements Closeable {
     private static final int BACKLOG = 512;
 
     private final ServerSocket listener;
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+    private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
     private final String name;
 
-    Server(String name) throws IOException {
+    /** Opens the port; connections are accepted from {@link #startAccepting} on. */
+    LoopbackListener(String name) throws IOException {
         this.name = name;
         listener = new ServerSocket(0, BACKLOG, InetAddress.getByName("127.0.0.1"));
     }
 
-    final void begin() {
-        thread(this::accept).start();
+    /** Starts the accepting thread; subclasses call it once their fields are set. */
+    final void startAccepting() {
+        newThread(this::acceptLoop).start();
     }
 
-    private Thread thread(Runnable work) {
+    private Thread newThread(Runnable work) {
         Thread thread = new Thread(work, name);
         thread.setDaemon(true);
         return thread;
     }
 
-    private void accept() {
+    private void acceptLoop() {
         while (!listener.isClosed()) {
             try {
                 Socket socket = listener.accept();
                 socket.setTcpNoDelay(true);
-                open.add(socket);
-                thread(() -> {
+                openSockets.add(socket);
+                newThread(() -> {
                     try {
                         serve(socket);
                     } catch (IOException e) {
-                        // the other side went away, or the stand-in was closed
+                        // the client went away, or the listener was closed
                     } finally {
-                        shut(socket);
+                        closeSocket(socket);
                     }
                 }).start();
             } catch (IOException e) {
-                // closed, or out of descriptors for a moment
+                // the listener was closed, or the process is out of file descriptors for a moment
             }
         }
     }
 
+    /** Serves one connection; it is closed when this returns or throws. */
     abstract void serve(Socket socket) throws IOException;
 
-    final void shut(Socket socket) {
-        open.remove(socket);
+    /** Closes one connection and forgets it. */
+    final void closeSocket(Socket socket) {
+        openSockets.remove(socket);
         try {
             socket.close();
         } catch (IOException e) {
-            // closed all the same
+            // nothing is left to release
         }
     }
 
-    /** Ends every connection with a reset, as a process that dies does. */
+    /** Closes every connection with a TCP reset, as the kernel does for a process that dies. */
     final void resetAll() {
-        for (Socket socket : open) {
+        for (Socket socket : openSockets) {
             try {
                 socket.setSoLinger(true, 0);
             } catch (IOException e) {
                 // closed already
             }
-            shut(socket);
+            closeSocket(socket);
         }
     }
 
-    /** Where it listens. */
+    /** The address on which it listens, as host:port. */
     public final String address() {
         return "127.0.0.1:" + listener.getLocalPort();
     }
@@ -87,7 +92,7 @@
         try {
             listener.close();
         } catch (IOException e) {
-            // closed all the same
+            // nothing is left to release
         }
         resetAll();
     }
--- a/src/main/java/yewdock/testbed/Relay.java
+++ b/src/main/java/yewdock/testbed/Relay.java
@@ -12,83 +12,87 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * What lies between two instances: it passes bytes on, and on demand holds them back in one direction or
- * both, as a network does that loses what is sent, passes them on late, or resets all connections.
+ * A TCP relay between two instances that injects network faults: it can hold back the bytes of one direction
+ * or both, as a partition does, delay them, or reset all connections.
  */
 public final class Relay implements Closeable {
-    private static final int CONNECT_MILLIS = 2_000;
+    private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
     private final InetSocketAddress target;
     private final ServerSocket listener;
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
-    private boolean holdsThere;
-    private boolean holdsBack;
-    private long lateMillis;
+    private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
+    private boolean blocksToTarget;
+    private boolean blocksFromTarget;
+    private long delayMillis;
     private volatile boolean closed;
 
-    /** To what listens there, from a port of its own. */
+    /** Relays connections from a free loopback port to the target. */
     public Relay(InetSocketAddress target) throws IOException {
         this.target = target;
         this.listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        begin(this::accept);
+        startThread(this::acceptLoop);
     }
 
+    /** The port on which the relay listens. */
     public int port() {
         return listener.getLocalPort();
     }
 
-    /** Holds back what is sent to the target, and what the target sends; false lets it go on. */
-    public synchronized void hold(boolean there, boolean back) {
-        holdsThere = there;
-        holdsBack = back;
+    /**
+     * Sets whether bytes sent to the target, and bytes sent by the target, are held back. Held bytes are kept
+     * and passed on when the direction is unblocked.
+     */
+    public synchronized void hold(boolean toTarget, boolean fromTarget) {
+        blocksToTarget = toTarget;
+        blocksFromTarget = fromTarget;
         notifyAll();
     }
 
-    /** Each piece is so much later from now on. */
+    /** Delays each piece of data by this time from now on. */
     public synchronized void late(long millis) {
-        lateMillis = millis;
+        delayMillis = millis;
     }
 
-    /** All connections end at once. */
+    /** Closes all connections at once. */
     public void reset() {
-        open.forEach(Relay::close);
+        openSockets.forEach(Relay::close);
     }
 
-    private static void begin(Runnable work) {
+    private static void startThread(Runnable work) {
         Thread thread = new Thread(work, "relay");
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void accept() {
+    private void acceptLoop() {
         while (!closed) {
             try {
                 Socket from = listener.accept();
-                open.add(from);
-                begin(() -> connect(from));
+                openSockets.add(from);
+                startThread(() -> relayConnection(from));
             } catch (IOException e) {
                 return;
             }
         }
     }
 
-    private void connect(Socket from) {
+    private void relayConnection(Socket from) {
         Socket to = new Socket();
-        open.add(to);
+        openSockets.add(to);
         try {
-            await(true);
-            to.connect(target, CONNECT_MILLIS);
+            awaitUnblocked(true);
+            to.connect(target, CONNECT_TIMEOUT_MILLIS);
             to.setTcpNoDelay(true);
             from.setTcpNoDelay(true);
-            begin(() -> pass(to, from, false));
-            pass(from, to, true);
+            startThread(() -> copyBytes(to, from, false));
+            copyBytes(from, to, true);
         } catch (IOException e) {
-            end(from, to);
+            closeBoth(from, to);
         }
     }
 
-    private synchronized void await(boolean there) throws IOException {
+    private synchronized void awaitUnblocked(boolean toTarget) throws IOException {
         try {
-            while (!closed && (there ? holdsThere : holdsBack)) {
+            while (!closed && (toTarget ? blocksToTarget : blocksFromTarget)) {
                 wait();
             }
         } catch (InterruptedException e) {
@@ -97,42 +101,42 @@
     }
 
     private synchronized long late() {
-        return lateMillis;
+        return delayMillis;
     }
 
-    private void pass(Socket from, Socket to, boolean there) {
+    private void copyBytes(Socket from, Socket to, boolean toTarget) {
         byte[] bytes = new byte[64 * 1024];
         try {
             InputStream in = from.getInputStream();
             OutputStream out = to.getOutputStream();
-            for (int n = in.read(bytes); n >= 0; n = in.read(bytes)) {
-                await(there);
-                long wait = late();
-                if (wait > 0) {
-                    Thread.sleep(wait);
+            for (int count = in.read(bytes); count >= 0; count = in.read(bytes)) {
+                awaitUnblocked(toTarget);
+                long delay = late();
+                if (delay > 0) {
+                    Thread.sleep(delay);
                 }
-                out.write(bytes, 0, n);
+                out.write(bytes, 0, count);
             }
         } catch (IOException e) {
-            // one side is gone
+            // one side closed its connection
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        end(from, to);
+        closeBoth(from, to);
     }
 
-    private void end(Socket a, Socket b) {
+    private void closeBoth(Socket a, Socket b) {
         close(a);
         close(b);
-        open.remove(a);
-        open.remove(b);
+        openSockets.remove(a);
+        openSockets.remove(b);
     }
 
     private static void close(Socket socket) {
         try {
             socket.close();
         } catch (IOException e) {
-            // closed all the same
+            // nothing is left to release
         }
     }
 
@@ -142,7 +146,7 @@
         try {
             listener.close();
         } catch (IOException e) {
-            // closed all the same
+            // nothing is left to release
         }
         hold(false, false);
         reset();
--- a/src/test/java/yewdock/scenario/ScenarioFileTest.java
+++ b/src/test/java/yewdock/scenario/ScenarioFileTest.java
@@ -18,7 +18,7 @@
 import yewdock.model.Scenario;
 import yewdock.settings.InvalidSettingsException;
 
-/** Scenarios: each mistake is one line that names its key, and nothing of the file is taken. */
+/** Checks that each error in a scenario is reported in one line that names its key. */
 class ScenarioFileTest {
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {
@@ -38,41 +38,41 @@
         "trouble.x.what | flood",
         "nothing.of.this | 1",
     })
-    void aMistakeIsOneLineThatNamesTheKey(String key, String value) {
-        Object given = value.matches("-?[0-9.]+") ? (Object) Double.valueOf(value) : value;
+    void reportsOneLineThatNamesTheKey(String key, String value) {
+        Object parsedValue = value.matches("-?[0-9.]+") ? (Object) Double.valueOf(value) : value;
         InvalidSettingsException e = assertThrows(InvalidSettingsException.class,
-                () -> ScenarioFile.parse("here", Days.SMALL, Map.of(key, given)));
+                () -> ScenarioFile.parse("here", Days.SMALL, Map.of(key, parsedValue)));
         assertEquals(1, e.errors().size(), e.errors().toString());
-        String named = key.startsWith("nothing") ? "nothing" : key;
-        assertTrue(e.errors().get(0).startsWith("here: " + named + ":"), e.errors().get(0));
+        String expectedKey = key.startsWith("nothing") ? "nothing" : key;
+        assertTrue(e.errors().get(0).startsWith("here: " + expectedKey + ":"), e.errors().get(0));
     }
 
     @Test
-    void rangesAndNumbersAndDefaults() throws InvalidSettingsException {
-        Scenario s = ScenarioFile.parse("here", Days.SMALL, Map.of("day.swing", List.of(0.1, 0.3)));
-        assertEquals(0.1, s.span().swing().from());
-        assertEquals(0.3, s.span().swing().to());
-        assertEquals(6, s.fleet().count().from());
-        assertEquals(6, s.fleet().count().to());
-        assertEquals(List.of("site-1", "site-2"), s.sites().names());
+    void readsRangesNumbersAndDefaults() throws InvalidSettingsException {
+        Scenario scenario = ScenarioFile.parse("here", Days.SMALL, Map.of("day.swing", List.of(0.1, 0.3)));
+        assertEquals(0.1, scenario.span().swing().from());
+        assertEquals(0.3, scenario.span().swing().to());
+        assertEquals(6, scenario.fleet().count().from());
+        assertEquals(6, scenario.fleet().count().to());
+        assertEquals(List.of("site-1", "site-2"), scenario.sites().names());
         assertThrows(InvalidSettingsException.class, () -> ScenarioFile.parse("here", Days.SMALL,
                 Map.of("day.swing", List.of(0.3, 0.1))));
     }
 
     @Test
-    void whatIsNoScenarioIsSaidSo() {
+    void rejectsTextThatIsNoScenario() {
         for (String text : new String[] {"{{{", "day {", "just words", ""}) {
             assertThrows(InvalidSettingsException.class, () -> ScenarioFile.parse("here", text, Map.of()),
                     text);
         }
     }
 
-    /** The studies' files are good: a key that is renamed shows here and not in an hour. */
+    /** Reads every study, so that a renamed key fails here and not an hour into an experiment. */
     @Test
-    void everyStudyCanBeRead() throws IOException, InvalidSettingsException {
+    void readsEveryStudyFile() throws IOException, InvalidSettingsException {
         List<Path> files;
         try (Stream<Path> all = Files.list(Path.of("docs/studies"))) {
-            files = all.filter(f -> f.toString().endsWith(".hcl")).sorted().toList();
+            files = all.filter(file -> file.toString().endsWith(".hcl")).sorted().toList();
         }
         int plans = 0;
         for (Path file : files) {
--- a/src/test/java/yewdock/testbed/ListenPortsTest.java
+++ b/src/test/java/yewdock/testbed/ListenPortsTest.java
@@ -15,26 +15,27 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
+/** Checks that reserved ports cannot collide with ports that the kernel assigns or others use. */
 class ListenPortsTest {
     private static final Path KERNEL_RANGE = Path.of("/proc/sys/net/ipv4/ip_local_port_range");
     private static final int RESERVED = 200;
 
     @Test
-    void theKernelHandsOutNoReservedPort() throws IOException {
+    void reservedPortIsOutsideTheKernelRange() throws IOException {
         int port = ListenPorts.reserve();
-        int kernelFirst = kernelFirst();
-        assertTrue(port < kernelFirst, port + " is in the range that begins at " + kernelFirst);
+        int kernelFirst = firstKernelPort();
+        assertTrue(port < kernelFirst, port + " is in the kernel's range, which begins at " + kernelFirst);
     }
 
-    private static int kernelFirst() throws IOException {
-        // the kernel gives the line to the first read alone, which must be long enough
+    private static int firstKernelPort() throws IOException {
+        // the kernel returns the line to the first read only, so the buffer must hold all of it
         try (BufferedReader reader = Files.newBufferedReader(KERNEL_RANGE)) {
             return Integer.parseInt(reader.readLine().strip().split("\\s+")[0]);
         }
     }
 
     @Test
-    void noPortIsReservedTwice() throws IOException {
+    void reservesNoPortTwice() throws IOException {
         Set<Integer> ports = new HashSet<>();
         for (int i = 0; i < RESERVED; i++) {
             ports.add(ListenPorts.reserve());
@@ -43,12 +44,12 @@
     }
 
     @Test
-    void aPortInUseIsPassedOver() throws IOException {
+    void skipsPortInUse() throws IOException {
         int port = ListenPorts.reserve();
         try (ServerSocket taken = new ServerSocket(port + 1, 1, InetAddress.getByName("127.0.0.1"))) {
             assertNotEquals(taken.getLocalPort(), ListenPorts.reserve());
         } catch (BindException e) {
-            // another program has it, which shows the same
+            // another process uses the port, which serves the test as well
             assertNotEquals(port + 1, ListenPorts.reserve());
         }
     }
