--- a/src/main/java/yewdock/testbed/BoxStandin.java
+++ b/src/main/java/yewdock/testbed/BoxStandin.java
@@ -14,14 +14,14 @@
  * run slower during its slow start.
  */
 public final class BoxStandin extends LoopbackListener {
-    private static final Pattern MAX_TOKENS = Pattern.compile("\"max_tokens\":\\s*([0-9]{1,6})");
-    private static final Pattern PACE_MILLIS = Pattern.compile("\"pace_ms\":\\s*([0-9]{1,6})");
+    private static final Pattern TOKENS_FIELD = Pattern.compile("\"max_tokens\":\\s*([0-9]{1,6})");
+    private static final Pattern PACE_FIELD = Pattern.compile("\"pace_ms\":\\s*([0-9]{1,6})");
     private static final long SLOW_START_NANOS = 8_700_000_000L;
     /** The share of its capacity that a server has right after a restart. */
     private static final double COLD_CAPACITY = 0.32;
 
     private final String name;
-    private final Ledger ledger;
+    private final Ledger observations;
     private final int slots;
     private final AtomicInteger inFlight = new AtomicInteger();
     private volatile boolean draining;
@@ -29,11 +29,11 @@
     private volatile long restartedAtNanos;
 
     /** Starts a server that processes at most slots requests at once and refuses the others. */
-    public BoxStandin(String name, int slots, Ledger ledger) throws IOException {
+    public BoxStandin(String name, int slots, Ledger observations) throws IOException {
         super("box " + name);
         this.name = name;
         this.slots = slots;
-        this.ledger = ledger;
+        this.observations = observations;
         startAccepting();
     }
 
@@ -68,7 +68,7 @@
             if (id == null) {
                 connection.write("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
             } else if (draining || inFlight.get() >= slots) {
-                ledger.add(new Ledger.AtBox(id, name, startedAt, System.nanoTime(), false));
+                observations.add(new Ledger.AtBox(id, name, startedAt, System.nanoTime(), false));
                 connection.write(
                         "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nX-Backend-Load: inflight="
                         + inFlight.get() + "\r\nContent-Length: 0\r\n\r\n");
@@ -87,8 +87,8 @@
         long lastWritten = startedAt;
         boolean complete = false;
         try {
-            int tokens = intField(MAX_TOKENS, connection.body(), 8);
-            int paceMillis = intField(PACE_MILLIS, connection.body(), 5);
+            int tokens = intField(TOKENS_FIELD, connection.body(), 8);
+            int paceMillis = intField(PACE_FIELD, connection.body(), 5);
             connection.write("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
                     + "Transfer-Encoding: chunked\r\n\r\n");
             int sent = 0;
@@ -109,8 +109,8 @@
             complete = true;
         } finally {
             inFlight.decrementAndGet();
-            ledger.add(new Ledger.AtBox(id, name, startedAt, complete ? System.nanoTime() : lastSurelyOpen,
-                    true));
+            observations.add(new Ledger.AtBox(id, name, startedAt,
+                    complete ? System.nanoTime() : lastSurelyOpen, true));
         }
     }
 
--- a/src/main/java/yewdock/testbed/LiveDay.java
+++ b/src/main/java/yewdock/testbed/LiveDay.java
@@ -20,7 +20,7 @@
 import yewdock.model.Live;
 
 /**
- * Plays a simulated day in real time over loopback sockets: a stub discovery service, a stub for each server
+ * Runs a simulated day in real time over loopback sockets: a stub discovery service, a stub for each server
  * of the model, and a client for each request. The routers between them are real.
  */
 public final class LiveDay implements Closeable {
@@ -98,7 +98,7 @@
     }
 
     /**
-     * Plays the day against these routers, as many as the scenario has, and waits until all requests have
+     * Runs the day against these routers, as many as the scenario has, and waits until all requests have
      * ended, at most a minute beyond the end of the day.
      */
     public void play(List<InetSocketAddress> routerAddresses) {
--- a/src/main/java/yewdock/testbed/Load.java
+++ b/src/main/java/yewdock/testbed/Load.java
@@ -18,8 +18,7 @@
 
 /**
  * A load generator: sends requests at a given overall rate over a given number of connections, one at a time
- * on each. It compares each stream with its reference byte for byte and adds one record per request to the
- * ledger.
+ * on each. It compares each stream with its reference byte for byte and records one observation per request.
  */
 public final class Load {
     private static final int READ_TIMEOUT_MILLIS = 30_000;
@@ -41,14 +40,14 @@
     }
 
     private final Plan plan;
-    private final Ledger ledger;
+    private final Ledger observations;
     private final AtomicBoolean stopped = new AtomicBoolean();
     private final List<Thread> threads = new ArrayList<>();
 
     /** Prepares the load; nothing is sent before {@link #start}. */
-    public Load(Plan plan, Ledger ledger) {
+    public Load(Plan plan, Ledger observations) {
         this.plan = plan;
-        this.ledger = ledger;
+        this.observations = observations;
     }
 
     /** Starts a thread for each connection. */
@@ -94,7 +93,7 @@
             String id = String.format(Locale.ROOT, "%x-%x-%x", plan.seed(), number, i);
             int tokens = 1 + random.nextInt(plan.maxTokens());
             int paceMillis = random.nextInt(plan.maxPaceMillis() + 1);
-            ledger.add(client.send(id, tokens, paceMillis, random.nextInt(40)));
+            observations.add(client.send(id, tokens, paceMillis, random.nextInt(40)));
         }
         client.close();
     }
--- a/src/main/java/yewdock/testbed/Relay.java
+++ b/src/main/java/yewdock/testbed/Relay.java
@@ -13,7 +13,7 @@
 
 /**
  * A TCP relay between two instances that injects network faults: it can hold back the bytes of one direction
- * or both, as a partition does, delay them, or reset all connections.
+ * or both, as a partition does, delay them, or close all connections.
  */
 public final class Relay implements Closeable {
     private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
@@ -111,9 +111,9 @@
             OutputStream out = to.getOutputStream();
             for (int count = in.read(bytes); count >= 0; count = in.read(bytes)) {
                 awaitUnblocked(toTarget);
-                long delay = late();
-                if (delay > 0) {
-                    Thread.sleep(delay);
+                long waitMillis = late();
+                if (waitMillis > 0) {
+                    Thread.sleep(waitMillis);
                 }
                 out.write(bytes, 0, count);
             }
--- a/src/main/java/yewdock/testbed/StubDiscovery.java
+++ b/src/main/java/yewdock/testbed/StubDiscovery.java
@@ -28,14 +28,14 @@
     private record ListUpdate(long version, List<ListedServer> servers) {
     }
 
-    private final Ledger ledger;
+    private final Ledger observations;
     private final Map<String, ListedServer> servers = new LinkedHashMap<>();
     private long version = 1;
 
-    /** Starts serving an empty endpoint list; each state it sends is recorded in the ledger. */
-    public StubDiscovery(Ledger ledger) throws IOException {
+    /** Starts serving an empty endpoint list; each state it sends is recorded as an observation. */
+    public StubDiscovery(Ledger observations) throws IOException {
         super("list");
-        this.ledger = ledger;
+        this.observations = observations;
         startAccepting();
     }
 
@@ -74,8 +74,8 @@
             String body = responseBody(since < 0, update);
             connection.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
             long writtenAt = System.nanoTime();
-            update.servers.forEach(server -> ledger.add(new Ledger.Told(server.name, server.state, writtenAt,
-                    socket.getPort())));
+            update.servers.forEach(server -> observations.add(
+                    new Ledger.Told(server.name, server.state, writtenAt, socket.getPort())));
         }
     }
 
