--- a/src/test/java/yewdock/faults/CallFault.java
+++ b/src/test/java/yewdock/faults/CallFault.java
@@ -1,19 +1,19 @@
 package yewdock.faults;
 
-/** What goes wrong with one call to discovery. */
+/** A fault that {@link ScriptedDiscovery} injects into one call from a router. */
 enum CallFault {
-    /** 503, as an overloaded service answers. */
+    /** A 503 response, as from an overloaded service. */
     UNAVAILABLE,
-    /** The connection is reset without an answer. */
+    /** The connection is reset without a response. */
     RESET,
-    /** The connection is reset in the middle of the answer. */
+    /** The connection is reset in the middle of the response body. */
     HALF_ANSWERED,
-    /** The answer is no JSON. */
+    /** The response body is not valid JSON. */
     MALFORMED,
-    /** The answer's length is larger than its body, and the connection stays open. */
+    /** Content-Length is larger than the body, and the connection stays open. */
     WRONG_LENGTH,
-    /** The head arrives and nothing more. */
+    /** Only the status line is sent, and the connection stays open. */
     HEAD_ONLY,
-    /** No answer, and the connection stays open. */
+    /** No response, and the connection stays open. */
     SILENT
 }
--- a/src/test/java/yewdock/faults/EndpointState.java
+++ b/src/test/java/yewdock/faults/EndpointState.java
@@ -1,17 +1,17 @@
 package yewdock.faults;
 
-/** What discovery says of a server. */
+/** The state of a server in the endpoint list. */
 enum EndpointState {
     UP("up"), DRAINING("draining"), REMOVED("removed");
 
-    private final String word;
+    private final String protocolName;
 
     EndpointState(String word) {
-        this.word = word;
+        this.protocolName = word;
     }
 
-    /** The state as the protocol spells it. */
-    String word() {
-        return word;
+    /** Returns the value of the "state" field in the endpoint list. */
+    String protocolName() {
+        return protocolName;
     }
 }
--- a/src/test/java/yewdock/faults/FaultRig.java
+++ b/src/test/java/yewdock/faults/FaultRig.java
@@ -11,105 +11,125 @@
 import java.util.function.UnaryOperator;
 import java.util.stream.Collectors;
 
-/** Routers in processes of their own, each with its discovery and its clients, and servers that all share. */
+/**
+ * A test installation: router processes, each with its own discovery service and clients, and model servers
+ * that all routers share. Every attempt at a server is recorded and checked against the drain rule.
+ */
 final class FaultRig implements Closeable {
     private static final int CLIENTS_PER_ROUTER = 8;
-    private static final long FIRST_VERSION = 1;
-    private static final int FIRST_SERVER = 0xa0;
-    private static final Path TEMPLATE = Path.of("src/test/resources/exchanges/config.json");
+    /** Lower than any version of {@link ScriptedDiscovery}'s first run. */
+    private static final long INITIAL_LIST_VERSION = 1;
+    private static final int FIRST_SERVER_NUMBER = 0xa0;
+    private static final Path CONFIGURATION_TEMPLATE = Path.of("src/test/resources/exchanges/config.json");
 
-    private final DrainJudge judge;
+    private final DrainRuleChecker checker;
     private final Queue<RecordingServer.Attempt> attempts = new ConcurrentLinkedQueue<>();
     private final List<RecordingServer> servers = new ArrayList<>();
     private final List<ScriptedDiscovery> discoveries = new ArrayList<>();
     private final List<RouterProcess> routers = new ArrayList<>();
-    private final List<Traffic> traffic = new ArrayList<>();
+    private final List<ClientTraffic> traffic = new ArrayList<>();
     private final Path folder;
-    private final String mode;
+    private final String discoveryMode;
     private final double graceSeconds;
     private final UnaryOperator<String> editConfiguration;
 
-    FaultRig(Path folder, boolean pushed, long graceMillis, int routerCount, int serverCount)
+    /**
+     * Starts an installation with all servers up and traffic at each router.
+     *
+     * @param folder where the routers' files go
+     * @param byAgent whether discovery is an agent on the router's machine, else a service that is polled
+     * @param graceMillis the drain grace
+     */
+    FaultRig(Path folder, boolean byAgent, long graceMillis, int routerCount, int serverCount)
             throws Exception {
-        this(folder, pushed, graceMillis, routerCount, serverCount, UnaryOperator.identity());
+        this(folder, byAgent, graceMillis, routerCount, serverCount, UnaryOperator.identity());
     }
 
-    /** The same with routers whose configuration is edited. */
-    FaultRig(Path folder, boolean pushed, long graceMillis, int routerCount, int serverCount,
+    /** As above, with a change to the text of each router's configuration. */
+    FaultRig(Path folder, boolean byAgent, long graceMillis, int routerCount, int serverCount,
             UnaryOperator<String> editConfiguration) throws Exception {
         this.folder = folder;
         this.editConfiguration = editConfiguration;
-        this.mode = pushed ? "push" : "ask";
+        this.discoveryMode = byAgent ? "push" : "ask";
         this.graceSeconds = graceMillis / 1000.0;
-        judge = new DrainJudge(graceMillis, pushed, System::nanoTime);
+        checker = new DrainRuleChecker(graceMillis, byAgent, System::nanoTime);
         for (int i = 0; i < serverCount; i++) {
             addServer();
         }
         for (int i = 0; i < routerCount; i++) {
-            ScriptedDiscovery discovery = new ScriptedDiscovery(i, judge);
-            servers.forEach(server -> discovery.set(server.name(), server.address(), EndpointState.UP));
+            ScriptedDiscovery discovery = new ScriptedDiscovery(i, checker);
+            servers.forEach(server -> discovery.setState(server.name(), server.address(), EndpointState.UP));
             discoveries.add(discovery);
-            routers.add(start(i, discovery.version()));
+            routers.add(startRouter(i, discovery.version()));
         }
         for (int i = 0; i < routerCount; i++) {
-            traffic.add(new Traffic(i, routers.get(i).port(), CLIENTS_PER_ROUTER));
+            traffic.add(new ClientTraffic(i, routers.get(i).port(), CLIENTS_PER_ROUTER));
         }
     }
 
-    /** Another server, of which discovery does not know yet. */
+    /** Starts another server, which discovery does not list yet. */
     RecordingServer addServer() throws IOException {
-        String name = "s-" + Integer.toHexString(FIRST_SERVER + servers.size());
-        RecordingServer server = new RecordingServer(name, this::attempted);
+        String name = "s-" + Integer.toHexString(FIRST_SERVER_NUMBER + servers.size());
+        RecordingServer server = new RecordingServer(name, this::attemptReceived);
         servers.add(server);
         return server;
     }
 
-    private void attempted(RecordingServer.Attempt attempt) {
+    private void attemptReceived(RecordingServer.Attempt attempt) {
         attempts.add(attempt);
-        judge.attempted(routerOf(attempt.requestId()), attempt.server(), attempt.firstByteAt());
+        checker.attemptReceived(routerIndexOf(attempt.requestId()), attempt.server(),
+                attempt.firstByteNanos());
     }
 
-    /** Clients put the router's number in front of each request's id. */
-    private static int routerOf(String requestId) {
+    /** Clients prefix each request id with the router's index in hexadecimal and a hyphen. */
+    private static int routerIndexOf(String requestId) {
         return Integer.parseInt(requestId.substring(0, requestId.indexOf('-')), 16);
     }
 
-    /** All attempts of requests whose ids begin so. */
-    List<RecordingServer.Attempt> attemptsOf(String idPrefix) {
+    /** Returns all attempts of requests whose ids start with this prefix. */
+    List<RecordingServer.Attempt> attemptsWithIdPrefix(String idPrefix) {
         return attempts.stream().filter(attempt -> attempt.requestId().startsWith(idPrefix)).toList();
     }
 
-    private RouterProcess start(int router, long knownVersion) throws IOException {
-        Path own = Files.createDirectories(folder.resolve("router-" + router));
-        return new RouterProcess(own, configuration(discoveries.get(router).address(), knownVersion));
+    private RouterProcess startRouter(int router, long cachedVersion) throws IOException {
+        Path routerFolder = Files.createDirectories(folder.resolve("router-" + router));
+        return new RouterProcess(routerFolder,
+                configuration(discoveries.get(router).address(), cachedVersion));
     }
 
-    /** The platform's configuration, with all servers known and up. */
-    String configuration(String discovery, long knownVersion) throws IOException {
-        String template = Files.readString(TEMPLATE);
-        String known = servers.stream().map(server -> "{\"id\":\"" + server.name() + "\",\"addr\":\""
+    /**
+     * Returns a router's configuration, whose cached endpoint list has all servers up.
+     *
+     * @param discovery the address of discovery
+     * @param cachedVersion the version of the cached endpoint list
+     */
+    String configuration(String discovery, long cachedVersion) throws IOException {
+        String template = Files.readString(CONFIGURATION_TEMPLATE);
+        String cachedServers = servers.stream().map(server -> "{\"id\":\"" + server.name() + "\",\"addr\":\""
                 + server.address() + "\",\"zone\":\"kathmandu\",\"kind\":\"big-gpu\",\"cell\":1,"
                 + "\"state\":\"up\",\"weight\":1.0,\"started_ms\":0}").collect(Collectors.joining(","));
-        int from = template.indexOf("\"known\"");
-        int to = template.indexOf("\"settings\"");
-        return editConfiguration.apply(template.substring(0, from) + "\"known\":{\"version\":" + knownVersion
-                + ",\"full\":true,\"servers\":[" + known + "]},\n " + template.substring(to))
+        int start = template.indexOf("\"known\"");
+        int end = template.indexOf("\"settings\"");
+        return editConfiguration.apply(template.substring(0, start) + "\"known\":{\"version\":"
+                + cachedVersion + ",\"full\":true,\"servers\":[" + cachedServers + "]},\n "
+                + template.substring(end))
                 .replace("127.0.0.1:8000", "127.0.0.1:0").replace("127.0.0.1:8500", discovery)
-                .replace("\"discovery\":\"ask\"", "\"discovery\":\"" + mode + "\"")
+                .replace("\"discovery\":\"ask\"", "\"discovery\":\"" + discoveryMode + "\"")
                 .replace("\"drain_grace\":1.0", "\"drain_grace\":" + graceSeconds);
     }
 
-    /** Kills a router's process and starts it again, with the list that it had at first. */
+    /** Kills a router's process and starts it again with an endpoint list that is older than all changes. */
     void restartRouter(int router) throws Exception {
         traffic.get(router).close();
         routers.get(router).close();
-        judge.processStarted(router, true);
-        routers.set(router, start(router, FIRST_VERSION));
-        traffic.set(router, new Traffic(router, routers.get(router).port(), CLIENTS_PER_ROUTER));
+        checker.routerRestarted(router, true);
+        routers.set(router, startRouter(router, INITIAL_LIST_VERSION));
+        traffic.set(router, new ClientTraffic(router, routers.get(router).port(), CLIENTS_PER_ROUTER));
     }
 
-    DrainJudge judge() {
-        return judge;
+    /** The checker that sees every attempt and every change in discovery. */
+    DrainRuleChecker checker() {
+        return checker;
     }
 
     RecordingServer server(int index) {
@@ -131,21 +151,21 @@
         }
     }
 
-    /** Tells each router's discovery that a server has this state. */
-    void setEverywhere(int server, EndpointState state) {
+    /** Sets a server's state in the discovery service of each router. */
+    void setStateEverywhere(int server, EndpointState state) {
         for (ScriptedDiscovery discovery : discoveries) {
-            discovery.set(servers.get(server).name(), servers.get(server).address(), state);
+            discovery.setState(servers.get(server).name(), servers.get(server).address(), state);
         }
     }
 
-    /** A log of each router, for a failed test. */
+    /** Returns the logs of all routers, for the message of a failed test. */
     String logs() {
         return routers.stream().map(RouterProcess::log).collect(Collectors.joining("\n---\n"));
     }
 
     @Override
     public void close() throws IOException {
-        traffic.forEach(Traffic::close);
+        traffic.forEach(ClientTraffic::close);
         routers.forEach(RouterProcess::close);
         for (ScriptedDiscovery discovery : discoveries) {
             discovery.close();
--- a/src/test/java/yewdock/faults/HostileClient.java
+++ b/src/test/java/yewdock/faults/HostileClient.java
@@ -6,73 +6,79 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** Ways in which a client can be a burden to the others of its router. */
+/** Kinds of client misbehaviour that could harm the other clients of the same router. */
 enum HostileClient {
-    /** Asks much at once and reads none of the answers. */
+    /** Pipelines many requests and reads none of the responses. */
     READS_NOTHING {
         @Override
         void write(OutputStream out, String id) throws IOException {
-            for (int i = 0; i < MANY; i++) {
-                out.write(Traffic.request(id + '-' + i, TIME_LEFT));
+            for (int i = 0; i < FLOOD_SIZE; i++) {
+                out.write(ClientTraffic.request(id + '-' + i, CLIENT_TIMEOUT_SECONDS));
             }
         }
     },
-    /** Begins a head and stays. */
+    /** Sends part of a request head and keeps the connection open. */
     HALF_HEAD {
         @Override
         void write(OutputStream out, String id) throws IOException {
             out.write("POST /v1/chat/completions HTTP/1.1\r\nX-Corr".getBytes(StandardCharsets.US_ASCII));
         }
     },
-    /** Announces more than it sends. */
+    /** Sends a Content-Length that is larger than the body. */
     HALF_BODY {
         @Override
         void write(OutputStream out, String id) throws IOException {
-            String whole = new String(Traffic.request(id, TIME_LEFT), StandardCharsets.US_ASCII);
+            String whole = new String(ClientTraffic.request(id, CLIENT_TIMEOUT_SECONDS),
+                    StandardCharsets.US_ASCII);
             out.write(whole.replace("Content-Length: 2", "Content-Length: 200000")
                     .getBytes(StandardCharsets.US_ASCII));
         }
     },
-    /** Sends what is no HTTP. */
+    /** Sends bytes that are not HTTP. */
     GARBAGE {
         @Override
         void write(OutputStream out, String id) throws IOException {
-            out.write(new byte[MANY]);
+            out.write(new byte[FLOOD_SIZE]);
         }
     },
-    /** Sends a head without end. */
+    /** Sends a very long request head that never ends. */
     ENDLESS_HEAD {
         @Override
         void write(OutputStream out, String id) throws IOException {
             out.write("GET / HTTP/1.1\r\n".getBytes(StandardCharsets.US_ASCII));
-            for (int i = 0; i < MANY; i++) {
-                out.write(("X-Field-" + i + ": " + "x".repeat(MANY) + "\r\n")
+            for (int i = 0; i < FLOOD_SIZE; i++) {
+                out.write(("X-Field-" + i + ": " + "x".repeat(FLOOD_SIZE) + "\r\n")
                         .getBytes(StandardCharsets.US_ASCII));
             }
         }
     },
-    /** Asks and resets its connection at once. */
+    /** Sends a request and resets the connection at once. */
     ASKS_AND_RESETS {
         @Override
         void write(OutputStream out, String id) throws IOException {
-            out.write(Traffic.request(id, TIME_LEFT));
-            throw new IOException("resets");
+            out.write(ClientTraffic.request(id, CLIENT_TIMEOUT_SECONDS));
+            throw new IOException("resetting the connection after the request");
         }
     },
-    /** Says nothing. */
+    /** Sends nothing. */
     SILENT {
         @Override
         void write(OutputStream out, String id) {
-            // it only holds a connection
+            // only keeps the connection open
         }
     };
 
-    private static final int MANY = 500;
-    private static final double TIME_LEFT = 3;
+    /** Number of requests, header fields or bytes, by kind. */
+    private static final int FLOOD_SIZE = 500;
+    private static final double CLIENT_TIMEOUT_SECONDS = 3;
 
+    /** Writes the hostile input; an IOException makes {@link #attack} reset the connection. */
     abstract void write(OutputStream out, String id) throws IOException;
 
-    /** Connects and does its worst; the connection is the caller's to close, and null where it is over. */
+    /**
+     * Connects to the router and writes the hostile input. Returns the open connection, which the caller
+     * closes, or null if it could not be opened or has been closed.
+     */
     Socket attack(int port, String id) {
         try {
             Socket socket = new Socket(InetAddress.getByName("127.0.0.1"), port);
--- a/src/test/java/yewdock/faults/RandomFaultsTest.java
+++ b/src/test/java/yewdock/faults/RandomFaultsTest.java
@@ -18,98 +18,106 @@
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
 /**
- * Faults drawn from seeds, against router processes under traffic, while servers drain and go.
- * {@code -Ddrain.seeds=N} plays N seeds in each mode, from {@code -Ddrain.seed} on.
+ * Injects random faults into router processes and their discovery, under traffic, while servers drain or are
+ * removed, and checks the drain rule.
+ *
+ * <p>{@code -Ddrain.seeds=N} runs N seeds for each kind of discovery, starting with {@code -Ddrain.seed}.
  */
 @Timeout(3_600)
 @Execution(ExecutionMode.CONCURRENT)
 class RandomFaultsTest {
-    private static final int SEEDS = Integer.getInteger("drain.seeds", 1);
+    private static final int SEED_COUNT = Integer.getInteger("drain.seeds", 1);
     private static final long FIRST_SEED = Long.getLong("drain.seed", 1);
     private static final long GRACE_MILLIS = 500;
-    private static final int ROUTERS = 2;
-    private static final int SERVERS = 4;
-    private static final int INCIDENTS = 2;
-    private static final long UNTIL_JUDGED_MILLIS = 7_500;
+    private static final int ROUTER_COUNT = 2;
+    private static final int SERVER_COUNT = 4;
+    private static final int FAULTS_PER_RUN = 2;
+    /** Longer than the 6 s to count as notified plus the grace. */
+    private static final long OBSERVATION_MILLIS = 7_500;
 
     @TempDir
     private Path folder;
 
-    /** One play: an incident at one of the routers, a server that ends in its midst, time for the judge. */
-    private final class Play {
+    /** One run: faults at one router each, during which a server drains or is removed, with time to check. */
+    private final class RandomRun {
         private final Random random;
-        private final boolean pushed;
-        private final List<String> script = new ArrayList<>();
+        private final boolean byAgent;
+        /** What happened, for the message of a failed test. */
+        private final List<String> schedule = new ArrayList<>();
 
-        Play(long seed, boolean pushed) {
+        RandomRun(long seed, boolean byAgent) {
             this.random = new Random(seed);
-            this.pushed = pushed;
-            script.add("seed " + seed + (pushed ? ", pushed" : ", asked"));
+            this.byAgent = byAgent;
+            schedule.add("seed " + seed + (byAgent ? ", agent" : ", polled"));
         }
 
         void run() throws Exception {
-            Path own = Files.createTempDirectory(folder, "play");
-            try (FaultRig rig = new FaultRig(own, pushed, GRACE_MILLIS, ROUTERS, SERVERS)) {
+            Path runFolder = Files.createTempDirectory(folder, "run");
+            try (FaultRig rig = new FaultRig(runFolder, byAgent, GRACE_MILLIS, ROUTER_COUNT, SERVER_COUNT)) {
                 Thread.sleep(1_500);
-                for (int i = 0; i < INCIDENTS; i++) {
-                    int server = random.nextInt(SERVERS);
-                    EndpointState end = random.nextBoolean() ? EndpointState.DRAINING : EndpointState.REMOVED;
-                    script.add(rig.server(server).name() + " " + end);
-                    incident(rig, random.nextInt(ROUTERS), () -> rig.setEverywhere(server, end));
-                    Thread.sleep(UNTIL_JUDGED_MILLIS);
-                    rig.setEverywhere(server, EndpointState.UP);
+                for (int i = 0; i < FAULTS_PER_RUN; i++) {
+                    int server = random.nextInt(SERVER_COUNT);
+                    EndpointState newState = random.nextBoolean() ? EndpointState.DRAINING
+                            : EndpointState.REMOVED;
+                    schedule.add(rig.server(server).name() + " " + newState);
+                    injectFault(rig, random.nextInt(ROUTER_COUNT),
+                            () -> rig.setStateEverywhere(server, newState));
+                    Thread.sleep(OBSERVATION_MILLIS);
+                    rig.setStateEverywhere(server, EndpointState.UP);
                     Thread.sleep(500);
                 }
-                DrainJudge judge = rig.judge();
-                assertEquals(List.of(), judge.violations().stream().limit(5).toList(), script + ": "
-                        + judge.violations().size() + " attempts of " + judge.attempts() + "\n" + rig.logs());
-                assertTrue(judge.attempts() > 100, "too little traffic: " + judge.attempts());
+                DrainRuleChecker checker = rig.checker();
+                assertEquals(List.of(), checker.violations().stream().limit(5).toList(), schedule + ": "
+                        + checker.violations().size() + " attempts of " + checker.attemptCount() + "\n"
+                                + rig.logs());
+                assertTrue(checker.attemptCount() > 100, "too little traffic: " + checker.attemptCount());
             }
         }
 
-        private void incident(FaultRig rig, int router, Runnable inTheMidst) throws Exception {
+        private void injectFault(FaultRig rig, int router, Runnable duringFault) throws Exception {
             ScriptedDiscovery discovery = rig.discovery(router);
             switch (random.nextInt(6)) {
                 case 0 -> {
                     CallFault[] kinds = CallFault.values();
                     List<CallFault> faults = List.of(kinds[random.nextInt(kinds.length)]);
-                    script.add("router " + router + ": calls " + faults);
+                    schedule.add("router " + router + ": failing call " + faults);
                     discovery.failNextCalls(faults);
                     discovery.resetOpenWatches();
-                    inTheMidst.run();
+                    duringFault.run();
                 }
                 case 1 -> {
-                    boolean countsAnew = random.nextBoolean();
-                    script.add("router " + router + ": outage, counts anew: " + countsAnew);
+                    boolean resetsVersions = random.nextBoolean();
+                    schedule.add("router " + router + ": outage of discovery, versions reset: "
+                            + resetsVersions);
                     discovery.stop();
                     Thread.sleep(random.nextInt(3_000));
-                    inTheMidst.run();
-                    discovery.restart(countsAnew ? 1 : discovery.version() + random.nextInt(2) * 1_000);
+                    duringFault.run();
+                    discovery.restart(resetsVersions ? 1 : discovery.version() + random.nextInt(2) * 1_000);
                 }
                 case 2 -> {
                     long millis = 200 + random.nextInt(4_000);
-                    script.add("router " + router + ": stands still for " + millis + " ms");
+                    schedule.add("router " + router + ": paused for " + millis + " ms");
                     rig.router(router).signal("STOP");
                     Thread.sleep(50);
-                    inTheMidst.run();
+                    duringFault.run();
                     Thread.sleep(millis);
                     rig.router(router).signal("CONT");
                 }
                 case 3 -> {
-                    script.add("router " + router + ": killed and started again");
-                    inTheMidst.run();
+                    schedule.add("router " + router + ": killed and restarted");
+                    duringFault.run();
                     Thread.sleep(random.nextInt(1_000));
                     rig.restartRouter(router);
                 }
                 case 4 -> {
-                    script.add("router " + router + ": an older list");
-                    discovery.answerNextCallWithPresentList();
-                    inTheMidst.run();
+                    schedule.add("router " + router + ": next call is answered with an older list");
+                    discovery.answerNextCallWithCurrentList();
+                    duringFault.run();
                 }
                 default -> {
-                    script.add("router " + router + ": a watch that is reset, twice");
+                    schedule.add("router " + router + ": watch reset twice");
                     discovery.resetOpenWatches();
-                    inTheMidst.run();
+                    duringFault.run();
                     Thread.sleep(100);
                     discovery.resetOpenWatches();
                 }
@@ -119,8 +127,9 @@
 
     @TestFactory
     Stream<DynamicTest> drainsAreKept() {
-        return LongStream.range(FIRST_SEED, FIRST_SEED + SEEDS).boxed().flatMap(seed -> Stream.of(false, true)
-                .map(pushed -> DynamicTest.dynamicTest("seed " + seed + (pushed ? ", pushed" : ", asked"),
-                        () -> new Play(seed, pushed).run())));
+        return LongStream.range(FIRST_SEED, FIRST_SEED + SEED_COUNT).boxed()
+                .flatMap(seed -> Stream.of(false, true).map(byAgent -> DynamicTest.dynamicTest(
+                        "seed " + seed + (byAgent ? ", agent" : ", polled"),
+                        () -> new RandomRun(seed, byAgent).run())));
     }
 }
--- a/src/test/java/yewdock/faults/RecordingServer.java
+++ b/src/test/java/yewdock/faults/RecordingServer.java
@@ -12,44 +12,54 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Consumer;
 
-/** A language-model server that tells of each attempt and when its first byte came, and answers at once. */
+/**
+ * A simulated model server. It reports each attempt with the arrival time of its first byte, and responds as
+ * its {@link ServerBehaviour} says.
+ */
 final class RecordingServer implements Closeable {
     private static final int BACKLOG = 256;
-    private static final byte[] ANSWER = ("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
+    private static final byte[] RESPONSE = ("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
             + "Transfer-Encoding: chunked\r\n\r\n9\r\ndata: x\n\n\r\n0\r\n\r\n")
                     .getBytes(StandardCharsets.US_ASCII);
 
-    /** An attempt as the server saw it; times are System.nanoTime's. */
-    record Attempt(String server, String head, long firstByteAt) {
-        /** The id that the client gave its request. */
+    /**
+     * An attempt as the server received it.
+     *
+     * @param server the server's name
+     * @param head the request head
+     * @param firstByteNanos when the first byte was read, by System.nanoTime
+     */
+    record Attempt(String server, String head, long firstByteNanos) {
+        /** The request id that the client sent. */
         String requestId() {
-            return Traffic.field(head, "x-correlation-id");
+            return ClientTraffic.headerField(head, "x-correlation-id");
         }
 
-        /** How many seconds the router says that its client will wait. */
-        double timeLeft() {
-            return Double.parseDouble(Traffic.field(head, "x-time-left"));
+        /** The remaining client timeout that the router sent, in seconds. */
+        double timeLeftSeconds() {
+            return Double.parseDouble(ClientTraffic.headerField(head, "x-time-left"));
         }
     }
 
-    private static final byte[] TURNED_AWAY = ("HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\n"
+    private static final byte[] UNPROCESSED_RESPONSE =
+            ("HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\n"
             + "Content-Length: 0\r\n\r\n").getBytes(StandardCharsets.US_ASCII);
-    private static final byte[] NO_HTTP = "\u0000\u0001 no answer at all\r\n\r\n"
+    private static final byte[] INVALID_RESPONSE = "\u0000\u0001 no answer at all\r\n\r\n"
             .getBytes(StandardCharsets.US_ASCII);
-    private static final int HALF = 20;
-    private static final long TRICKLE_MILLIS = 50;
+    private static final int PARTIAL_HEAD_BYTES = 20;
+    private static final long TRICKLE_INTERVAL_MILLIS = 50;
 
     private final String name;
     private volatile ServerBehaviour behaviour = ServerBehaviour.ANSWERS;
-    private final Consumer<Attempt> attempts;
+    private final Consumer<Attempt> attemptListener;
     private final ServerSocket listener;
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+    private final Set<Socket> openConnections = ConcurrentHashMap.newKeySet();
 
     RecordingServer(String name, Consumer<Attempt> attempts) throws IOException {
         this.name = name;
-        this.attempts = attempts;
+        this.attemptListener = attempts;
         listener = new ServerSocket(0, BACKLOG, InetAddress.getByName("127.0.0.1"));
-        thread(this::accept);
+        startThread(this::acceptConnections);
     }
 
     String name() {
@@ -60,15 +70,15 @@
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    private void accept() {
+    private void acceptConnections() {
         while (!listener.isClosed()) {
             try {
                 Socket socket = listener.accept();
                 socket.setTcpNoDelay(true);
-                open.add(socket);
-                thread(() -> serve(socket));
+                openConnections.add(socket);
+                startThread(() -> serve(socket));
             } catch (IOException e) {
-                // closed
+                // the listener was closed
             }
         }
     }
@@ -77,59 +87,59 @@
         try (socket) {
             InputStream in = socket.getInputStream();
             for (int first = in.read(); first >= 0; first = in.read()) {
-                long at = System.nanoTime();
-                String head = Traffic.readHead(in, first);
-                in.readNBytes(Traffic.contentLength(head));
-                attempts.accept(new Attempt(name, head, at));
-                if (!answer(socket)) {
+                long firstByteNanos = System.nanoTime();
+                String head = ClientTraffic.readHead(in, first);
+                in.readNBytes(ClientTraffic.contentLength(head));
+                attemptListener.accept(new Attempt(name, head, firstByteNanos));
+                if (!respond(socket)) {
                     return;
                 }
             }
         } catch (IOException e) {
-            // the router ended the connection
+            // the router closed the connection
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            open.remove(socket);
+            openConnections.remove(socket);
         }
     }
 
-    /** Does with a request what the server does now; tells whether the connection goes on. */
-    private boolean answer(Socket socket) throws IOException, InterruptedException {
+    /** Responds to one request as the current behaviour says; returns false to close the connection. */
+    private boolean respond(Socket socket) throws IOException, InterruptedException {
         OutputStream out = socket.getOutputStream();
         switch (behaviour) {
-            case ANSWERS -> out.write(ANSWER);
+            case ANSWERS -> out.write(RESPONSE);
             case ANSWERS_TWICE -> {
-                out.write(ANSWER);
-                out.write(ANSWER);
+                out.write(RESPONSE);
+                out.write(RESPONSE);
             }
-            case FULL -> out.write(TURNED_AWAY);
-            case HALF_HEAD -> out.write(ANSWER, 0, HALF);
-            case GARBAGE -> out.write(NO_HTTP);
+            case FULL -> out.write(UNPROCESSED_RESPONSE);
+            case HALF_HEAD -> out.write(RESPONSE, 0, PARTIAL_HEAD_BYTES);
+            case GARBAGE -> out.write(INVALID_RESPONSE);
             case TRICKLES -> trickle(out);
             case CLOSES -> {
                 return false;
             }
             default -> {
-                // silent
+                // no response
             }
         }
         return true;
     }
 
     private static void trickle(OutputStream out) throws IOException, InterruptedException {
-        for (int i = 0; i < ANSWER.length - 1; i++) {
-            out.write(ANSWER[i]);
-            Thread.sleep(TRICKLE_MILLIS);
+        for (int i = 0; i < RESPONSE.length - 1; i++) {
+            out.write(RESPONSE[i]);
+            Thread.sleep(TRICKLE_INTERVAL_MILLIS);
         }
     }
 
-    /** What it does with requests from now on. */
-    void behave(ServerBehaviour next) {
-        behaviour = next;
+    /** Sets how the server responds to requests from now on. */
+    void setBehaviour(ServerBehaviour newBehaviour) {
+        behaviour = newBehaviour;
     }
 
-    private static void thread(Runnable work) {
+    private static void startThread(Runnable work) {
         Thread thread = new Thread(work, "server");
         thread.setDaemon(true);
         thread.start();
@@ -138,7 +148,7 @@
     @Override
     public void close() throws IOException {
         listener.close();
-        for (Socket socket : open) {
+        for (Socket socket : openConnections) {
             socket.close();
         }
     }
--- a/src/test/java/yewdock/faults/RouterProcess.java
+++ b/src/test/java/yewdock/faults/RouterProcess.java
@@ -11,62 +11,64 @@
 import java.util.concurrent.TimeUnit;
 import yewdock.verification.ProcessSignals;
 
-/** A router in a process of its own, started as the platform starts it. */
+/** A router in its own process, started with the {@code serve} command and {@code PROXY_CONFIG}. */
 final class RouterProcess implements Closeable {
-    private static final String LISTENS = "listens on";
-    private static final int READY_SECONDS = 30;
+    /** Precedes the listening address in the log. */
+    private static final String LISTENING_MESSAGE = "listens on";
+    private static final int START_TIMEOUT_SECONDS = 30;
 
-    private final Path configuration;
+    private final Path configurationFile;
     private final Process process;
     private final List<String> log = new ArrayList<>();
     private final CompletableFuture<Integer> port = new CompletableFuture<>();
 
     RouterProcess(Path folder, String configurationText) throws IOException {
-        configuration = Files.writeString(folder.resolve("config.json"), configurationText);
+        configurationFile = Files.writeString(folder.resolve("config.json"), configurationText);
         ProcessBuilder builder = new ProcessBuilder("env", "--default-signal=HUP,TERM",
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
                 "-XX:TieredStopAtLevel=1", "-Xmx48m", "-cp", System.getProperty("java.class.path"),
                 "yewdock.Main", "serve");
-        builder.environment().put("PROXY_CONFIG", configuration.toString());
+        builder.environment().put("PROXY_CONFIG", configurationFile.toString());
         process = builder.redirectErrorStream(true).start();
-        Thread reader = new Thread(this::read, "log");
+        Thread reader = new Thread(this::readLog, "log");
         reader.setDaemon(true);
         reader.start();
     }
 
-    private void read() {
+    private void readLog() {
         try (BufferedReader lines = process.inputReader()) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 synchronized (log) {
                     log.add(line);
                 }
-                if (line.contains(LISTENS)) {
+                if (line.contains(LISTENING_MESSAGE)) {
                     port.complete(Integer.parseInt(line.substring(line.lastIndexOf(':') + 1)));
                 }
             }
         } catch (IOException e) {
-            // the process has ended
+            // the process has exited
         }
-        port.completeExceptionally(new IOException("the router ended:\n" + log()));
+        port.completeExceptionally(new IOException("the router exited before it listened:\n" + log()));
     }
 
-    /** Where clients connect, once it listens. */
+    /** Waits until the router listens and returns the port for clients. */
     int port() throws Exception {
-        return port.get(READY_SECONDS, TimeUnit.SECONDS);
+        return port.get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** All that it has said. */
+    /** Returns everything the process has written so far. */
     String log() {
         synchronized (log) {
             return String.join("\n", log);
         }
     }
 
-    Path configuration() {
-        return configuration;
+    /** The configuration file, which the router reads at its start and on SIGHUP. */
+    Path configurationFile() {
+        return configurationFile;
     }
 
-    /** Sends a signal by its name, such as STOP, CONT or HUP. */
+    /** Sends a signal by name, such as STOP, CONT or HUP. */
     void signal(String name) throws Exception {
         ProcessSignals.send(name, List.of(process.pid()));
     }
--- a/src/test/java/yewdock/faults/ScriptedDiscovery.java
+++ b/src/test/java/yewdock/faults/ScriptedDiscovery.java
@@ -23,104 +23,115 @@
 import yewdock.testbed.ListenPorts;
 
 /**
- * A discovery service for one router, which fails as a test says: single calls, its whole process, its
- * version numbers, its entries. It reports to the judge what it wrote and what it could have been asked for.
+ * A discovery service for one router, with faults that a test injects: in single calls, in the whole process,
+ * in version numbers and in entries. It reports to the checker which changes it has, which it has written to
+ * the router, and when it is unreachable.
  */
 final class ScriptedDiscovery implements Closeable {
-    private static final Pattern WATCH = Pattern.compile("since=(-?[0-9]+)&timeout_ms=([0-9]+)");
+    private static final Pattern WATCH_QUERY = Pattern.compile("since=(-?[0-9]+)&timeout_ms=([0-9]+)");
     private static final int BACKLOG = 64;
 
-    private record Entry(String address, EndpointState state, long changedIn, String spoiltFields) {
+    /**
+     * A server in the list. {@code replacementFields} replace all fields but id and state; "" if none do.
+     */
+    private record Entry(String address, EndpointState state, long changedInVersion,
+            String replacementFields) {
     }
 
-    private final DrainJudge judge;
+    private final DrainRuleChecker checker;
     private final int router;
     private final Map<String, Entry> entries = new LinkedHashMap<>();
-    private final Deque<CallFault> faults = new ArrayDeque<>();
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+    private final Deque<CallFault> nextCallFaults = new ArrayDeque<>();
+    private final Set<Socket> openConnections = ConcurrentHashMap.newKeySet();
     private ServerSocket listener;
     private final int port;
     private long version = 100;
     private boolean reachable = true;
-    private String staleAnswer;
+    /** What the next call is answered with instead of the list; null if nothing. */
+    private String staleResponse;
 
-    ScriptedDiscovery(int router, DrainJudge judge) throws IOException {
+    ScriptedDiscovery(int router, DrainRuleChecker checker) throws IOException {
         this.router = router;
-        this.judge = judge;
+        this.checker = checker;
         port = ListenPorts.reserve();
         listener = new ServerSocket(port, BACKLOG, InetAddress.getByName("127.0.0.1"));
-        accept(listener);
+        acceptConnections(listener);
     }
 
-    /** Where the router finds it. */
+    /** Host and port of the service. */
     String address() {
         return "127.0.0.1:" + port;
     }
 
-    /** Lists a server, or tells that its state has changed. */
-    synchronized void set(String server, String address, EndpointState state) {
-        setSpoilt(server, address, state, "");
+    /** Adds a server to the list or changes its state. */
+    synchronized void setState(String server, String address, EndpointState state) {
+        setStateWithFields(server, address, state, "");
     }
 
-    /** The same with fields of the entry replaced by these, which may make the entry unusable. */
-    synchronized void setSpoilt(String server, String address, EndpointState state, String spoiltFields) {
+    /**
+     * As {@link #setState}, with all fields of the entry but id and state replaced by these JSON members,
+     * which may make the entry unusable; "" replaces none.
+     */
+    synchronized void setStateWithFields(String server, String address, EndpointState state,
+            String replacementFields) {
         version++;
-        entries.put(server, new Entry(address, state, version, spoiltFields));
-        judge.changed(router, server, state, reachable);
+        entries.put(server, new Entry(address, state, version, replacementFields));
+        checker.stateChanged(router, server, state, reachable);
         notifyAll();
     }
 
-    /** The next calls fail, each in its turn. */
-    synchronized void failNextCalls(List<CallFault> next) {
-        faults.addAll(next);
+    /** Injects faults into the next calls, one each, in this order. */
+    synchronized void failNextCalls(List<CallFault> faults) {
+        nextCallFaults.addAll(faults);
     }
 
-    /** Watches that are open now end with a reset. */
+    /** Resets all open connections, and so the watches on them. */
     void resetOpenWatches() {
-        open.forEach(ScriptedDiscovery::reset);
+        openConnections.forEach(ScriptedDiscovery::reset);
     }
 
-    /** The next call is answered with the list as it is now, whatever changes before that. */
-    synchronized void answerNextCallWithPresentList() {
-        staleAnswer = body(true, new ArrayList<>(entries.entrySet()), version);
+    /** Answers the next call with the present full list, even if the list changes before that call. */
+    synchronized void answerNextCallWithCurrentList() {
+        staleResponse = listBody(true, new ArrayList<>(entries.entrySet()), version);
     }
 
-    /** The process dies: connections are reset, new ones refused. */
+    /** Simulates the death of the process: connections are reset and new ones refused. */
     synchronized void stop() throws IOException {
         reachable = false;
-        judge.unreachable(router);
+        checker.discoveryUnreachable(router);
         listener.close();
         resetOpenWatches();
         notifyAll();
     }
 
-    /** It runs again, and counts versions from this number on. Without memory of what was removed before. */
+    /** Starts the service again with versions from this number on; removed servers are forgotten. */
     synchronized void restart(long firstVersion) throws IOException {
         version = firstVersion;
         entries.values().removeIf(entry -> entry.state == EndpointState.REMOVED);
-        entries.replaceAll((name, e) -> new Entry(e.address, e.state, firstVersion, e.spoiltFields));
+        entries.replaceAll((name, e) -> new Entry(e.address, e.state, firstVersion, e.replacementFields));
         listener = new ServerSocket();
         listener.setReuseAddress(true);
         listener.bind(new InetSocketAddress("127.0.0.1", port), BACKLOG);
-        accept(listener);
+        acceptConnections(listener);
         reachable = true;
-        judge.reachable(router);
+        checker.discoveryReachable(router);
     }
 
+    /** The present list version. */
     synchronized long version() {
         return version;
     }
 
-    private void accept(ServerSocket at) {
-        thread(() -> {
-            while (!at.isClosed()) {
+    private void acceptConnections(ServerSocket serverSocket) {
+        startThread(() -> {
+            while (!serverSocket.isClosed()) {
                 try {
-                    Socket socket = at.accept();
+                    Socket socket = serverSocket.accept();
                     socket.setTcpNoDelay(true);
-                    open.add(socket);
-                    thread(() -> serve(socket));
+                    openConnections.add(socket);
+                    startThread(() -> serve(socket));
                 } catch (IOException e) {
-                    // stopped
+                    // the listener was closed
                 }
             }
         });
@@ -135,63 +146,69 @@
                     while (!line.isEmpty()) {
                         line = in.readLine();
                     }
-                    answer(socket, target);
+                    respond(socket, target);
                 }
             }
         } catch (IOException e) {
-            // the router, or the test, ended the connection
+            // the router or the test closed the connection
         } finally {
-            open.remove(socket);
+            openConnections.remove(socket);
         }
     }
 
-    private void answer(Socket socket, String target) throws IOException {
+    private void respond(Socket socket, String target) throws IOException {
         CallFault fault;
         synchronized (this) {
-            fault = faults.poll();
+            fault = nextCallFaults.poll();
         }
         if (fault != null) {
-            fail(socket, fault);
+            respondWithFault(socket, fault);
             return;
         }
-        Matcher watch = WATCH.matcher(target);
-        long since = watch.find() ? Long.parseLong(watch.group(1)) : -1;
-        long wait = since < 0 ? 0 : Long.parseLong(watch.group(2));
-        write(socket, since, System.nanoTime() + wait * 1_000_000);
+        Matcher watch = WATCH_QUERY.matcher(target);
+        long sinceVersion = watch.find() ? Long.parseLong(watch.group(1)) : -1;
+        long waitMillis = sinceVersion < 0 ? 0 : Long.parseLong(watch.group(2));
+        writeList(socket, sinceVersion, System.nanoTime() + waitMillis * 1_000_000);
     }
 
-    private synchronized void write(Socket socket, long since, long until) throws IOException {
-        for (long left = until - System.nanoTime(); staleAnswer == null && version <= since && left > 0;
-                left = until - System.nanoTime()) {
-            pause(Math.max(1, Math.min(left / 1_000_000, 50)));
+    /**
+     * Writes the changes since a version, or the full list if it is negative; waits for a change until the
+     * deadline (a long poll).
+     */
+    private synchronized void writeList(Socket socket, long sinceVersion, long deadlineNanos)
+            throws IOException {
+        for (long remainingNanos = deadlineNanos - System.nanoTime();
+                staleResponse == null && version <= sinceVersion && remainingNanos > 0;
+                remainingNanos = deadlineNanos - System.nanoTime()) {
+            awaitChange(Math.max(1, Math.min(remainingNanos / 1_000_000, 50)));
         }
-        if (staleAnswer != null) {
-            String stale = staleAnswer;
-            staleAnswer = null;
-            send(socket, stale, stale.length());
+        if (staleResponse != null) {
+            String stale = staleResponse;
+            staleResponse = null;
+            sendResponse(socket, stale, stale.length());
             return;
         }
-        List<Map.Entry<String, Entry>> news = new ArrayList<>();
+        List<Map.Entry<String, Entry>> changedEntries = new ArrayList<>();
         for (Map.Entry<String, Entry> entry : entries.entrySet()) {
-            boolean listed = since >= 0 || entry.getValue().state != EndpointState.REMOVED;
-            if (entry.getValue().changedIn > since && listed) {
-                news.add(entry);
+            boolean listed = sinceVersion >= 0 || entry.getValue().state != EndpointState.REMOVED;
+            if (entry.getValue().changedInVersion > sinceVersion && listed) {
+                changedEntries.add(entry);
             }
         }
-        String body = body(since < 0, news, version);
-        send(socket, body, body.length());
-        news.forEach(entry -> judge.written(router, entry.getKey(), entry.getValue().state));
-        if (since < 0) {
-            // a whole list tells of a removal by leaving the server out
+        String body = listBody(sinceVersion < 0, changedEntries, version);
+        sendResponse(socket, body, body.length());
+        changedEntries.forEach(entry -> checker.stateWritten(router, entry.getKey(), entry.getValue().state));
+        if (sinceVersion < 0) {
+            // a full list reports a removal by omitting the server
             entries.forEach((name, e) -> {
                 if (e.state == EndpointState.REMOVED) {
-                    judge.written(router, name, e.state);
+                    checker.stateWritten(router, name, e.state);
                 }
             });
         }
     }
 
-    private void pause(long millis) {
+    private void awaitChange(long millis) {
         try {
             wait(millis);
         } catch (InterruptedException e) {
@@ -199,29 +216,30 @@
         }
     }
 
-    private static String body(boolean full, List<Map.Entry<String, Entry>> listed, long version) {
+    private static String listBody(boolean full, List<Map.Entry<String, Entry>> listed, long version) {
         List<String> servers = new ArrayList<>();
         for (Map.Entry<String, Entry> entry : listed) {
             Entry e = entry.getValue();
-            String fields = e.spoiltFields.isEmpty() ? "\"addr\":\"" + e.address
+            String fields = e.replacementFields.isEmpty() ? "\"addr\":\"" + e.address
                     + "\",\"zone\":\"kathmandu\",\"kind\":\"big-gpu\",\"cell\":1,\"weight\":1.0,"
-                    + "\"started_ms\":0" : e.spoiltFields;
-            servers.add("{\"id\":\"" + entry.getKey() + "\",\"state\":\"" + e.state.word() + "\","
+                    + "\"started_ms\":0" : e.replacementFields;
+            servers.add("{\"id\":\"" + entry.getKey() + "\",\"state\":\"" + e.state.protocolName() + "\","
                     + fields + "}");
         }
         return "{\"version\":" + version + ",\"full\":" + full + ",\"servers\":["
                 + String.join(",", servers) + "]}";
     }
 
-    private static void send(Socket socket, String body, int length) throws IOException {
+    /** Sends a response with this Content-Length, which may differ from the length of the body. */
+    private static void sendResponse(Socket socket, String body, int length) throws IOException {
         socket.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\n" + body)
                 .getBytes(StandardCharsets.UTF_8));
     }
 
-    private void fail(Socket socket, CallFault fault) throws IOException {
+    private void respondWithFault(Socket socket, CallFault fault) throws IOException {
         String body;
         synchronized (this) {
-            body = body(true, new ArrayList<>(entries.entrySet()), version);
+            body = listBody(true, new ArrayList<>(entries.entrySet()), version);
         }
         switch (fault) {
             case UNAVAILABLE -> socket.getOutputStream().write(
@@ -229,15 +247,15 @@
                             .getBytes(StandardCharsets.US_ASCII));
             case RESET -> reset(socket);
             case HALF_ANSWERED -> {
-                send(socket, body.substring(0, body.length() / 2), body.length());
+                sendResponse(socket, body.substring(0, body.length() / 2), body.length());
                 reset(socket);
             }
-            case MALFORMED -> send(socket, body.substring(1), body.length() - 1);
-            case WRONG_LENGTH -> send(socket, body, body.length() + 1);
+            case MALFORMED -> sendResponse(socket, body.substring(1), body.length() - 1);
+            case WRONG_LENGTH -> sendResponse(socket, body, body.length() + 1);
             case HEAD_ONLY -> socket.getOutputStream().write(
                     "HTTP/1.1 200 OK\r\n".getBytes(StandardCharsets.US_ASCII));
             case SILENT -> socket.getInputStream().transferTo(OutputStream.nullOutputStream());
-            default -> throw new IllegalStateException("no such fault: " + fault);
+            default -> throw new IllegalStateException("unknown call fault: " + fault);
         }
     }
 
@@ -246,11 +264,11 @@
             socket.setSoLinger(true, 0);
             socket.close();
         } catch (IOException e) {
-            // closed already
+            // already closed
         }
     }
 
-    private static void thread(Runnable work) {
+    private static void startThread(Runnable work) {
         Thread thread = new Thread(work, "discovery");
         thread.setDaemon(true);
         thread.start();
--- a/src/test/java/yewdock/faults/ServerBehaviour.java
+++ b/src/test/java/yewdock/faults/ServerBehaviour.java
@@ -1,20 +1,21 @@
 package yewdock.faults;
 
-/** What a server does with the attempts that reach it. */
+/** How a {@link RecordingServer} responds to the attempts that reach it. */
 enum ServerBehaviour {
+    /** Sends a complete response at once. */
     ANSWERS,
-    /** Reads requests and never says anything. */
+    /** Reads requests and never responds. */
     SILENT,
-    /** Closes the connection when a request has come. */
+    /** Closes the connection after reading a request. */
     CLOSES,
-    /** Begins its answer's head and says no more. */
+    /** Sends the beginning of the response head and nothing more. */
     HALF_HEAD,
-    /** Sends what is no HTTP. */
+    /** Sends bytes that are not HTTP. */
     GARBAGE,
-    /** Sends one byte of its answer at a time, and never the last. */
+    /** Sends the response one byte at a time, and never the last byte. */
     TRICKLES,
-    /** Answers each request twice. */
+    /** Sends the whole response twice. */
     ANSWERS_TWICE,
-    /** Turns each request away without processing it. */
+    /** Rejects each request with a 503 marked as not processed. */
     FULL
 }
--- a/src/test/java/yewdock/faults/SimulatedDiscovery.java
+++ b/src/test/java/yewdock/faults/SimulatedDiscovery.java
@@ -13,138 +13,150 @@
 import yewdock.core.Event;
 import yewdock.core.ModelServer;
 
-/** Discovery for one router on a clock of the test's, with the faults of {@link ScriptedDiscovery}. */
+/**
+ * Discovery for one router on a simulated clock: takes the reducer's effects, returns events and injects
+ * faults as {@link ScriptedDiscovery} does over sockets. Reports to the checker what it tells the router.
+ */
 final class SimulatedDiscovery {
-    /** What goes wrong with a call. */
+    /** A fault of one call: it fails, or it is never answered. */
     enum Fault { FAILS, SILENT }
 
-    private record Entry(EndpointState state, long changedIn) {
+    private record Entry(EndpointState state, long changedInVersion) {
     }
 
-    private final DrainJudge judge;
+    private final DrainRuleChecker checker;
     private final Map<Long, Entry> entries = new TreeMap<>();
-    private final Deque<Fault> faults = new ArrayDeque<>();
+    private final Deque<Fault> nextCallFaults = new ArrayDeque<>();
     private long version = 100;
     private boolean reachable = true;
-    private EndpointList lagging;
-    private Effect.CallDiscovery call;
-    private long calledAt;
-    private Fault fault;
+    private EndpointList staleList;
+    private Effect.CallDiscovery openCall;
+    private long calledAtMicros;
+    private Fault openCallFault;
 
-    SimulatedDiscovery(DrainJudge judge, int servers) {
-        this.judge = judge;
+    SimulatedDiscovery(DrainRuleChecker checker, int servers) {
+        this.checker = checker;
         for (long id = 1; id <= servers; id++) {
             entries.put(id, new Entry(EndpointState.UP, version));
         }
     }
 
-    static String name(long id) {
+    /** The name of the server with this number. */
+    static String serverName(long id) {
         return "s-" + id;
     }
 
-    void set(long id, EndpointState state) {
+    /** Changes a server's state and increments the list version. */
+    void setState(long id, EndpointState state) {
         entries.put(id, new Entry(state, ++version));
-        judge.changed(0, name(id), state, reachable);
+        checker.stateChanged(0, serverName(id), state, reachable);
     }
 
-    void failNextCalls(List<Fault> next) {
-        faults.addAll(next);
+    /** Injects faults into the next calls, one each, in this order. */
+    void failNextCalls(List<Fault> faults) {
+        nextCallFaults.addAll(faults);
     }
 
-    /** The call that is open fails, or is never answered. */
-    void breakOpenCall(Fault how) {
-        fault = how;
+    /** Injects a fault into the open call. */
+    void failOpenCall(Fault fault) {
+        openCallFault = fault;
     }
 
-    /** The next call is answered by a replica that has the list as it is now. */
-    void lagOnce() {
-        lagging = whole();
+    /** Answers the next call with the present list, as a lagging replica would, even if it changes before. */
+    void answerNextCallWithCurrentList() {
+        staleList = fullList();
     }
 
+    /** Starts an outage: the open call and further ones fail. */
     void stop() {
         reachable = false;
-        judge.unreachable(0);
+        checker.discoveryUnreachable(0);
     }
 
-    /** It runs again, and where it counts versions anew it knows nothing of what was removed before. */
-    void restart(boolean countsAnew) {
-        if (countsAnew) {
+    /**
+     * Ends the outage.
+     *
+     * @param resetsVersions whether versions start from 1 again and removed servers are forgotten
+     */
+    void restart(boolean resetsVersions) {
+        if (resetsVersions) {
             version = 1;
             entries.values().removeIf(entry -> entry.state == EndpointState.REMOVED);
             entries.replaceAll((id, entry) -> new Entry(entry.state, version));
         }
         reachable = true;
-        judge.reachable(0);
+        checker.discoveryReachable(0);
     }
 
-    void called(Effect.CallDiscovery newCall, long now) {
-        call = newCall;
-        calledAt = now;
-        fault = faults.poll();
+    /** Takes the router's call; the next pending fault, if any, applies to it. */
+    void onCall(Effect.CallDiscovery call, long nowMicros) {
+        openCall = call;
+        calledAtMicros = nowMicros;
+        openCallFault = nextCallFaults.poll();
     }
 
-    void hungUp() {
-        call = null;
+    /** The router has cancelled its call. */
+    void cancelCall() {
+        openCall = null;
     }
 
-    /** The whole list as it is. */
-    EndpointList whole() {
+    /** Returns the full list, without removed servers. */
+    EndpointList fullList() {
         List<ModelServer> servers = new ArrayList<>();
         entries.forEach((id, entry) -> {
             if (entry.state != EndpointState.REMOVED) {
-                servers.add(server(id, entry.state));
+                servers.add(toModelServer(id, entry.state));
             }
         });
         return new EndpointList(version, true, servers);
     }
 
-    /** What has come of the open call by now. */
-    List<Event> answer(long now) {
-        if (call == null || fault == Fault.SILENT) {
+    /** Returns the events that the open call has led to by now, in order; empty while it is pending. */
+    List<Event> pollEvents(long nowMicros) {
+        if (openCall == null || openCallFault == Fault.SILENT) {
             return List.of();
         }
-        if (!reachable || fault == Fault.FAILS) {
-            call = null;
+        if (!reachable || openCallFault == Fault.FAILS) {
+            openCall = null;
             return reachable ? List.of(new Event.DiscoveryCallFailed())
                     : List.of(new Event.DiscoveryConnectionLost(), new Event.DiscoveryCallFailed());
         }
-        if (lagging != null) {
-            EndpointList late = lagging;
-            lagging = null;
-            call = null;
-            return List.of(new Event.EndpointListReceived(late));
+        if (staleList != null) {
+            EndpointList list = staleList;
+            staleList = null;
+            openCall = null;
+            return List.of(new Event.EndpointListReceived(list));
         }
-        if (call.sinceVersion() >= version && now < calledAt + call.maxWaitMicros()) {
+        if (openCall.sinceVersion() >= version && nowMicros < calledAtMicros + openCall.maxWaitMicros()) {
             return List.of();
         }
-        return List.of(new Event.EndpointListReceived(write()));
+        return List.of(new Event.EndpointListReceived(writeList()));
     }
 
-    private EndpointList write() {
-        long since = call.sinceVersion();
-        call = null;
-        if (since < 0) {
-            entries.forEach((id, entry) -> judge.written(0, name(id), entry.state));
-            return whole();
+    private EndpointList writeList() {
+        long sinceVersion = openCall.sinceVersion();
+        openCall = null;
+        if (sinceVersion < 0) {
+            entries.forEach((id, entry) -> checker.stateWritten(0, serverName(id), entry.state));
+            return fullList();
         }
         List<ModelServer> changed = new ArrayList<>();
         entries.forEach((id, entry) -> {
-            if (entry.changedIn > since) {
-                changed.add(server(id, entry.state));
-                judge.written(0, name(id), entry.state);
+            if (entry.changedInVersion > sinceVersion) {
+                changed.add(toModelServer(id, entry.state));
+                checker.stateWritten(0, serverName(id), entry.state);
             }
         });
         return new EndpointList(version, false, changed);
     }
 
-    private static ModelServer server(long id, EndpointState state) {
+    private static ModelServer toModelServer(long id, EndpointState state) {
         Lifecycle lifecycle = switch (state) {
             case UP -> Lifecycle.READY;
             case DRAINING -> Lifecycle.DRAINING;
             case REMOVED -> Lifecycle.GONE;
         };
-        return new ModelServer(name(id), "127.0.0.1:" + (9000 + id), new ServerState(id, 0, 0, 1, 1,
-                lifecycle,
-                0));
+        return new ModelServer(serverName(id), "127.0.0.1:" + (9000 + id), new ServerState(id, 0, 0, 1, 1,
+                lifecycle, 0));
     }
 }
--- a/src/test/java/yewdock/faults/SlowStartUnderFaultsTest.java
+++ b/src/test/java/yewdock/faults/SlowStartUnderFaultsTest.java
@@ -12,96 +12,114 @@
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
 /**
- * A server starts cold while all others turn requests away, so that the traffic of several router processes
- * could go to it. What they send in all stays within what a cold server bears: in each window N requests, as
- * the contract allows at its warmth, and 2 x root of N + 2 that are put down to chance.
+ * A cold server starts while all others reject requests, so that the traffic of several router processes
+ * could all move to it. What the routers send it together must stay within its slow-start capacity: in each
+ * overload window N requests, as the contract allows for its warmth, plus 2 x sqrt(N) + 2 for random
+ * variation.
  */
 @Timeout(90)
 @Execution(ExecutionMode.CONCURRENT)
 class SlowStartUnderFaultsTest {
     private static final long GRACE_MILLIS = 1_000;
-    private static final int ROUTERS = 4;
-    private static final int SERVERS = 4;
+    private static final int ROUTER_COUNT = 4;
+    private static final int SERVER_COUNT = 4;
     private static final long WARM_UP_MILLIS = 3_000;
-    private static final long WATCHED_MILLIS = 5_000;
-    private static final double NANOS = 1e9;
-    /** As in the template of the configuration. */
-    private static final double COLD_SECONDS = 8.7;
-    private static final double COLD_FROM = 0.32;
-    private static final double FALL_MULTIPLE = 3;
-    private static final double WINDOW_SECONDS = 2;
-    private static final UnaryOperator<String> OF_THIS_FLEET =
-            text -> replaced(text, "\"instances\":2", "\"instances\":" + ROUTERS);
-    /** Each router takes what all of them may send, and takes the server for warm. */
-    private static final UnaryOperator<String> EACH_TAKES_THE_WHOLE_BUDGET = text -> replaced(
-            replaced(text, "\"fall_multiple\":3.0", "\"fall_multiple\":" + FALL_MULTIPLE * ROUTERS),
+    private static final long OBSERVATION_MILLIS = 5_000;
+    private static final double NANOS_PER_SECOND = 1e9;
+    /** As in the configuration template, like the three constants that follow. */
+    private static final double COLD_DURATION_SECONDS = 8.7;
+    private static final double COLD_CAPACITY_SHARE = 0.32;
+    private static final double OVERLOAD_MULTIPLE = 3;
+    private static final double OVERLOAD_WINDOW_SECONDS = 2;
+    /** Tells each router how many routers share the traffic. */
+    private static final UnaryOperator<String> WITH_INSTANCE_COUNT =
+            text -> replaceRequired(text, "\"instances\":2", "\"instances\":" + ROUTER_COUNT);
+    /** Defect for the test of the check: each router uses the budget of all and treats the server as warm. */
+    private static final UnaryOperator<String> WITH_WHOLE_BUDGET_EACH = text -> replaceRequired(
+            replaceRequired(text, "\"fall_multiple\":3.0", "\"fall_multiple\":"
+                    + OVERLOAD_MULTIPLE * ROUTER_COUNT),
             "\"cold_from\":0.32", "\"cold_from\":1.0");
 
     @TempDir
     private Path folder;
 
-    private static String replaced(String text, String from, String to) {
+    private static String replaceRequired(String text, String from, String to) {
         assertTrue(text.contains(from), from + " is not in the configuration");
         return text.replace(from, to);
     }
 
-    /** How far the fullest window is over what it may hold, and how many requests the server got in all. */
-    private record Outcome(double over, int requests) {
+    /**
+     * The result of a run.
+     *
+     * @param excess requests above the allowed number in the worst window; negative if all are below
+     * @param requests how many attempts the cold server received in all
+     */
+    private record Outcome(double excess, int requests) {
     }
 
-    private Outcome play(UnaryOperator<String> configuration) throws Exception {
-        try (FaultRig rig = new FaultRig(folder, false, GRACE_MILLIS, ROUTERS, SERVERS, configuration)) {
+    private Outcome runColdStart(UnaryOperator<String> configuration) throws Exception {
+        try (FaultRig rig = new FaultRig(folder, false, GRACE_MILLIS, ROUTER_COUNT, SERVER_COUNT,
+                configuration)) {
             Thread.sleep(WARM_UP_MILLIS);
-            double perServer = warmRate(rig);
-            for (int i = 0; i < SERVERS; i++) {
-                rig.server(i).behave(ServerBehaviour.FULL);
+            double warmRate = warmRate(rig);
+            for (int i = 0; i < SERVER_COUNT; i++) {
+                rig.server(i).setBehaviour(ServerBehaviour.FULL);
             }
-            RecordingServer cold = rig.addServer();
-            long startedAt = System.nanoTime();
+            RecordingServer coldServer = rig.addServer();
+            long startedNanos = System.nanoTime();
             long startedMillis = System.currentTimeMillis();
-            for (int router = 0; router < ROUTERS; router++) {
-                rig.discovery(router).setSpoilt(cold.name(), cold.address(), EndpointState.UP,
-                        "\"addr\":\"" + cold.address() + "\",\"zone\":\"kathmandu\",\"kind\":\"big-gpu\","
+            for (int router = 0; router < ROUTER_COUNT; router++) {
+                rig.discovery(router).setStateWithFields(coldServer.name(), coldServer.address(),
+                        EndpointState.UP,
+                        "\"addr\":\"" + coldServer.address()
+                        + "\",\"zone\":\"kathmandu\",\"kind\":\"big-gpu\","
                         + "\"cell\":1,\"weight\":1.0,\"started_ms\":" + startedMillis);
             }
-            Thread.sleep(WATCHED_MILLIS);
-            List<Double> sent = rig.attemptsOf("").stream().filter(a -> a.server().equals(cold.name()))
-                    .map(a -> (a.firstByteAt() - startedAt) / NANOS).sorted().toList();
-            return new Outcome(over(sent, perServer), sent.size());
+            Thread.sleep(OBSERVATION_MILLIS);
+            List<Double> arrivalSeconds = rig.attemptsWithIdPrefix("").stream()
+                    .filter(attempt -> attempt.server().equals(coldServer.name()))
+                    .map(attempt -> (attempt.firstByteNanos() - startedNanos) / NANOS_PER_SECOND)
+                    .sorted().toList();
+            return new Outcome(worstWindowExcess(arrivalSeconds, warmRate), arrivalSeconds.size());
         }
     }
 
-    /** Requests a second that each server got in the last second; it is taken for all that it could serve. */
+    /** Mean requests per second and server over the last second; taken as the capacity of a warm server. */
     private static double warmRate(FaultRig rig) {
-        long since = System.nanoTime() - (long) NANOS;
-        return rig.attemptsOf("").stream().filter(a -> a.firstByteAt() > since).count() / (double) SERVERS;
+        long sinceNanos = System.nanoTime() - (long) NANOS_PER_SECOND;
+        return rig.attemptsWithIdPrefix("").stream()
+                .filter(attempt -> attempt.firstByteNanos() > sinceNanos).count() / (double) SERVER_COUNT;
     }
 
-    private static double over(List<Double> sent, double warmRate) {
+    /** Returns by how many requests the worst window exceeds what is allowed; times count from the start. */
+    private static double worstWindowExcess(List<Double> arrivalSeconds, double warmRate) {
         double worst = Double.NEGATIVE_INFINITY;
-        int from = 0;
-        for (int i = 0; i < sent.size(); i++) {
-            while (sent.get(from) <= sent.get(i) - WINDOW_SECONDS) {
-                from++;
+        int windowStart = 0;
+        for (int i = 0; i < arrivalSeconds.size(); i++) {
+            while (arrivalSeconds.get(windowStart) <= arrivalSeconds.get(i) - OVERLOAD_WINDOW_SECONDS) {
+                windowStart++;
             }
-            double warmth = COLD_FROM + (1 - COLD_FROM) * sent.get(i) / COLD_SECONDS;
-            double allowed = FALL_MULTIPLE * warmth * warmRate * WINDOW_SECONDS;
-            worst = Math.max(worst, i - from + 1 - (allowed + 2 * Math.sqrt(allowed) + 2));
+            double warmth = COLD_CAPACITY_SHARE
+                    + (1 - COLD_CAPACITY_SHARE) * arrivalSeconds.get(i) / COLD_DURATION_SECONDS;
+            double allowed = OVERLOAD_MULTIPLE * warmth * warmRate * OVERLOAD_WINDOW_SECONDS;
+            worst = Math.max(worst, i - windowStart + 1 - (allowed + 2 * Math.sqrt(allowed) + 2));
         }
         return worst;
     }
 
     @Test
-    void allProcessesTogetherSendAColdServerNoMoreThanItBears() throws Exception {
-        Outcome outcome = play(OF_THIS_FLEET);
-        assertTrue(outcome.over <= 0, "over by " + outcome.over + " of " + outcome.requests);
-        assertTrue(outcome.requests > 0, "it was not used at all");
+    void routersTogetherKeepAColdServerWithinItsCapacity() throws Exception {
+        Outcome outcome = runColdStart(WITH_INSTANCE_COUNT);
+        assertTrue(outcome.excess <= 0, "exceeds the allowed requests by " + outcome.excess + " of "
+                + outcome.requests);
+        assertTrue(outcome.requests > 0, "the cold server received no requests");
     }
 
-    /** A planted fault shows that the judge can fail. */
+    /** Tests the check itself with a planted defect. */
     @Test
-    void routersThatEachTakeTheWholeBudgetAreCaught() throws Exception {
-        Outcome outcome = play(EACH_TAKES_THE_WHOLE_BUDGET);
-        assertTrue(outcome.over > 0, "over by " + outcome.over + " of " + outcome.requests);
+    void routersThatEachUseTheWholeBudgetAreDetected() throws Exception {
+        Outcome outcome = runColdStart(WITH_WHOLE_BUDGET_EACH);
+        assertTrue(outcome.excess > 0, "exceeds the allowed requests by " + outcome.excess + " of "
+                + outcome.requests);
     }
 }
