--- a/src/main/java/yewdock/model/Ask.java
+++ b/src/main/java/yewdock/model/Ask.java
@@ -1,87 +1,99 @@
 package yewdock.model;
 
-/** What a client wants once, over all its tries. Tokens are counts, times microseconds. */
+/**
+ * A request of a simulated client, over all its attempts. Times are microseconds from the start of the run.
+ */
 public final class Ask {
     final long number;
-    final int askClass;
+    final int requestClass;
     final int municipality;
     final int site;
     final long session;
     final long prefix;
     final int promptTokens;
     final int prefixTokens;
-    final int freshTokens;
+    /** Prompt tokens that no earlier turn of the session had. */
+    final int newPromptTokens;
     final int outTokens;
     final int mostOut;
     final long arrivedAt;
-    final long giveUpAt;
+    final long giveUpAtMicros;
     double worth;
-    boolean inShare = true;
-    int triesMade;
-    boolean over;
+    /** Whether its municipality was within its quota when it arrived. */
+    boolean withinQuota = true;
+    /** Attempts that the client has made so far. */
+    int clientAttempts;
+    boolean ended;
 
     Ask(long number, int askClass, int municipality, int site, long session, long prefix, int promptTokens,
             int prefixTokens, int freshTokens, int outTokens, int mostOut, long arrivedAt, long giveUpAt) {
         this.number = number;
-        this.askClass = askClass;
+        this.requestClass = askClass;
         this.municipality = municipality;
         this.site = site;
         this.session = session;
         this.prefix = prefix;
         this.promptTokens = promptTokens;
         this.prefixTokens = prefixTokens;
-        this.freshTokens = freshTokens;
+        this.newPromptTokens = freshTokens;
         this.outTokens = outTokens;
         this.mostOut = mostOut;
         this.arrivedAt = arrivedAt;
-        this.giveUpAt = giveUpAt;
+        this.giveUpAtMicros = giveUpAt;
     }
 
+    /** Its sequence number in the run, from 1. */
     public long number() {
         return number;
     }
 
-    /** The class, by its place in the scenario. */
-    public int askClass() {
-        return askClass;
+    /** The request class, by its index in the scenario. */
+    public int requestClass() {
+        return requestClass;
     }
 
-    /** The municipality, by its place in the scenario. */
+    /** The municipality, by its index in the scenario. */
     public int municipality() {
         return municipality;
     }
 
+    /** The id of the session. */
     public long session() {
         return session;
     }
 
-    /** The shared beginning; 0 where there is none. */
+    /** The id of the shared prefix; 0 if there is none. */
     public long prefix() {
         return prefix;
     }
 
+    /** Tokens of the whole prompt, with the shared prefix. */
     public int promptTokens() {
         return promptTokens;
     }
 
+    /** Tokens of the shared prefix. */
     public int prefixTokens() {
         return prefixTokens;
     }
 
-    /** How many tokens the answer has. */
+    /** Tokens of the answer. */
     public int outTokens() {
         return outTokens;
     }
 
+    /** The limit on output tokens that the request states. */
     public int mostOut() {
         return mostOut;
     }
 
+    /** When the client first sent it. */
     public long arrivedAt() {
         return arrivedAt;
     }
 
-    public long giveUpAt() {
-        return giveUpAt;
+    /** When the client gives up. */
+    public long giveUpAtMicros() {
+        return giveUpAtMicros;
     }
 }
--- a/src/main/java/yewdock/model/Calendar.java
+++ b/src/main/java/yewdock/model/Calendar.java
@@ -3,70 +3,72 @@
 import java.util.PriorityQueue;
 
 /**
- * What is to happen, by time. What is due at the same time happens in the order in which it was put down,
- * so a
- * run is the same each time. Times are microseconds; one in the past is taken for now.
+ * The event calendar of a simulation. Events run in order of time, and events of the same time in the order
+ * in which they were scheduled, so that runs are reproducible. Times are microseconds of virtual time; a time
+ * in the past counts as now.
  */
 public final class Calendar {
-    private final PriorityQueue<Entry> entries = new PriorityQueue<>(1024);
+    private final PriorityQueue<ScheduledEvent> events = new PriorityQueue<>(1024);
     private long now;
-    private long number;
-    private long done;
+    private long nextSequence;
+    private long executedCount;
 
-    private record Entry(long time, long number, Runnable what) implements Comparable<Entry> {
+    private record ScheduledEvent(long timeMicros, long sequence, Runnable action)
+            implements Comparable<ScheduledEvent> {
         @Override
-        public int compareTo(Entry other) {
-            return time != other.time ? Long.compare(time, other.time) : Long.compare(number, other.number);
+        public int compareTo(ScheduledEvent other) {
+            return timeMicros != other.timeMicros ? Long.compare(timeMicros, other.timeMicros)
+                    : Long.compare(sequence, other.sequence);
         }
     }
 
-    /** The time of what happens now. */
+    /** The current time: that of the latest event. */
     public long now() {
         return now;
     }
 
-    /** Puts down what is to happen at a time. */
-    public void at(long time, Runnable what) {
-        entries.add(new Entry(Math.max(time, now), number++, what));
+    /** Schedules an event at a time. */
+    public void at(long time, Runnable action) {
+        events.add(new ScheduledEvent(Math.max(time, now), nextSequence++, action));
     }
 
-    /** Puts down what is to happen after so many microseconds. */
-    public void after(double micros, Runnable what) {
-        at(now + Math.max(0, Math.round(micros)), what);
+    /** Schedules an event after a delay in microseconds. */
+    public void after(double micros, Runnable action) {
+        at(now + Math.max(0, Math.round(micros)), action);
     }
 
-    /** Lets the next thing happen; false where there is none. */
-    public boolean next() {
-        Entry entry = entries.poll();
+    /** Runs the next event; returns false if there is none. */
+    public boolean runNext() {
+        ScheduledEvent entry = events.poll();
         if (entry == null) {
             return false;
         }
-        now = entry.time;
-        done++;
-        entry.what.run();
+        now = entry.timeMicros;
+        executedCount++;
+        entry.action.run();
         return true;
     }
 
-    /** Lets all happen that is due up to a time, and makes it that time. */
+    /** Runs all events up to and including a time, and advances the clock to it. */
     public void runTo(long time) {
-        while (!entries.isEmpty() && entries.peek().time <= time) {
-            next();
+        while (!events.isEmpty() && events.peek().timeMicros <= time) {
+            runNext();
         }
         now = Math.max(now, time);
     }
 
-    /** The time of the next thing; the largest number where there is none. */
+    /** The time of the next event; {@link Long#MAX_VALUE} if there is none. */
     public long nextAt() {
-        return entries.isEmpty() ? Long.MAX_VALUE : entries.peek().time;
+        return events.isEmpty() ? Long.MAX_VALUE : events.peek().timeMicros;
     }
 
-    /** How many things have happened. */
-    public long done() {
-        return done;
+    /** How many events have run. */
+    public long executedCount() {
+        return executedCount;
     }
 
-    /** How many things wait. */
-    public int waiting() {
-        return entries.size();
+    /** How many events are scheduled. */
+    public int pendingCount() {
+        return events.size();
     }
 }
--- a/src/main/java/yewdock/model/Day.java
+++ b/src/main/java/yewdock/model/Day.java
@@ -4,279 +4,305 @@
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** One day, drawn from a scenario: equal seeds give equal days. */
+/**
+ * The parameters of one run, sampled from the ranges of a scenario: servers, request classes, delays and
+ * disturbances. Equal seeds give equal parameters.
+ */
 public final class Day {
-    private static final double USUAL_PART = 0.5;
+    /** An option whose drawn value is at least this is on. */
+    private static final double ENABLED_FROM = 0.5;
 
-    /** A trouble as it came out; boxes by their numbers. Times are microseconds. */
-    record Struck(Scenario.Trouble trouble, long from, long to, double size, double part, List<Integer> boxes,
-            int askClass, int site) {
+    /** A disturbance with its sampled times and sizes; servers are given by their numbers. */
+    record ScheduledDisturbance(Scenario.Trouble disturbance, long fromMicros, long toMicros, double size,
+            double share, List<Integer> servers, int requestClass, int site) {
     }
 
-    /** A class as it came out. */
-    record Talk(Scenario.AskClass of, double share, double newTokens, double newSigma, double outTokens,
-            double outSigma, double turns, double thinkSeconds, int prefixes, double zipf,
-            double prefixTokens, double prefixShare) {
+    /** A request class with its sampled values. */
+    record SampledClass(Scenario.AskClass profile, double share, double newTokens, double newSigma,
+            double outputTokens, double outputSigma, double turns, double thinkSeconds, int prefixCount,
+            double prefixZipf, double prefixTokens, double prefixShare) {
     }
 
     final Scenario scenario;
     final long seed;
-    final Draws draws;
-    final long length;
+    final RandomStreams randomStreams;
+    final long lengthMicros;
+    /** Mean number of new requests per second. */
     final double askRate;
+    /** Amplitude of the sinusoidal change of the rate over the run, as a share of the rate. */
     final double swing;
+    /** Share by which the rate rises in a short burst. */
     final double burst;
     final int routers;
     final List<Integer> routerSites = new ArrayList<>();
-    final List<Box.Make> makes = new ArrayList<>();
+    final List<SimulatedServer.ServerSpec> serverSpecs = new ArrayList<>();
+    /** The servers by number; the number is their index in this list. */
     final List<Scenario.BoxLine> boxes = new ArrayList<>();
-    final List<Talk> talks = new ArrayList<>();
+    final List<SampledClass> classes = new ArrayList<>();
     final double[] classShare;
     final double[] municipalityShare;
-    final double[] quota;
+    /** Requests per second that each municipality may send at full worth. */
+    final double[] quotaPerSecond;
     final double[] siteShare;
-    final List<Struck> troubles = new ArrayList<>();
-    final double acrossMicros;
-    final double withinMicros;
-    final double clientMicros;
+    final List<ScheduledDisturbance> disturbances = new ArrayList<>();
+    final double crossSiteMicros;
+    final double sameSiteMicros;
+    final double clientDelayMicros;
     final double jitter;
-    final int retries;
-    final double tryShare;
-    final double waitMicros;
-    final double honour;
-    final double handshakeTrips;
+    final int maxRetries;
+    final double attemptTimeoutShare;
+    final double backoffMicros;
+    final double retryAfterHonouredShare;
+    final double handshakeRoundTrips;
     final double handshakeMicros;
+    /** Requests per second that the fleet can serve. */
     final double capacity;
-    final double listNotice;
-    final double listSilent;
-    final double listAdd;
-    final double listPeriod;
-    final double listCalls;
-    final double reportEvery;
-    final double reportLate;
+    final double detectionMicros;
+    final double silentDetectionMicros;
+    final double publishDelayMicros;
+    final double publishPeriodMicros;
+    final double discoveryCallsPerSecond;
+    final double reportIntervalMicros;
+    final double reportDelayMicros;
     final double reportNoise;
-    final double routerNotice;
+    final double routerDetectionMicros;
 
-    /** Draws a day. */
+    /** Samples all parameters. */
     public Day(Scenario scenario, long seed) {
         this.scenario = scenario;
         this.seed = seed;
-        this.draws = new Draws(seed);
-        this.length = Math.round(scenario.span().seconds() * 1e6);
-        UniformRandomProvider d = draws.stream("day");
+        this.randomStreams = new RandomStreams(seed);
+        this.lengthMicros = Math.round(scenario.span().seconds() * 1e6);
+        UniformRandomProvider random = randomStreams.stream("day");
         Scenario.Sites sites = scenario.sites();
-        acrossMicros = sites.acrossMillis().draw(d) * 1e3;
-        withinMicros = sites.withinMillis().draw(d) * 1e3;
-        clientMicros = sites.clientMillis().draw(d) * 1e3;
-        jitter = sites.jitter().draw(d);
-        siteShare = shares(sites.names().size(), sites.skew().draw(d));
+        crossSiteMicros = sites.crossSiteMillis().draw(random) * 1e3;
+        sameSiteMicros = sites.sameSiteMillis().draw(random) * 1e3;
+        clientDelayMicros = sites.clientDelayMillis().draw(random) * 1e3;
+        jitter = sites.jitter().draw(random);
+        siteShare = skewedShares(sites.names().size(), sites.skew().draw(random));
         Scenario.Clients clients = scenario.clients();
-        retries = clients.retries().drawWhole(d);
-        tryShare = clients.tryShare().draw(d);
-        waitMicros = clients.waitMillis().draw(d) * 1e3;
-        honour = clients.honour().draw(d);
-        Scenario.Listing list = scenario.list();
-        listNotice = list.noticeSeconds().draw(d) * 1e6;
-        listSilent = list.silentSeconds().draw(d) * 1e6;
-        listAdd = list.addSeconds().draw(d) * 1e6;
-        listPeriod = list.periodMillis().draw(d) * 1e3;
-        listCalls = list.callsPerSecond().draw(d);
-        reportEvery = scenario.reports().everyMillis().draw(d) * 1e3;
-        reportLate = scenario.reports().lateMillis().draw(d) * 1e3;
-        reportNoise = scenario.reports().noise().draw(d);
-        handshakeTrips = scenario.fleet().handshakeTrips().draw(d);
-        handshakeMicros = scenario.fleet().handshakeMicros().draw(d);
-        routerNotice = scenario.routers().noticeSeconds().draw(d) * 1e6;
-        for (int k = 0; k < scenario.kinds().size(); k++) {
-            makes.add(make(k, scenario.kinds().get(k), draws.stream("kind", k)));
+        maxRetries = clients.maxRetries().drawInteger(random);
+        attemptTimeoutShare = clients.attemptTimeoutShare().draw(random);
+        backoffMicros = clients.backoffMillis().draw(random) * 1e3;
+        retryAfterHonouredShare = clients.retryAfterHonouredShare().draw(random);
+        Scenario.Listing discovery = scenario.list();
+        detectionMicros = discovery.detectionSeconds().draw(random) * 1e6;
+        silentDetectionMicros = discovery.silentDetectionSeconds().draw(random) * 1e6;
+        publishDelayMicros = discovery.publishDelaySeconds().draw(random) * 1e6;
+        publishPeriodMicros = discovery.publishPeriodMillis().draw(random) * 1e3;
+        discoveryCallsPerSecond = discovery.callsPerSecond().draw(random);
+        reportIntervalMicros = scenario.reports().intervalMillis().draw(random) * 1e3;
+        reportDelayMicros = scenario.reports().delayMillis().draw(random) * 1e3;
+        reportNoise = scenario.reports().noise().draw(random);
+        handshakeRoundTrips = scenario.fleet().handshakeRoundTrips().draw(random);
+        handshakeMicros = scenario.fleet().handshakeMicros().draw(random);
+        routerDetectionMicros = scenario.routers().detectionSeconds().draw(random) * 1e6;
+        for (int kind = 0; kind < scenario.kinds().size(); kind++) {
+            serverSpecs.add(sampleSpec(kind, scenario.kinds().get(kind), randomStreams.stream("kind", kind)));
         }
-        drawBoxes(draws.stream("boxes"));
-        routers = Math.max(1, scenario.routers().at().isEmpty()
-                ? scenario.routers().count().drawWhole(draws.stream("routers"))
-                : scenario.routers().at().size());
+        drawServers(randomStreams.stream("boxes"));
+        routers = Math.max(1, scenario.routers().sites().isEmpty()
+                ? scenario.routers().count().drawInteger(randomStreams.stream("routers"))
+                : scenario.routers().sites().size());
         for (int i = 0; i < routers; i++) {
-            routerSites.add(scenario.routers().at().isEmpty() ? i % sites.names().size()
-                    : scenario.routers().at().get(i));
+            routerSites.add(scenario.routers().sites().isEmpty() ? i % sites.names().size()
+                    : scenario.routers().sites().get(i));
         }
         classShare = new double[scenario.classes().size()];
-        double all = 0;
+        double sum = 0;
         for (int c = 0; c < classShare.length; c++) {
-            Talk t = talk(scenario.classes().get(c), draws.stream("class", c));
-            talks.add(t);
-            classShare[c] = t.share();
-            all += t.share();
+            SampledClass sampled = sampleClass(scenario.classes().get(c),
+                    randomStreams.stream("class", c));
+            classes.add(sampled);
+            classShare[c] = sampled.share();
+            sum += sampled.share();
         }
         for (int c = 0; c < classShare.length; c++) {
-            classShare[c] /= all;
+            classShare[c] /= sum;
         }
-        capacity = fleetCapacity();
-        UniformRandomProvider load = draws.stream("load");
-        double perSecond = scenario.span().perSecond().draw(load);
-        double part = scenario.span().load().draw(load);
-        askRate = perSecond > 0 ? perSecond : part * capacity;
+        capacity = computeCapacity();
+        UniformRandomProvider load = randomStreams.stream("load");
+        double perSecond = scenario.span().requestsPerSecond().draw(load);
+        double capacityShare = scenario.span().load().draw(load);
+        askRate = perSecond > 0 ? perSecond : capacityShare * capacity;
         swing = scenario.span().swing().draw(load);
-        burst = scenario.span().burst().draw(load);
+        burst = scenario.span().burstFactor().draw(load);
         municipalityShare = new double[scenario.municipalities().size()];
-        quota = new double[municipalityShare.length];
-        drawMunicipalities(draws.stream("municipalities"), clients.quota());
-        drawTroubles();
+        quotaPerSecond = new double[municipalityShare.length];
+        drawMunicipalities(randomStreams.stream("municipalities"), clients.quotaShare());
+        drawDisturbances();
     }
 
-    private void drawMunicipalities(UniformRandomProvider d, Range quotaOfCapacity) {
-        double ofCapacity = quotaOfCapacity.draw(d);
-        double all = 0;
-        for (int m = 0; m < quota.length; m++) {
-            Scenario.Municipality of = scenario.municipalities().get(m);
-            municipalityShare[m] = of.share() * of.usage().draw(d);
-            all += municipalityShare[m];
-            quota[m] = of.share() * ofCapacity * capacity;
+    private void drawMunicipalities(UniformRandomProvider random, Range quotaOfCapacity) {
+        double capacityShare = quotaOfCapacity.draw(random);
+        double sum = 0;
+        for (int index = 0; index < quotaPerSecond.length; index++) {
+            Scenario.Municipality municipality = scenario.municipalities().get(index);
+            municipalityShare[index] = municipality.share() * municipality.usage().draw(random);
+            sum += municipalityShare[index];
+            quotaPerSecond[index] = municipality.share() * capacityShare * capacity;
         }
-        for (int m = 0; m < quota.length; m++) {
-            municipalityShare[m] /= all;
+        for (int index = 0; index < quotaPerSecond.length; index++) {
+            municipalityShare[index] /= sum;
         }
     }
 
-    private static double[] shares(int count, double skew) {
+    /** Shares that sum to 1 and fall linearly from the first to the last; skew 0 makes them equal. */
+    private static double[] skewedShares(int count, double skew) {
         double[] shares = new double[count];
-        double all = 0;
+        double sum = 0;
         for (int i = 0; i < count; i++) {
             shares[i] = 1 + skew * (count == 1 ? 0 : 1 - 2.0 * i / (count - 1));
-            all += shares[i];
+            sum += shares[i];
         }
         for (int i = 0; i < count; i++) {
-            shares[i] /= all;
+            shares[i] /= sum;
         }
         return shares;
     }
 
-    private static Box.Make make(int number, Scenario.Kind k, UniformRandomProvider d) {
-        return new Box.Make(number, Math.max(1, (int) Math.round(k.slots().draw(d))),
-                (int) Math.round(k.queue().draw(d)), Math.round(k.memoryThousands().draw(d) * 1000),
-                k.stepMillis().draw(d), k.perSeqMillis().draw(d), k.contextMillis().draw(d),
-                k.pairsMillis().draw(d), k.readPerSecond().draw(d), (int) Math.round(k.chunk().draw(d)),
-                k.coldFrom().draw(d), k.coldSeconds().draw(d), k.warmByWork(), k.errors().draw(d),
-                k.dropsExpired().draw(d) >= USUAL_PART, k.keepsMade());
+    private static SimulatedServer.ServerSpec sampleSpec(int number, Scenario.Kind kind,
+            UniformRandomProvider random) {
+        return new SimulatedServer.ServerSpec(number,
+                Math.max(1, (int) Math.round(kind.slots().draw(random))),
+                (int) Math.round(kind.queueLimit().draw(random)),
+                Math.round(kind.memoryThousandTokens().draw(random) * 1000), kind.stepMillis().draw(random),
+                kind.perSequenceMillis().draw(random), kind.contextMillisPerThousand().draw(random),
+                kind.attentionMillisPerMillion().draw(random), kind.prefillTokensPerSecond().draw(random),
+                (int) Math.round(kind.prefillChunkTokens().draw(random)),
+                kind.coldCapacityShare().draw(random), kind.warmUpSeconds().draw(random), kind.warmByWork(),
+                kind.errorShare().draw(random), kind.dropsExpired().draw(random) >= ENABLED_FROM,
+                kind.cachesOutput());
     }
 
-    private void drawBoxes(UniformRandomProvider d) {
+    /** Takes the servers that the scenario lists, or else mixes the kinds in proportion to their shares. */
+    private void drawServers(UniformRandomProvider random) {
         Scenario.Fleet fleet = scenario.fleet();
-        int count = fleet.count().drawWhole(d);
-        boxes.addAll(fleet.boxes());
+        int count = fleet.count().drawInteger(random);
+        boxes.addAll(fleet.servers());
         if (!boxes.isEmpty()) {
             return;
         }
-        double all = 0;
-        for (Scenario.Kind k : scenario.kinds()) {
-            all += k.share();
+        double sum = 0;
+        for (Scenario.Kind kind : scenario.kinds()) {
+            sum += kind.share();
         }
-        double at = d.nextDouble();
-        double[] owed = new double[scenario.kinds().size()];
+        double offset = random.nextDouble();
+        double[] credit = new double[scenario.kinds().size()];
         for (int i = 0; i < count; i++) {
-            int most = 0;
-            for (int k = 0; k < owed.length; k++) {
-                owed[k] += scenario.kinds().get(k).share() / all * (i == 0 ? 1 + at : 1);
-                most = owed[k] > owed[most] ? k : most;
+            int next = 0;
+            for (int kind = 0; kind < credit.length; kind++) {
+                credit[kind] += scenario.kinds().get(kind).share() / sum * (i == 0 ? 1 + offset : 1);
+                next = credit[kind] > credit[next] ? kind : next;
             }
-            owed[most]--;
-            boxes.add(new Scenario.BoxLine(most, i % scenario.sites().names().size(),
-                    scenario.kinds().get(most).speed().draw(d)));
+            credit[next]--;
+            boxes.add(new Scenario.BoxLine(next, i % scenario.sites().names().size(),
+                    scenario.kinds().get(next).speed().draw(random)));
         }
     }
 
-    private static Talk talk(Scenario.AskClass c, UniformRandomProvider d) {
-        return new Talk(c, c.share().draw(d), c.newTokens().draw(d), c.newSigma().draw(d),
-                c.outTokens().draw(d), c.outSigma().draw(d), c.turns().draw(d), c.thinkSeconds().draw(d),
-                c.prefixes().drawWhole(d), c.prefixZipf().draw(d), c.prefixTokens().draw(d),
-                c.prefixShare().draw(d));
+    private static SampledClass sampleClass(Scenario.AskClass c, UniformRandomProvider random) {
+        return new SampledClass(c, c.share().draw(random), c.newTokens().draw(random),
+                c.newSigma().draw(random), c.outputTokens().draw(random), c.outputSigma().draw(random),
+                c.turns().draw(random), c.thinkSeconds().draw(random), c.prefixCount().drawInteger(random),
+                c.prefixZipf().draw(random), c.prefixTokens().draw(random), c.prefixShare().draw(random));
     }
 
-    /** Asks a second that the fleet can carry when sessions find what they left: half full boxes, warm. */
-    private double fleetCapacity() {
-        double boxSeconds = 0;
-        for (Scenario.BoxLine b : boxes) {
-            Box.Make m = makes.get(b.kind());
-            double cost = 0;
-            for (int c = 0; c < talks.size(); c++) {
-                cost += classShare[c] * m.cost(talks.get(c).newTokens(), talks.get(c).outTokens(),
-                        context(talks.get(c)));
+    /**
+     * The requests per second that the fleet can serve with warm, half-full servers, when each session finds
+     * its earlier turns in the prefix cache.
+     */
+    private double computeCapacity() {
+        double requestsPerSecond = 0;
+        for (Scenario.BoxLine server : boxes) {
+            SimulatedServer.ServerSpec spec = serverSpecs.get(server.kind());
+            double costSeconds = 0;
+            for (int c = 0; c < classes.size(); c++) {
+                costSeconds += classShare[c] * spec.costSeconds(classes.get(c).newTokens(),
+                        classes.get(c).outputTokens(), meanContextTokens(classes.get(c)));
             }
-            boxSeconds += b.speed() / cost;
+            requestsPerSecond += server.speed() / costSeconds;
         }
-        return boxSeconds;
+        return requestsPerSecond;
     }
 
-    private static double context(Talk t) {
-        return t.prefixTokens() * t.prefixShare()
-                + (t.newTokens() + t.outTokens()) * (1 + (t.turns() - 1) / 2);
+    /** The mean context of a request over the turns of its session. */
+    private static double meanContextTokens(SampledClass sampled) {
+        return sampled.prefixTokens() * sampled.prefixShare()
+                + (sampled.newTokens() + sampled.outputTokens()) * (1 + (sampled.turns() - 1) / 2);
     }
 
-    /** What an ask costs a warm box, in its seconds. */
-    double cost(Box box, Ask ask) {
-        return box.make.cost(ask.freshTokens, ask.outTokens, ask.promptTokens) / box.speed;
+    /** The cost of a request in seconds of this server when warm, without its cached tokens. */
+    double costSeconds(SimulatedServer server, Ask request) {
+        return server.spec.costSeconds(request.newPromptTokens, request.outTokens, request.promptTokens)
+                / server.speed;
     }
 
-    private void drawTroubles() {
+    private void drawDisturbances() {
         for (int t = 0; t < scenario.troubles().size(); t++) {
-            Scenario.Trouble trouble = scenario.troubles().get(t);
-            UniformRandomProvider d = draws.stream("trouble", t);
-            boolean comes = d.nextDouble() < trouble.chance();
-            long from = Math.round(trouble.atShare().draw(d) * length);
-            long to = from + Math.round(trouble.seconds().draw(d) * 1e6);
-            double size = trouble.size().draw(d);
-            double part = trouble.part().draw(d);
-            int site = number(trouble.of(), scenario.sites().names(), d);
-            int askClass = number(trouble.of(), scenario.classes().stream().map(Scenario.AskClass::name)
-                    .toList(), d);
-            List<Integer> hit = new ArrayList<>();
-            int want = (int) Math.max(part > 0 ? 1 : 0, Math.round(part * boxes.size()));
-            int first = d.nextInt(Math.max(1, boxes.size()));
+            Scenario.Trouble disturbance = scenario.troubles().get(t);
+            UniformRandomProvider random = randomStreams.stream("trouble", t);
+            boolean occurs = random.nextDouble() < disturbance.probability();
+            long from = Math.round(disturbance.startShare().draw(random) * lengthMicros);
+            long to = from + Math.round(disturbance.seconds().draw(random) * 1e6);
+            double size = disturbance.size().draw(random);
+            double share = disturbance.share().draw(random);
+            int site = indexOrRandom(disturbance.target(), scenario.sites().names(), random);
+            int requestClass = indexOrRandom(disturbance.target(),
+                    scenario.classes().stream().map(Scenario.AskClass::name).toList(), random);
+            List<Integer> affected = new ArrayList<>();
+            int wanted = (int) Math.max(share > 0 ? 1 : 0, Math.round(share * boxes.size()));
+            int first = random.nextInt(Math.max(1, boxes.size()));
             for (int i = 0; i < boxes.size(); i++) {
-                int b = (first + i) % boxes.size();
-                boolean here = trouble.what() == Scenario.What.SITE_LOST ? boxes.get(b).site() == site
-                        : hit.size() < want;
-                if (here) {
-                    hit.add(b);
+                int index = (first + i) % boxes.size();
+                boolean hit = disturbance.what() == Scenario.What.SITE_LOST ? boxes.get(index).site() == site
+                        : affected.size() < wanted;
+                if (hit) {
+                    affected.add(index);
                 }
             }
-            if (comes) {
-                troubles.add(new Struck(trouble, from, to, size, part, List.copyOf(hit), askClass, site));
+            if (occurs) {
+                disturbances.add(new ScheduledDisturbance(disturbance, from, to, size, share,
+                        List.copyOf(affected), requestClass, site));
             }
         }
     }
 
-    private static int number(String name, List<String> names, UniformRandomProvider d) {
-        int drawn = d.nextInt(names.size());
+    /** The index of a name, or a random one if the name is not in the list; always draws one number. */
+    private static int indexOrRandom(String name, List<String> names, UniformRandomProvider random) {
+        int drawn = random.nextInt(names.size());
         int found = names.indexOf(name);
         return found >= 0 ? found : drawn;
     }
 
-    /** The day's boxes, warm and empty, on this calendar. */
-    List<Box> newBoxes(Calendar calendar) {
-        List<Box> all = new ArrayList<>();
+    /** Creates the servers on an event calendar, warm and idle. */
+    List<SimulatedServer> newServers(Calendar calendar) {
+        List<SimulatedServer> servers = new ArrayList<>();
         for (int i = 0; i < boxes.size(); i++) {
-            Scenario.BoxLine line = boxes.get(i);
-            // the numbers tell nothing of place, kind or age
-            all.add(new Box(i, Draws.mix(seed ^ i * 0x51ed270b7L) >>> 1, line.site(), makes.get(line.kind()),
-                    line.speed(), calendar, draws.stream("box", i)));
+            Scenario.BoxLine entry = boxes.get(i);
+            // the ids are hashed so that they reveal nothing about site, kind or age
+            servers.add(new SimulatedServer(i, RandomStreams.mix(seed ^ i * 0x51ed270b7L) >>> 1, entry.site(),
+                    serverSpecs.get(entry.kind()), entry.speed(), calendar, randomStreams.stream("box", i)));
         }
-        return all;
+        return servers;
     }
 
-    /** How many boxes there are. */
+    /** How many servers there are. */
     public int boxes() {
         return boxes.size();
     }
 
+    /** How many routers there are. */
     public int routers() {
         return routers;
     }
 
-    /** Asks a second that the fleet can carry. */
+    /** The requests per second that the fleet can serve. */
     public double capacity() {
         return capacity;
     }
 
-    /** Asks a second on the whole. */
+    /** The mean rate of new requests per second. */
     public double askRate() {
         return askRate;
     }
--- a/src/main/java/yewdock/model/Live.java
+++ b/src/main/java/yewdock/model/Live.java
@@ -6,147 +6,160 @@
 import java.util.function.Consumer;
 
 /**
- * A day's boxes and asks for those who play them in real time: the calendar is theirs to move. Not
- * thread-safe:
- * one lock over all.
+ * The servers and requests of a sampled scenario for a run in real time, with real routers and connections.
+ * The caller advances the event calendar. Not thread-safe: the caller holds one lock over all calls.
  */
 public final class Live {
-    private static final double SECOND = 1e6;
-    private static final int DESCRIPTORS = 1024;
+    private static final double MICROS_PER_SECOND = 1e6;
+    private static final int MAX_SOCKETS = 1024;
 
-    private final Day day;
+    private final Day parameters;
     private final Calendar calendar = new Calendar();
-    private final List<Box> boxes = new ArrayList<>();
+    private final List<SimulatedServer> servers = new ArrayList<>();
 
-    /** The day's boxes, warm and empty. */
-    public Live(Day day) {
-        this.day = day;
-        boxes.addAll(day.newBoxes(calendar));
+    /** Creates the servers, warm and idle. */
+    public Live(Day parameters) {
+        this.parameters = parameters;
+        servers.addAll(parameters.newServers(calendar));
     }
 
-    /** What happens at the boxes, and which asks come, by microseconds from the day's beginning. */
+    /** The events at the servers and the arrivals of requests, in microseconds from the start of the run. */
     public Calendar calendar() {
         return calendar;
     }
 
-    /** Puts the day's asks into the calendar; and slow boxes, the only trouble that is played here. */
+    /**
+     * Schedules the arrivals of requests, and the disturbances that slow servers down; no other disturbance
+     * of the servers is played in real time.
+     */
     public void start(Consumer<Ask> to) {
-        new Arrivals(day, calendar, ask -> {
-            ask.worth = day.talks.get(ask.askClass).of().worth();
-            to.accept(ask);
+        new ArrivalProcess(parameters, calendar, request -> {
+            request.worth = parameters.classes.get(request.requestClass).profile().worth();
+            to.accept(request);
         }).start();
-        for (Day.Struck s : day.troubles) {
-            if (s.trouble().what() == Scenario.What.SLOW) {
-                calendar.at(s.from(), () -> s.boxes().forEach(b -> boxes.get(b).slow *= Math.max(1,
-                        s.size())));
-                calendar.at(s.to(), () -> s.boxes().forEach(b -> boxes.get(b).slow /= Math.max(1, s.size())));
+        for (Day.ScheduledDisturbance scheduled : parameters.disturbances) {
+            if (scheduled.disturbance().what() == Scenario.What.SLOW) {
+                calendar.at(scheduled.fromMicros(), () -> scheduled.servers().forEach(
+                        server -> servers.get(server).slowdown *= Math.max(1, scheduled.size())));
+                calendar.at(scheduled.toMicros(), () -> scheduled.servers().forEach(
+                        server -> servers.get(server).slowdown /= Math.max(1, scheduled.size())));
             }
         }
     }
 
+    /** How many servers there are; they are numbered from 0. */
     public int boxes() {
-        return boxes.size();
+        return servers.size();
     }
 
-    /** A box's name, which holds its number in the model. */
-    public String name(int box) {
-        return "s-" + Long.toHexString(boxes.get(box).id);
+    /** The name of a server, made from its id in the simulation. */
+    public String name(int server) {
+        return "s-" + Long.toHexString(servers.get(server).id);
     }
 
-    public String site(int box) {
-        return day.scenario.sites().names().get(boxes.get(box).site);
+    /** The name of a server's site. */
+    public String site(int server) {
+        return parameters.scenario.sites().names().get(servers.get(server).site);
     }
 
-    public String kind(int box) {
-        return day.scenario.kinds().get(boxes.get(box).make.kind()).name();
+    /** The name of a server's kind. */
+    public String kind(int server) {
+        return parameters.scenario.kinds().get(servers.get(server).spec.kind()).name();
     }
 
-    /** Gives a box work; false where it has no room. */
-    public boolean give(int box, Work work) {
-        return boxes.get(box).take(work);
+    /** Submits a job to a server; returns false if the server has no room. */
+    public boolean give(int server, Work job) {
+        return servers.get(server).submit(job);
     }
 
-    /** Requests that a box holds. */
-    public int held(int box) {
-        return boxes.get(box).held();
+    /** The number of requests running and queued at a server. */
+    public int held(int server) {
+        return servers.get(server).inFlight();
     }
 
-    /** Thousands of prompt tokens that a box has still to read. */
-    public double unread(int box) {
-        return boxes.get(box).unreadTokens() / 1000;
+    /** Thousands of prompt tokens that a server has still to read. */
+    public double unread(int server) {
+        return servers.get(server).pendingPromptTokens() / 1000;
     }
 
-    /** How many routers the day has, and the site of each. */
+    /** The site of each router, by its index in the scenario. */
     public List<Integer> routers() {
-        return List.copyOf(day.routerSites);
+        return List.copyOf(parameters.routerSites);
     }
 
-    /** The day's length in microseconds. */
+    /** The length of the run in microseconds. */
     public long length() {
-        return day.length;
+        return parameters.lengthMicros;
     }
 
-    public String className(Ask ask) {
-        return day.talks.get(ask.askClass).of().name();
+    /** The name of a request's class. */
+    public String className(Ask request) {
+        return parameters.classes.get(request.requestClass).profile().name();
     }
 
-    public String municipality(Ask ask) {
-        return day.scenario.municipalities().get(ask.municipality).name();
+    /** The name of a request's municipality. */
+    public String municipality(Ask request) {
+        return parameters.scenario.municipalities().get(request.municipality).name();
     }
 
-    /** The site of the client, by its place in the scenario. */
-    public int site(Ask ask) {
-        return ask.site;
+    /** The site of a request's client, by its index in the scenario. */
+    public int site(Ask request) {
+        return request.site;
     }
 
-    /** How long a client waits for one try, in microseconds, when the day is so far. */
-    public long patience(Ask ask, long now) {
-        double giveUp = day.talks.get(ask.askClass).of().giveUpSeconds() * SECOND;
-        return Math.round(Math.min(day.tryShare * giveUp, ask.giveUpAt - now));
+    /** How long a client that sends an attempt now waits for its answer, in microseconds. */
+    public long patience(Ask request, long now) {
+        double deadlineMicros = parameters.classes.get(request.requestClass).profile().deadlineSeconds()
+                * MICROS_PER_SECOND;
+        return Math.round(Math.min(parameters.attemptTimeoutShare * deadlineMicros,
+                request.giveUpAtMicros - now));
     }
 
-    /** How often clients try again. */
+    /** How often a client retries at most. */
     public int retries() {
-        return day.retries;
+        return parameters.maxRetries;
     }
 
-    /**
-     * How long a client waits before it tries again where nothing is advised, in microseconds, after so
-     * many.
-     */
-    public long wait(int triesMade) {
-        return Math.round(day.waitMicros * (1 << Math.min(10, triesMade - 1)));
+    /** How long a client backs off after this many attempts if no Retry-After was sent, in microseconds. */
+    public long wait(int attemptsMade) {
+        return Math.round(parameters.backoffMicros * (1 << Math.min(10, attemptsMade - 1)));
     }
 
-    /** Whether an answer came in time: the first token after so many microseconds, and all after so many. */
-    public boolean inTime(Ask ask, long first, long whole) {
-        Scenario.AskClass c = day.talks.get(ask.askClass).of();
-        double pace = ask.outTokens < 2 ? 0 : (whole - first) / (double) (ask.outTokens - 1);
-        return first <= c.aimSeconds() * SECOND + c.aimMillisPerThousand() * ask.promptTokens
-                && pace <= c.tokenMillis() * 1e3;
+    /** Whether an answer was in time, with its first token and its end this long after the request. */
+    public boolean inTime(Ask request, long firstTokenMicros, long totalMicros) {
+        Scenario.AskClass requestClass = parameters.classes.get(request.requestClass).profile();
+        double intervalMicros = request.outTokens < 2 ? 0
+                : (totalMicros - firstTokenMicros) / (double) (request.outTokens - 1);
+        return firstTokenMicros <= requestClass.firstTokenTargetSeconds() * MICROS_PER_SECOND
+                + requestClass.firstTokenTargetMillisPerThousand() * request.promptTokens
+                && intervalMicros <= requestClass.tokenTargetMillis() * 1e3;
     }
 
-    /** The configuration of one of the day's routers, as the platform gives it. */
-    public String configuration(int router, String listen, String list) {
-        Scenario s = day.scenario;
+    /**
+     * The configuration file of a router, as a platform provides it, for the address that the router listens
+     * on and the address of discovery.
+     */
+    public String configuration(int router, String listen, String discovery) {
+        Scenario scenario = parameters.scenario;
         List<String> classes = new ArrayList<>();
-        List<String> aims = new ArrayList<>();
-        List<String> paces = new ArrayList<>();
-        for (Scenario.AskClass c : s.classes()) {
+        List<String> promptTargets = new ArrayList<>();
+        List<String> tokenTargets = new ArrayList<>();
+        for (Scenario.AskClass requestClass : scenario.classes()) {
             classes.add(String.format(Locale.ROOT, "{\"name\":\"%s\",\"effect\":\"retryable\",\"aim\":%s,"
-                    + "\"give_up\":%s,\"stream\":true,\"worth\":%s,\"late_worth\":%s}", c.name(),
-                    c.aimSeconds(),
-                    c.giveUpSeconds(), c.worth(), c.lateWorth()));
-            aims.add(Double.toString(c.aimMillisPerThousand() * 1e3));
-            paces.add(Double.toString(c.tokenMillis() / 1e3));
+                    + "\"give_up\":%s,\"stream\":true,\"worth\":%s,\"late_worth\":%s}", requestClass.name(),
+                    requestClass.firstTokenTargetSeconds(), requestClass.deadlineSeconds(),
+                    requestClass.worth(), requestClass.lateWorth()));
+            promptTargets.add(Double.toString(requestClass.firstTokenTargetMillisPerThousand() * 1e3));
+            tokenTargets.add(Double.toString(requestClass.tokenTargetMillis() / 1e3));
         }
-        List<String> towns = new ArrayList<>();
-        for (int m = 0; m < day.quota.length; m++) {
-            towns.add(String.format(Locale.ROOT, "{\"name\":\"%s\",\"quota_rps\":%s}",
-                    s.municipalities().get(m).name(), day.quota[m]));
+        List<String> municipalities = new ArrayList<>();
+        for (int municipality = 0; municipality < parameters.quotaPerSecond.length; municipality++) {
+            municipalities.add(String.format(Locale.ROOT, "{\"name\":\"%s\",\"quota_rps\":%s}",
+                    scenario.municipalities().get(municipality).name(),
+                    parameters.quotaPerSecond[municipality]));
         }
-        Scenario.Contract c = s.contract();
-        Scenario.Routers r = s.routers();
+        Scenario.Contract contract = scenario.contract();
+        Scenario.Routers routers = scenario.routers();
         return String.format(Locale.ROOT, "{\"name\":\"router-%d\",\"listen\":\"%s\",\"discovery\":\"%s\","
                 + "\"seed\":\"%x\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":%d},\"settings\":{"
                 + "\"instances\":%d,\"ordinal\":%d,\"zone\":%d,\"discovery\":\"ask\","
@@ -157,14 +170,16 @@
                 + "\"connect_timeout\":%s,\"keepalive\":%s,"
                 + "\"retry_after\":%s,\"max_retry_after\":%s},\"contract\":{\"drain_grace\":%s,\"cold\":%s,"
                 + "\"cold_from\":%s,\"fall_multiple\":%s,\"fall\":%s,\"ask_within\":%s}}}",
-                router, listen, list, Draws.mix(day.seed + router) >>> 1, DESCRIPTORS, day.routers, router,
-                day.routerSites.get(router), quoted(s.sites().names()),
-                quoted(s.kinds().stream().map(Scenario.Kind::name).toList()), String.join(",", towns),
-                s.clients().overShareWorth(), String.join(",", classes), String.join(",", aims),
-                String.join(",", paces), r.attempts(), r.connectSeconds(), r.keepaliveSeconds(),
-                r.retryAfterSeconds() > 0, r.retryAfterSeconds(), c.drainSeconds(), c.coldSeconds(),
-                        c.coldFrom(),
-                c.fallMultiple(), c.fallSeconds(), c.askWithinSeconds());
+                router, listen, discovery, RandomStreams.mix(parameters.seed + router) >>> 1, MAX_SOCKETS,
+                parameters.routers, router, parameters.routerSites.get(router),
+                quoted(scenario.sites().names()),
+                quoted(scenario.kinds().stream().map(Scenario.Kind::name).toList()),
+                String.join(",", municipalities), scenario.clients().overShareWorth(),
+                String.join(",", classes), String.join(",", promptTargets), String.join(",", tokenTargets),
+                routers.maxAttempts(), routers.connectTimeoutSeconds(), routers.keepaliveSeconds(),
+                routers.retryAfterSeconds() > 0, routers.retryAfterSeconds(), contract.drainGraceSeconds(),
+                contract.warmUpSeconds(), contract.coldCapacityShare(), contract.overloadMultiple(),
+                contract.overloadWindowSeconds(), contract.maxDiscoveryIntervalSeconds());
     }
 
     private static String quoted(List<String> names) {
--- a/src/main/java/yewdock/model/Range.java
+++ b/src/main/java/yewdock/model/Range.java
@@ -2,11 +2,11 @@
 
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Values from which a day draws one, evenly. */
+/** A range of values, both ends included, from which a uniformly distributed one is drawn. */
 public record Range(double from, double to) {
     public Range {
         if (!(from <= to)) {
-            throw new IllegalArgumentException("a range from " + from + " to " + to);
+            throw new IllegalArgumentException("invalid range from " + from + " to " + to);
         }
     }
 
@@ -16,13 +16,13 @@
     }
 
     double draw(UniformRandomProvider random) {
-        // drawn also where there is but one value: the draws after it stay as they are
+        // draws a number even for a single value, so that later draws don't depend on the range
         return from + (to - from) * random.nextDouble();
     }
 
-    int drawWhole(UniformRandomProvider random) {
-        return (int) Math.min(Math.floor(to), Math.floor(from + (Math.floor(to) - from
-                + 1) * random.nextDouble()));
+    int drawInteger(UniformRandomProvider random) {
+        return (int) Math.min(Math.floor(to),
+                Math.floor(from + (Math.floor(to) - from + 1) * random.nextDouble()));
     }
 
     double middle() {
--- a/src/main/java/yewdock/model/Scenario.java
+++ b/src/main/java/yewdock/model/Scenario.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * What days may be like: ranges, from which {@link Day} draws. Times are milliseconds or seconds as the names
- * say; tokens are counts; shares lie between 0 and 1. docs/EXPERIMENTS.md tells each key of the file.
+ * A scenario for simulations: the ranges from which {@link Day} samples the parameters of a run. Times are
+ * milliseconds or seconds as their names say; shares lie between 0 and 1. docs/EXPERIMENTS.md describes each
+ * key of the file.
  */
 public record Scenario(Span span, Sites sites, Routers routers, Clients clients, Listing list,
-        Reports reports,
-        Contract contract, Fleet fleet, List<Kind> kinds, List<AskClass> classes,
+        Reports reports, Contract contract, Fleet fleet, List<Kind> kinds, List<AskClass> classes,
         List<Municipality> municipalities, List<Trouble> troubles) {
     public Scenario {
         kinds = List.copyOf(kinds);
@@ -18,120 +18,142 @@
     }
 
     /**
-     * How long and how busy: load is the part of the fleet's capacity that is asked for; where perSecond
-     * is over
-     * 0 it holds instead. swing moves the rate up and down by that part once in the day.
+     * Length and load of a run: load is the offered share of the fleet's capacity; if requestsPerSecond is
+     * over 0, it is used instead. swing moves the rate up and down by this share once over the run, and
+     * burstFactor raises it by this share in short bursts.
      */
-    public record Span(double seconds, Range load, Range perSecond, Range swing, Range burst) {
+    public record Span(double seconds, Range load, Range requestsPerSecond, Range swing, Range burstFactor) {
     }
 
-    /** Sites, one-way delays between and within them, and from clients; shares of the clients. */
-    public record Sites(List<String> names, Range acrossMillis, Range withinMillis, Range clientMillis,
-            Range jitter, Range skew) {
+    /**
+     * Sites, one-way delays between them, within them and from clients; jitter: the largest random share
+     * added to a delay; skew: how unevenly clients are spread over the sites, 0 for evenly.
+     */
+    public record Sites(List<String> names, Range crossSiteMillis, Range sameSiteMillis,
+            Range clientDelayMillis, Range jitter, Range skew) {
         public Sites {
             names = List.copyOf(names);
         }
     }
 
-    /** The routers; at says the site of each, where it is not dealt out in turn. */
-    public record Routers(Range count, List<Integer> at, String policy, int factor, int points, String hash,
-            String rounding, String measure, int attempts, double connectSeconds, double keepaliveSeconds,
-            double retryAfterSeconds, Range noticeSeconds) {
+    /**
+     * The routers and their policy; sites has the site of each router, or is empty if they are spread over
+     * the sites in turn; detectionSeconds: how long clients still use a dead router.
+     */
+    public record Routers(Range count, List<Integer> sites, String policy, int loadFactorPercent,
+            int ringPoints, String hash, String rounding, String loadMeasure, int maxAttempts,
+            double connectTimeoutSeconds, double keepaliveSeconds, double retryAfterSeconds,
+            Range detectionSeconds) {
         public Routers {
-            at = List.copyOf(at);
+            sites = List.copyOf(sites);
         }
     }
 
-    /** How often clients try again, how much of their time one try gets, and how they wait between tries. */
-    public record Clients(Range retries, Range tryShare, Range waitMillis, Range honour,
-            double overShareWorth,
-            Range quota) {
+    /**
+     * How often clients retry, the share of a request's time that one attempt gets, the backoff, and the
+     * share of Retry-After answers that are honoured; overShareWorth: the factor on the worth of requests
+     * beyond the quota of their municipality; quotaShare: the sum of the quotas over the fleet's capacity.
+     */
+    public record Clients(Range maxRetries, Range attemptTimeoutShare, Range backoffMillis,
+            Range retryAfterHonouredShare, double overShareWorth, Range quotaShare) {
     }
 
-    /** The box list: how late it is, how often it is made, and how many calls a second it answers. */
-    public record Listing(Range noticeSeconds, Range silentSeconds, Range addSeconds, Range periodMillis,
-            Range callsPerSecond, double timeoutSeconds) {
+    /**
+     * Discovery: how long it takes to detect a change, or a silent crash, and to publish it, how often it
+     * publishes, and how many calls per second it answers.
+     */
+    public record Listing(Range detectionSeconds, Range silentDetectionSeconds, Range publishDelaySeconds,
+            Range publishPeriodMillis, Range callsPerSecond, double timeoutSeconds) {
     }
 
-    /** What boxes report: how often it is made anew, how late it comes, how far it is off. */
-    public record Reports(Range everyMillis, Range lateMillis, Range noise) {
+    /** Load reports: how often they are created, how late they arrive, and their relative error. */
+    public record Reports(Range intervalMillis, Range delayMillis, Range noise) {
     }
 
-    /** The figures of the rules. */
-    public record Contract(double drainSeconds, double coldSeconds, double coldFrom, double fallMultiple,
-            double fallSeconds, double askWithinSeconds) {
+    /** The figures of the rules, as in {@link umberspread.Routing.Contract}. */
+    public record Contract(double drainGraceSeconds, double warmUpSeconds, double coldCapacityShare,
+            double overloadMultiple, double overloadWindowSeconds, double maxDiscoveryIntervalSeconds) {
     }
 
-    /** How many boxes, or each by itself; connections; how many stand together for repeats. */
-    public record Fleet(Range count, List<BoxLine> boxes, Range handshakeTrips, Range handshakeMicros,
-            int connections) {
+    /**
+     * The number of servers, or a list of them; the cost of a new connection in round trips and in work of
+     * the server; the most connections of one server.
+     */
+    public record Fleet(Range count, List<BoxLine> servers, Range handshakeRoundTrips, Range handshakeMicros,
+            int maxConnections) {
         public Fleet {
-            boxes = List.copyOf(boxes);
+            servers = List.copyOf(servers);
         }
     }
 
-    /** One box: kind and site by number, speed against the yardstick. */
+    /** One server: kind and site by index, and its speed relative to the reference speed. */
     public record BoxLine(int kind, int site, double speed) {
     }
 
     /**
-     * A kind of machine. stepMillis and the like hold at the yardstick speed, and are divided by the speed.
+     * A kind of server. Its times hold at the reference speed and are divided by a server's speed;
+     * dropsExpired: whether it drops abandoned requests from its queue once they have expired, as a share of
+     * the runs; cachesOutput: whether it keeps the tokens of an answer in the prefix cache.
      */
-    public record Kind(String name, double share, Range speed, Range slots, Range queue,
-            Range memoryThousands,
-            Range stepMillis, Range perSeqMillis, Range contextMillis, Range pairsMillis, Range readPerSecond,
-            Range chunk, Range coldFrom, Range coldSeconds, boolean warmByWork, Range errors,
-            Range dropsExpired, boolean keepsMade) {
+    public record Kind(String name, double share, Range speed, Range slots, Range queueLimit,
+            Range memoryThousandTokens, Range stepMillis, Range perSequenceMillis,
+            Range contextMillisPerThousand, Range attentionMillisPerMillion, Range prefillTokensPerSecond,
+            Range prefillChunkTokens, Range coldCapacityShare, Range warmUpSeconds, boolean warmByWork,
+            Range errorShare, Range dropsExpired, boolean cachesOutput) {
     }
 
-    /** A class of requests, as BRIEF section 5 tells them. */
-    public record AskClass(String name, Range share, double aimSeconds, double aimMillisPerThousand,
-            double tokenMillis, double giveUpSeconds, double worth, double lateWorth, Range newTokens,
-            Range newSigma, Range outTokens, Range outSigma, int mostOut, Range turns, Range thinkSeconds,
-            Range prefixes, Range prefixZipf, Range prefixTokens, Range prefixShare,
-            boolean perMunicipality) {
+    /** A request class, as described in BRIEF, section 5. */
+    public record AskClass(String name, Range share, double firstTokenTargetSeconds,
+            double firstTokenTargetMillisPerThousand, double tokenTargetMillis, double deadlineSeconds,
+            double worth, double lateWorth, Range newTokens, Range newSigma, Range outputTokens,
+            Range outputSigma, int maxOutputTokens, Range turns, Range thinkSeconds, Range prefixCount,
+            Range prefixZipf, Range prefixTokens, Range prefixShare, boolean prefixPerMunicipality) {
     }
 
-    /** A municipality, its share, and how much of it it asks for. */
+    /** A municipality, its share of the quota, and its usage as a factor on that share. */
     public record Municipality(String name, double share, Range usage) {
     }
 
-    /** What goes wrong, when, for how long, how far; it comes on this part of the days. */
-    public record Trouble(String name, What what, double chance, Range atShare, Range seconds, Range size,
-            Range part, String of) {
+    /**
+     * A disturbance: the probability that a run has it, when it starts as a share of the run, how long it
+     * lasts, its size, and the share of servers, routers or requests that it affects; target: the name of the
+     * site or request class concerned, or empty for a random one.
+     */
+    public record Trouble(String name, What what, double probability, Range startShare, Range seconds,
+            Range size, Range share, String target) {
     }
 
-    /** The troubles there are. */
+    /** The kinds of disturbances. Each constant is a value in scenario files. */
     public enum What {
-        /** A part of the boxes is size times slower. */
+        /** A share of the servers is slower by the factor size. */
         SLOW,
-        /** Load reports come size seconds later. */
+        /** Load reports arrive later by size seconds. */
         REPORTS_LATE,
-        /** A part of one class's requests costs size times as much. */
+        /** A share of the requests of one class costs more by the factor size. */
         COSTLY,
         /**
-         * A site is lost: its boxes die, or fall silent, and come back cold; with size over 0.5 its routers
-         * too.
+         * All servers of a site crash, silently with a share over 0.5, and come back cold; with a size over
+         * 0.5 its routers are killed too.
          */
         SITE_LOST,
-        /** The list is size seconds later. */
+        /** Discovery publishes changes later by size seconds. */
         LIST_LATE,
-        /** A part of the boxes drains, one after the other, and comes back cold. */
+        /** A share of the servers drains, one after the other, and comes back cold. */
         DRAIN,
-        /** A part of the boxes hangs: it takes work and does nothing. */
+        /** A share of the servers hangs: they accept requests and do nothing. */
         HANG,
-        /** A part of the routers is killed, and knows nothing when it is back. */
+        /** A share of the routers is killed, and restarts without state. */
         ROUTERS_KILLED,
-        /** A part of the boxes dies and comes back cold at once. */
+        /** A share of the servers crashes and comes back cold at once. */
         RESTART,
-        /** A part of the boxes answers so many of its requests (size) with errors. */
+        /** A share of the servers answers the share size of its requests with errors. */
         ERRORS,
-        /** Requests come size times as fast. */
+        /** Sessions start more often by the factor size. */
         BURST
     }
 
-    /** The same with other routers. */
-    public Scenario with(Routers other) {
+    /** This scenario with other routers. */
+    public Scenario withRouters(Routers other) {
         return new Scenario(span, sites, other, clients, list, reports, contract, fleet, kinds, classes,
                 municipalities, troubles);
     }
--- a/src/main/java/yewdock/model/Score.java
+++ b/src/main/java/yewdock/model/Score.java
@@ -10,219 +10,238 @@
 import umberspread.Routing.Outcome;
 
 /**
- * What came of a day, counted as BRIEF sections 2 and 3 say: the worth answered in time over the worth
- * asked for.
+ * Collects the figures of a run and computes its score as defined in BRIEF, sections 2 and 3: the worth of
+ * the requests answered in time over the worth of all requests, as a whole and in the worst window, class and
+ * municipality, less the prices of late failures, cross-site attempts and wasted work.
  */
 public final class Score {
-    private static final double WHOLE = 0.35;
-    private static final double WORST_WINDOW = 0.35;
-    private static final double WORST_CLASS = 0.2;
-    private static final double WORST_MUNICIPALITY = 0.1;
+    private static final double WHOLE_WEIGHT = 0.35;
+    private static final double WORST_WINDOW_WEIGHT = 0.35;
+    private static final double WORST_CLASS_WEIGHT = 0.2;
+    private static final double WORST_MUNICIPALITY_WEIGHT = 0.1;
     private static final double LATE_PRICE = 0.11;
-    private static final double CROSS_PRICE = 0.03;
+    private static final double CROSS_SITE_PRICE = 0.03;
     private static final double WASTE_PRICE = 0.02;
-    private static final int WINDOW = 10;
-    private static final long MOST_MICROS = 600_000_000;
+    private static final int WINDOW_SECONDS = 10;
+    private static final long MAX_RECORDED_MICROS = 600_000_000;
 
-    /** How an ask ended. */
+    /** How a request ended; REFUSED, FAILED: after the last retry, BROKEN: after its first token. */
     public enum End { IN_TIME, LATE, REFUSED, FAILED, BROKEN }
 
-    private final double[] askedBySecond;
+    private final double[] offeredBySecond;
     private final double[] servedBySecond;
-    private final double[] askedByClass;
+    private final double[] offeredByClass;
     private final double[] servedByClass;
-    private final double[] askedByTown;
-    private final double[] servedByTown;
-    private final List<Histogram> firstTokens = new ArrayList<>();
+    private final double[] offeredByMunicipality;
+    private final double[] servedByMunicipality;
+    private final List<Histogram> firstTokenDelays = new ArrayList<>();
     private final Map<End, Long> ends = new EnumMap<>(End.class);
     private final Map<Outcome, Long> outcomes = new EnumMap<>(Outcome.class);
-    private double asked;
-    private double served;
-    private double lateFailed;
-    private long asks;
-    private long ended;
-    private long firstTries;
-    private long sends;
-    private long crossed;
+    private double offeredWorth;
+    private double servedWorth;
+    private double lateFailedWorth;
+    private long requestCount;
+    private long endedCount;
+    private long firstAttempts;
+    private long serverAttempts;
+    private long crossSiteAttempts;
     private long handshakes;
     private double promptTokens;
-    private double keptTokens;
+    private double cachedTokens;
     private double spreadSum;
     private long spreadCount;
-    private final long length;
-    private final Day day;
+    private final long lengthMicros;
+    private final Day parameters;
+    /** Cost of all requests on servers of the first kind, in seconds at the reference speed. */
     double offeredCost;
 
-    Score(Day day) {
-        this.day = day;
-        this.length = day.length;
-        int seconds = (int) Math.ceil(length / 1e6) + 1;
-        askedBySecond = new double[seconds];
+    Score(Day parameters) {
+        this.parameters = parameters;
+        this.lengthMicros = parameters.lengthMicros;
+        int seconds = (int) Math.ceil(lengthMicros / 1e6) + 1;
+        offeredBySecond = new double[seconds];
         servedBySecond = new double[seconds];
-        int classes = day.talks.size();
-        askedByClass = new double[classes];
+        int classes = parameters.classes.size();
+        offeredByClass = new double[classes];
         servedByClass = new double[classes];
-        askedByTown = new double[day.quota.length];
-        servedByTown = new double[day.quota.length];
-        for (int c = 0; c < classes; c++) {
-            firstTokens.add(new Histogram(MOST_MICROS, 3));
+        offeredByMunicipality = new double[parameters.quotaPerSecond.length];
+        servedByMunicipality = new double[parameters.quotaPerSecond.length];
+        for (int classIndex = 0; classIndex < classes; classIndex++) {
+            firstTokenDelays.add(new Histogram(MAX_RECORDED_MICROS, 3));
         }
     }
 
-    void asked(Ask ask) {
-        asks++;
-        asked += ask.worth;
-        askedBySecond[(int) Math.min(askedBySecond.length - 1, ask.arrivedAt / 1_000_000)] += ask.worth;
-        askedByClass[ask.askClass] += ask.worth;
-        if (ask.inShare) {
-            askedByTown[ask.municipality] += ask.worth;
+    /** Records a new request. */
+    void recordRequest(Ask request) {
+        requestCount++;
+        offeredWorth += request.worth;
+        offeredBySecond[(int) Math.min(offeredBySecond.length - 1, request.arrivedAt / 1_000_000)] +=
+                request.worth;
+        offeredByClass[request.requestClass] += request.worth;
+        if (request.withinQuota) {
+            offeredByMunicipality[request.municipality] += request.worth;
         }
     }
 
-    void firstToken(Ask ask, long after) {
-        firstTokens.get(ask.askClass).recordValue(Math.min(MOST_MICROS, Math.max(0, after)));
+    /** Records the delay from a request to its first token. */
+    void recordFirstToken(Ask request, long micros) {
+        firstTokenDelays.get(request.requestClass).recordValue(
+                Math.min(MAX_RECORDED_MICROS, Math.max(0, micros)));
     }
 
-    void over(Ask ask, End end, double part, long now) {
-        ended++;
+    /** Records the end of a request with the share of its worth that it earned. */
+    void recordEnd(Ask request, End end, double worthShare, long now) {
+        endedCount++;
         ends.merge(end, 1L, Long::sum);
-        double worth = ask.worth * part;
-        served += worth;
-        servedBySecond[(int) Math.min(servedBySecond.length - 1, ask.arrivedAt / 1_000_000)] += worth;
-        servedByClass[ask.askClass] += worth;
-        if (ask.inShare) {
-            servedByTown[ask.municipality] += worth;
+        double worth = request.worth * worthShare;
+        servedWorth += worth;
+        servedBySecond[(int) Math.min(servedBySecond.length - 1, request.arrivedAt / 1_000_000)] += worth;
+        servedByClass[request.requestClass] += worth;
+        if (request.withinQuota) {
+            servedByMunicipality[request.municipality] += worth;
         }
-        Scenario.AskClass c = day.talks.get(ask.askClass).of();
-        double aim = c.aimSeconds() * 1e6 + c.aimMillisPerThousand() * ask.promptTokens;
-        if (end != End.IN_TIME && now - ask.arrivedAt > aim) {
-            lateFailed += ask.worth;
+        Scenario.AskClass requestClass = parameters.classes.get(request.requestClass).profile();
+        double targetMicros = requestClass.firstTokenTargetSeconds() * 1e6
+                + requestClass.firstTokenTargetMillisPerThousand() * request.promptTokens;
+        if (end != End.IN_TIME && now - request.arrivedAt > targetMicros) {
+            lateFailedWorth += request.worth;
         }
     }
 
-    void sent(Ask ask, boolean first, boolean across) {
-        sends++;
-        firstTries += first ? 1 : 0;
-        crossed += first && across ? 1 : 0;
+    /** Records an attempt at a server; first: of its client attempt, crossSite: to another site. */
+    void recordSend(Ask request, boolean first, boolean crossSite) {
+        serverAttempts++;
+        firstAttempts += first ? 1 : 0;
+        crossSiteAttempts += first && crossSite ? 1 : 0;
     }
 
-    void handshake() {
+    /** Records a new server connection. */
+    void recordHandshake() {
         handshakes++;
     }
 
-    void attempt(Outcome outcome) {
+    /** Records the outcome of an attempt at a server. */
+    void recordOutcome(Outcome outcome) {
         outcomes.merge(outcome, 1L, Long::sum);
     }
 
-    void kept(Ask ask, int tokens) {
-        promptTokens += ask.promptTokens;
-        keptTokens += tokens;
+    /** Records how many prompt tokens of an answered request were cached. */
+    void recordCacheHit(Ask request, int tokens) {
+        promptTokens += request.promptTokens;
+        cachedTokens += tokens;
     }
 
-    void spread(double mostOverMean) {
-        spreadSum += mostOverMean;
+    /** Records a sample of the load of the busiest server over the mean load. */
+    void recordSpread(double peakOverMean) {
+        spreadSum += peakOverMean;
         spreadCount++;
     }
 
-    /** All figures of a run. */
+    /**
+     * The figures of a run. The first one is the score; whole, worst and lastThird figures are shares of the
+     * offered worth that was answered in time; the figures by class follow the order of the scenario.
+     */
     public record Result(double g, double whole, double worstWindow, double worstClass,
-            double worstMunicipality,
-            double lastThird, double lateFailed, double crossed, double wasted, long asks, long tries,
-                    long sends,
-            Map<End, Long> ends, Map<Outcome, Long> outcomes, double hits, double spread,
-                    double firstP50Millis,
-            double firstP99Millis, List<Double> byClass, List<Double> firstP50ByClass,
-            List<Double> firstP99ByClass, long handshakes, long brokenRules, int felled, long events,
-            double moduleNanos, long moduleEvents) {
-        /** Tries of clients for each ask. */
+            double worstMunicipality, double lastThird, double lateFailed, double crossed, double wasted,
+            long asks, long tries, long sends, Map<End, Long> ends, Map<Outcome, Long> outcomes, double hits,
+            double spread, double firstP50Millis, double firstP99Millis, List<Double> byClass,
+            List<Double> firstP50ByClass, List<Double> firstP99ByClass, long handshakes, long brokenRules,
+            int felled, long events, double moduleNanos, long moduleEvents) {
+        /** The mean number of client attempts per request. */
         public double triesPerAsk() {
             return asks == 0 ? 0 : (double) tries / asks;
         }
 
-        /** The part of the asks that ended so. */
+        /** The share of the requests that ended this way. */
         public double part(End end) {
             return asks == 0 ? 0 : (double) ends.getOrDefault(end, 0L) / asks;
         }
     }
 
-    Result result(World world) {
+    /** The figures of a finished run. */
+    Result toResult(World simulation) {
         double wasted = 0;
-        for (Box b : world.boxes) {
-            wasted += b.workWasted * b.speed;
+        for (SimulatedServer server : simulation.servers) {
+            wasted += server.workWastedSeconds * server.speed;
         }
         double waste = offeredCost == 0 ? 0 : wasted / offeredCost;
-        double whole = share(served, asked);
+        double whole = share(servedWorth, offeredWorth);
         double window = worstWindow();
-        double worstClass = worst(servedByClass, askedByClass);
-        double worstTown = worst(servedByTown, askedByTown);
-        double late = asked == 0 ? 0 : lateFailed / asked;
-        double cross = firstTries == 0 ? 0 : (double) crossed / firstTries;
-        double g = WHOLE * whole + WORST_WINDOW * window + WORST_CLASS * worstClass
-                + WORST_MUNICIPALITY * worstTown - LATE_PRICE * late - CROSS_PRICE * cross
+        double worstClass = worstShare(servedByClass, offeredByClass);
+        double worstMunicipality = worstShare(servedByMunicipality, offeredByMunicipality);
+        double lateFailed = offeredWorth == 0 ? 0 : lateFailedWorth / offeredWorth;
+        double crossSite = firstAttempts == 0 ? 0 : (double) crossSiteAttempts / firstAttempts;
+        double score = WHOLE_WEIGHT * whole + WORST_WINDOW_WEIGHT * window + WORST_CLASS_WEIGHT * worstClass
+                + WORST_MUNICIPALITY_WEIGHT * worstMunicipality - LATE_PRICE * lateFailed
+                - CROSS_SITE_PRICE * crossSite
                 - WASTE_PRICE * Math.min(1, waste);
-        Histogram all = new Histogram(MOST_MICROS, 3);
+        Histogram allClasses = new Histogram(MAX_RECORDED_MICROS, 3);
         List<Double> byClass = new ArrayList<>();
-        List<Double> p50 = new ArrayList<>();
-        List<Double> p99 = new ArrayList<>();
-        for (int c = 0; c < servedByClass.length; c++) {
-            all.add(firstTokens.get(c));
-            byClass.add(share(servedByClass[c], askedByClass[c]));
-            p50.add(firstTokens.get(c).getValueAtPercentile(50) / 1e3);
-            p99.add(firstTokens.get(c).getValueAtPercentile(99) / 1e3);
+        List<Double> p50Millis = new ArrayList<>();
+        List<Double> p99Millis = new ArrayList<>();
+        for (int classIndex = 0; classIndex < servedByClass.length; classIndex++) {
+            allClasses.add(firstTokenDelays.get(classIndex));
+            byClass.add(share(servedByClass[classIndex], offeredByClass[classIndex]));
+            p50Millis.add(firstTokenDelays.get(classIndex).getValueAtPercentile(50) / 1e3);
+            p99Millis.add(firstTokenDelays.get(classIndex).getValueAtPercentile(99) / 1e3);
         }
-        return new Result(g, whole, window, worstClass, worstTown, lastThird(), late, cross, waste, asks,
-                world.clients.tries(), sends, Collections.unmodifiableMap(new EnumMap<>(ends)),
+        return new Result(score, whole, window, worstClass, worstMunicipality, lastThird(), lateFailed,
+                crossSite, waste, requestCount, simulation.clients.attemptCount(), serverAttempts,
+                Collections.unmodifiableMap(new EnumMap<>(ends)),
                 Collections.unmodifiableMap(new EnumMap<>(outcomes)),
-                promptTokens == 0 ? 0 : keptTokens / promptTokens, spreadCount == 0 ? 0
-                        : spreadSum / spreadCount,
-                all.getValueAtPercentile(50) / 1e3, all.getValueAtPercentile(99) / 1e3, byClass, p50, p99,
-                handshakes, world.judge.count(), world.judge.felled, world.calendar.done(), world.moduleNanos,
-                world.moduleEvents);
+                promptTokens == 0 ? 0 : cachedTokens / promptTokens,
+                spreadCount == 0 ? 0 : spreadSum / spreadCount,
+                allClasses.getValueAtPercentile(50) / 1e3, allClasses.getValueAtPercentile(99) / 1e3, byClass,
+                p50Millis, p99Millis, handshakes, simulation.ruleChecker.violationCount(),
+                simulation.ruleChecker.overloadedCount, simulation.calendar.executedCount(),
+                simulation.moduleNanos, simulation.moduleEvents);
     }
 
-    long ended() {
-        return ended;
+    long endedCount() {
+        return endedCount;
     }
 
-    long asks() {
-        return asks;
+    long requestCount() {
+        return requestCount;
     }
 
-    double[] askedBySecond() {
-        return askedBySecond.clone();
+    double[] offeredBySecond() {
+        return offeredBySecond.clone();
     }
 
     double[] servedBySecond() {
         return servedBySecond.clone();
     }
 
-    /** What troubles leave behind: the part of the last third's worth that was answered in time. */
+    /** The served share in the last third of the run, which shows the lasting effects of disturbances. */
     private double lastThird() {
-        int seconds = askedBySecond.length;
+        int seconds = offeredBySecond.length;
         return share(Arrays.stream(servedBySecond, seconds * 2 / 3, seconds).sum(),
-                Arrays.stream(askedBySecond, seconds * 2 / 3, seconds).sum());
+                Arrays.stream(offeredBySecond, seconds * 2 / 3, seconds).sum());
     }
 
+    /** The lowest served share of any window of {@link #WINDOW_SECONDS}. */
     private double worstWindow() {
         double worst = 1;
-        for (int from = 0; from + WINDOW <= Math.max(WINDOW, askedBySecond.length - 1); from++) {
-            int to = Math.min(from + WINDOW, askedBySecond.length);
-            double want = Arrays.stream(askedBySecond, from, to).sum();
-            double got = Arrays.stream(servedBySecond, from, to).sum();
-            worst = Math.min(worst, share(got, want));
+        for (int from = 0; from + WINDOW_SECONDS <= Math.max(WINDOW_SECONDS, offeredBySecond.length - 1);
+                from++) {
+            int to = Math.min(from + WINDOW_SECONDS, offeredBySecond.length);
+            double offered = Arrays.stream(offeredBySecond, from, to).sum();
+            double served = Arrays.stream(servedBySecond, from, to).sum();
+            worst = Math.min(worst, share(served, offered));
         }
         return worst;
     }
 
-    private static double worst(double[] got, double[] want) {
+    private static double worstShare(double[] served, double[] offered) {
         double worst = 1;
-        for (int i = 0; i < got.length; i++) {
-            worst = Math.min(worst, share(got[i], want[i]));
+        for (int i = 0; i < served.length; i++) {
+            worst = Math.min(worst, share(served[i], offered[i]));
         }
         return worst;
     }
 
-    private static double share(double got, double want) {
-        return want == 0 ? 1 : got / want;
+    private static double share(double served, double offered) {
+        return offered == 0 ? 1 : served / offered;
     }
 }
--- a/src/main/java/yewdock/model/Work.java
+++ b/src/main/java/yewdock/model/Work.java
@@ -1,58 +1,67 @@
 package yewdock.model;
 
-/** One request at a box. */
+/** One attempt of a request at a simulated server, with its progress. */
 public final class Work {
-    /** What becomes of it, told to whoever brought it. */
+    /** Receives the progress and the end of a job. */
     public interface Taker {
-        /** The first token is made; so many prompt tokens were found kept. */
+        /** The first token was generated. */
         void begun(Work work);
 
-        /** A token is made, the first one among them. */
+        /** A token was generated; also called for the first one. */
         default void token(Work work) {
-            // most only want the first and the last
+            // most listeners need only the first token and the end
         }
 
-        /** The last token is made. */
+        /** The last token was generated. */
         void done(Work work);
 
-        /** It is lost with its box, or thrown away unread. */
+        /** The job was lost in a crash, its stream broke, or it was dropped from the queue. */
         void lost(Work work);
     }
 
-    final Ask ask;
-    final Taker taker;
-    final long expiresAt;
-    /** What it costs, in seconds of a box of its kind that is warm and half full. */
-    final double cost;
-    double unread;
-    int kept;
-    int firstKept = -1;
-    int made;
-    int own;
+    final Ask request;
+    final Taker listener;
+    final long expiresAtMicros;
+    /** Its cost in seconds of a warm, half-full server. */
+    final double costSeconds;
+    /** Prompt and generated tokens that are still to be read before the next token. */
+    double unreadTokens;
+    /** Tokens found in the cache at the latest admission. */
+    int cachedTokens;
+    /** Tokens found in the cache at the first admission; -1 before it. */
+    int firstCachedTokens = -1;
+    int generatedTokens;
+    /** Prompt tokens beyond the shared prefix. */
+    int ownPromptTokens;
     boolean abandoned;
 
-    /** taker hears what becomes of it; from expiresAt on a box may throw it away unbegun. */
-    public Work(Ask ask, Taker taker, long expiresAt, double cost) {
-        this.ask = ask;
-        this.taker = taker;
-        this.expiresAt = expiresAt;
-        this.cost = cost;
+    /**
+     * Creates a job; once it is abandoned and expiresAtMicros has passed, a server may drop it from its
+     * queue.
+     */
+    public Work(Ask request, Taker listener, long expiresAtMicros, double costSeconds) {
+        this.request = request;
+        this.listener = listener;
+        this.expiresAtMicros = expiresAtMicros;
+        this.costSeconds = costSeconds;
     }
 
-    public Ask ask() {
-        return ask;
+    /** The request that it belongs to. */
+    public Ask request() {
+        return request;
     }
 
-    /** Prompt tokens that the box still held when it took the request up. */
+    /** Prompt tokens that were in the server's cache when it first admitted the request. */
     public int keptTokens() {
-        return Math.max(0, firstKept);
+        return Math.max(0, firstCachedTokens);
     }
 
-    public int made() {
-        return made;
+    /** How many tokens have been generated. */
+    public int generatedTokens() {
+        return generatedTokens;
     }
 
-    /** Nobody waits for it any more; the box works on all the same. */
+    /** Marks that nobody waits for the answer any more; the server goes on with the job. */
     public void abandon() {
         abandoned = true;
     }
--- a/src/main/java/yewdock/model/World.java
+++ b/src/main/java/yewdock/model/World.java
@@ -11,343 +11,377 @@
 import yewdock.baseline.Options;
 import yewdock.baseline.Policies;
 
-/** A day of a whole installation in virtual time: clients, routers, boxes, list, and what goes wrong. */
+/**
+ * A discrete-event simulation of a whole installation: clients, routers with the real routing module,
+ * servers, discovery, load reports and disturbances, in virtual time.
+ */
 public final class World {
-    private static final double SECOND = 1e6;
-    private static final double SPREAD_EVERY = 0.5 * SECOND;
-    /** After the last arrival, so long at most until all is answered. */
-    private static final long TAIL = 120_000_000;
+    private static final double MICROS_PER_SECOND = 1e6;
+    private static final double SPREAD_INTERVAL_MICROS = 0.5 * MICROS_PER_SECOND;
+    /** How long the simulation goes on at most after the last arrival until all requests have ended. */
+    private static final long TAIL_MICROS = 120_000_000;
 
-    final Day day;
+    final Day parameters;
     final Calendar calendar = new Calendar();
-    final List<Box> boxes = new ArrayList<>();
-    final List<Host> hosts = new ArrayList<>();
-    final Judge judge;
+    final List<SimulatedServer> servers = new ArrayList<>();
+    final List<SimulatedRouter> routers = new ArrayList<>();
+    final RuleChecker ruleChecker;
     final Score score;
-    final Clients clients;
-    final Register register;
-    final Reports reports;
-    private final Map<Long, Box> byId = new HashMap<>();
-    private final List<Host> known = new ArrayList<>();
+    final SimulatedClients clients;
+    final DiscoveryModel discovery;
+    final LoadReportModel loadReports;
+    private final Map<Long, SimulatedServer> serversById = new HashMap<>();
+    private final List<SimulatedRouter> routersSeenAlive = new ArrayList<>();
     private final Consumer<String> log;
-    final boolean timed;
+    final boolean measuresCost;
     double moduleNanos;
     long moduleEvents;
     double listNanos;
     long listEvents;
 
     /**
-     * A world before its first moment; log gets the lines that routers write; timed: the module's cost is
-     * taken.
+     * Creates a simulation at time 0. The log receives the log lines of the routers; measuresCost: the time
+     * that the module takes is measured.
      */
-    public World(Day day, Consumer<String> log, boolean timed) {
-        this.day = day;
+    public World(Day parameters, Consumer<String> log, boolean measuresCost) {
+        this.parameters = parameters;
         this.log = log;
-        this.timed = timed;
-        boxes.addAll(day.newBoxes(calendar));
-        boxes.forEach(box -> byId.put(box.id, box));
-        this.judge = new Judge(this);
-        this.score = new Score(day);
-        this.clients = new Clients(this, day.draws.stream("clients"));
-        this.register = new Register(this, day.draws.stream("list"));
-        this.reports = new Reports(this, day.draws.stream("reports"));
-        for (int i = 0; i < day.routers; i++) {
-            hosts.add(new Host(this, i, day.routerSites.get(i), day.draws.stream("router", i)));
+        this.measuresCost = measuresCost;
+        servers.addAll(parameters.newServers(calendar));
+        servers.forEach(server -> serversById.put(server.id, server));
+        this.ruleChecker = new RuleChecker(this);
+        this.score = new Score(parameters);
+        this.clients = new SimulatedClients(this, parameters.randomStreams.stream("clients"));
+        this.discovery = new DiscoveryModel(this, parameters.randomStreams.stream("list"));
+        this.loadReports = new LoadReportModel(this, parameters.randomStreams.stream("reports"));
+        for (int i = 0; i < parameters.routers; i++) {
+            routers.add(new SimulatedRouter(this, i, parameters.routerSites.get(i),
+                    parameters.randomStreams.stream("router", i)));
         }
-        known.addAll(hosts);
+        routersSeenAlive.addAll(routers);
     }
 
-    /** Plays the day of a scenario that a seed gives. */
+    /** Runs a scenario with the parameters that are sampled with a seed. */
     public static Score.Result run(Scenario scenario, long seed) {
         return new World(new Day(scenario, seed), line -> {
-            // nobody reads them
+            // the log is not needed
         }, false).run();
     }
 
-    /** Plays the day to its end. */
+    /** Runs the simulation to its end. */
     public Score.Result run() {
         start();
-        while (calendar.now() < day.length + TAIL && (calendar.now() < day.length || clients.open() > 0)
-                && calendar.next()) {
-            // one thing after the other
+        while (calendar.now() < parameters.lengthMicros + TAIL_MICROS
+                && (calendar.now() < parameters.lengthMicros || clients.openCount() > 0)
+                && calendar.runNext()) {
+            // runNext does the work
         }
-        return score.result(this);
+        return score.toResult(this);
     }
 
-    /** All that stands at the first moment. */
+    /** Starts the routers and schedules the arrivals and disturbances. */
     void start() {
-        hosts.forEach(Host::start);
-        new Arrivals(day, calendar, this::ask).start();
-        day.troubles.forEach(this::plan);
-        calendar.after(SPREAD_EVERY, this::spread);
+        routers.forEach(SimulatedRouter::start);
+        new ArrivalProcess(parameters, calendar, this::submit).start();
+        parameters.disturbances.forEach(this::schedule);
+        calendar.after(SPREAD_INTERVAL_MICROS, this::sampleSpread);
     }
 
-    private void ask(Ask ask) {
-        score.offeredCost += day.makes.get(0).cost(ask.freshTokens, ask.outTokens, ask.promptTokens);
-        clients.ask(ask);
+    private void submit(Ask request) {
+        score.offeredCost += parameters.serverSpecs.get(0).costSeconds(request.newPromptTokens,
+                request.outTokens, request.promptTokens);
+        clients.submit(request);
     }
 
-    /** Whether nothing new comes any more. */
-    boolean ending() {
-        return calendar.now() > day.length + TAIL / 4;
+    /** Whether periodic events stop, so that the calendar can run empty. */
+    boolean isEnding() {
+        return calendar.now() > parameters.lengthMicros + TAIL_MICROS / 4;
     }
 
-    private void spread() {
-        if (calendar.now() >= day.length) {
+    /** Samples how evenly the load is spread over the servers. */
+    private void sampleSpread() {
+        if (calendar.now() >= parameters.lengthMicros) {
             return;
         }
-        double most = 0;
+        double max = 0;
         double sum = 0;
         int alive = 0;
-        for (Box b : boxes) {
-            if (b.alive && b.takes) {
-                most = Math.max(most, b.held());
-                sum += b.held();
+        for (SimulatedServer server : servers) {
+            if (server.alive && server.accepting) {
+                max = Math.max(max, server.inFlight());
+                sum += server.inFlight();
                 alive++;
             }
         }
         if (sum >= alive && alive > 0) {
-            score.spread(most * alive / sum);
+            score.recordSpread(max * alive / sum);
         }
-        calendar.after(SPREAD_EVERY, this::spread);
+        calendar.after(SPREAD_INTERVAL_MICROS, this::sampleSpread);
     }
 
-    /** The rules that the days broke, each with its time; a thousand at most. */
+    /** The rule violations, each with its time; only the first thousand are kept. */
     public List<String> broken() {
-        return judge.all();
+        return ruleChecker.violations();
     }
 
-    /** Worth asked for and answered in time, by the second of the ask. */
-    public List<double[]> bySecond() {
-        return List.of(score.askedBySecond(), score.servedBySecond());
+    /** The offered and the served worth, by the second in which the request was sent. */
+    public List<double[]> worthBySecond() {
+        return List.of(score.offeredBySecond(), score.servedBySecond());
     }
 
-    /** What a list told to a policy costs, in nanoseconds, where that is taken. */
+    /** The mean nanoseconds that the module takes for an endpoint list; 0 if not measured. */
     public double nanosOfList() {
         return listEvents == 0 ? 0 : listNanos / listEvents;
     }
 
-    /** Asks that came, asks that ended, and those still open. */
-    public long[] balance() {
-        return new long[] {score.asks(), score.ended(), clients.open()};
+    /** The number of requests that were sent, that ended, and that are still open. */
+    public long[] requestCounts() {
+        return new long[] {score.requestCount(), score.endedCount(), clients.openCount()};
     }
 
-    Box box(long id) {
-        return byId.get(id);
+    /** The server with an id; null if there is none. */
+    SimulatedServer server(long id) {
+        return serversById.get(id);
     }
 
-    void log(Host host, String line) {
-        log.accept(String.format(java.util.Locale.ROOT, "%.3f router %d: %s", calendar.now() / SECOND,
-                host.number,
-                line));
+    void log(SimulatedRouter router, String line) {
+        log.accept(String.format(java.util.Locale.ROOT, "%.3f router %d: %s",
+                calendar.now() / MICROS_PER_SECOND, router.number, line));
     }
 
+    /** Draws a one-way delay between a client and a router, in microseconds. */
     double clientDelay(UniformRandomProvider random) {
-        return day.clientMicros * (1 + day.jitter * random.nextDouble());
+        return parameters.clientDelayMicros * (1 + parameters.jitter * random.nextDouble());
     }
 
-    /** A router of the client's site that the front layer holds for alive; any other where there is none. */
-    Host hostFor(int site, UniformRandomProvider random) {
-        int here = 0;
-        for (Host h : known) {
-            here += h.site == site ? 1 : 0;
+    /**
+     * A random router of the client's site that the load balancer in front believes alive; one of another
+     * site if there is none; null if no router is believed alive.
+     */
+    SimulatedRouter routerFor(int site, UniformRandomProvider random) {
+        int localCount = 0;
+        for (SimulatedRouter router : routersSeenAlive) {
+            localCount += router.site == site ? 1 : 0;
         }
-        int at = known.isEmpty() ? 0 : random.nextInt(here > 0 ? here : known.size());
-        for (Host h : known) {
-            if ((here == 0 || h.site == site) && at-- == 0) {
-                return h;
+        int index = routersSeenAlive.isEmpty() ? 0
+                : random.nextInt(localCount > 0 ? localCount : routersSeenAlive.size());
+        for (SimulatedRouter router : routersSeenAlive) {
+            if ((localCount == 0 || router.site == site) && index-- == 0) {
+                return router;
             }
         }
         return null;
     }
 
-    Routing.Events policy(Host host, long seed) {
-        Scenario.Routers r = day.scenario.routers();
-        Options options = new Options(r.factor(), r.points(), r.hash(), r.rounding(), r.measure());
-        return Policies.make(r.policy(), options, settings(host.site, host.number), seed, host, host.sight());
+    /** Creates the policy of a router from the scenario's settings. */
+    Routing.Events newPolicy(SimulatedRouter router, long seed) {
+        Scenario.Routers config = parameters.scenario.routers();
+        Options options = new Options(config.loadFactorPercent(), config.ringPoints(), config.hash(),
+                config.rounding(), config.loadMeasure());
+        return Policies.make(config.policy(), options, routingSettings(router.site, router.number), seed,
+                router, router.trueState());
     }
 
-    private Routing.Settings settings(int site, int ordinal) {
-        Scenario s = day.scenario;
+    private Routing.Settings routingSettings(int site, int ordinal) {
+        Scenario scenario = parameters.scenario;
         List<Routing.RequestClass> classes = new ArrayList<>();
-        for (Scenario.AskClass c : s.classes()) {
-            classes.add(new Routing.RequestClass(c.name(), Routing.RetrySafety.RETRYABLE,
-                    Routing.DedupGroup.ALL,
-                    0,
-                    micros(c.aimSeconds()), micros(c.aimMillisPerThousand() / 1000),
-                    micros(c.tokenMillis() / 1000), micros(c.giveUpSeconds()), c.worth(), c.lateWorth(), true,
-                    Routing.Placement.ANYWHERE));
+        for (Scenario.AskClass requestClass : scenario.classes()) {
+            classes.add(new Routing.RequestClass(requestClass.name(), Routing.RetrySafety.RETRYABLE,
+                    Routing.DedupGroup.ALL, 0, micros(requestClass.firstTokenTargetSeconds()),
+                    micros(requestClass.firstTokenTargetMillisPerThousand() / 1000),
+                    micros(requestClass.tokenTargetMillis() / 1000), micros(requestClass.deadlineSeconds()),
+                    requestClass.worth(), requestClass.lateWorth(), true, Routing.Placement.ANYWHERE));
         }
-        List<Routing.Tenant> towns = new ArrayList<>();
-        for (int m = 0; m < day.quota.length; m++) {
-            towns.add(new Routing.Tenant(s.municipalities().get(m).name(), day.quota[m]));
+        List<Routing.Tenant> tenants = new ArrayList<>();
+        for (int municipality = 0; municipality < parameters.quotaPerSecond.length; municipality++) {
+            tenants.add(new Routing.Tenant(scenario.municipalities().get(municipality).name(),
+                    parameters.quotaPerSecond[municipality]));
         }
-        Scenario.Contract c = s.contract();
-        return new Routing.Settings(day.routers, ordinal, site, classes, towns,
-                s.clients().overShareWorth(), true,
-                new Routing.Limits(s.routers().attempts(), false, true, false,
-                        micros(s.routers().connectSeconds()), micros(s.routers().retryAfterSeconds())),
-                new Routing.Contract(micros(c.drainSeconds()), micros(c.coldSeconds()), c.coldFrom(),
-                        c.fallMultiple(), micros(c.fallSeconds()), micros(c.askWithinSeconds()),
+        Scenario.Contract rules = scenario.contract();
+        return new Routing.Settings(parameters.routers, ordinal, site, classes, tenants,
+                scenario.clients().overShareWorth(), true,
+                new Routing.Limits(scenario.routers().maxAttempts(), false, true, false,
+                        micros(scenario.routers().connectTimeoutSeconds()),
+                        micros(scenario.routers().retryAfterSeconds())),
+                new Routing.Contract(micros(rules.drainGraceSeconds()), micros(rules.warmUpSeconds()),
+                        rules.coldCapacityShare(), rules.overloadMultiple(),
+                        micros(rules.overloadWindowSeconds()), micros(rules.maxDiscoveryIntervalSeconds()),
                         Routing.AttemptBudget.NONE),
                 new Routing.Prices(0.03, 0, 0.0021, 0.02, 0.11));
     }
 
     private static long micros(double seconds) {
-        return Math.round(seconds * SECOND);
+        return Math.round(seconds * MICROS_PER_SECOND);
     }
 
-    // ---- what goes wrong
+    // ---- disturbances
 
-    private void plan(Day.Struck s) {
-        calendar.at(s.from(), () -> strike(s));
-        calendar.at(s.to(), () -> relieve(s));
+    private void schedule(Day.ScheduledDisturbance disturbance) {
+        calendar.at(disturbance.fromMicros(), () -> startDisturbance(disturbance));
+        calendar.at(disturbance.toMicros(), () -> endDisturbance(disturbance));
     }
 
-    private void strike(Day.Struck s) {
-        switch (s.trouble().what()) {
-            case SLOW -> s.boxes().forEach(b -> boxes.get(b).slow *= Math.max(1, s.size()));
-            case ERRORS -> s.boxes().forEach(b -> boxes.get(b).errorShare = Math.min(1, s.size()));
-            case HANG -> s.boxes().forEach(b -> hang(boxes.get(b)));
-            case REPORTS_LATE -> reports.late(s.size() * SECOND);
-            case LIST_LATE -> register.lateMicros += s.size() * SECOND;
-            case SITE_LOST -> lose(s);
-            case ROUTERS_KILLED -> hosts.stream().limit(Math.round(s.part() * hosts.size()))
-                    .forEach(this::kill);
-            case RESTART -> s.boxes().forEach(b -> {
-                die(boxes.get(b), false);
-                start(boxes.get(b));
+    private void startDisturbance(Day.ScheduledDisturbance disturbance) {
+        switch (disturbance.disturbance().what()) {
+            case SLOW -> disturbance.servers().forEach(
+                    server -> servers.get(server).slowdown *= Math.max(1, disturbance.size()));
+            case ERRORS -> disturbance.servers().forEach(
+                    server -> servers.get(server).errorShare = Math.min(1, disturbance.size()));
+            case HANG -> disturbance.servers().forEach(server -> hangServer(servers.get(server)));
+            case REPORTS_LATE -> loadReports.setExtraDelay(disturbance.size() * MICROS_PER_SECOND);
+            case LIST_LATE -> discovery.extraDelayMicros += disturbance.size() * MICROS_PER_SECOND;
+            case SITE_LOST -> loseSite(disturbance);
+            case ROUTERS_KILLED -> routers.stream().limit(Math.round(disturbance.share() * routers.size()))
+                    .forEach(this::killRouter);
+            case RESTART -> disturbance.servers().forEach(server -> {
+                crashServer(servers.get(server), false);
+                startServer(servers.get(server));
             });
-            case DRAIN -> drain(s);
+            case DRAIN -> drainServers(disturbance);
             default -> {
-                // costly requests and bursts are drawn with the arrivals
+                // the arrival process applies costly requests and bursts
             }
         }
     }
 
-    private void relieve(Day.Struck s) {
-        switch (s.trouble().what()) {
-            case SLOW -> s.boxes().forEach(b -> boxes.get(b).slow /= Math.max(1, s.size()));
-            case ERRORS -> s.boxes().forEach(b -> boxes.get(b).errorShare = 0);
-            case HANG -> s.boxes().forEach(b -> boxes.get(b).hang(false));
-            case REPORTS_LATE -> reports.late(0);
-            case LIST_LATE -> register.lateMicros -= s.size() * SECOND;
+    private void endDisturbance(Day.ScheduledDisturbance disturbance) {
+        switch (disturbance.disturbance().what()) {
+            case SLOW -> disturbance.servers().forEach(
+                    server -> servers.get(server).slowdown /= Math.max(1, disturbance.size()));
+            case ERRORS -> disturbance.servers().forEach(server -> servers.get(server).errorShare = 0);
+            case HANG -> disturbance.servers().forEach(server -> servers.get(server).setHung(false));
+            case REPORTS_LATE -> loadReports.setExtraDelay(0);
+            case LIST_LATE -> discovery.extraDelayMicros -= disturbance.size() * MICROS_PER_SECOND;
             case SITE_LOST -> {
-                s.boxes().forEach(b -> start(boxes.get(b)));
+                disturbance.servers().forEach(server -> startServer(servers.get(server)));
                 startRouters();
             }
             case ROUTERS_KILLED -> startRouters();
             default -> {
-                // over by itself
+                // ends by itself
             }
         }
     }
 
-    private void hang(Box box) {
-        box.hang(true);
-        calendar.after(4.5 * SECOND, () -> {
-            if (box.hung) {
-                box.breakStreams();
+    /** Hangs a server; routers end its silent streams after 4.5 s if it still hangs then. */
+    private void hangServer(SimulatedServer server) {
+        server.setHung(true);
+        calendar.after(4.5 * MICROS_PER_SECOND, () -> {
+            if (server.hung) {
+                server.breakStreams();
             }
         });
     }
 
-    private void lose(Day.Struck s) {
-        boolean silently = s.part() > 0.5;
-        s.boxes().forEach(b -> die(boxes.get(b), silently));
-        if (s.size() > 0.5) {
-            for (Host h : hosts) {
-                if (h.site == s.site()) {
-                    kill(h);
+    /**
+     * Crashes the servers of a site, silently with a share over 0.5, and its routers with a size over 0.5.
+     */
+    private void loseSite(Day.ScheduledDisturbance disturbance) {
+        boolean silently = disturbance.share() > 0.5;
+        disturbance.servers().forEach(server -> crashServer(servers.get(server), silently));
+        if (disturbance.size() > 0.5) {
+            for (SimulatedRouter router : routers) {
+                if (router.site == disturbance.site()) {
+                    killRouter(router);
                 }
             }
         }
     }
 
-    private void kill(Host h) {
-        if (h.alive()) {
-            h.die();
-            calendar.after(day.routerNotice, () -> {
-                if (!h.alive()) {
-                    known.remove(h);
+    /** Kills a router, which clients avoid once that has been detected. */
+    private void killRouter(SimulatedRouter router) {
+        if (router.alive()) {
+            router.crash();
+            calendar.after(parameters.routerDetectionMicros, () -> {
+                if (!router.alive()) {
+                    routersSeenAlive.remove(router);
                 }
             });
         }
     }
 
     private void startRouters() {
-        for (Host h : hosts) {
-            if (!h.alive()) {
-                h.start();
-                if (!known.contains(h)) {
-                    known.add(h);
+        for (SimulatedRouter router : routers) {
+            if (!router.alive()) {
+                router.start();
+                if (!routersSeenAlive.contains(router)) {
+                    routersSeenAlive.add(router);
                 }
             }
         }
     }
 
-    private void die(Box box, boolean silently) {
-        if (box.alive) {
-            box.die(silently);
-            register.happened(box, Lifecycle.GONE, silently);
+    private void crashServer(SimulatedServer server, boolean silently) {
+        if (server.alive) {
+            server.crash(silently);
+            discovery.stateChanged(server, Lifecycle.GONE, silently);
         }
     }
 
-    private void start(Box box) {
-        if (!box.alive && !box.felled) {
-            box.start();
-            register.happened(box, Lifecycle.READY, false);
+    private void startServer(SimulatedServer server) {
+        if (!server.alive && !server.crashedByOverload) {
+            server.restart();
+            discovery.stateChanged(server, Lifecycle.READY, false);
         }
     }
 
-    /** A cold box that was sent too much falls over and stays down. */
-    void fell(Box box) {
-        box.felled = true;
-        die(box, false);
+    /** Crashes a cold server that received too much work; it stays down. */
+    void crashByOverload(SimulatedServer server) {
+        server.crashedByOverload = true;
+        crashServer(server, false);
     }
 
-    /** One box after the other says that it drains, finishes what it has, and starts anew. */
-    private void drain(Day.Struck s) {
-        long each = Math.max(1, (s.to() - s.from()) / Math.max(1, s.boxes().size()));
-        for (int i = 0; i < s.boxes().size(); i++) {
-            Box box = boxes.get(s.boxes().get(i));
-            calendar.at(s.from() + i * each, () -> {
-                if (box.alive) {
-                    register.happened(box, Lifecycle.DRAINING, false);
+    /**
+     * Drains and restarts the servers one after the other: each announces its drain, accepts nothing after
+     * two thirds of its time, and is restarted at the end of it.
+     */
+    private void drainServers(Day.ScheduledDisturbance disturbance) {
+        long periodMicros = Math.max(1, (disturbance.toMicros() - disturbance.fromMicros())
+                / Math.max(1, disturbance.servers().size()));
+        for (int i = 0; i < disturbance.servers().size(); i++) {
+            SimulatedServer server = servers.get(disturbance.servers().get(i));
+            calendar.at(disturbance.fromMicros() + i * periodMicros, () -> {
+                if (server.alive) {
+                    discovery.stateChanged(server, Lifecycle.DRAINING, false);
                 }
             });
-            calendar.at(s.from() + i * each + 2 * each / 3, () -> {
-                if (box.alive) {
-                    box.takes = false;
+            calendar.at(disturbance.fromMicros() + i * periodMicros + 2 * periodMicros / 3, () -> {
+                if (server.alive) {
+                    server.accepting = false;
                 }
             });
-            calendar.at(s.from() + (i + 1) * each, () -> {
-                die(box, false);
-                start(box);
+            calendar.at(disturbance.fromMicros() + (i + 1) * periodMicros, () -> {
+                crashServer(server, false);
+                startServer(server);
             });
         }
     }
 
-    /** One line for each box: number, kind, site, state, running, waiting, unread tokens. */
-    List<String> state() {
-        List<String> lines = new ArrayList<>();
-        for (Box b : boxes) {
-            lines.add(String.join(",", Integer.toString(b.number),
-                    day.scenario.kinds().get(b.make.kind()).name(), day.scenario.sites().names().get(b.site),
-                    b.alive ? b.hung ? "hung" : b.takes ? b.warmth() < 1 ? "cold" : "up" : "draining"
+    /**
+     * One CSV row for each server: number, kind, site, state, running and queued requests, pending prompt
+     * tokens, share of memory used.
+     */
+    List<String> serverRows() {
+        List<String> rows = new ArrayList<>();
+        for (SimulatedServer server : servers) {
+            rows.add(String.join(",", Integer.toString(server.number),
+                    parameters.scenario.kinds().get(server.spec.kind()).name(),
+                    parameters.scenario.sites().names().get(server.site),
+                    server.alive ? server.hung ? "hung"
+                            : server.accepting ? server.capacityShare() < 1 ? "cold" : "up" : "draining"
                             : "down",
-                    Integer.toString(b.running()), Integer.toString(b.queued()),
-                    Long.toString(Math.round(b.unreadTokens())),
-                    String.format(java.util.Locale.ROOT, "%.3f", b.memoryShare())));
+                    Integer.toString(server.running()), Integer.toString(server.queued()),
+                    Long.toString(Math.round(server.pendingPromptTokens())),
+                    String.format(java.util.Locale.ROOT, "%.3f", server.memoryUsedShare())));
         }
-        return lines;
+        return rows;
     }
 
-    /** Calls with the second and the state lines, once a second of the day. */
-    public void watch(java.util.function.BiConsumer<Integer, List<String>> each) {
-        for (int second = 0; second < day.length / SECOND; second++) {
+    /** Calls the consumer with the second and a CSV row for each server, once per simulated second. */
+    public void watch(java.util.function.BiConsumer<Integer, List<String>> consumer) {
+        for (int second = 0; second < parameters.lengthMicros / MICROS_PER_SECOND; second++) {
             int at = second;
-            calendar.at(Math.round(second * SECOND), () -> each.accept(at, state()));
+            calendar.at(Math.round(second * MICROS_PER_SECOND), () -> consumer.accept(at, serverRows()));
         }
     }
 }
--- a/src/test/java/yewdock/model/Days.java
+++ b/src/test/java/yewdock/model/Days.java
@@ -5,8 +5,9 @@
 import yewdock.scenario.ScenarioFile;
 import yewdock.settings.InvalidSettingsException;
 
-/** Scenarios for tests: a small one, with values put in place of its own. */
+/** Scenarios for tests: a small one, and variants of it with some values replaced. */
 public final class Days {
+    /** A small scenario with two request classes and two municipalities, as the text of a scenario file. */
     public static final String SMALL = """
             day {
               seconds = 20
@@ -47,26 +48,28 @@
     private Days() {
     }
 
-    /** The small scenario with pairs of keys and values. */
+    /** The small scenario, with some values replaced by the given pairs of key and value. */
     public static Scenario small(Object... pairs) {
-        return of(SMALL, pairs);
+        return parse(SMALL, pairs);
     }
 
-    static Scenario of(String text, Object... pairs) {
-        Map<String, Object> instead = new LinkedHashMap<>();
+    /** Parses a scenario, with some values replaced by the given pairs of key and value. */
+    static Scenario parse(String text, Object... pairs) {
+        Map<String, Object> overrides = new LinkedHashMap<>();
         for (int i = 0; i < pairs.length; i += 2) {
-            instead.put((String) pairs[i], pairs[i + 1]);
+            overrides.put((String) pairs[i], pairs[i + 1]);
         }
         try {
-            return ScenarioFile.parse("test", text, instead);
+            return ScenarioFile.parse("test", text, overrides);
         } catch (InvalidSettingsException e) {
             throw new IllegalArgumentException(e);
         }
     }
 
-    static World world(Scenario scenario, long seed) {
+    /** Creates a simulation that discards the routers' log and doesn't measure the module's cost. */
+    static World simulation(Scenario scenario, long seed) {
         return new World(new Day(scenario, seed), line -> {
-            // not read
+            // the log is not needed
         }, false);
     }
 }
