--- a/src/main/java/yewdock/model/Ask.java
+++ b/src/main/java/yewdock/model/Ask.java
@@ -25,21 +25,22 @@
     int clientAttempts;
     boolean ended;
 
-    Ask(long number, int askClass, int municipality, int site, long session, long prefix, int promptTokens,
-            int prefixTokens, int freshTokens, int outTokens, int mostOut, long arrivedAt, long giveUpAt) {
+    Ask(long number, int requestClass, int municipality, int site, long session, long prefix,
+            int promptTokens, int prefixTokens, int newPromptTokens, int outputTokens, int maxOutputTokens,
+            long arrivedAtMicros, long giveUpAtMicros) {
         this.number = number;
-        this.requestClass = askClass;
+        this.requestClass = requestClass;
         this.municipality = municipality;
         this.site = site;
         this.session = session;
         this.prefix = prefix;
         this.promptTokens = promptTokens;
         this.prefixTokens = prefixTokens;
-        this.newPromptTokens = freshTokens;
-        this.outTokens = outTokens;
-        this.mostOut = mostOut;
-        this.arrivedAt = arrivedAt;
-        this.giveUpAtMicros = giveUpAt;
+        this.newPromptTokens = newPromptTokens;
+        this.outTokens = outputTokens;
+        this.mostOut = maxOutputTokens;
+        this.arrivedAt = arrivedAtMicros;
+        this.giveUpAtMicros = giveUpAtMicros;
     }
 
     /** Its sequence number in the run, from 1. */
--- a/src/main/java/yewdock/model/Day.java
+++ b/src/main/java/yewdock/model/Day.java
@@ -232,7 +232,7 @@
                 + (sampled.newTokens() + sampled.outputTokens()) * (1 + (sampled.turns() - 1) / 2);
     }
 
-    /** The cost of a request in seconds of this server when warm, without its cached tokens. */
+    /** The cost of a request in seconds of this server when warm, with its earlier turns cached. */
     double costSeconds(SimulatedServer server, Ask request) {
         return server.spec.costSeconds(request.newPromptTokens, request.outTokens, request.promptTokens)
                 / server.speed;
@@ -277,14 +277,14 @@
 
     /** Creates the servers on an event calendar, warm and idle. */
     List<SimulatedServer> newServers(Calendar calendar) {
-        List<SimulatedServer> servers = new ArrayList<>();
+        List<SimulatedServer> created = new ArrayList<>();
         for (int i = 0; i < boxes.size(); i++) {
             Scenario.BoxLine entry = boxes.get(i);
             // the ids are hashed so that they reveal nothing about site, kind or age
-            servers.add(new SimulatedServer(i, RandomStreams.mix(seed ^ i * 0x51ed270b7L) >>> 1, entry.site(),
+            created.add(new SimulatedServer(i, RandomStreams.mix(seed ^ i * 0x51ed270b7L) >>> 1, entry.site(),
                     serverSpecs.get(entry.kind()), entry.speed(), calendar, randomStreams.stream("box", i)));
         }
-        return servers;
+        return created;
     }
 
     /** How many servers there are. */
--- a/src/main/java/yewdock/model/LoadReportModel.java
+++ b/src/main/java/yewdock/model/LoadReportModel.java
@@ -35,7 +35,8 @@
         for (int i = 0; i < reportsByServer.length; i++) {
             reportsByServer[i] = new ServerReports();
             SimulatedServer server = simulation.servers.get(i);
-            simulation.calendar.after(random.nextDouble() * simulation.parameters.reportIntervalMicros,
+            simulation.calendar.after(
+                    random.nextDouble() * simulation.parameters.reportIntervalMicros,
                     () -> createReport(server));
         }
     }
--- a/src/main/java/yewdock/model/PrefixCache.java
+++ b/src/main/java/yewdock/model/PrefixCache.java
@@ -14,6 +14,7 @@
     private final LinkedHashMap<Long, Integer> prefixTokens = new LinkedHashMap<>();
     private long cachedTokens;
 
+    /** The number of all cached tokens. */
     long cachedTokens() {
         return cachedTokens;
     }
--- a/src/main/java/yewdock/model/Range.java
+++ b/src/main/java/yewdock/model/Range.java
@@ -15,16 +15,19 @@
         return new Range(value, value);
     }
 
+    /** Draws a value. */
     double draw(UniformRandomProvider random) {
         // draws a number even for a single value, so that later draws don't depend on the range
         return from + (to - from) * random.nextDouble();
     }
 
+    /** Draws an integer; a fractional upper end is rounded down. */
     int drawInteger(UniformRandomProvider random) {
         return (int) Math.min(Math.floor(to),
                 Math.floor(from + (Math.floor(to) - from + 1) * random.nextDouble()));
     }
 
+    /** The mean of both ends. */
     double middle() {
         return (from + to) / 2;
     }
--- a/src/main/java/yewdock/model/RuleChecker.java
+++ b/src/main/java/yewdock/model/RuleChecker.java
@@ -19,6 +19,7 @@
     private final Map<SimulatedServer, ArrayDeque<SentWork>> recentWork = new HashMap<>();
     private final List<String> violations = new ArrayList<>();
     private long violationCount;
+    /** Cold servers that crashed from overload, whether that was a violation or not. */
     int overloadedCount;
 
     /** Work that a cold server received; startKnown: its sender knew of the server's latest start. */
@@ -38,10 +39,12 @@
         }
     }
 
+    /** The recorded violations, each with its time. */
     List<String> violations() {
         return List.copyOf(violations);
     }
 
+    /** The number of all violations. */
     long violationCount() {
         return violationCount;
     }
--- a/src/main/java/yewdock/model/Score.java
+++ b/src/main/java/yewdock/model/Score.java
@@ -197,18 +197,22 @@
                 simulation.moduleNanos, simulation.moduleEvents);
     }
 
+    /** The number of requests that ended. */
     long endedCount() {
         return endedCount;
     }
 
+    /** The number of all requests. */
     long requestCount() {
         return requestCount;
     }
 
+    /** The worth of the requests by the second in which they were sent. */
     double[] offeredBySecond() {
         return offeredBySecond.clone();
     }
 
+    /** The worth answered in time, by the second in which the request was sent. */
     double[] servedBySecond() {
         return servedBySecond.clone();
     }
--- a/src/main/java/yewdock/model/SimulatedClients.java
+++ b/src/main/java/yewdock/model/SimulatedClients.java
@@ -27,10 +27,12 @@
         }
     }
 
+    /** The number of requests that have not ended. */
     long openCount() {
         return openCount;
     }
 
+    /** The number of attempts that clients have made. */
     long attemptCount() {
         return attemptCount;
     }
@@ -39,8 +41,8 @@
     void submit(Ask request) {
         int municipality = request.municipality;
         double quota = simulation.parameters.quotaPerSecond[municipality];
-        quotaTokens[municipality] = Math.min(2 * quota, quotaTokens[municipality]
-                + quota * (simulation.calendar.now() - refilledAtMicros[municipality]) / MICROS_PER_SECOND);
+        quotaTokens[municipality] = Math.min(2 * quota, quotaTokens[municipality] + quota
+                * (simulation.calendar.now() - refilledAtMicros[municipality]) / MICROS_PER_SECOND);
         refilledAtMicros[municipality] = simulation.calendar.now();
         request.withinQuota = quotaTokens[municipality] >= 1;
         quotaTokens[municipality] -= request.withinQuota ? 1 : 0;
--- a/src/main/java/yewdock/model/SimulatedRouter.java
+++ b/src/main/java/yewdock/model/SimulatedRouter.java
@@ -166,6 +166,7 @@
         java.util.Arrays.fill(pools, null);
     }
 
+    /** Whether the process runs. */
     boolean alive() {
         return module != null;
     }
@@ -193,6 +194,7 @@
         simulation.listEvents++;
     }
 
+    /** Draws a one-way delay between this router and a server of a site. */
     private double networkDelayMicros(int to) {
         double base = to == site ? simulation.parameters.sameSiteMicros
                 : simulation.parameters.crossSiteMicros;
@@ -220,6 +222,7 @@
         deliverList(kind, entries);
     }
 
+    /** Records what the router has been told, for the rule checker. */
     private void recordStates(List<ServerState> entries) {
         for (ServerState state : entries) {
             if (state.lifecycle() == Lifecycle.READY) {
@@ -273,6 +276,7 @@
         deliver(() -> module.firstToken(now(), attempt.clientAttempt.id, attempt.number));
     }
 
+    /** Ends an attempt and, if it decides the request, passes the result to the client. */
     private void endAttempt(ServerAttempt attempt, Outcome outcome) {
         if (!attempt.inFlight || attempt.routerIncarnation != incarnation) {
             return;
@@ -318,6 +322,7 @@
         return pool;
     }
 
+    /** Returns an attempt's connection to its pool, where the keepalive closes it, or closes it at once. */
     private void releaseConnection(ServerAttempt attempt, Outcome outcome) {
         ConnectionPool pool = attempt.pool;
         attempt.pool = null;
@@ -467,6 +472,7 @@
         reject(requestId, false, 0);
     }
 
+    /** Sends the client a final answer other than a stream. */
     private void reject(long requestId, boolean refused, long retryAfter) {
         ClientAttempt clientAttempt = openRequests.remove(requestId);
         if (clientAttempt == null) {
@@ -522,6 +528,7 @@
         };
     }
 
+    /** The one-way delay to a server without jitter. */
     private double baseDelayMicros(SimulatedServer server) {
         return server.site == site ? simulation.parameters.sameSiteMicros
                 : simulation.parameters.crossSiteMicros;
--- a/src/main/java/yewdock/model/SimulatedServer.java
+++ b/src/main/java/yewdock/model/SimulatedServer.java
@@ -307,10 +307,12 @@
         return running.size() + queue.size();
     }
 
+    /** The number of requests in the batch. */
     int running() {
         return running.size();
     }
 
+    /** The number of requests in the queue. */
     int queued() {
         return queue.size();
     }
@@ -327,6 +329,7 @@
         return sum;
     }
 
+    /** The share of the memory that running requests use. */
     double memoryUsedShare() {
         return (double) usedTokens / spec.memoryTokens;
     }
--- a/src/main/java/yewdock/model/Work.java
+++ b/src/main/java/yewdock/model/Work.java
@@ -5,18 +5,18 @@
     /** Receives the progress and the end of a job. */
     public interface Taker {
         /** The first token was generated. */
-        void begun(Work work);
+        void begun(Work job);
 
         /** A token was generated; also called for the first one. */
-        default void token(Work work) {
+        default void token(Work job) {
             // most listeners need only the first token and the end
         }
 
         /** The last token was generated. */
-        void done(Work work);
+        void done(Work job);
 
         /** The job was lost in a crash, its stream broke, or it was dropped from the queue. */
-        void lost(Work work);
+        void lost(Work job);
     }
 
     final Ask request;
