--- a/Makefile
+++ b/Makefile
@@ -56,7 +56,7 @@
 
 # a store's file cut and flipped at every byte, some minutes
 store-damage:
-	mvn -B -ntp -q test -Dtest=StoreTest -Dstore.offsets=all -Dsurefire.failIfNoSpecifiedTests=false
+	mvn -B -ntp -q test -Dtest=RecordFileTest -Dstore.offsets=all -Dsurefire.failIfNoSpecifiedTests=false
 
 # fifty replacements of the process by one beside it, under load, a quarter made to fail: three minutes; not a part of CI
 replacement-proof: build
