--- a/src/test/java/yewdock/DaemonTest.java
+++ b/src/test/java/yewdock/DaemonTest.java
@@ -25,7 +25,7 @@
 import yewdock.verification.Rules;
 import yewdock.verification.UpgradeProof;
 
-/** The daemon in processes of its own, and what can happen to them in the middle of an upgrade. */
+/** The daemon and its generations in separate processes: upgrades, and failures in the middle of one. */
 @Timeout(120)
 class DaemonTest {
     private static final String MAIN = "yewdock.Main";
@@ -37,8 +37,8 @@
         return Router.start(MAIN, folder, fleet.configuration("127.0.0.1:0"), UpgradeProof.QUICK_STAGES);
     }
 
-    private static String request(String id, int tokens, int pace) {
-        String body = "{\"max_tokens\":" + tokens + ",\"pace_ms\":" + pace + "}";
+    private static String request(String id, int tokens, int paceMillis) {
+        String body = "{\"max_tokens\":" + tokens + ",\"pace_ms\":" + paceMillis + "}";
         return "POST /v1/chat/completions HTTP/1.1\r\nX-Correlation-Id: " + id
                 + "\r\nX-Service-Class: chat\r\n"
                 + "X-Account: " + Fleet.TENANT + "\r\nX-Time-Left: 4\r\n"
@@ -50,7 +50,7 @@
         socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    private static String answer(Socket socket) throws IOException {
+    private static String readResponse(Socket socket) throws IOException {
         return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
     }
 
@@ -58,133 +58,137 @@
         ProcessSignals.send(name, List.of(process.pid()));
     }
 
-    private static Router.Said upgrade(Router router, String stage, String fault) throws IOException {
+    private static Router.Said upgradeToFaultyGeneration(Router router, String stage, String fault)
+            throws IOException {
         return router.ask("upgrade", List.of(System.getProperty("java.class.path"),
                 FaultyGeneration.class.getName(), stage, fault));
     }
 
-    /** The proof in small: upgrades with no pause to speak of, one in five of which fails, under load. */
+    /** A short upgrade proof: upgrades under load with almost no pause, one in five made to fail. */
     @Test
     void upgradesUnderLoadBreakNoRule() throws Exception {
-        List<String> said = new ArrayList<>();
-        assertEquals(List.of(), new UpgradeProof(MAIN, 6, 32, 150, 3, said::add).run(), String.join("\n",
-                said));
+        List<String> output = new ArrayList<>();
+        assertEquals(List.of(), new UpgradeProof(MAIN, 6, 32, 150, 3, output::add).run(),
+                String.join("\n", output));
     }
 
     /**
-     * Half of a request goes to the old one before, and the rest after; a stream lasts longer than it all.
+     * A client sends half of a request before an upgrade and the rest after it, and another client's stream
+     * lasts longer than the upgrade: both are served.
      */
     @Test
-    void halfARequestAndALongStreamOutliveTheUpgrade() throws Exception {
+    void partialRequestAndLongStreamSurviveAnUpgrade() throws Exception {
         try (Fleet fleet = new Fleet(2, 8); Router router = start(fleet);
                 Socket half = new Socket(router.address().getAddress(), router.address().getPort());
                 Socket stream = new Socket(router.address().getAddress(), router.address().getPort())) {
             write(stream, request("long", 100, 30));
             String text = request("half", 3, 1);
             write(half, text.substring(0, text.length() / 2));
-            Router.Said said = router.ask("upgrade", List.of());
-            assertEquals(0, said.exit(), said.lines());
+            Router.Said result = router.ask("upgrade", List.of());
+            assertEquals(0, result.exit(), result.lines());
             write(half, text.substring(text.length() / 2));
-            assertTrue(answer(half).contains("200 OK"));
-            assertTrue(answer(stream).endsWith("0\r\n\r\n"));
+            assertTrue(readResponse(half).contains("200 OK"));
+            assertTrue(readResponse(stream).endsWith("0\r\n\r\n"));
             assertNotNull(router.await(l -> l.contains("generation.ended generation=1")));
             assertTrue(router.leave());
             assertEquals(List.of(), Rules.broken(fleet.ledger()));
         }
     }
 
-    /** The same id at the old one and at the new one: the second is turned down while the first is open. */
+    /** A request id that is open at the old generation is answered with 409 at the new one until it ends. */
     @Test
-    void anIdOpenAtTheOldOneIsATwinAtTheNewOne() throws Exception {
+    void idOpenAtOldGenerationIsRejectedByNewGeneration() throws Exception {
         try (Fleet fleet = new Fleet(2, 8); Router router = start(fleet);
-                Socket old = new Socket(router.address().getAddress(), router.address().getPort())) {
-            write(old, request("one", 150, 30));
-            assertEquals('H', old.getInputStream().read());
+                Socket oldClient = new Socket(router.address().getAddress(), router.address().getPort())) {
+            write(oldClient, request("one", 150, 30));
+            assertEquals('H', oldClient.getInputStream().read());
             assertEquals(0, router.ask("upgrade", List.of()).exit());
-            try (Socket next = new Socket(router.address().getAddress(), router.address().getPort())) {
-                write(next, request("one", 1, 1));
-                assertTrue(answer(next).startsWith("HTTP/1.1 409 "));
+            try (Socket newClient = new Socket(router.address().getAddress(), router.address().getPort())) {
+                write(newClient, request("one", 1, 1));
+                assertTrue(readResponse(newClient).startsWith("HTTP/1.1 409 "));
             }
-            assertTrue(answer(old).endsWith("0\r\n\r\n"));
-            // the new one hears of the end a moment after the client
-            String after = "HTTP/1.1 409 ";
-            for (int i = 0; i < 1000 && after.startsWith("HTTP/1.1 409 "); i++) {
-                try (Socket next = new Socket(router.address().getAddress(), router.address().getPort())) {
-                    write(next, request("one", 1, 1));
-                    after = answer(next);
+            assertTrue(readResponse(oldClient).endsWith("0\r\n\r\n"));
+            // the new generation learns of the end a moment after the client
+            String response = "HTTP/1.1 409 ";
+            for (int i = 0; i < 1000 && response.startsWith("HTTP/1.1 409 "); i++) {
+                try (Socket newClient = new Socket(router.address().getAddress(),
+                        router.address().getPort())) {
+                    write(newClient, request("one", 1, 1));
+                    response = readResponse(newClient);
                 }
             }
-            assertTrue(after.startsWith("HTTP/1.1 200 "), after);
+            assertTrue(response.startsWith("HTTP/1.1 200 "), response);
         }
     }
 
-    /** A connection that the system has accepted and nobody has read is the next one's. */
+    /** A connection that waits in the listen queue when its generation dies is served by the next one. */
     @Test
-    void aConnectionThatNobodyHasTakenIsServedByTheNextGeneration() throws Exception {
+    void unacceptedConnectionIsServedByTheNextGeneration() throws Exception {
         try (Fleet fleet = new Fleet(2, 8); Router router = start(fleet)) {
             ProcessHandle first = router.generations().get(0);
             signal(first, "STOP");
             try (Socket waiting = new Socket(router.address().getAddress(), router.address().getPort())) {
                 write(waiting, request("waits", 3, 1));
                 signal(first, "KILL");
-                assertTrue(answer(waiting).startsWith("HTTP/1.1 200 "));
+                assertTrue(readResponse(waiting).startsWith("HTTP/1.1 200 "));
             }
             assertNotNull(router.await(l -> l.contains("generation.restart")));
             assertTrue(router.leave());
         }
     }
 
-    /** The old one is killed outright while a new one is on its way: the new one serves. */
+    /** The old generation is killed while a new one takes over: the new one serves. */
     @Test
-    void theOldOneKilledInTheMiddleLeavesTheNewOneServing() throws Exception {
+    void newGenerationServesWhenTheOldOneIsKilledDuringAnUpgrade() throws Exception {
         try (Fleet fleet = new Fleet(2, 8); Router router = start(fleet)) {
             ProcessHandle first = router.generations().get(0);
-            CompletableFuture<Router.Said> said = CompletableFuture.supplyAsync(() -> {
+            CompletableFuture<Router.Said> result = CompletableFuture.supplyAsync(() -> {
                 try {
-                    return upgrade(router, "TAKE", "SLOW");
+                    return upgradeToFaultyGeneration(router, "TAKE", "SLOW");
                 } catch (IOException e) {
                     throw new IllegalStateException(e);
                 }
             });
             assertNotNull(router.await(l -> l.contains("generation=2 stage=take")));
             signal(first, "KILL");
-            assertEquals(0, said.get().exit(), said.get().lines());
+            assertEquals(0, result.get().exit(), result.get().lines());
             try (Socket client = new Socket(router.address().getAddress(), router.address().getPort())) {
                 write(client, request("after", 3, 1));
-                assertTrue(answer(client).startsWith("HTTP/1.1 200 "));
+                assertTrue(readResponse(client).startsWith("HTTP/1.1 200 "));
             }
             assertTrue(router.leave());
         }
     }
 
-    /** The new one dies once it serves: the old one, which still has a stream, takes the listener back. */
+    /** The new generation dies once it serves: the old one, which still has a stream, accepts again. */
     @Test
-    void aNewOneThatDiesOnceItServesGivesBack() throws Exception {
+    void oldGenerationTakesBackTheListenerWhenTheNewOneDies() throws Exception {
         try (Fleet fleet = new Fleet(2, 8); Router router = start(fleet);
                 Socket stream = new Socket(router.address().getAddress(), router.address().getPort())) {
             write(stream, request("long", 100, 30));
             assertEquals('H', stream.getInputStream().read());
-            // it may die before the old one has let go or just after: either way the old one is there
-            upgrade(router, "LET_GO", "EXIT");
+            // the new generation may die just before or just after the old one stops accepting; the old one
+            // is alive in both cases
+            upgradeToFaultyGeneration(router, "LET_GO", "EXIT");
             assertNotNull(router.await(l -> l.contains("generation.takes_back generation=1")));
             try (Socket client = new Socket(router.address().getAddress(), router.address().getPort())) {
                 write(client, request("after", 3, 1));
-                assertTrue(answer(client).startsWith("HTTP/1.1 200 "));
+                assertTrue(readResponse(client).startsWith("HTTP/1.1 200 "));
             }
-            assertTrue(answer(stream).endsWith("0\r\n\r\n"));
+            assertTrue(readResponse(stream).endsWith("0\r\n\r\n"));
             assertEquals(0, router.ask("upgrade", List.of()).exit());
         }
     }
 
-    /** A second upgrade, SIGHUP and SIGTERM, all while one runs that hangs. */
+    /** A second upgrade, SIGHUP and SIGTERM arrive while an upgrade to a hung generation is running. */
     @Test
-    void asecondUpgradeAndSignalsWhileOneRuns() throws Exception {
+    void secondUpgradeAndSignalsDuringAHungUpgrade() throws Exception {
         try (Fleet fleet = new Fleet(2, 8); Router router = start(fleet)) {
             Load load = new Load(new Load.Plan(router.address(), 8, 40, 10, 5, 5), fleet.ledger());
             load.start();
-            CompletableFuture<Router.Said> said = CompletableFuture.supplyAsync(() -> {
+            CompletableFuture<Router.Said> result = CompletableFuture.supplyAsync(() -> {
                 try {
-                    return upgrade(router, "READY", "HANG");
+                    return upgradeToFaultyGeneration(router, "READY", "HANG");
                 } catch (IOException e) {
                     throw new IllegalStateException(e);
                 }
@@ -200,24 +204,26 @@
             assertNotNull(router.await(l -> l.contains("configuration.refused generation=1")));
             load.stop();
             assertTrue(router.leave(), router.log());
-            assertEquals(1, said.get().exit());
-            assertTrue(said.get().lines().contains("the router was told to leave"), said.get().lines());
+            assertEquals(1, result.get().exit());
+            assertTrue(result.get().lines().contains("the router was told to leave"), result.get().lines());
             assertEquals(List.of(), Rules.broken(fleet.ledger()));
             assertTrue(fleet.ledger().atClients().stream().allMatch(a -> a.end() == Ledger.End.SERVED));
         }
     }
 
+    /** A second daemon on the same control socket exits with one line, and the first goes on. */
     @Test
-    void aSecondDaemonOnTheSameControlSocketIsRefused() throws Exception {
+    void secondDaemonOnTheSameControlSocketIsRefused() throws Exception {
         try (Fleet fleet = new Fleet(1, 8); Router router = start(fleet)) {
             Process second = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin",
                     "java").toString(),
                     "-cp", System.getProperty("java.class.path"), MAIN, "daemon", "--log", "json",
                             "--settings",
                     router.folder().resolve("operator.hcl").toString()).redirectErrorStream(true).start();
-            String said = new String(second.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+            String output = new String(second.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             assertEquals(1, second.waitFor());
-            assertTrue(said.contains("yewdock: a daemon runs already") && said.lines().count() == 1, said);
+            assertTrue(output.contains("yewdock: a daemon runs already") && output.lines().count() == 1,
+                    output);
             assertFalse(router.ask("status", List.of()).lines().isEmpty());
         }
     }
--- a/src/test/java/yewdock/DefaultsTest.java
+++ b/src/test/java/yewdock/DefaultsTest.java
@@ -13,13 +13,14 @@
 import org.json.JSONObject;
 import org.junit.jupiter.api.Test;
 
-/** The program knows no deployment's places, machines or tenants: all of them come from the settings. */
+/** The sources name no deployment's zones, machine shapes or tenants: all of them come from the settings. */
 class DefaultsTest {
     private static final Path SOURCES = Path.of("src/main/java");
-    private static final Path A_DEPLOYMENT = Path.of("src/test/resources/exchanges/config.json");
+    private static final Path EXAMPLE_CONFIGURATION = Path.of("src/test/resources/exchanges/config.json");
 
-    private static List<String> namesOfADeployment() throws IOException {
-        JSONObject settings = new JSONObject(Files.readString(A_DEPLOYMENT)).getJSONObject("settings");
+    private static List<String> deploymentNames() throws IOException {
+        JSONObject settings = new JSONObject(Files.readString(EXAMPLE_CONFIGURATION))
+                .getJSONObject("settings");
         List<String> names = new ArrayList<>();
         settings.getJSONArray("zones").forEach(zone -> names.add(zone.toString()));
         settings.getJSONArray("shapes").forEach(shape -> names.add(shape.toString()));
@@ -31,8 +32,8 @@
     }
 
     @Test
-    void noSourceNamesADeploymentsPlacesMachinesOrTenants() throws IOException {
-        List<String> names = namesOfADeployment();
+    void sourcesContainNoDeploymentNames() throws IOException {
+        List<String> names = deploymentNames();
         assertTrue(names.size() >= 5, names.toString());
         List<String> found = new ArrayList<>();
         try (Stream<Path> files = Files.walk(SOURCES)) {
--- a/src/test/java/yewdock/InOrderModule.java
+++ b/src/test/java/yewdock/InOrderModule.java
@@ -7,14 +7,14 @@
 import umberspread.Routing.Outcome;
 
 /**
- * A module for the exchanges: it tries the boxes in the order of their cells, 1 s each, and says what it is
- * told. A request for 1 token makes it throw, one for 2 is never answered.
+ * A routing module for tests: it tries the servers in the order of their cells, with a timeout of 1 s each,
+ * and logs its events. A request for 1 token makes it throw; it takes no action on one for 2 tokens.
  */
 final class InOrderModule implements Routing.Events {
-    private static final long TIMEOUT = 1_000_000;
-    private static final double BOOM = 1;
-    private static final double FORGET = 2;
-    private final TreeMap<Integer, Long> boxes = new TreeMap<>();
+    private static final long TIMEOUT_MICROS = 1_000_000;
+    private static final double THROWING_MAX_TOKENS = 1;
+    private static final double IGNORED_MAX_TOKENS = 2;
+    private final TreeMap<Integer, Long> serversByCell = new TreeMap<>();
     private final Routing.Actions actions;
 
     InOrderModule(Routing.Actions actions) {
@@ -29,16 +29,16 @@
     @Override
     public void listReceived(long now, ListKind kind, List<Routing.ServerState> entries) {
         StringBuilder line = new StringBuilder("told list " + kind);
-        for (Routing.ServerState r : entries) {
-            boolean gone = r.lifecycle() == Routing.Lifecycle.GONE;
-            line.append(' ').append(gone ? "" : r.cell()).append(r.lifecycle());
+        for (Routing.ServerState server : entries) {
+            boolean gone = server.lifecycle() == Routing.Lifecycle.GONE;
+            line.append(' ').append(gone ? "" : server.cell()).append(server.lifecycle());
             if (!gone) {
-                boxes.put(r.cell(), r.id());
+                serversByCell.put(server.cell(), server.id());
             }
         }
         actions.log(line.toString());
         if (kind == ListKind.FAILED) {
-            actions.wakeAt(now + TIMEOUT, 1);
+            actions.wakeAt(now + TIMEOUT_MICROS, 1);
         }
     }
 
@@ -48,12 +48,12 @@
     }
 
     @Override
-    public void requestArrived(long now, Routing.Request r) {
-        if (r.maxTokens() == BOOM) {
+    public void requestArrived(long now, Routing.Request request) {
+        if (request.maxTokens() == THROWING_MAX_TOKENS) {
             throw new IllegalStateException("boom");
         }
-        if (r.maxTokens() != FORGET) {
-            actions.send(r.id(), boxes.firstEntry().getValue(), TIMEOUT);
+        if (request.maxTokens() != IGNORED_MAX_TOKENS) {
+            actions.send(request.id(), serversByCell.firstEntry().getValue(), TIMEOUT_MICROS);
         }
     }
 
@@ -63,19 +63,20 @@
     }
 
     @Override
-    public void attemptEnded(long now, long requestId, int attempt, Outcome outcome, long took, boolean over,
-            long kept, Routing.LoadReport report) {
-        actions.log("told end " + requestId + "/" + attempt + " " + outcome + (over ? " over" : "") + " kept "
-                + kept + (report == null ? "" : " load " + report.inFlight()));
-        if (over) {
+    public void attemptEnded(long now, long requestId, int attempt, Outcome outcome, long durationMicros,
+            boolean requestOver, long keptTokens, Routing.LoadReport report) {
+        actions.log("told end " + requestId + "/" + attempt + " " + outcome
+                + (requestOver ? " over" : "") + " kept " + keptTokens
+                + (report == null ? "" : " load " + report.inFlight()));
+        if (requestOver) {
             return;
         }
         if (outcome == Outcome.TIMEOUT) {
             actions.fail(requestId);
-        } else if (attempt + 1 < boxes.size()) {
-            actions.send(requestId, List.copyOf(boxes.values()).get(attempt + 1), TIMEOUT);
+        } else if (attempt + 1 < serversByCell.size()) {
+            actions.send(requestId, List.copyOf(serversByCell.values()).get(attempt + 1), TIMEOUT_MICROS);
         } else {
-            actions.refuse(requestId, TIMEOUT / 4);
+            actions.refuse(requestId, TIMEOUT_MICROS / 4);
         }
     }
 
--- a/src/test/java/yewdock/LiveDayTest.java
+++ b/src/test/java/yewdock/LiveScenarioTest.java
@@ -12,23 +12,23 @@
 import yewdock.model.World;
 import yewdock.verification.LiveProof;
 
-/** A short calm day on sockets: the same asks as in the model, and all of them end. */
-class LiveDayTest {
+/** A short scenario at low load over real sockets: the same requests as in the model, and they are served. */
+class LiveScenarioTest {
     @Test
-    void aDayOnSocketsHasTheModelsAsksAndServesThem() throws Exception {
-        Scenario calm = Days.small("day.seconds", 4.0, "day.load", 0.2, "boxes.count", 4.0);
+    void socketRunSendsAndServesTheModelsRequests() throws Exception {
+        Scenario lowLoad = Days.small("day.seconds", 4.0, "day.load", 0.2, "boxes.count", 4.0);
         List<String> lines = new ArrayList<>();
-        Map<String, LiveProof.Compared> compared = new LiveProof("yewdock.Main", lines::add).run(calm, 1);
+        Map<String, LiveProof.Compared> compared = new LiveProof("yewdock.Main", lines::add).run(lowLoad, 1);
         assertEquals(2, compared.size(), lines.toString());
-        long asked = 0;
+        long requests = 0;
         for (String line : lines) {
             if (line.startsWith("| c")) {
                 String[] cells = line.split("\\|");
-                asked += cells[1].strip().equals("class") ? 0 : Long.parseLong(cells[2].strip());
+                requests += cells[1].strip().equals("class") ? 0 : Long.parseLong(cells[2].strip());
             }
         }
-        assertEquals(World.run(calm, 1).asks(), asked, lines.toString());
-        // how quick it was depends on the machine; that it was served does not
+        assertEquals(World.run(lowLoad, 1).asks(), requests, lines.toString());
+        // latency depends on the machine, so only half of the requests need to meet their targets
         compared.values().forEach(c -> assertTrue(c.socketsInTime() > 0.5, lines.toString()));
     }
 }
--- a/src/test/java/yewdock/PackagesTest.java
+++ b/src/test/java/yewdock/PackagesTest.java
@@ -13,9 +13,9 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Each package uses only what stands after it in this list, so none imports in a circle. */
+/** Checks the package layering: a package uses only those after it in the list, so there are no cycles. */
 class PackagesTest {
-    private static final List<String> DOWNWARD = List.of("yewdock", "umberspread.adapter",
+    private static final List<String> LAYERS = List.of("yewdock", "umberspread.adapter",
             "yewdock.verification", "yewdock.testbed", "yewdock.experiment", "yewdock.scenario",
             "yewdock.model", "yewdock.baseline",
             "yewdock.daemon", "yewdock.upgrade", "yewdock.replication",
@@ -24,32 +24,33 @@
             "yewdock.sockets", "yewdock.admin", "yewdock.platform",
             "yewdock.http", "yewdock.core", "umberspread",
             "yewdock.logging");
-    private static final Pattern USE = Pattern.compile("\\b((?:yewdock|umberspread)(?:\\.[a-z]+)*)\\.[A-Z]");
+    private static final Pattern QUALIFIED_NAME =
+            Pattern.compile("\\b((?:yewdock|umberspread)(?:\\.[a-z]+)*)\\.[A-Z]");
     private static final Path SOURCES = Path.of("src/main/java");
 
     @Test
-    void importsPointDownward() throws IOException {
+    void packagesUseOnlyLowerLayers() throws IOException {
         int uses = 0;
         for (Path file : sources()) {
-            int from = DOWNWARD.indexOf(SOURCES.relativize(file.getParent()).toString().replace('/', '.'));
-            assertTrue(from >= 0, file + " is in a package that the list lacks");
-            Matcher use = USE.matcher(Files.readString(file));
+            int layer = LAYERS.indexOf(SOURCES.relativize(file.getParent()).toString().replace('/', '.'));
+            assertTrue(layer >= 0, file + " is in a package that LAYERS does not list");
+            Matcher use = QUALIFIED_NAME.matcher(Files.readString(file));
             while (use.find()) {
                 uses++;
-                assertTrue(DOWNWARD.indexOf(use.group(1)) >= from, file + " uses " + use.group());
+                assertTrue(LAYERS.indexOf(use.group(1)) >= layer, file + " uses " + use.group());
             }
         }
         assertTrue(uses > 0);
     }
 
-    /** Sockets are the transport's business alone, JSON the edge's, and the parsers need neither. */
+    /** Only the transport uses MINA and only the platform layer uses JSON; the parsers need neither. */
     @Test
-    void librariesStayWhereTheyBelong() throws IOException {
-        assertEquals(List.of("yewdock/sockets"), folders("org.apache.mina"));
-        assertEquals(List.of("yewdock/platform"), folders("org.json"));
+    void librariesAreImportedByOnePackageOnly() throws IOException {
+        assertEquals(List.of("yewdock/sockets"), importingFolders("org.apache.mina"));
+        assertEquals(List.of("yewdock/platform"), importingFolders("org.json"));
     }
 
-    private static List<String> folders(String library) throws IOException {
+    private static List<String> importingFolders(String library) throws IOException {
         List<String> found = new ArrayList<>();
         for (Path file : sources()) {
             String folder = SOURCES.relativize(file.getParent()).toString();
@@ -61,8 +62,8 @@
     }
 
     private static List<Path> sources() throws IOException {
-        try (Stream<Path> all = Files.walk(SOURCES)) {
-            return all.filter(p -> p.toString().endsWith(".java")).toList();
+        try (Stream<Path> files = Files.walk(SOURCES)) {
+            return files.filter(p -> p.toString().endsWith(".java")).toList();
         }
     }
 }
--- a/src/test/java/yewdock/SuccessionTest.java
+++ b/src/test/java/yewdock/ProcessHandoverTest.java
@@ -24,9 +24,9 @@
 import yewdock.verification.ProcessSignals;
 import yewdock.verification.ReplacementProof;
 
-/** A router's process and the one that takes its place, as the platform starts them. */
+/** Handover from a router process to the newer one that replaces it, started as the platform does. */
 @Timeout(120)
-class SuccessionTest {
+class ProcessHandoverTest {
     private static final String MAIN = Main.class.getName();
 
     @TempDir
@@ -34,7 +34,7 @@
     private final List<Instance> started = new ArrayList<>();
 
     @AfterEach
-    void end() {
+    void closeInstances() {
         started.forEach(Instance::close);
     }
 
@@ -45,68 +45,71 @@
         return instance;
     }
 
-    private Instance first(Fleet fleet) throws IOException {
+    private Instance startFirst(Fleet fleet) throws IOException {
         Instance instance = start(fleet.withDoor("127.0.0.1:0"));
         instance.ready();
         return instance;
     }
 
-    private Instance beside(Instance older, Fleet fleet, String... main) throws IOException {
+    private Instance startNewer(Instance older, Fleet fleet, String... main) throws IOException {
         return start(fleet.withDoor("127.0.0.1:" + older.address().getPort()), main);
     }
 
-    private static void tookOver(Instance newer) {
+    private static void awaitTakeover(Instance newer) {
         assertNotNull(newer.await(l -> l.contains("succession.took_over")), newer.log());
     }
 
-    private static Socket connect(Instance to) throws IOException {
-        InetSocketAddress at = to.address();
-        Socket socket = new Socket(at.getAddress(), at.getPort());
+    private static Socket connect(Instance instance) throws IOException {
+        InetSocketAddress address = instance.address();
+        Socket socket = new Socket(address.getAddress(), address.getPort());
         socket.setSoTimeout(20_000);
         return socket;
     }
 
-    private static void ask(Socket socket, String id, int tokens, int pace) throws IOException {
-        String body = "{\"max_tokens\":" + tokens + ",\"pace_ms\":" + pace + "}";
+    private static void sendRequest(Socket socket, String id, int tokens, int paceMillis) throws IOException {
+        String body = "{\"max_tokens\":" + tokens + ",\"pace_ms\":" + paceMillis + "}";
         socket.getOutputStream().write(("POST /v1/chat/completions HTTP/1.1\r\nX-Correlation-Id: " + id
                 + "\r\nX-Service-Class: chat\r\nX-Account: " + Fleet.TENANT + "\r\nX-Time-Left: 4\r\n"
                 + "X-Facts: prompt_len=9,prefix_len=0,max_out=9\r\nConnection: close\r\nContent-Length: "
                 + body.length() + "\r\n\r\n" + body).getBytes(StandardCharsets.US_ASCII));
     }
 
-    private static String answer(Socket socket) throws IOException {
+    private static String readResponse(Socket socket) throws IOException {
         return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
     }
 
-    private static void signal(Instance to, String name) throws Exception {
-        ProcessSignals.send(name, List.of(to.process().pid()));
+    private static void signal(Instance instance, String name) throws Exception {
+        ProcessSignals.send(name, List.of(instance.process().pid()));
     }
 
-    /** The proof in small: two good ones, one that dies with the ids asked for, boxes out and back. */
+    /**
+     * A short run of the replacement proof: replacements that succeed, one that dies after it has asked for
+     * the ids, and servers that are cordoned and uncordoned meanwhile.
+     */
     @Test
     void replacementsUnderLoadBreakNoRule() throws Exception {
-        List<String> said = new ArrayList<>();
-        assertEquals(List.of(), new ReplacementProof(MAIN, 5, 80, 3, said::add).run(),
-                String.join("\n", said));
+        List<String> output = new ArrayList<>();
+        assertEquals(List.of(), new ReplacementProof(MAIN, 5, 80, 3, output::add).run(),
+                String.join("\n", output));
     }
 
-    /** A stream goes on at the older process, and its id is a twin at the newer one. */
+    /** A stream goes on at the older process; a request with its id is answered with 409 by the newer one. */
     @Test
-    void anIdOpenAtTheOlderIsATwinAtTheNewer() throws Exception {
+    void idOpenAtTheOlderProcessIsRejectedByTheNewer() throws Exception {
         try (Fleet fleet = new Fleet(2, 8)) {
-            Instance older = first(fleet);
+            Instance older = startFirst(fleet);
             try (Socket stream = connect(older)) {
-                ask(stream, "one", 120, 30);
+                sendRequest(stream, "one", 120, 30);
                 assertEquals('H', stream.getInputStream().read());
-                Instance newer = beside(older, fleet);
-                tookOver(newer);
+                Instance newer = startNewer(older, fleet);
+                awaitTakeover(newer);
                 assertNotNull(older.await(l -> l.contains("succession.lets_go")), older.log());
                 assertTrue(newer.call("health").startsWith("NO an older process finishes"), newer.log());
-                try (Socket twin = connect(newer)) {
-                    ask(twin, "one", 1, 1);
-                    assertTrue(answer(twin).startsWith("HTTP/1.1 409 "));
+                try (Socket duplicate = connect(newer)) {
+                    sendRequest(duplicate, "one", 1, 1);
+                    assertTrue(readResponse(duplicate).startsWith("HTTP/1.1 409 "));
                 }
-                assertTrue(answer(stream).endsWith("0\r\n\r\n"));
+                assertTrue(readResponse(stream).endsWith("0\r\n\r\n"));
                 older.leave();
                 assertTrue(older.ended());
                 newer.ready();
@@ -114,27 +117,30 @@
         }
     }
 
-    /** Told to the newer process only, it holds at the older one's connections too, and back. */
+    /**
+     * A cordon or uncordon at the newer process alone also applies to the older one's connections; a cordon
+     * from before the handover applies at the newer one.
+     */
     @Test
-    void aCordonToldToOneIsHeededByBoth() throws Exception {
+    void cordonAppliesAtBothProcesses() throws Exception {
         try (Fleet fleet = new Fleet(3, 8)) {
-            Instance older = first(fleet);
+            Instance older = startFirst(fleet);
             assertTrue(older.call("cordon s-2").startsWith("YES "));
-            List<Socket> atOlder = new ArrayList<>();
+            List<Socket> olderConnections = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
-                atOlder.add(connect(older));
+                olderConnections.add(connect(older));
             }
-            Instance newer = beside(older, fleet);
-            tookOver(newer);
+            Instance newer = startNewer(older, fleet);
+            awaitTakeover(newer);
             assertTrue(newer.call("counters").contains("members_unavailable=1\n"));
             assertTrue(newer.call("cordon s-1").startsWith("YES "));
             assertTrue(newer.call("uncordon s-2").startsWith("YES "));
             assertNotNull(newer.await(l -> l.contains("uncordoned s-2")));
             int served = 0;
-            for (Socket socket : atOlder) {
+            for (Socket socket : olderConnections) {
                 try (socket) {
-                    ask(socket, "kept-" + served, 2, 1);
-                    served += answer(socket).startsWith("HTTP/1.1 200 ") ? 1 : 0;
+                    sendRequest(socket, "kept-" + served, 2, 1);
+                    served += readResponse(socket).startsWith("HTTP/1.1 200 ") ? 1 : 0;
                 }
             }
             assertTrue(served > 0, older.log());
@@ -143,14 +149,14 @@
         }
     }
 
-    /** Killed outright before it could tell anything, what operators said of boxes still holds. */
+    /** A process is killed before it could hand anything over: its operator overrides still hold. */
     @Test
-    void marksOutliveAProcessThatIsKilled() throws Exception {
+    void operatorOverridesSurviveAKilledProcess() throws Exception {
         try (Fleet fleet = new Fleet(2, 8)) {
-            Instance older = first(fleet);
+            Instance older = startFirst(fleet);
             assertTrue(older.call("cordon s-1").startsWith("YES "));
             older.close();
-            Instance newer = beside(older, fleet);
+            Instance newer = startNewer(older, fleet);
             newer.ready();
             assertTrue(newer.log().contains("succession.nobody"), newer.log());
             assertTrue(newer.call("counters").contains("members_unavailable=1\n"));
@@ -158,90 +164,92 @@
         }
     }
 
-    /** Whatever lies in the folder, a process starts; what it can't read is logged. */
+    /** Unreadable files in the folder don't keep a process from starting; they are logged. */
     @Test
-    void leftoversNeverKeepItFromServing() throws Exception {
+    void leftoverFilesDoNotPreventServing() throws Exception {
         Path tmp = Files.createDirectories(folder.resolve("tmp"));
         Files.writeString(tmp.resolve("yewdock-demo.marks"), "yewdock marks 1\ndrains 0 s-1\nend 2\n");
         Files.writeString(tmp.resolve("yewdock-demo.sock"), "no socket");
         try (Fleet fleet = new Fleet(2, 8)) {
-            Instance first = first(fleet);
+            Instance first = startFirst(fleet);
             assertTrue(first.log().contains("succession.marks_unreadable"), first.log());
             assertTrue(first.call("counters").contains("members_unavailable=0\n"));
         }
     }
 
-    /** The newer one dies while it has the ids, and once more after its yes: the older one serves on. */
+    /** One newer process dies while it has the ids, another after taking over: the older one serves. */
     @Test
-    void theOlderServesOnWhenTheNewerDies() throws Exception {
+    void olderProcessServesWhenTheNewerDies() throws Exception {
         try (Fleet fleet = new Fleet(2, 8)) {
-            Instance older = first(fleet);
-            Instance dies = beside(older, fleet, FaultySuccession.class.getName(), "SHARE", "KILLED");
-            assertTrue(dies.ended());
+            Instance older = startFirst(fleet);
+            Instance faulty = startNewer(older, fleet, FaultySuccession.class.getName(), "SHARE", "KILLED");
+            assertTrue(faulty.ended());
             assertNotNull(older.await(l -> l.contains("succession.newer_gone") && l.contains("shared=true")),
                     older.log());
             try (Socket client = connect(older)) {
-                ask(client, "after", 2, 1);
-                assertTrue(answer(client).startsWith("HTTP/1.1 200 "));
+                sendRequest(client, "after", 2, 1);
+                assertTrue(readResponse(client).startsWith("HTTP/1.1 200 "));
             }
-            try (Socket open = connect(older)) {
-                ask(open, "stream", 150, 30);
-                assertEquals('H', open.getInputStream().read());
-                Instance newer = beside(older, fleet);
-                tookOver(newer);
+            try (Socket stream = connect(older)) {
+                sendRequest(stream, "stream", 150, 30);
+                assertEquals('H', stream.getInputStream().read());
+                Instance newer = startNewer(older, fleet);
+                awaitTakeover(newer);
                 assertNotNull(older.await(l -> l.contains("succession.lets_go")));
                 newer.close();
                 older.ready();
                 try (Socket client = connect(older)) {
-                    ask(client, "again", 2, 1);
-                    assertTrue(answer(client).startsWith("HTTP/1.1 200 "));
+                    sendRequest(client, "again", 2, 1);
+                    assertTrue(readResponse(client).startsWith("HTTP/1.1 200 "));
                 }
             }
-            // and it can be replaced again
-            tookOver(beside(older, fleet));
+            // the older process can be replaced again
+            awaitTakeover(startNewer(older, fleet));
         }
     }
 
-    /** Told to leave before the newer one is ready, and hung while it is taken from: nobody is reset. */
+    /** The older process hangs while the newer one takes over: connections in its queue are served. */
     @Test
-    void connectionsInAHungProcessQueueAreServed() throws Exception {
+    void connectionsInTheQueueOfAHungProcessAreServed() throws Exception {
         try (Fleet fleet = new Fleet(2, 32)) {
-            Instance older = first(fleet);
+            Instance older = startFirst(fleet);
             signal(older, "STOP");
-            Instance newer = beside(older, fleet);
+            Instance newer = startNewer(older, fleet);
             assertNotNull(newer.await(l -> l.contains("listens on")), newer.log());
             List<Socket> clients = new ArrayList<>();
             for (int i = 0; i < 24; i++) {
                 Socket client = connect(newer);
-                ask(client, "queued-" + i, 2, 1);
+                sendRequest(client, "queued-" + i, 2, 1);
                 clients.add(client);
             }
             signal(older, "CONT");
             for (Socket client : clients) {
                 try (client) {
-                    assertTrue(answer(client).startsWith("HTTP/1.1 200 "), older.log());
+                    assertTrue(readResponse(client).startsWith("HTTP/1.1 200 "), older.log());
                 }
             }
         }
     }
 
+    /** The older process leaves before the newer one is ready: clients are still served. */
     @Test
-    void leavingBeforeTheNewerIsReadyLeavesIt() throws Exception {
+    void olderProcessMayExitBeforeTheNewerIsReady() throws Exception {
         try (Fleet fleet = new Fleet(2, 8)) {
-            Instance older = first(fleet);
-            Instance newer = beside(older, fleet);
+            Instance older = startFirst(fleet);
+            Instance newer = startNewer(older, fleet);
             older.leave();
             assertTrue(older.ended());
             newer.ready();
             try (Socket client = connect(newer)) {
-                ask(client, "one", 2, 1);
-                assertTrue(answer(client).startsWith("HTTP/1.1 200 "));
+                sendRequest(client, "one", 2, 1);
+                assertTrue(readResponse(client).startsWith("HTTP/1.1 200 "));
             }
         }
     }
 
+    /** If the operator address is in use, the router logs that, doesn't listen for clients, and exits. */
     @Test
-    void aDoorThatCantBeHadIsOneLineAndAnEnd() throws Exception {
+    void occupiedOperatorPortEndsTheStart() throws Exception {
         try (Fleet fleet = new Fleet(1, 8); ServerSocket taken = new ServerSocket(0)) {
             Instance router = start(fleet.withDoor("127.0.0.1:0").replace("\"operator\":\"127.0.0.1:0\"",
                     "\"operator\":\"127.0.0.1:" + taken.getLocalPort() + "\""));
--- a/src/test/java/yewdock/ServeTest.java
+++ b/src/test/java/yewdock/ServeTest.java
@@ -22,18 +22,19 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program itself, in a process of its own, on sockets of this machine. */
+/** The router program in a separate process, over local sockets. */
 @Timeout(60)
 class ServeTest {
-    private static final int SMALL_LIMIT = 160;
+    private static final int DESCRIPTOR_LIMIT = 160;
     private static final String BODY = "{\"model\":\"chat\"}";
 
     @TempDir
     private Path folder;
 
-    private Process start(String config, String... before) throws IOException {
+    /** Starts the program; the words in front of its command line set up its environment. */
+    private Process start(String config, String... launcher) throws IOException {
         Path file = Files.writeString(folder.resolve("config.json"), config);
-        List<String> command = new ArrayList<>(List.of(before));
+        List<String> command = new ArrayList<>(List.of(launcher));
         command.addAll(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
                 System.getProperty("java.class.path"), "yewdock.Main", "serve"));
         ProcessBuilder builder = new ProcessBuilder(command);
@@ -42,23 +43,25 @@
     }
 
     @Test
-    void unreadableConfigurationEndsItWithOneClearLine() throws Exception {
+    void unreadableConfigurationExitsWithOneLine() throws Exception {
         Process router = start("{\"name\":");
-        String said = new String(router.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        String output = new String(router.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertEquals(1, router.waitFor());
-        assertEquals(1, said.lines().count(), said);
-        assertTrue(said.contains("the configuration can't be read"), said);
+        assertEquals(1, output.lines().count(), output);
+        assertTrue(output.contains("the configuration can't be read"), output);
     }
 
-    /** Served after SIGTERM too; then it ends by itself, its counters printed. */
+    /** A request that is in flight at SIGTERM is served; then the program prints its counters and exits. */
     @Test
-    void servesThroughSigtermAndThenEnds() throws Exception {
+    void finishesOpenRequestAfterSigtermAndExits() throws Exception {
         InetAddress local = InetAddress.getByName("127.0.0.1");
-        try (ServerSocket box = new ServerSocket(0, 50, local);
-                ServerSocket list = new ServerSocket(0, 50, local)) {
+        try (ServerSocket server = new ServerSocket(0, 50, local);
+                ServerSocket discovery = new ServerSocket(0, 50, local)) {
             String config = Files.readString(RecordedExchange.FOLDER.resolve("config.json"))
-                    .replace("127.0.0.1:8000", "127.0.0.1:0").replace("127.0.0.1:8500", at(list))
-                    .replace("127.0.0.1:9001", at(box)).replace("127.0.0.1:9002", at(box));
+                    .replace("127.0.0.1:8000", "127.0.0.1:0")
+                    .replace("127.0.0.1:8500", addressOf(discovery))
+                    .replace("127.0.0.1:9001", addressOf(server))
+                    .replace("127.0.0.1:9002", addressOf(server));
             Process router = start(config);
             BufferedReader log = router.inputReader();
             String line = log.readLine();
@@ -66,22 +69,23 @@
                 line = log.readLine();
             }
             int port = Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
-            assertOversizedIsAnswered(local, port);
+            assertOversizedRequestIsAnswered(local, port);
             try (Socket client = new Socket(local, port)) {
                 client.getOutputStream().write(("POST /v1/chat/completions HTTP/1.1\r\n"
                         + "X-Correlation-Id: 1\r\nX-Service-Class: chat\r\n"
                         + "X-Account: lalitpur-metro\r\nX-Time-Left: 30\r\n"
                         + "X-Facts: prompt_len=1,prefix_len=0,max_out=9\r\nContent-Length: " + BODY.length()
                         + "\r\n\r\n" + BODY).getBytes(StandardCharsets.US_ASCII));
-                try (Socket atBox = box.accept()) {
-                    BufferedReader asked = new BufferedReader(new InputStreamReader(atBox.getInputStream(),
-                            StandardCharsets.US_ASCII));
-                    assertEquals("POST /v1/chat/completions HTTP/1.1", asked.readLine());
+                try (Socket serverConnection = server.accept()) {
+                    BufferedReader received = new BufferedReader(new InputStreamReader(
+                            serverConnection.getInputStream(), StandardCharsets.US_ASCII));
+                    assertEquals("POST /v1/chat/completions HTTP/1.1", received.readLine());
                     router.toHandle().destroy();
                     while (!line.contains("leaving")) {
                         line = log.readLine();
                     }
-                    atBox.getOutputStream().write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                    serverConnection.getOutputStream().write((
+                            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                             + "9\r\ndata: 1\n\n\r\n0\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
                     String answer = new String(client.getInputStream().readAllBytes(),
                             StandardCharsets.US_ASCII);
@@ -96,24 +100,25 @@
         }
     }
 
-    /** Told to end before discovery has said anything, and told again: it ends by itself, once. */
+    /** Two SIGTERMs before the first answer from discovery: the program shuts down once, by itself. */
     @Test
-    void endsAtSigtermBeforeTheFirstListAndAtASecondOne() throws Exception {
-        try (ServerSocket list = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"))) {
-            list.setSoTimeout(20_000);
+    void shutsDownOnceOnTwoSigtermsBeforeTheFirstEndpointList() throws Exception {
+        try (ServerSocket discovery = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"))) {
+            discovery.setSoTimeout(20_000);
             Process router = start(Files.readString(RecordedExchange.FOLDER.resolve("config.json"))
-                    .replace("127.0.0.1:8000", "127.0.0.1:0").replace("127.0.0.1:8500", at(list)));
-            try (Socket asked = list.accept()) {
+                    .replace("127.0.0.1:8000", "127.0.0.1:0")
+                    .replace("127.0.0.1:8500", addressOf(discovery)));
+            try (Socket watch = discovery.accept()) {
                 assertEquals("GET /v1/endpoints?since=7&timeout_ms=0 HTTP/1.1", new BufferedReader(
-                        new InputStreamReader(asked.getInputStream(), StandardCharsets.US_ASCII)).readLine());
+                        new InputStreamReader(watch.getInputStream(), StandardCharsets.US_ASCII)).readLine());
                 BufferedReader log = router.inputReader();
                 router.toHandle().destroy();
-                String said = readUntil(log, "leaving");
+                String output = readUntil(log, "leaving");
                 router.toHandle().destroy();
-                said += log.lines().reduce("", (a, b) -> a + b + "\n");
+                output += log.lines().reduce("", (a, b) -> a + b + "\n");
                 assertTrue(router.waitFor(30, TimeUnit.SECONDS));
-                assertEquals(1, said.split("counters at exit", -1).length - 1, said);
-                assertEquals(1, said.split("leaving", -1).length - 1, said);
+                assertEquals(1, output.split("counters at exit", -1).length - 1, output);
+                assertEquals(1, output.split("leaving", -1).length - 1, output);
             } finally {
                 router.destroyForcibly();
             }
@@ -121,21 +126,22 @@
     }
 
     /**
-     * Idle clients fill what there is of descriptors while discovery is down: the list is asked for all the
-     * same once it is back, and a client that asks is answered.
+     * Idle clients use up the file descriptors while discovery is down: once it is back, the endpoint list is
+     * still requested, and a client that sends a request is answered.
      */
     @Test
-    void idleClientsDoNotKeepItFromTheListUnderASmallRealLimit() throws Exception {
+    void idleClientsDoNotBlockDiscoveryAtTheDescriptorLimit() throws Exception {
         InetAddress local = InetAddress.getByName("127.0.0.1");
-        int away;
-        try (ServerSocket list = new ServerSocket(0, 50, local)) {
-            away = list.getLocalPort();
+        int discoveryPort;
+        try (ServerSocket discovery = new ServerSocket(0, 50, local)) {
+            discoveryPort = discovery.getLocalPort();
         }
         String config = Files.readString(RecordedExchange.FOLDER.resolve("config.json"))
-                .replace("127.0.0.1:8000", "127.0.0.1:0").replace("127.0.0.1:8500", "127.0.0.1:" + away)
-                .replaceFirst("\\{", "{\"limits\":{\"sockets\":" + SMALL_LIMIT + ",\"memory_mb\":160},");
-        Process router = start(config, "sh", "-c", "ulimit -n " + SMALL_LIMIT + "; exec \"$@\"", "sh");
-        List<Socket> idle = new ArrayList<>();
+                .replace("127.0.0.1:8000", "127.0.0.1:0")
+                .replace("127.0.0.1:8500", "127.0.0.1:" + discoveryPort)
+                .replaceFirst("\\{", "{\"limits\":{\"sockets\":" + DESCRIPTOR_LIMIT + ",\"memory_mb\":160},");
+        Process router = start(config, "sh", "-c", "ulimit -n " + DESCRIPTOR_LIMIT + "; exec \"$@\"", "sh");
+        List<Socket> idleClients = new ArrayList<>();
         try {
             BufferedReader log = router.inputReader();
             String line = log.readLine();
@@ -143,54 +149,56 @@
                 line = log.readLine();
             }
             int port = Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
-            for (int i = 0; i < 2 * SMALL_LIMIT; i++) {
-                idle.add(new Socket(local, port));
+            for (int i = 0; i < 2 * DESCRIPTOR_LIMIT; i++) {
+                idleClients.add(new Socket(local, port));
             }
-            try (ServerSocket list = new ServerSocket(away, 50, local)) {
-                list.setSoTimeout(10_000);
-                try (Socket call = list.accept()) {
-                    assertTrue(new BufferedReader(new InputStreamReader(call.getInputStream(),
+            try (ServerSocket discovery = new ServerSocket(discoveryPort, 50, local)) {
+                discovery.setSoTimeout(10_000);
+                try (Socket watch = discovery.accept()) {
+                    assertTrue(new BufferedReader(new InputStreamReader(watch.getInputStream(),
                             StandardCharsets.US_ASCII)).readLine().startsWith("GET /v1/endpoints"));
-                    Socket asks = new Socket(local, port);
-                    idle.add(asks);
-                    asks.getOutputStream().write("GET /ready HTTP/1.1\r\n\r\n".getBytes(
+                    Socket readyProbe = new Socket(local, port);
+                    idleClients.add(readyProbe);
+                    readyProbe.getOutputStream().write("GET /ready HTTP/1.1\r\n\r\n".getBytes(
                             StandardCharsets.US_ASCII));
                     assertEquals("HTTP/1.1 200 OK", new BufferedReader(new InputStreamReader(
-                            asks.getInputStream(), StandardCharsets.US_ASCII)).readLine());
+                            readyProbe.getInputStream(), StandardCharsets.US_ASCII)).readLine());
                 }
             }
         } finally {
-            for (Socket client : idle) {
+            for (Socket client : idleClients) {
                 client.close();
             }
             router.destroyForcibly().waitFor();
         }
     }
 
-    /** News comes in more reads than one, after times in which nothing happened: it is read in its order. */
+    /** Endpoint lists that arrive in several reads, each after an idle period, are read in order. */
     @Test
-    void aLongListIsReadInItsOrderAfterQuietTimes() throws Exception {
+    void longEndpointListsAreReadInOrderAfterIdlePeriods() throws Exception {
         InetAddress local = InetAddress.getByName("127.0.0.1");
-        try (ServerSocket list = new ServerSocket(0, 50, local)) {
-            list.setSoTimeout(20_000);
+        try (ServerSocket discovery = new ServerSocket(0, 50, local)) {
+            discovery.setSoTimeout(20_000);
             Process router = start(Files.readString(RecordedExchange.FOLDER.resolve("config.json"))
-                    .replace("127.0.0.1:8000", "127.0.0.1:0").replace("127.0.0.1:8500", at(list)));
-            try (Socket call = list.accept()) {
-                call.setSoTimeout(20_000);
-                BufferedReader asked = new BufferedReader(new InputStreamReader(call.getInputStream(),
+                    .replace("127.0.0.1:8000", "127.0.0.1:0")
+                    .replace("127.0.0.1:8500", addressOf(discovery)));
+            try (Socket watch = discovery.accept()) {
+                watch.setSoTimeout(20_000);
+                BufferedReader received = new BufferedReader(new InputStreamReader(watch.getInputStream(),
                         StandardCharsets.US_ASCII));
-                assertEquals("GET /v1/endpoints?since=7&timeout_ms=0 HTTP/1.1", readCall(asked));
+                assertEquals("GET /v1/endpoints?since=7&timeout_ms=0 HTTP/1.1", readRequestHead(received));
                 for (int version = 8; version < 14; version++) {
-                    // longer than a tenth of a second, after which the sockets are read before all else
+                    // longer than 100 ms, after which the sockets are read before anything else
                     Thread.sleep(250);
                     String servers = IntStream.range(100, 400)
                             .mapToObj(i -> "{\"id\":\"s-" + i + "\",\"state\":\"removed\"}")
                             .collect(Collectors.joining(","));
                     String body = "{\"version\":" + version + ",\"full\":false,\"servers\":["
                             + servers + "]}";
-                    call.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length()
+                    watch.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length()
                             + "\r\n\r\n" + body).getBytes(StandardCharsets.US_ASCII));
-                    assertTrue(readCall(asked).startsWith("GET /v1/endpoints?since=" + version + "&"));
+                    assertTrue(readRequestHead(received)
+                            .startsWith("GET /v1/endpoints?since=" + version + "&"));
                 }
             } finally {
                 router.destroyForcibly();
@@ -198,8 +206,8 @@
         }
     }
 
-    /** The first line of a request, which is read to its end. */
-    private static String readCall(BufferedReader from) throws IOException {
+    /** Reads the head of a request and returns its first line, "null" at the end of the stream. */
+    private static String readRequestHead(BufferedReader from) throws IOException {
         String first = from.readLine();
         String line = first;
         while (line != null && !line.isEmpty()) {
@@ -208,51 +216,51 @@
         return String.valueOf(first);
     }
 
-    /** SIGHUP must not end it: a bad file changes nothing, a good one moves the watch. */
+    /** SIGHUP must not end the program: a bad file changes nothing, a good one moves the discovery watch. */
     @Test
-    void takesNewConfigurationsAtSighup() throws Exception {
-        takesNewConfigurations(true, "env", "--default-signal=HUP");
+    void reloadsConfigurationOnSighup() throws Exception {
+        reloadsConfiguration(true, "env", "--default-signal=HUP");
     }
 
-    /** Started with SIGHUP ignored, as nohup does, the JVM can't take it: the file is looked at instead. */
+    /** Started with SIGHUP ignored, as under nohup, the JVM can't handle it: the file is polled instead. */
     @Test
-    void takesNewConfigurationsAlsoWhereSighupIsIgnored() throws Exception {
-        takesNewConfigurations(false, "sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
+    void reloadsConfigurationByPollingWhereSighupIsIgnored() throws Exception {
+        reloadsConfiguration(false, "sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
     }
 
-    /** The platform may start the router from a process that ignores SIGHUP: the run line undoes that. */
+    /** The platform may start the router from a process that ignores SIGHUP: the run command undoes that. */
     @Test
-    void theRunLineTakesSighupWhoeverStartsIt() throws Exception {
+    void runCommandRestoresSighup() throws Exception {
         String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(line -> line.startsWith("run = ")).findFirst().orElseThrow();
-        String before = run.substring(run.indexOf("exec ") + "exec ".length(), run.indexOf("java "));
-        assertFalse(before.isBlank(), run);
-        takesNewConfigurations(true, "sh", "-c", "trap '' HUP; exec " + before + "\"$@\"", "sh");
+        String launcher = run.substring(run.indexOf("exec ") + "exec ".length(), run.indexOf("java "));
+        assertFalse(launcher.isBlank(), run);
+        reloadsConfiguration(true, "sh", "-c", "trap '' HUP; exec " + launcher + "\"$@\"", "sh");
     }
 
-    private void takesNewConfigurations(boolean bySignal, String... before) throws Exception {
+    private void reloadsConfiguration(boolean bySignal, String... launcher) throws Exception {
         InetAddress local = InetAddress.getByName("127.0.0.1");
-        try (ServerSocket list = new ServerSocket(0, 50, local);
-                ServerSocket next = new ServerSocket(0, 50, local)) {
-            next.setSoTimeout(20_000);
+        try (ServerSocket discovery = new ServerSocket(0, 50, local);
+                ServerSocket newDiscovery = new ServerSocket(0, 50, local)) {
+            newDiscovery.setSoTimeout(20_000);
             String config = Files.readString(RecordedExchange.FOLDER.resolve("config.json"))
                     .replace("127.0.0.1:8000", "127.0.0.1:0");
-            Process router = start(config.replace("127.0.0.1:8500", at(list)), before);
+            Process router = start(config.replace("127.0.0.1:8500", addressOf(discovery)), launcher);
             try {
                 BufferedReader log = router.inputReader();
                 String first = readUntil(log, "listens on");
                 assertEquals(bySignal, !first.contains("is read again whenever it has changed"), first);
                 Files.writeString(folder.resolve("config.json"), "{");
-                hangUp(router);
+                sendSighup(router);
                 readUntil(log, "the old one stays");
                 Files.writeString(folder.resolve("config.json"),
-                        config.replace("127.0.0.1:8500", at(next)));
-                hangUp(router);
-                hangUp(router);
-                try (Socket asked = next.accept()) {
+                        config.replace("127.0.0.1:8500", addressOf(newDiscovery)));
+                sendSighup(router);
+                sendSighup(router);
+                try (Socket watch = newDiscovery.accept()) {
                     assertEquals("GET /v1/endpoints HTTP/1.1", new BufferedReader(new InputStreamReader(
-                            asked.getInputStream(), StandardCharsets.US_ASCII)).readLine());
-                    hangUp(router);
+                            watch.getInputStream(), StandardCharsets.US_ASCII)).readLine());
+                    sendSighup(router);
                     router.toHandle().destroy();
                     assertTrue(router.waitFor(30, TimeUnit.SECONDS));
                 }
@@ -264,24 +272,27 @@
         }
     }
 
-    /** Reads to the line with these words; returns all that was read. */
-    private static String readUntil(BufferedReader log, String words) throws IOException {
+    /** Reads up to the first line that contains the text; returns all that was read. */
+    private static String readUntil(BufferedReader log, String text) throws IOException {
         StringBuilder read = new StringBuilder();
         for (String line = log.readLine(); line != null; line = log.readLine()) {
             read.append(line).append('\n');
-            if (line.contains(words)) {
+            if (line.contains(text)) {
                 return read.toString();
             }
         }
-        throw new IOException("it ended without saying '" + words + "':\n" + read);
+        throw new IOException("the log ended without '" + text + "':\n" + read);
     }
 
-    private static void hangUp(Process router) throws Exception {
+    private static void sendSighup(Process router) throws Exception {
         assertEquals(0, new ProcessBuilder("kill", "-HUP", Long.toString(router.pid())).start().waitFor());
     }
 
-    /** Closing on bytes that were never read would reset the connection and could take the answer along. */
-    private static void assertOversizedIsAnswered(InetAddress local, int port) throws IOException {
+    /**
+     * An oversized request is answered with 413. Closing the connection with unread bytes would reset it, and
+     * the client could lose the response.
+     */
+    private static void assertOversizedRequestIsAnswered(InetAddress local, int port) throws IOException {
         try (Socket client = new Socket(local, port)) {
             String head = "POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 1000000\r\n\r\n";
             byte[] request = (head + "x".repeat(1_000_000)).getBytes(StandardCharsets.US_ASCII);
@@ -291,7 +302,7 @@
         }
     }
 
-    private static String at(ServerSocket socket) {
+    private static String addressOf(ServerSocket socket) {
         return "127.0.0.1:" + socket.getLocalPort();
     }
 }
--- a/src/test/java/yewdock/probe/ListenerProbe.java
+++ b/src/test/java/yewdock/probe/ListenerProbe.java
@@ -13,47 +13,48 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The options that docs/UPGRADE.md weighs, tried out: what a closed listener of several takes along, and what
- * a relay in front costs. Run by hand; prints its figures.
+ * Measures the options that docs/UPGRADE.md compares: how many waiting connections are lost when one of
+ * several listeners on a port is closed, and what a relay in front costs. Run by hand; prints its results.
  */
 public final class ListenerProbe {
-    private static final int WAITING = 400;
+    private static final int WAITING_CONNECTIONS = 400;
+    /** Round trips that are measured, after as many for warm-up. */
     private static final int ROUND_TRIPS = 20_000;
-    private static final int BYTES = 512;
+    private static final int MESSAGE_BYTES = 512;
 
     private ListenerProbe() {
     }
 
-    /** Runs all. */
+    /** Runs all measurements. */
     public static void main(String[] args) throws Exception {
-        System.out.println("several listeners on one port, one closed: " + closedOfSeveral(true));
+        System.out.println("several listeners on one port, one closed: " + closeListener(true));
         System.out.println("one listener shared by two processes' worth of channels: "
-                + closedOfSeveral(false));
-        System.out.println("round trip of " + BYTES + " bytes, direct: " + roundTrips(false));
-        System.out.println("round trip of " + BYTES + " bytes, through a relay: " + roundTrips(true));
+                + closeListener(false));
+        System.out.println("round trip of " + MESSAGE_BYTES + " bytes, direct: " + roundTrips(false));
+        System.out.println("round trip of " + MESSAGE_BYTES + " bytes, through a relay: " + roundTrips(true));
     }
 
-    private static ServerSocketChannel listen(int port, boolean several) throws IOException {
+    private static ServerSocketChannel listen(int port, boolean sharePort) throws IOException {
         ServerSocketChannel listener = ServerSocketChannel.open();
-        listener.setOption(StandardSocketOptions.SO_REUSEPORT, several);
+        listener.setOption(StandardSocketOptions.SO_REUSEPORT, sharePort);
         return listener.bind(new InetSocketAddress("127.0.0.1", port), 1024);
     }
 
-    /** Connections that wait in the queues while a listener is closed: how many are lost. */
-    private static String closedOfSeveral(boolean several) throws IOException {
-        ServerSocketChannel old = listen(0, several);
-        int port = ((InetSocketAddress) old.getLocalAddress()).getPort();
-        ServerSocketChannel next = several ? listen(port, true) : old;
+    /** Closes one of two listeners, or none, while connections wait in the queue; counts the lost ones. */
+    private static String closeListener(boolean sharePort) throws IOException {
+        ServerSocketChannel oldListener = listen(0, sharePort);
+        int port = ((InetSocketAddress) oldListener.getLocalAddress()).getPort();
+        ServerSocketChannel newListener = sharePort ? listen(port, true) : oldListener;
         List<SocketChannel> clients = new ArrayList<>();
-        for (int i = 0; i < WAITING; i++) {
+        for (int i = 0; i < WAITING_CONNECTIONS; i++) {
             clients.add(SocketChannel.open(new InetSocketAddress("127.0.0.1", port)));
         }
-        if (several) {
-            old.close();
+        if (sharePort) {
+            oldListener.close();
         }
-        next.configureBlocking(false);
+        newListener.configureBlocking(false);
         int served = 0;
-        for (SocketChannel c = next.accept(); c != null; c = next.accept()) {
+        for (SocketChannel c = newListener.accept(); c != null; c = newListener.accept()) {
             c.write(ByteBuffer.wrap(new byte[] {1}));
             served++;
             c.close();
@@ -68,41 +69,42 @@
             }
             client.close();
         }
-        next.close();
-        return served + " served, " + lost + " lost of " + WAITING;
+        newListener.close();
+        return served + " served, " + lost + " lost of " + WAITING_CONNECTIONS;
     }
 
+    /** Times round trips to an echo server, directly or through a relay; percentiles in microseconds. */
     private static String roundTrips(boolean relayed) throws Exception {
         ServerSocketChannel echo = listen(0, false);
-        thread(() -> {
+        startDaemonThread(() -> {
             SocketChannel c = echo.accept();
             c.setOption(StandardSocketOptions.TCP_NODELAY, true);
             copy(c, c);
         });
         int port = ((InetSocketAddress) echo.getLocalAddress()).getPort();
         if (relayed) {
-            ServerSocketChannel front = listen(0, false);
-            int back = port;
-            thread(() -> {
-                SocketChannel in = front.accept();
-                SocketChannel out = SocketChannel.open(new InetSocketAddress("127.0.0.1", back));
+            ServerSocketChannel relay = listen(0, false);
+            int echoPort = port;
+            startDaemonThread(() -> {
+                SocketChannel in = relay.accept();
+                SocketChannel out = SocketChannel.open(new InetSocketAddress("127.0.0.1", echoPort));
                 in.setOption(StandardSocketOptions.TCP_NODELAY, true);
                 out.setOption(StandardSocketOptions.TCP_NODELAY, true);
-                thread(() -> copy(out, in));
+                startDaemonThread(() -> copy(out, in));
                 copy(in, out);
             });
-            port = ((InetSocketAddress) front.getLocalAddress()).getPort();
+            port = ((InetSocketAddress) relay.getLocalAddress()).getPort();
         }
         Histogram micros = new Histogram(3);
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setTcpNoDelay(true);
-            byte[] bytes = new byte[BYTES];
+            byte[] bytes = new byte[MESSAGE_BYTES];
             for (int i = 0; i < 2 * ROUND_TRIPS; i++) {
-                long began = System.nanoTime();
+                long startNanos = System.nanoTime();
                 socket.getOutputStream().write(bytes);
-                socket.getInputStream().readNBytes(BYTES);
+                socket.getInputStream().readNBytes(MESSAGE_BYTES);
                 if (i >= ROUND_TRIPS) {
-                    micros.recordValue((System.nanoTime() - began) / 1000);
+                    micros.recordValue((System.nanoTime() - startNanos) / 1000);
                 }
             }
         }
@@ -110,16 +112,16 @@
                 micros.getValueAtPercentile(99));
     }
 
-    private interface Work {
+    private interface IoTask {
         void run() throws IOException;
     }
 
-    private static void thread(Work work) {
+    private static void startDaemonThread(IoTask task) {
         Thread thread = new Thread(() -> {
             try {
-                work.run();
+                task.run();
             } catch (IOException e) {
-                // the other side is done
+                // the peer has closed the connection
             }
         });
         thread.setDaemon(true);
