--- a/src/test/java/yewdock/ConsensusDaemonTest.java
+++ b/src/test/java/yewdock/ConsensusDaemonTest.java
@@ -90,8 +90,8 @@
     }
 
     /**
-     * Without a quorum an instance refuses new requests at once with 503 and sends none to a server; once a
-     * quorum is back it holds its lease again.
+     * Without a quorum an instance refuses new requests at once with 503 and a time to retry after, and sends
+     * none to a server; once a quorum is back it holds its lease again.
      */
     @Test
     void withoutQuorumNewRequestsAreRefused() throws Exception {
