--- a/src/main/java/yewdock/baseline/Hashes.java
+++ b/src/main/java/yewdock/baseline/HashFunctions.java
@@ -5,13 +5,13 @@
 import java.util.zip.CRC32;
 import umberspread.Mixing;
 
-/** Hash functions for rings. */
-final class Hashes {
-    private Hashes() {
+/** The 64-bit hash functions that place servers and keys on a consistent-hash ring. */
+final class HashFunctions {
+    private HashFunctions() {
     }
 
-    /** The function of this name. */
-    static LongUnaryOperator of(String name) {
+    /** Returns the function with this name, one of {@link Options#HASHES}; unknown names give splitmix. */
+    static LongUnaryOperator byName(String name) {
         return switch (name) {
             case "murmur3" -> {
                 var hasher = Hashing.murmur3_128();
@@ -25,17 +25,17 @@
                 var hasher = Hashing.komihash5_0();
                 yield x -> hasher.hashStream().putLong(x).getAsLong();
             }
-            case "crc32" -> Hashes::crc;
+            case "crc32" -> HashFunctions::crc32;
             default -> Mixing::mix;
         };
     }
 
-    private static long crc(long x) {
+    private static long crc32(long x) {
         CRC32 crc = new CRC32();
         for (int i = 0; i < Long.BYTES; i++) {
             crc.update((int) (x >>> 8 * i));
         }
-        // spread over the whole ring: the sum has half its bits
+        // CRC-32 has 32 bits: the shift spreads its values over the whole 64-bit ring
         return crc.getValue() << 32;
     }
 }
--- a/src/main/java/yewdock/baseline/Options.java
+++ b/src/main/java/yewdock/baseline/Options.java
@@ -3,29 +3,34 @@
 import java.util.List;
 
 /**
- * What a policy leaves open: the bound in hundredths of the average, points of a box on the ring, the
- * hash, how
- * the bound is rounded, and whether it counts requests or their tokens.
+ * Parameters of the consistent-hash policies.
+ *
+ * @param factor the load bound, in percent of the average load
+ * @param points the virtual nodes of a server on the ring
+ * @param hash the hash function, one of {@link #HASHES}
+ * @param rounding how the bound is rounded, one of {@link #ROUNDINGS}
+ * @param measure what the load counts, one of {@link #MEASURES}
  */
 public record Options(int factor, int points, String hash, String rounding, String measure) {
-    /** The ways of hashing. */
+    /** Names of the hash functions. */
     public static final List<String> HASHES = List.of("splitmix", "murmur3", "xxh3", "komi", "crc32");
-    /** The ways of rounding: up; up or down by the request's own draw; not at all. */
+    /** Rounding of the bound: up; up or down at random, drawn per request and server; down, to 1 at least. */
     public static final List<String> ROUNDINGS = List.of("ceil", "chance", "floor");
-    /** What is counted. */
+    /** What the load of a server counts: its requests in flight, or their tokens. */
     public static final List<String> MEASURES = List.of("requests", "tokens");
 
+    /** Checks the ranges and names; throws IllegalArgumentException for the first that is invalid. */
     public Options {
-        require(factor > 100 && factor <= 100_000, "factor: over 100, at most 100000");
-        require(points >= 1 && points <= 10_000, "points: 1 to 10000");
-        require(HASHES.contains(hash), "hash: one of " + HASHES);
-        require(ROUNDINGS.contains(rounding), "rounding: one of " + ROUNDINGS);
-        require(MEASURES.contains(measure), "measure: one of " + MEASURES);
+        check(factor > 100 && factor <= 100_000, "factor: must be over 100 and at most 100000");
+        check(points >= 1 && points <= 10_000, "points: must be from 1 to 10000");
+        check(HASHES.contains(hash), "hash: must be one of " + HASHES);
+        check(ROUNDINGS.contains(rounding), "rounding: must be one of " + ROUNDINGS);
+        check(MEASURES.contains(measure), "measure: must be one of " + MEASURES);
     }
 
-    private static void require(boolean holds, String what) {
-        if (!holds) {
-            throw new IllegalArgumentException(what);
+    private static void check(boolean valid, String message) {
+        if (!valid) {
+            throw new IllegalArgumentException(message);
         }
     }
 }
--- a/src/main/java/yewdock/baseline/Sight.java
+++ b/src/main/java/yewdock/baseline/Sight.java
@@ -2,11 +2,11 @@
 
 import umberspread.Routing.Request;
 
-/** The true state of boxes, which no real router sees. */
+/** The true state of the servers, known to a simulation only: a real router cannot see it. */
 public interface Sight {
-    /** Microseconds until the request's first token if it were sent there now; infinite where it can't be. */
+    /** Microseconds to the first token if the request were sent there now; infinite where it cannot run. */
     double firstTokenIn(long replicaId, Request request);
 
-    /** Microseconds between tokens there, with one request more. */
+    /** Microseconds between two tokens on this server if it ran one more request. */
     double paceIn(long replicaId);
 }
--- a/src/test/java/yewdock/baseline/BoundTest.java
+++ b/src/test/java/yewdock/baseline/BoundTest.java
@@ -11,19 +11,19 @@
 import org.junit.jupiter.api.Test;
 import umberspread.Routing;
 
-/** What was published of consistent hashing with bounded loads, with one count over all traffic. */
+/** Published properties of consistent hashing with bounded loads, for one policy that sees all traffic. */
 class BoundTest {
     private static final long SECOND = 1_000_000;
 
-    /** Sends are counted; nothing else is asked for. */
-    private static final class Counting implements Routing.Actions {
-        private final Map<Long, Integer> open = new HashMap<>();
-        private long last;
+    /** Counts the requests in flight on each server; any action but a send fails the test. */
+    private static final class CountingActions implements Routing.Actions {
+        private final Map<Long, Integer> inFlight = new HashMap<>();
+        private long lastServer;
 
         @Override
         public void send(long requestId, long replicaId, long timeout) {
-            open.merge(replicaId, 1, Integer::sum);
-            last = replicaId;
+            inFlight.merge(replicaId, 1, Integer::sum);
+            lastServer = replicaId;
         }
 
         @Override
@@ -43,17 +43,17 @@
 
         @Override
         public void watchEndpointList() {
-            // the test tells the list
+            // the test delivers the list itself
         }
 
         @Override
         public void wakeAt(long time, int token) {
-            // no time passes
+            // the test needs no timers
         }
 
         @Override
         public void log(String line) {
-            // not read
+            // the test ignores logs
         }
     }
 
@@ -67,48 +67,46 @@
                 new Routing.Prices(0, 0, 0, 0, 0));
     }
 
-    private static List<Routing.ServerState> fleet(int boxes) {
+    private static List<Routing.ServerState> fleet(int servers) {
         List<Routing.ServerState> list = new ArrayList<>();
-        for (int i = 1; i <= boxes; i++) {
+        for (int i = 1; i <= servers; i++) {
             list.add(new Routing.ServerState(i * 7919L, 0, 0, 0, 1, Routing.Lifecycle.READY, 0));
         }
         return list;
     }
 
-    /**
-     * Largest load with m requests open on n boxes is at most ceil((1+e) m / n), for every e and all the
-     * time.
-     */
+    /** With m requests in flight on n servers no server ever has more than ceil((1+e) m / n), for every e. */
     @Test
-    void theLargestLoadStaysWithinTheBound() {
+    void largestLoadStaysWithinTheBound() {
         for (String hash : Options.HASHES) {
             for (int factor : new int[] {105, 125, 200}) {
-                for (int boxes : new int[] {1, 7, 100}) {
-                    Counting counted = new Counting();
+                for (int servers : new int[] {1, 7, 100}) {
+                    CountingActions actions = new CountingActions();
                     Routing.Events ring = Policies.make("bounded", new Options(factor, 64, hash, "ceil",
                             "requests"),
-                            settings(), 1, counted, null);
-                    ring.listReceived(0, Routing.ListKind.FULL, fleet(boxes));
-                    SplittableRandom random = new SplittableRandom(factor * 31L + boxes);
-                    List<long[]> out = new ArrayList<>();
-                    int open = 0;
+                            settings(), 1, actions, null);
+                    ring.listReceived(0, Routing.ListKind.FULL, fleet(servers));
+                    SplittableRandom random = new SplittableRandom(factor * 31L + servers);
+                    List<long[]> running = new ArrayList<>();
+                    int inFlight = 0;
                     for (int i = 1; i <= 3000; i++) {
-                        boolean ends = open > 0 && random.nextInt(5) < 2;
+                        boolean ends = inFlight > 0 && random.nextInt(5) < 2;
                         if (ends) {
-                            long[] one = out.remove(random.nextInt(out.size()));
-                            open--;
-                            counted.open.merge(one[1], -1, Integer::sum);
-                            ring.attemptEnded(i, one[0], 0, Routing.Outcome.OK, 1, true, 0, null);
+                            long[] ended = running.remove(random.nextInt(running.size()));
+                            inFlight--;
+                            actions.inFlight.merge(ended[1], -1, Integer::sum);
+                            ring.attemptEnded(i, ended[0], 0, Routing.Outcome.OK, 1, true, 0, null);
                         } else {
-                            // one key in three is the same: without the bound it would fill its box
+                            // a third share one key: without the bound they would overload its server
                             long key = random.nextInt(3) == 0 ? 42 : 1 + random.nextInt(1000);
                             ring.requestArrived(i, new Routing.Request(i, 0, 0, false, 0, key, 100, 0, 10,
                                     SECOND));
-                            open++;
-                            out.add(new long[] {i, counted.last});
-                            long most = ((long) factor * open + 100L * boxes - 1) / (100L * boxes);
-                            assertTrue(counted.open.get(counted.last) <= most, hash + " " + factor + " "
-                                    + boxes);
+                            inFlight++;
+                            running.add(new long[] {i, actions.lastServer});
+                            long maxInFlight = ((long) factor * inFlight + 100L * servers - 1)
+                                    / (100L * servers);
+                            assertTrue(actions.inFlight.get(actions.lastServer) <= maxInFlight,
+                                    hash + " " + factor + " " + servers);
                         }
                     }
                 }
@@ -116,32 +114,29 @@
         }
     }
 
-    /**
-     * Without a bound one popular key lies on one box; with it the spill goes to the same next boxes each
-     * time.
-     */
+    /** Without a bound a popular key loads one server; with it, the excess spills to the next servers. */
     @Test
-    void plainHashingHasHotSpotsAndBoundedSpillsInRingOrder() {
-        Map<Boolean, Integer> most = new HashMap<>();
+    void plainHashingHasHotSpotsAndBoundedHashingSpills() {
+        Map<Boolean, Integer> maxInFlight = new HashMap<>();
         for (boolean bounded : List.of(true, false)) {
-            Counting counted = new Counting();
+            CountingActions actions = new CountingActions();
             Routing.Events ring = Policies.make(bounded ? "bounded" : "hash",
-                    new Options(125, 64, "splitmix", "ceil", "requests"), settings(), 1, counted, null);
+                    new Options(125, 64, "splitmix", "ceil", "requests"), settings(), 1, actions, null);
             ring.listReceived(0, Routing.ListKind.FULL, fleet(10));
             for (int i = 1; i <= 100; i++) {
                 ring.requestArrived(i, new Routing.Request(i, 0, 0, false, 0, 42, 100, 0, 10, SECOND));
             }
-            most.put(bounded, counted.open.values().stream().mapToInt(n -> n).max().orElse(0));
+            maxInFlight.put(bounded, actions.inFlight.values().stream().mapToInt(n -> n).max().orElse(0));
         }
-        assertEquals(13, most.get(true));
-        assertEquals(100, most.get(false));
+        assertEquals(13, maxInFlight.get(true));
+        assertEquals(100, maxInFlight.get(false));
     }
 
-    /** When a box comes, about its part of the keys moves, and none between the others. */
+    /** A new server takes about its share of the keys, and no key moves between the other servers. */
     @Test
-    void aNewBoxMovesOnlyItsPartOfTheKeys() {
-        Map<Long, Long> before = homes(9);
-        Map<Long, Long> after = homes(10);
+    void newServerTakesOnlyItsShareOfTheKeys() {
+        Map<Long, Long> before = serverByKey(9);
+        Map<Long, Long> after = serverByKey(10);
         int moved = 0;
         for (long key : before.keySet()) {
             if (!before.get(key).equals(after.get(key))) {
@@ -149,20 +144,19 @@
                 moved++;
             }
         }
-        assertTrue(moved > 50 && moved < 160, "of 1000 keys " + moved);
+        assertTrue(moved > 50 && moved < 160, "keys moved, of 1000: " + moved);
     }
 
-    private static Map<Long, Long> homes(int boxes) {
-        Counting counted = new Counting();
+    private static Map<Long, Long> serverByKey(int servers) {
+        CountingActions actions = new CountingActions();
         Routing.Events ring = Policies.make("hash", new Options(125, 64, "splitmix", "ceil", "requests"),
-                settings(), 1,
-                counted, null);
-        ring.listReceived(0, Routing.ListKind.FULL, fleet(boxes));
-        Map<Long, Long> homes = new HashMap<>();
+                settings(), 1, actions, null);
+        ring.listReceived(0, Routing.ListKind.FULL, fleet(servers));
+        Map<Long, Long> serverByKey = new HashMap<>();
         for (long key = 1; key <= 1000; key++) {
             ring.requestArrived(key, new Routing.Request(key, 0, 0, false, 0, key, 100, 0, 10, SECOND));
-            homes.put(key, counted.last);
+            serverByKey.put(key, actions.lastServer);
         }
-        return homes;
+        return serverByKey;
     }
 }
