--- a/src/main/java/yewdock/ModelCommands.java
+++ b/src/main/java/yewdock/ModelCommands.java
@@ -76,7 +76,8 @@
                     : Path.of(file.getFileName().toString().replaceFirst("\\.[^.]*$", ""));
             Experiment experiment = new Experiment(plan, folder);
             try (ProgressBar bar = new ProgressBarBuilder().setTaskName(plan.title())
-                    .setInitialMax(experiment.all()).startsFrom(experiment.done(), java.time.Duration.ZERO)
+                    .setInitialMax(experiment.totalRuns()).startsFrom(experiment.completedRuns(),
+                            java.time.Duration.ZERO)
                     .setUpdateIntervalMillis(500).build()) {
                 experiment.run(threads > 0 ? threads : Runtime.getRuntime().availableProcessors(),
                         bar::stepBy);
--- a/src/main/java/yewdock/experiment/Experiment.java
+++ b/src/main/java/yewdock/experiment/Experiment.java
@@ -14,76 +14,87 @@
 import yewdock.model.World;
 import yewdock.settings.InvalidSettingsException;
 
-/** Runs what a plan asks for that was not run yet, on several threads, and writes tables and a page. */
+/**
+ * Executes an experiment plan: runs the simulations that the output folder doesn't hold yet, on several
+ * threads, and writes the results as CSV tables, an HTML page and SVG plots.
+ */
 public final class Experiment {
     private final Plan plan;
     private final Path folder;
-    private final Runs runs;
+    private final RunStore runs;
 
-    /** Takes up what the folder already holds of this plan. */
+    /**
+     * Opens an experiment and loads the completed runs of this plan from the folder.
+     *
+     * @throws IOException if the folder can't be read or holds runs of another plan
+     */
     public Experiment(Plan plan, Path folder) throws IOException {
         this.plan = plan;
         this.folder = folder;
-        this.runs = new Runs(plan, folder);
+        this.runs = new RunStore(plan, folder);
     }
 
-    /** How many runs there are in all. */
-    public int all() {
+    /** Number of runs in the plan: cells times seeds. */
+    public int totalRuns() {
         return plan.cells().size() * plan.seeds().size();
     }
 
-    /** How many are done. */
-    public int done() {
+    /** Number of completed runs. */
+    public int completedRuns() {
         return runs.all().size();
     }
 
-    /** Runs the rest; each run's end is told. What is done stays done if this is interrupted. */
-    public void run(int threads, IntConsumer ended) throws IOException, InvalidSettingsException {
+    /**
+     * Runs what is missing and writes all output files. Completed runs are kept if this is interrupted.
+     *
+     * @param ended called with 1 after each run, on a worker thread
+     */
+    public void run(int threads, IntConsumer onRunEnded) throws IOException, InvalidSettingsException {
         List<Scenario> scenarios = new ArrayList<>();
         for (var cell : plan.cells()) {
             scenarios.add(plan.scenario(cell));
         }
-        ExecutorService pool = Executors.newFixedThreadPool(threads, work -> {
-            Thread thread = new Thread(work, "experiment");
+        ExecutorService pool = Executors.newFixedThreadPool(threads, task -> {
+            Thread thread = new Thread(task, "experiment");
             thread.setDaemon(true);
             return thread;
         });
         try {
-            List<Future<?>> waiting = new ArrayList<>();
-            // seed by seed, so that an interrupted experiment has something of every cell
+            List<Future<?>> pending = new ArrayList<>();
+            // seed by seed, so that an interrupted experiment has runs of every cell
             for (long seed : plan.seeds()) {
-                for (int c = 0; c < scenarios.size(); c++) {
-                    Runs.Key key = new Runs.Key(c, seed);
-                    Scenario scenario = scenarios.get(c);
-                    if (!runs.has(key)) {
-                        waiting.add(pool.submit(() -> {
+                for (int cell = 0; cell < scenarios.size(); cell++) {
+                    RunStore.RunKey key = new RunStore.RunKey(cell, seed);
+                    Scenario scenario = scenarios.get(cell);
+                    if (!runs.contains(key)) {
+                        pending.add(pool.submit(() -> {
                             runs.add(key, Measures.of(World.run(scenario, seed)));
-                            ended.accept(1);
+                            onRunEnded.accept(1);
                         }));
                     }
                 }
             }
-            for (Future<?> one : waiting) {
-                one.get();
+            for (Future<?> future : pending) {
+                future.get();
             }
         } catch (ExecutionException e) {
             throw new IOException("a run failed: " + e.getCause(), e.getCause());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted; what is done is kept", e);
+            throw new IOException("interrupted; the completed runs are kept", e);
         } finally {
             pool.shutdownNow();
         }
         runs.writeAll();
         Files.writeString(folder.resolve("summary.csv"), new Summary(plan, runs).csv());
-        Page page = new Page(plan, runs);
-        Files.writeString(folder.resolve("index.html"), page.html());
+        HtmlReport report = new HtmlReport(plan, runs);
+        Files.writeString(folder.resolve("index.html"), report.html());
         for (Plan.Plot plot : plan.plots()) {
-            Files.writeString(folder.resolve(Page.fileName(plot)), page.svg(plot));
+            Files.writeString(folder.resolve(HtmlReport.fileName(plot)), report.svg(plot));
         }
     }
 
-    /** The table of a measure, for a terminal. */
+    /** Formats the results of one measure as a Markdown table. */
     public String table(String measure) {
         return new Summary(plan, runs).table(measure);
     }
--- a/src/main/java/yewdock/experiment/Page.java
+++ b/src/main/java/yewdock/experiment/HtmlReport.java
@@ -14,8 +14,8 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.style.Styler;
 
-/** One page that holds all: the plots as SVG, the tables, the scenario. It needs nothing else to be read. */
-final class Page {
+/** Renders the results as one self-contained HTML page: plots as inline SVG, tables, the scenario text. */
+final class HtmlReport {
     private static final String HEAD = """
             <!DOCTYPE html>
             <html lang="en"><head><meta charset="utf-8"><title>TITLE</title><style>
@@ -28,35 +28,37 @@
             <h1>TITLE</h1>
             """;
     private static final String NOTE = """
-             days each, the same days for all. Medians over days, with an interval that holds the true median
-            in 95 of 100 cases. Differences are day by day, against the first line; p is Wilcoxon's. Bars in
-            plots are half the interval's width.</p>
+             simulated days each, the same days for all. Medians over days with a 95% confidence interval.
+            Differences are paired by day, against the first row; p is from the Wilcoxon signed-rank test.
+            Error bars in plots are half the width of the interval.</p>
             """;
 
     private final Plan plan;
-    private final Runs runs;
+    private final RunStore runs;
     private final Summary summary;
 
     static {
         System.setProperty("java.awt.headless", "true");
     }
 
-    Page(Plan plan, Runs runs) {
+    HtmlReport(Plan plan, RunStore runs) {
         this.plan = plan;
         this.runs = runs;
         this.summary = new Summary(plan, runs);
     }
 
+    /** The name of the SVG file for a plot, made from its title. */
     static String fileName(Plan.Plot plot) {
         return plot.title().toLowerCase(Locale.ROOT).replaceAll("[^a-z0-9]+", "-") + ".svg";
     }
 
+    /** The whole page. */
     String html() throws IOException {
-        StringBuilder all = new StringBuilder(HEAD.replace("TITLE", text(plan.title())));
+        StringBuilder all = new StringBuilder(HEAD.replace("TITLE", escape(plan.title())));
         all.append("<p>").append(plan.cells().size()).append(" settings, ").append(plan.seeds().size())
                 .append(NOTE);
         for (Plan.Plot plot : plan.plots()) {
-            all.append("<h2>").append(text(plot.title())).append("</h2>\n").append(svg(plot).replaceFirst(
+            all.append("<h2>").append(escape(plot.title())).append("</h2>\n").append(svg(plot).replaceFirst(
                     "(?s)^.*?(?=<svg)", ""));
             table(all, plot.y());
         }
@@ -64,52 +66,52 @@
             table(all, "service");
         }
         table(all, "broken_rules");
-        all.append("<h2>Scenario</h2>\n<pre>").append(text(plan.scenarioText()));
+        all.append("<h2>Scenario</h2>\n<pre>").append(escape(plan.scenarioText()));
         all.append("</pre>\n</body></html>\n");
         return all.toString();
     }
 
     private void table(StringBuilder all, String measure) {
         all.append("<table><tr>");
-        plan.varied().forEach(v -> all.append("<th>").append(text(v)).append("</th>"));
+        plan.variedKeys().forEach(v -> all.append("<th>").append(escape(v)).append("</th>"));
         all.append("<th>").append(measure)
                 .append("</th><th>95%</th><th>against the first</th><th>95%</th><th>p</th></tr>\n");
-        for (Summary.Line l : summary.lines(measure)) {
+        for (Summary.Row row : summary.rows(measure)) {
             all.append("<tr>");
-            l.labels().forEach(v -> all.append("<td>").append(text(v)).append("</td>"));
-            Statistics.Estimate d = l.against().difference();
+            row.labels().forEach(v -> all.append("<td>").append(escape(v)).append("</td>"));
+            Statistics.Estimate difference = row.comparison().difference();
             all.append(String.format(Locale.ROOT,
                     "<td>%.4f</td><td>%.4f to %.4f</td><td>%+.4f</td>"
                     + "<td>%+.4f to %+.4f</td><td>%.4f</td></tr>\n",
-                    l.of().median(), l.of().low(), l.of().high(), d.median(), d.low(), d.high(),
-                            l.against().p()));
+                    row.estimate().median(), row.estimate().low(), row.estimate().high(), difference.median(),
+                    difference.low(), difference.high(), row.comparison().p()));
         }
         all.append("</table>\n");
     }
 
-    /** A plot as SVG. */
+    /** Renders a plot as an SVG document. */
     String svg(Plan.Plot plot) throws IOException {
         XYChart chart = new XYChartBuilder().width(860).height(460).title(plot.title()).xAxisTitle(plot.x())
                 .yAxisTitle(plot.y()).theme(Styler.ChartTheme.Matlab).build();
         chart.getStyler().setLegendPosition(Styler.LegendPosition.OutsideE);
-        // dashes are drawn one by one, and make the file ten times as large
+        // a dashed stroke is written dash by dash and makes the file ten times as large
         chart.getStyler().setPlotGridLinesStroke(new BasicStroke(0.3f));
         chart.getStyler().setAxisTickMarksStroke(new BasicStroke(0.5f));
         chart.getStyler().setXAxisLogarithmic(plot.logX());
         chart.getStyler().setYAxisLogarithmic(plot.logY());
-        int x = plan.varied().indexOf(plot.x());
-        int by = plan.varied().indexOf(plot.by());
-        List<String> words = new ArrayList<>();
+        int x = plan.variedKeys().indexOf(plot.x());
+        int by = plan.variedKeys().indexOf(plot.by());
+        List<String> categories = new ArrayList<>();
         Map<String, List<double[]>> series = new LinkedHashMap<>();
-        List<Summary.Line> lines = summary.lines(plot.y());
-        for (Summary.Line l : lines) {
-            String name = by < 0 ? plot.y() : l.labels().get(by);
-            series.computeIfAbsent(name, n -> new ArrayList<>()).add(new double[] {at(l.labels().get(x),
-                    words),
-                l.of().median(), (l.of().high() - l.of().low()) / 2});
+        List<Summary.Row> rows = summary.rows(plot.y());
+        for (Summary.Row row : rows) {
+            String name = by < 0 ? plot.y() : row.labels().get(by);
+            series.computeIfAbsent(name, n -> new ArrayList<>()).add(new double[] {
+                xPosition(row.labels().get(x), categories), row.estimate().median(),
+                (row.estimate().high() - row.estimate().low()) / 2});
         }
         series.forEach((name, points) -> {
-            // where more keys vary than the plot shows, points at the same place become their mean
+            // if more keys vary than the plot shows, points with the same x are averaged
             Map<Double, List<double[]>> byX = new java.util.TreeMap<>();
             points.forEach(p -> byX.computeIfAbsent(p[0], k -> new ArrayList<>()).add(p));
             double[] xs = byX.keySet().stream().mapToDouble(d -> d).toArray();
@@ -117,10 +119,10 @@
             double[] bars = byX.values().stream().mapToDouble(v -> mean(v, 2)).toArray();
             chart.addSeries(name, xs, ys, bars);
         });
-        if (!words.isEmpty()) {
+        if (!categories.isEmpty()) {
             chart.setCustomXAxisTickLabelsFormatter(v -> {
                 int i = (int) Math.round(v);
-                return Math.abs(v - i) < 0.01 && i >= 0 && i < words.size() ? words.get(i) : "";
+                return Math.abs(v - i) < 0.01 && i >= 0 && i < categories.size() ? categories.get(i) : "";
             });
         }
         ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -132,19 +134,19 @@
         return points.stream().mapToDouble(p -> p[at]).average().orElse(Double.NaN);
     }
 
-    /** A number, or the place of a word among those met. */
-    private static double at(String label, List<String> words) {
+    /** The label as a number, or else its index in categories, to which a new label is added. */
+    private static double xPosition(String label, List<String> categories) {
         try {
             return Double.parseDouble(label);
         } catch (NumberFormatException e) {
-            if (!words.contains(label)) {
-                words.add(label);
+            if (!categories.contains(label)) {
+                categories.add(label);
             }
-            return words.indexOf(label);
+            return categories.indexOf(label);
         }
     }
 
-    private static String text(String raw) {
+    private static String escape(String raw) {
         return raw.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;");
     }
 }
--- a/src/main/java/yewdock/experiment/Measures.java
+++ b/src/main/java/yewdock/experiment/Measures.java
@@ -9,7 +9,7 @@
 import yewdock.model.Score.End;
 import yewdock.model.Score.Result;
 
-/** The figures that are taken of a run, by name. */
+/** The measures taken of each run. The order of their names is the column order of runs.csv. */
 final class Measures {
     private static final Map<String, ToDoubleFunction<Result>> ALL = new LinkedHashMap<>();
 
@@ -38,11 +38,13 @@
         ALL.put("broken_rules", Result::brokenRules);
     }
 
+    /** All names, in column order. */
     static final List<String> NAMES = List.copyOf(ALL.keySet());
 
     private Measures() {
     }
 
+    /** The values of all measures for a run, in the order of {@link #NAMES}. */
     static List<Double> of(Result result) {
         List<Double> values = new ArrayList<>();
         ALL.values().forEach(m -> values.add(m.applyAsDouble(result)));
--- a/src/main/java/yewdock/experiment/Plan.java
+++ b/src/main/java/yewdock/experiment/Plan.java
@@ -16,83 +16,96 @@
 import yewdock.settings.Section;
 
 /**
- * An experiment, read from HCL: a scenario, what is set for all of it, a grid of what varies, seeds and
- * plots.
- * Every cell of the grid plays the same days.
+ * An experiment plan, read from HCL: a scenario, settings common to all runs, a grid of varied settings,
+ * seeds and plots. Every cell of the grid is simulated with the same seeds, so that results can be paired.
+ *
+ * @param cells the settings of each cell; the first cell is the one that others are compared with
+ * @param variedKeys the setting keys that vary, in the order of the file
+ * @param fingerprint a hash of the plan, the scenario and the names of the measures
  */
 public record Plan(String title, String scenarioText, String scenarioName, List<Long> seeds,
-        List<Map<String, Object>> cells, List<String> varied, List<Plot> plots, String mark) {
-    private static final int MOST_CELLS = 10_000;
-    private static final int MOST_SEEDS = 10_000;
+        List<Map<String, Object>> cells, List<String> variedKeys, List<Plot> plots, String fingerprint) {
+    private static final int MAX_CELLS = 10_000;
+    private static final int MAX_SEEDS = 10_000;
 
-    /** A plot: a measure over a varied key, a line for each value of another key (empty: one line). */
+    /**
+     * A plot of a measure (y) over a varied key (x).
+     *
+     * @param by the varied key with one series for each value; empty for a single series
+     */
     public record Plot(String title, String y, String x, String by, boolean logX, boolean logY) {
     }
 
+    /** Copies the lists. */
     public Plan {
         seeds = List.copyOf(seeds);
         cells = List.copyOf(cells);
-        varied = List.copyOf(varied);
+        variedKeys = List.copyOf(variedKeys);
         plots = List.copyOf(plots);
     }
 
-    /** Reads a file and the scenario that it names, beside it; throws with one line for each mistake. */
+    /**
+     * Reads a plan and the scenario file that it names in the same folder.
+     *
+     * @throws InvalidSettingsException with one line for each error
+     */
     public static Plan read(Path file) throws IOException, InvalidSettingsException {
         String text = Files.readString(file);
-        List<String> mistakes = new ArrayList<>();
-        Section all = Section.read(file.toString(), text, mistakes);
-        Section e = all.section("experiment");
-        String title = e.string("title", file.getFileName().toString());
-        String name = e.string("scenario", "");
-        int first = e.integer("first_seed", 1, 0, 1_000_000_000);
-        int count = e.integer("seeds", 12, 1, MOST_SEEDS);
-        Map<String, Object> set = e.section("set").allValues();
+        List<String> errors = new ArrayList<>();
+        Section root = Section.read(file.toString(), text, errors);
+        Section experiment = root.section("experiment");
+        String title = experiment.string("title", file.getFileName().toString());
+        String name = experiment.string("scenario", "");
+        int firstSeed = experiment.integer("first_seed", 1, 0, 1_000_000_000);
+        int seedCount = experiment.integer("seeds", 12, 1, MAX_SEEDS);
+        Map<String, Object> set = experiment.section("set").allValues();
         Map<String, List<Object>> vary = new LinkedHashMap<>();
-        Section varied = e.section("vary");
+        Section varied = experiment.section("vary");
         varied.allValues().forEach((key, values) -> {
             if (values instanceof List<?> list && !list.isEmpty()) {
                 vary.put(key, List.copyOf(list));
             } else {
-                varied.addError(key, "a list of values, not " + values);
+                varied.addError(key, "must be a list of values, not " + values);
             }
         });
         List<Plot> plots = new ArrayList<>();
-        e.sections("plot").forEach((label, p) -> {
-            plots.add(new Plot(label, p.oneOf("y", Measures.NAMES.get(0), Measures.NAMES),
-                    p.oneOf("x", vary.isEmpty() ? "" : vary.keySet().iterator().next(),
+        experiment.sections("plot").forEach((label, plot) -> {
+            plots.add(new Plot(label, plot.oneOf("y", Measures.NAMES.get(0), Measures.NAMES),
+                    plot.oneOf("x", vary.isEmpty() ? "" : vary.keySet().iterator().next(),
                     List.copyOf(vary.keySet())),
-                    p.string("by", ""), p.bool("log_x", false), p.bool("log_y", false)));
-            p.rejectUnknownKeys();
+                    plot.string("by", ""), plot.bool("log_x", false), plot.bool("log_y", false)));
+            plot.rejectUnknownKeys();
         });
-        e.rejectUnknownKeys();
-        all.rejectUnknownKeys();
+        experiment.rejectUnknownKeys();
+        root.rejectUnknownKeys();
         Path scenario = file.resolveSibling(name);
         if (name.isEmpty() || !Files.isReadable(scenario)) {
-            e.addError("scenario", "the name of a file beside this one, not \"" + name + "\"");
+            experiment.addError("scenario",
+                    "must name a readable file in the same folder, not \"" + name + "\"");
         }
-        if (!mistakes.isEmpty()) {
-            throw new InvalidSettingsException(mistakes);
+        if (!errors.isEmpty()) {
+            throw new InvalidSettingsException(errors);
         }
         String scenarioText = Files.readString(scenario);
         List<Map<String, Object>> cells = grid(set, vary);
-        if (cells.size() > MOST_CELLS) {
+        if (cells.size() > MAX_CELLS) {
             throw new InvalidSettingsException(List.of(file + ": " + cells.size() + " cells, at most "
-                    + MOST_CELLS));
+                    + MAX_CELLS));
         }
         List<Long> seeds = new ArrayList<>();
-        for (int i = 0; i < count; i++) {
-            seeds.add((long) first + i);
+        for (int i = 0; i < seedCount; i++) {
+            seeds.add((long) firstSeed + i);
         }
         Plan plan = new Plan(title, scenarioText, scenario.toString(), seeds, cells,
-                List.copyOf(vary.keySet()), plots, mark(text, scenarioText));
-        // a mistake in a cell shows before the first run, not after an hour
+                List.copyOf(vary.keySet()), plots, fingerprint(text, scenarioText));
+        // an error in a cell is reported before the first run, not when its turn comes
         for (Map<String, Object> cell : plan.cells()) {
             plan.scenario(cell);
         }
         return plan;
     }
 
-    private static String mark(String text, String scenario) {
+    private static String fingerprint(String text, String scenario) {
         return Long.toHexString(Hashing.xxh3_64().hashBytesToLong((text + "\0" + scenario + "\0"
                 + Measures.NAMES).getBytes(StandardCharsets.UTF_8)));
     }
@@ -101,26 +114,26 @@
         List<Map<String, Object>> cells = new ArrayList<>();
         cells.add(Collections.unmodifiableMap(new LinkedHashMap<>(set)));
         for (Map.Entry<String, List<Object>> key : vary.entrySet()) {
-            List<Map<String, Object>> more = new ArrayList<>();
+            List<Map<String, Object>> extended = new ArrayList<>();
             for (Map<String, Object> cell : cells) {
                 for (Object value : key.getValue()) {
                     Map<String, Object> next = new LinkedHashMap<>(cell);
                     next.put(key.getKey(), value);
-                    more.add(Collections.unmodifiableMap(next));
+                    extended.add(Collections.unmodifiableMap(next));
                 }
             }
-            cells = more;
+            cells = extended;
         }
         return cells;
     }
 
-    /** The scenario of a cell. */
+    /** Parses the scenario with the settings of a cell applied. */
     public Scenario scenario(Map<String, Object> cell) throws InvalidSettingsException {
         return ScenarioFile.parse(scenarioName, scenarioText, cell);
     }
 
-    /** A value as it is shown and kept. */
-    static String shown(Object value) {
+    /** Formats a value for tables and CSV: whole numbers without a fraction. */
+    static String format(Object value) {
         if (value instanceof Number n && n.doubleValue() == Math.rint(n.doubleValue())
                 && Math.abs(n.doubleValue()) < 1e15) {
             return Long.toString(n.longValue());
@@ -128,8 +141,8 @@
         return String.valueOf(value);
     }
 
-    /** A cell's values of what varies. */
+    /** The formatted values of the varied keys in a cell. */
     List<String> labels(Map<String, Object> cell) {
-        return varied.stream().map(v -> shown(cell.get(v))).toList();
+        return variedKeys.stream().map(v -> format(cell.get(v))).toList();
     }
 }
--- a/src/main/java/yewdock/experiment/Statistics.java
+++ b/src/main/java/yewdock/experiment/Statistics.java
@@ -4,20 +4,18 @@
 import org.apache.commons.statistics.distribution.BinomialDistribution;
 import org.apache.commons.statistics.inference.WilcoxonSignedRankTest;
 
-/** Medians, with intervals that assume nothing about how values are spread. */
+/** Distribution-free statistics: medians with confidence intervals, paired tests, rank correlation. */
 final class Statistics {
-    private static final double TAIL = 0.025;
+    private static final double TAIL_PROBABILITY = 0.025;
 
     private Statistics() {
     }
 
-    /**
-     * A median and an interval around it that holds the true one in 95 of 100 cases; both ends where there
-     * are few.
-     */
+    /** A median with its 95% confidence interval; the whole range of the values if there are under six. */
     record Estimate(double median, double low, double high) {
     }
 
+    /** The median of the values, all NaN if there are none. */
     static Estimate median(double[] values) {
         if (values.length == 0) {
             return new Estimate(Double.NaN, Double.NaN, Double.NaN);
@@ -25,34 +23,35 @@
         double[] sorted = values.clone();
         Arrays.sort(sorted);
         int n = sorted.length;
-        double middle = (sorted[(n - 1) / 2] + sorted[n / 2]) / 2;
-        BinomialDistribution below = BinomialDistribution.of(n, 0.5);
+        double median = (sorted[(n - 1) / 2] + sorted[n / 2]) / 2;
+        BinomialDistribution binomial = BinomialDistribution.of(n, 0.5);
         int k = 0;
-        while (k + 1 <= n / 2 && below.cumulativeProbability(k) <= TAIL) {
+        while (k + 1 <= n / 2 && binomial.cumulativeProbability(k) <= TAIL_PROBABILITY) {
             k++;
         }
-        // with fewer than six values no such interval exists: the whole span is shown
-        int at = Math.max(0, k - 1);
-        return new Estimate(middle, sorted[at], sorted[n - 1 - at]);
+        // under six values no 95% interval exists: the whole range is given
+        int lowIndex = Math.max(0, k - 1);
+        return new Estimate(median, sorted[lowIndex], sorted[n - 1 - lowIndex]);
     }
 
-    /** Differences seed by seed, and how likely chance alone would give such ones. */
-    record Paired(Estimate difference, double p) {
+    /** The median of paired differences, and the p-value of the Wilcoxon signed-rank test. */
+    record PairedComparison(Estimate difference, double p) {
     }
 
-    static Paired paired(double[] values, double[] base) {
+    /** Compares values with a base, paired by index; p is 1 if no pair differs or there is one pair only. */
+    static PairedComparison compare(double[] values, double[] base) {
         double[] differences = new double[Math.min(values.length, base.length)];
-        boolean any = false;
+        boolean anyDiffers = false;
         for (int i = 0; i < differences.length; i++) {
             differences[i] = values[i] - base[i];
-            any |= differences[i] != 0;
+            anyDiffers |= differences[i] != 0;
         }
-        double p = any && differences.length > 1
+        double p = anyDiffers && differences.length > 1
                 ? WilcoxonSignedRankTest.withDefaults().test(differences).getPValue() : 1;
-        return new Paired(median(differences), p);
+        return new PairedComparison(median(differences), p);
     }
 
-    /** Spearman's coefficient of two orders, ties at their mean rank. */
+    /** Spearman's rank correlation coefficient; ties get their mean rank. */
     static double spearman(double[] a, double[] b) {
         double[] x = ranks(a);
         double[] y = ranks(b);
--- a/src/main/java/yewdock/experiment/Summary.java
+++ b/src/main/java/yewdock/experiment/Summary.java
@@ -5,73 +5,76 @@
 import java.util.Locale;
 import org.apache.commons.csv.CSVFormat;
 
-/** Medians of every measure in every cell, and differences from the first cell, day by day. */
+/** Medians of every measure in every cell, and differences from the first cell paired by seed. */
 final class Summary {
     private final Plan plan;
-    private final Runs runs;
+    private final RunStore runs;
 
-    Summary(Plan plan, Runs runs) {
+    Summary(Plan plan, RunStore runs) {
         this.plan = plan;
         this.runs = runs;
     }
 
-    /** One line of a cell and a measure. */
-    record Line(List<String> labels, String measure, Statistics.Estimate of, Statistics.Paired against) {
+    /** The result of one measure in one cell; labels are the values of the varied keys. */
+    record Row(List<String> labels, String measure, Statistics.Estimate estimate,
+            Statistics.PairedComparison comparison) {
     }
 
-    List<Line> lines(String measure) {
-        List<Line> lines = new ArrayList<>();
+    /** The rows of a measure, one for each cell. */
+    List<Row> rows(String measure) {
+        List<Row> rows = new ArrayList<>();
         double[] first = runs.values(0, measure);
         for (int c = 0; c < plan.cells().size(); c++) {
             double[] values = runs.values(c, measure);
-            lines.add(new Line(plan.labels(plan.cells().get(c)), measure, Statistics.median(values),
-                    Statistics.paired(values, first)));
+            rows.add(new Row(plan.labels(plan.cells().get(c)), measure, Statistics.median(values),
+                    Statistics.compare(values, first)));
         }
-        return lines;
+        return rows;
     }
 
+    /** All measures of all cells, as CSV. */
     String csv() {
         StringBuilder all = new StringBuilder();
-        List<String> head = new ArrayList<>(plan.varied());
-        head.addAll(List.of("measure", "median", "low", "high", "difference", "difference_low",
-                "difference_high",
-                "p"));
-        all.append(row(head));
+        List<String> header = new ArrayList<>(plan.variedKeys());
+        header.addAll(List.of("measure", "median", "low", "high", "difference", "difference_low",
+                "difference_high", "p"));
+        all.append(csvLine(header));
         for (String measure : Measures.NAMES) {
-            for (Line l : lines(measure)) {
-                List<String> row = new ArrayList<>(l.labels());
-                row.add(measure);
-                for (double v : new double[] {l.of().median(), l.of().low(), l.of().high(),
-                    l.against().difference().median(), l.against().difference().low(),
-                    l.against().difference().high(), l.against().p()}) {
-                    row.add(String.format(Locale.ROOT, "%.6f", v));
+            for (Row row : rows(measure)) {
+                List<String> values = new ArrayList<>(row.labels());
+                values.add(measure);
+                for (double v : new double[] {
+                    row.estimate().median(), row.estimate().low(), row.estimate().high(),
+                    row.comparison().difference().median(), row.comparison().difference().low(),
+                    row.comparison().difference().high(), row.comparison().p()}) {
+                    values.add(String.format(Locale.ROOT, "%.6f", v));
                 }
-                all.append(row(row));
+                all.append(csvLine(values));
             }
         }
         return all.toString();
     }
 
-    private static String row(List<String> values) {
+    private static String csvLine(List<String> values) {
         return CSVFormat.DEFAULT.format(values.toArray()) + "\n";
     }
 
-    /** A table for a terminal or a page of Markdown. */
+    /** The rows of a measure as a Markdown table. */
     String table(String measure) {
         StringBuilder all = new StringBuilder("| ");
-        plan.varied().forEach(v -> all.append(v).append(" | "));
+        plan.variedKeys().forEach(v -> all.append(v).append(" | "));
         all.append(measure).append(" | 95% | against the first | 95% | p |\n|");
-        for (int i = 0; i < plan.varied().size() + 5; i++) {
+        for (int i = 0; i < plan.variedKeys().size() + 5; i++) {
             all.append("---|");
         }
         all.append('\n');
-        for (Line l : lines(measure)) {
-            all.append("| ").append(String.join(" | ", l.labels()));
-            Statistics.Estimate d = l.against().difference();
+        for (Row row : rows(measure)) {
+            all.append("| ").append(String.join(" | ", row.labels()));
+            Statistics.Estimate difference = row.comparison().difference();
             all.append(String.format(Locale.ROOT,
                     " | %.3f | %.3f to %.3f | %+.3f | %+.3f to %+.3f | %.3f |%n",
-                    l.of().median(), l.of().low(), l.of().high(), d.median(), d.low(), d.high(),
-                            l.against().p()));
+                    row.estimate().median(), row.estimate().low(), row.estimate().high(), difference.median(),
+                    difference.low(), difference.high(), row.comparison().p()));
         }
         return all.toString();
     }
--- a/src/test/java/yewdock/experiment/ExperimentTest.java
+++ b/src/test/java/yewdock/experiment/ExperimentTest.java
@@ -13,7 +13,7 @@
 import yewdock.model.Days;
 import yewdock.settings.InvalidSettingsException;
 
-/** Grids of runs: the same bytes whatever the threads, and after an interruption. */
+/** Experiments give the same bytes on any number of threads and after an interruption. */
 class ExperimentTest {
     private static final String PLAN = """
             experiment {
@@ -50,7 +50,7 @@
 
     private String[] run(String out, int threads) throws Exception {
         new Experiment(plan(PLAN), folder.resolve(out)).run(threads, n -> {
-            // not shown
+            // progress is not shown
         });
         String[] files = new String[4];
         int at = 0;
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void sameBytesOnAnyNumberOfThreads() throws Exception {
+    void writesTheSameBytesOnAnyNumberOfThreads() throws Exception {
         String[] one = run("one", 1);
         String[] four = run("four", 4);
         for (int i = 0; i < one.length; i++) {
@@ -72,58 +72,58 @@
     }
 
     @Test
-    void goesOnAfterAnInterruptionAtAnyByte() throws Exception {
-        String[] whole = run("whole", 2);
+    void resumesFromATruncatedRunFile() throws Exception {
+        String[] complete = run("whole", 2);
         Path out = folder.resolve("cut");
         Files.createDirectories(out);
-        for (int part = 1; part <= 4; part++) {
-            int cut = whole[0].length() * part / 5 + part;
-            Files.writeString(out.resolve("runs.csv"), whole[0].substring(0, cut));
-            AtomicInteger again = new AtomicInteger();
+        for (int fifths = 1; fifths <= 4; fifths++) {
+            int cut = complete[0].length() * fifths / 5 + fifths;
+            Files.writeString(out.resolve("runs.csv"), complete[0].substring(0, cut));
+            AtomicInteger rerun = new AtomicInteger();
             Experiment experiment = new Experiment(plan(PLAN), out);
-            int had = experiment.done();
-            experiment.run(2, again::addAndGet);
-            assertEquals(experiment.all(), had + again.get());
-            assertTrue(had > 0 && again.get() > 0);
-            assertEquals(whole[0], Files.readString(out.resolve("runs.csv")));
+            int resumed = experiment.completedRuns();
+            experiment.run(2, rerun::addAndGet);
+            assertEquals(experiment.totalRuns(), resumed + rerun.get());
+            assertTrue(resumed > 0 && rerun.get() > 0);
+            assertEquals(complete[0], Files.readString(out.resolve("runs.csv")));
         }
     }
 
     @Test
-    void runsOfAnotherPlanAreRefused() throws Exception {
+    void rejectsRunsOfAnotherPlan() throws Exception {
         run("out", 2);
         Plan other = plan(PLAN.replace("seeds = 6", "seeds = 7"));
         assertThrows(IOException.class, () -> new Experiment(other, folder.resolve("out")));
     }
 
     @Test
-    void mistakesShowBeforeTheFirstRun() {
+    void reportsPlanErrorsBeforeTheFirstRun() {
         for (String bad : new String[] {PLAN.replace("small.hcl", "none.hcl"),
             PLAN.replace("\"random\"", "\"randon\""), PLAN.replace("[4, 6]", "4"),
-            PLAN.replace("y = \"hits\"",
-                    "y = \"hit\""), PLAN.replace("\"boxes.count\"", "\"boxes.cuont\"")}) {
+            PLAN.replace("y = \"hits\"", "y = \"hit\""),
+            PLAN.replace("\"boxes.count\"", "\"boxes.cuont\"")}) {
             InvalidSettingsException e = assertThrows(InvalidSettingsException.class, () -> plan(bad));
             assertTrue(!e.errors().isEmpty());
         }
     }
 
     @Test
-    void intervalsHoldTheMedianAndDifferencesArePaired() {
+    void computesMedianIntervalsPairedTestsAndRankCorrelation() {
         double[] values = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12};
         Statistics.Estimate e = Statistics.median(values);
         assertEquals(6.5, e.median());
-        // of 12 values the third and the tenth: 96 of 100
+        // of 12 values, the third and the tenth enclose the median with a probability of 96%
         assertEquals(3, e.low());
         assertEquals(10, e.high());
-        double[] more = new double[12];
+        double[] others = new double[12];
         for (int i = 0; i < 12; i++) {
-            more[i] = values[11 - i];
+            others[i] = values[11 - i];
         }
-        assertTrue(Statistics.paired(more, values).p() > 0.5);
+        assertTrue(Statistics.compare(others, values).p() > 0.5);
         for (int i = 0; i < 12; i++) {
-            more[i] = values[i] + 0.1 + i * 0.001;
+            others[i] = values[i] + 0.1 + i * 0.001;
         }
-        assertTrue(Statistics.paired(more, values).p() < 0.01);
+        assertTrue(Statistics.compare(others, values).p() < 0.01);
         assertEquals(1, Statistics.spearman(new double[] {1, 2, 3}, new double[] {10, 20, 30}), 1e-12);
         assertEquals(-1, Statistics.spearman(new double[] {1, 2, 3}, new double[] {3, 2, 1}), 1e-12);
     }
