--- a/src/main/java/yewdock/Commands.java
+++ b/src/main/java/yewdock/Commands.java
@@ -37,20 +37,24 @@
 import yewdock.verification.StoreProof;
 import yewdock.verification.UpgradeProof;
 
-/** The commands that {@code serve} must not pay for: this class and its library are loaded for them alone. */
+/**
+ * The command line of all commands. It is apart from {@link Main} so that {@code serve} starts without
+ * loading this class and the command-line library.
+ */
 final class Commands {
-    private static final String MAIN = Main.class.getName();
-    private static final int FAILED = 1;
+    private static final String MAIN_CLASS = Main.class.getName();
+    private static final int EXIT_FAILED = 1;
 
     private Commands() {
     }
 
+    /** Runs a command line and returns its exit code. */
     static int run(String... args) {
         CommandLine line = new CommandLine(new Root());
         line.setExecutionExceptionHandler((e, command, parsed) -> {
-            String why = e.getMessage() == null ? e.toString() : e.getMessage();
-            why.lines().forEach(l -> System.err.println("yewdock: " + l));
-            return FAILED;
+            String message = e.getMessage() == null ? e.toString() : e.getMessage();
+            message.lines().forEach(l -> System.err.println("yewdock: " + l));
+            return EXIT_FAILED;
         });
         line.setParameterExceptionHandler((e, words) -> {
             System.err.println("yewdock: " + e.getMessage() + " (try --help)");
@@ -60,14 +64,16 @@
     }
 
     @Command(name = "yewdock", mixinStandardHelpOptions = true, versionProvider = Version.class,
-            description = "A request router for fleets of model boxes.", synopsisSubcommandLabel = "COMMAND",
+            description = "A request router for fleets of model servers.",
+            synopsisSubcommandLabel = "COMMAND",
             footer = "Exit codes: 0 done, 1 failed, 2 bad usage.",
             subcommands = {Serve.class, Adapter.class, Daemon.class, Upgrade.class, Status.class,
-                RulesShown.class, Check.class, Demo.class, LoadTool.class, Proof.class,
-                StoreCommands.Drain.class, StoreCommands.Undrain.class, StoreCommands.Marks.class,
-                StoreCommands.Stores.class, Replacements.class, StoreProofs.class, Agreements.class,
-                Deployments.class,
-                ModelCommands.Models.class, ModelCommands.Experiments.class})
+                ShowRules.class, CheckSettings.class, Demo.class, LoadTool.class, UpgradeProofCommand.class,
+                StoreCommands.Drain.class, StoreCommands.Undrain.class, StoreCommands.MarkRoot.class,
+                StoreCommands.StoreRoot.class, ReplacementProofCommand.class, StoreProofCommand.class,
+                AgreementProofCommand.class, DeploymentsProofCommand.class,
+                ModelCommands.ModelCommand.class, ModelCommands.ExperimentCommand.class})
+    /** The program without a command: prints usage help on request and fails otherwise. */
     static final class Root implements Callable<Integer> {
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
@@ -78,6 +84,7 @@
         }
     }
 
+    /** The version from the manifest of the JAR file. */
     static final class Version implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
@@ -86,19 +93,20 @@
         }
     }
 
-    /** The operator's file, for the commands that need it. */
+    /** The option --settings, for the commands that read the operator's settings. */
     static final class SettingsFile {
         @Option(names = "--settings", paramLabel = "FILE",
                 description = "the operator's settings, in HCL (default: all defaults)")
         private Path file;
 
+        /** Reads the file; returns the defaults if none is named. */
         OperatorSettings read() throws IOException, InvalidSettingsException {
             return file == null ? OperatorSettings.defaults() : OperatorSettings.read(file);
         }
     }
 
     @Command(name = "serve", mixinStandardHelpOptions = true,
-            description = "One router in this process, as PROXY_CONFIG says.")
+            description = "Runs one router in this process, configured by PROXY_CONFIG.")
     static final class Serve implements Callable<Integer> {
         @Override
         public Integer call() {
@@ -107,10 +115,10 @@
     }
 
     @Command(name = "adapter", mixinStandardHelpOptions = true,
-            description = "The decisions on the simulator's wire, over standard input and output.")
+            description = "Serves the simulator's protocol over standard input and output.")
     static final class Adapter implements Callable<Integer> {
         @Option(names = "--policy", defaultValue = Policies.MODULE,
-                description = "the project's own, or one to compare it with: ${COMPLETION-CANDIDATES}",
+                description = "the routing policy: ${COMPLETION-CANDIDATES}",
                 completionCandidates = PolicyNames.class)
         private String policy;
 
@@ -123,6 +131,7 @@
         }
     }
 
+    /** The policy names that the help text lists. */
     static final class PolicyNames extends ArrayList<String> {
         private static final long serialVersionUID = 1;
 
@@ -132,99 +141,101 @@
     }
 
     @Command(name = "daemon", mixinStandardHelpOptions = true,
-            description = "A router that can be upgraded while it serves.")
+            description = "Runs a router that can be upgraded while it serves.")
     static final class Daemon implements Callable<Integer> {
         @CommandLine.Mixin
         private SettingsFile settings;
-        @Option(names = "--log", paramLabel = "FORM", description = "text or json; wins over the settings")
+        @Option(names = "--log", paramLabel = "FORM", description = "text or json; overrides the settings")
         private String log;
 
         @Override
         public Integer call() throws Exception {
             OperatorSettings read = settings.read();
             if (log != null && !List.of("text", "json").contains(log)) {
-                throw new IllegalArgumentException("--log: text or json, not " + log);
+                throw new IllegalArgumentException("--log must be text or json, not " + log);
             }
             OperatorSettings chosen = log == null ? read
                     : read.withLog(new OperatorSettings.LogSettings(log));
             EventLog.setFormat(chosen.log().form().equals("json") ? EventLog.LogFormat.JSON
                     : EventLog.LogFormat.TEXT);
-            return new Supervisor(chosen, List.of(MAIN, "generation")).run();
+            return new Supervisor(chosen, List.of(MAIN_CLASS, "generation")).run();
         }
     }
 
     @Command(name = "upgrade", mixinStandardHelpOptions = true,
-            description = "Brings up a new generation that takes over; the old one finishes what it has.")
+            description = "Starts a new generation that takes over; the old one finishes its requests.")
     static final class Upgrade implements Callable<Integer> {
         private static final long SLACK_MILLIS = 5_000;
         @CommandLine.Mixin
         private SettingsFile settings;
         @Option(names = "--program", paramLabel = "JAR",
-                description = "the new program (default: the one that serves)")
+                description = "the new program (default: the running one)")
         private Path program;
 
         @Override
         public Integer call() throws Exception {
             OperatorSettings read = settings.read();
             if (program != null && !Files.isReadable(program)) {
-                throw new IOException("the program can't be read: " + program);
+                throw new IOException("the program file can't be read: " + program);
             }
-            OperatorSettings.UpgradeSettings u = read.upgrade();
-            long longest = (u.startMicros() + u.checkMicros() + u.stateMicros() + u.readyMicros()
-                    + u.takeMicros() + u.shareMicros() + u.goMicros()
-                    + u.letGoMicros())
-                    / 1000 + SLACK_MILLIS;
+            OperatorSettings.UpgradeSettings upgrade = read.upgrade();
+            long timeoutMillis = (upgrade.startMicros() + upgrade.checkMicros() + upgrade.stateMicros()
+                    + upgrade.readyMicros() + upgrade.takeMicros() + upgrade.shareMicros()
+                    + upgrade.goMicros() + upgrade.letGoMicros()) / 1000 + SLACK_MILLIS;
             return OperatorClient.sendCommand(read.daemon().controlFolder(), "upgrade", program == null
                     ? List.of()
-                    : List.of(program.toAbsolutePath().toString()), longest, System.out::println);
+                    : List.of(program.toAbsolutePath().toString()), timeoutMillis, System.out::println);
         }
     }
 
-    /** What the running daemon says to a word, and to those that follow it. */
-    abstract static class Asking implements Callable<Integer> {
-        private static final long ANSWER_MILLIS = 5_000;
+    /** A command that is sent to the running daemon, and whose answer is printed. */
+    abstract static class DaemonCommand implements Callable<Integer> {
+        private static final long ANSWER_TIMEOUT_MILLIS = 5_000;
         @CommandLine.Mixin
         private SettingsFile settings;
 
-        abstract String word();
+        /** The command's name in the control protocol. */
+        abstract String command();
 
-        List<String> words() {
+        /** The arguments that follow the name. */
+        List<String> arguments() {
             return List.of();
         }
 
-        long answerMillis() {
-            return ANSWER_MILLIS;
+        /** How long to wait for the answer. */
+        long answerTimeoutMillis() {
+            return ANSWER_TIMEOUT_MILLIS;
         }
 
         @Override
         public final Integer call() throws Exception {
-            return OperatorClient.sendCommand(settings.read().daemon().controlFolder(), word(), words(),
-                    answerMillis(),
-                    System.out::println);
+            return OperatorClient.sendCommand(settings.read().daemon().controlFolder(), command(),
+                    arguments(), answerTimeoutMillis(), System.out::println);
         }
     }
 
-    @Command(name = "status", mixinStandardHelpOptions = true, description = "Which generations live.")
-    static final class Status extends Asking {
+    @Command(name = "status", mixinStandardHelpOptions = true,
+            description = "Prints the running generations.")
+    static final class Status extends DaemonCommand {
         @Override
-        String word() {
+        String command() {
             return "status";
         }
     }
 
     @Command(name = "rules", mixinStandardHelpOptions = true,
-            description = "What the running daemon holds of the agreed rules, and the last changes of them.")
-    static final class RulesShown extends Asking {
+            description = "Prints the agreed rules as the running daemon has them, and their last changes.")
+    static final class ShowRules extends DaemonCommand {
         @Override
-        String word() {
+        String command() {
             return "rules";
         }
     }
 
     @Command(name = "check", mixinStandardHelpOptions = true,
-            description = "Checks a settings file (.hcl) or a configuration of the platform's (.json), "
-            + "and tells what it switches on and what of it can't be used.")
-    static final class Check implements Callable<Integer> {
+            description = "Checks a settings file (.hcl) or a platform configuration (.json), "
+            + "and prints what it enables and which parts can't be used.")
+    static final class CheckSettings implements Callable<Integer> {
         @Parameters(paramLabel = "FILE")
         private Path file;
 
@@ -240,78 +251,85 @@
     }
 
     @Command(name = "demo", mixinStandardHelpOptions = true,
-            description = "A box list, boxes, a router and a little load on this machine, "
-            + "with one upgrade in the middle; prints what came of it.")
+            description = "Runs stand-in servers, their endpoint list, a router and light load on this "
+            + "machine, with one upgrade halfway; prints the results.")
     static final class Demo implements Callable<Integer> {
-        private static final int HALF_MILLIS = 2_000;
+        private static final int HALF_RUN_MILLIS = 2_000;
 
         @Override
         public Integer call() throws Exception {
             Path folder = Files.createTempDirectory("yewdock-demo");
             try (Fleet fleet = new Fleet(4, 32);
-                    Router router = Router.start(MAIN, folder, fleet.configuration("127.0.0.1:0"), "")) {
-                System.out.println("4 stand-in boxes, their list at " + fleet.list().address()
+                    Router router = Router.start(MAIN_CLASS, folder, fleet.configuration("127.0.0.1:0"),
+                            "")) {
+                System.out.println("4 stand-in servers, their endpoint list at " + fleet.list().address()
                         + ", the router at " + router.address());
                 Load load = new Load(new Load.Plan(router.address(), 16, 60, 30, 10, 1), fleet.ledger());
                 load.start();
-                Thread.sleep(HALF_MILLIS);
+                Thread.sleep(HALF_RUN_MILLIS);
                 System.out.println(router.ask("upgrade", List.of()).lines());
-                Thread.sleep(HALF_MILLIS);
+                Thread.sleep(HALF_RUN_MILLIS);
                 System.out.println(router.ask("status", List.of()).lines());
                 load.stop();
                 System.out.println(Load.summary(fleet.ledger().atClients()));
                 List<String> broken = Rules.broken(fleet.ledger());
                 broken.forEach(System.out::println);
                 System.out.println("broken rules: " + broken.size());
-                return router.leave() && broken.isEmpty() ? 0 : FAILED;
+                return router.leave() && broken.isEmpty() ? 0 : EXIT_FAILED;
             }
         }
     }
 
     @Command(name = "load", mixinStandardHelpOptions = true,
-            description = "Clients for a router that uses the stand-in boxes.")
+            description = "Sends client load to a router that uses the stand-in servers.")
     static final class LoadTool implements Callable<Integer> {
         @Parameters(paramLabel = "HOST:PORT", arity = "0..1")
-        private String to;
+        private String target;
         @Option(names = "--scenario", paramLabel = "FILE",
-                description = "a day of the model on sockets, with boxes and routers of its own")
+                description = "plays a scenario over sockets, with servers and routers of its own")
         private Path scenario;
-        @Option(names = "--set", paramLabel = "KEY=VALUE", description = "in place of the scenario's value")
-        private List<String> set = List.of();
+        @Option(names = "--set", paramLabel = "KEY=VALUE", description = "overrides a value of the scenario")
+        private List<String> overrides = List.of();
         @Option(names = "--connections", defaultValue = "64")
         private int connections;
         @Option(names = "--rate", defaultValue = "100", description = "requests a second")
         private double rate;
         @Option(names = "--seconds", defaultValue = "10")
         private int seconds;
-        @Option(names = "--tokens", defaultValue = "40", description = "of a stream, at most")
+        @Option(names = "--tokens", defaultValue = "40", description = "most tokens of a stream")
         private int tokens;
-        @Option(names = "--pace-ms", defaultValue = "10", description = "between tokens, at most")
+        @Option(names = "--pace-ms", defaultValue = "10",
+                description = "longest time between two tokens, in milliseconds")
         private int pace;
         @Option(names = "--seed", defaultValue = "1")
         private long seed;
-        @Option(names = "--records", paramLabel = "FILE", description = "one line a request, as CSV")
+        @Option(names = "--records", paramLabel = "FILE",
+                description = "writes one line for each request, as CSV")
         private Path records;
 
         @Override
         public Integer call() throws Exception {
-            if ((scenario == null) == (to == null)) {
-                throw new IllegalArgumentException("HOST:PORT or --scenario FILE, one of them");
+            if ((scenario == null) == (target == null)) {
+                throw new IllegalArgumentException(
+                        "exactly one of HOST:PORT and --scenario FILE is required");
             }
             if (scenario != null) {
-                new LiveProof(MAIN, System.out::println).run(ScenarioFile.read(scenario,
-                        ModelCommands.values(set)), seed);
+                new LiveProof(MAIN_CLASS, System.out::println).run(ScenarioFile.read(scenario,
+                        ModelCommands.parseOverrides(overrides)), seed);
                 return 0;
             }
             if (connections < 1 || !(rate > 0) || seconds < 1 || tokens < 1 || pace < 0) {
-                throw new IllegalArgumentException("connections, rate, seconds and tokens are at least 1");
+                throw new IllegalArgumentException(
+                        "connections, seconds and tokens: at least 1; rate: above 0; pace-ms: at least 0");
             }
-            InetSocketAddress address = Addresses.parse(to);
+            InetSocketAddress address = Addresses.parse(target);
             if (!address.getAddress().isLoopbackAddress()) {
-                throw new IllegalArgumentException("load is sent to this machine only, not to " + to);
+                throw new IllegalArgumentException(
+                        "load can only be sent to a loopback address, not to " + target);
             }
             Ledger ledger = new Ledger();
-            Load load = new Load(new Load.Plan(address, connections, rate, tokens, pace, seed), ledger);
+            Load load = new Load(new Load.Plan(address, connections, rate, tokens, pace, seed),
+                    ledger);
             load.start();
             TimeUnit.SECONDS.sleep(seconds);
             load.stop();
@@ -326,18 +344,18 @@
                 Files.writeString(records, all);
             }
             return ledger.atClients().stream().allMatch(a -> a.end() == Ledger.End.SERVED && a.exact())
-                    ? 0 : FAILED;
+                    ? 0 : EXIT_FAILED;
         }
     }
 
-    /** Prints the first of what a proof found; returns its exit code. */
-    private static int judged(List<String> broken) {
+    /** Prints the first 40 violations that a proof found; returns the exit code. */
+    private static int reportViolations(List<String> broken) {
         broken.stream().limit(40).forEach(System.out::println);
-        return broken.isEmpty() ? 0 : FAILED;
+        return broken.isEmpty() ? 0 : EXIT_FAILED;
     }
 
-    @Command(name = "proof", mixinStandardHelpOptions = true, description = "Upgrades under load, judged.")
-    static final class Proof implements Callable<Integer> {
+    @Command(name = "proof", mixinStandardHelpOptions = true, description = "Verifies upgrades under load.")
+    static final class UpgradeProofCommand implements Callable<Integer> {
         @Option(names = "--upgrades", defaultValue = "50")
         private int upgrades;
         @Option(names = "--connections", defaultValue = "96")
@@ -349,15 +367,15 @@
 
         @Override
         public Integer call() throws Exception {
-            List<String> broken = new UpgradeProof(MAIN, upgrades, connections, rate, seed,
+            List<String> broken = new UpgradeProof(MAIN_CLASS, upgrades, connections, rate, seed,
                     System.out::println).run();
-            return judged(broken);
+            return reportViolations(broken);
         }
     }
 
     @Command(name = "replacement-proof", mixinStandardHelpOptions = true,
-            description = "A second process takes the place of the first under load, judged.")
-    static final class Replacements implements Callable<Integer> {
+            description = "Verifies that a second process replaces the first under load.")
+    static final class ReplacementProofCommand implements Callable<Integer> {
         @Option(names = "--replacements", defaultValue = "50")
         private int replacements;
         @Option(names = "--rate", defaultValue = "150", description = "requests a second")
@@ -367,18 +385,18 @@
 
         @Override
         public Integer call() throws Exception {
-            List<String> broken = new ReplacementProof(MAIN, replacements, rate, seed,
+            List<String> broken = new ReplacementProof(MAIN_CLASS, replacements, rate, seed,
                     System.out::println).run();
-            return judged(broken);
+            return reportViolations(broken);
         }
     }
 
     @Command(name = "agreement-proof", mixinStandardHelpOptions = true,
-            description = "Routers that agree, with faults all along: in virtual time, and as processes.")
-    static final class Agreements implements Callable<Integer> {
+            description = "Verifies consensus among routers under faults, in virtual time and as processes.")
+    static final class AgreementProofCommand implements Callable<Integer> {
         @Option(names = "--seeds", defaultValue = "5000", description = "runs in virtual time")
         private int seeds;
-        @Option(names = "--seconds", defaultValue = "600", description = "of processes under load")
+        @Option(names = "--seconds", defaultValue = "600", description = "duration of the run with processes")
         private int seconds;
         @Option(names = "--seed", defaultValue = "1")
         private long seed;
@@ -401,17 +419,17 @@
     }
 
     @Command(name = "store-proof", mixinStandardHelpOptions = true,
-            description = "Kills under load, judged; copies that are split and joined; what the store costs.")
-    static final class StoreProofs implements Callable<Integer> {
+            description = "Verifies the store under kills and its replicas under splits; measures its cost.")
+    static final class StoreProofCommand implements Callable<Integer> {
         @Option(names = "--kills", defaultValue = "100")
         private int kills;
         @Option(names = "--splits", defaultValue = "100")
         private int splits;
-        @Option(names = "--setups", split = ";", description = "whose cost is measured, \"off\" among them")
+        @Option(names = "--setups", split = ";", description = "the setups to measure, \"off\" among them")
         private List<String> setups = StoreCost.SETUPS;
-        @Option(names = "--rounds", defaultValue = "3", description = "of each setup")
+        @Option(names = "--rounds", defaultValue = "3", description = "rounds of each setup")
         private int rounds;
-        @Option(names = "--cost-seconds", defaultValue = "10", description = "of each run")
+        @Option(names = "--cost-seconds", defaultValue = "10", description = "duration of each run")
         private int costSeconds;
         @Option(names = "--seed", defaultValue = "1")
         private long seed;
@@ -423,26 +441,26 @@
                 broken.addAll(new CopiesProof(splits, seed, System.out::println).run(100, 10_000));
             }
             if (kills > 0) {
-                broken.addAll(new StoreProof(MAIN, kills, seed, System.out::println).run());
+                broken.addAll(new StoreProof(MAIN_CLASS, kills, seed, System.out::println).run());
             }
             if (costSeconds > 0) {
-                broken.addAll(new StoreCost(MAIN, setups, rounds, costSeconds, seed,
+                broken.addAll(new StoreCost(MAIN_CLASS, setups, rounds, costSeconds, seed,
                         System.out::println).run());
             }
-            return judged(broken);
+            return reportViolations(broken);
         }
     }
 
     @Command(name = "deployments-proof", mixinStandardHelpOptions = true,
-            description = "Plays drawn deployments in virtual time, judged; and faults to be found.")
-    static final class Deployments implements Callable<Integer> {
+            description = "Verifies random deployments in virtual time, and that injected faults are found.")
+    static final class DeploymentsProofCommand implements Callable<Integer> {
         @Option(names = "--seeds", defaultValue = "300")
         private int seeds;
 
         @Override
         public Integer call() {
-            List<String> wrong = new DeploymentsProof(System.out::println).run(seeds);
-            return judged(wrong);
+            List<String> violations = new DeploymentsProof(System.out::println).run(seeds);
+            return reportViolations(violations);
         }
     }
 }
--- a/src/main/java/yewdock/ModelCommands.java
+++ b/src/main/java/yewdock/ModelCommands.java
@@ -25,16 +25,16 @@
 import yewdock.scenario.ScenarioFile;
 import yewdock.settings.InvalidSettingsException;
 
-/** The commands that play days of a scenario in virtual time. */
+/** Commands that simulate days of a scenario in virtual time. */
 final class ModelCommands {
-    private static final int FAILED = 1;
+    private static final int EXIT_FAILED = 1;
 
     private ModelCommands() {
     }
 
     @Command(name = "model", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "COMMAND",
-            description = "A model of the whole installation, in virtual time.", subcommands = Run.class)
-    static final class Models implements Callable<Integer> {
+            description = "Simulates a whole deployment in virtual time.", subcommands = RunModel.class)
+    static final class ModelCommand implements Callable<Integer> {
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
 
@@ -45,8 +45,9 @@
     }
 
     @Command(name = "experiment", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "COMMAND",
-            description = "Many days of a scenario, with settings that vary.", subcommands = RunAll.class)
-    static final class Experiments implements Callable<Integer> {
+            description = "Simulates many days of a scenario with varied settings.",
+            subcommands = RunExperiment.class)
+    static final class ExperimentCommand implements Callable<Integer> {
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
 
@@ -57,16 +58,17 @@
     }
 
     @Command(name = "run", mixinStandardHelpOptions = true,
-            description = "Runs what was not run yet; writes CSV, a page and plots.")
-    static final class RunAll implements Callable<Integer> {
-        @Parameters(paramLabel = "FILE", description = "an experiment, in HCL")
+            description = "Executes the missing runs; writes CSV files, an HTML page and plots.")
+    static final class RunExperiment implements Callable<Integer> {
+        @Parameters(paramLabel = "FILE", description = "an experiment plan, in HCL")
         private Path file;
         @Option(names = "--out", paramLabel = "FOLDER",
-                description = "default: the file's name without its end")
+                description = "default: the file's name without its extension")
         private Path out;
-        @Option(names = "--threads", description = "default: one for each core")
+        @Option(names = "--threads", description = "default: one per core")
         private int threads;
-        @Option(names = "--table", paramLabel = "MEASURE", description = "printed at the end")
+        @Option(names = "--table", paramLabel = "MEASURE",
+                description = "a measure whose table is printed at the end")
         private List<String> tables = List.of("service");
 
         @Override
@@ -82,38 +84,40 @@
                 experiment.run(threads > 0 ? threads : Runtime.getRuntime().availableProcessors(),
                         bar::stepBy);
             }
-            tables.forEach(t -> System.out.println(experiment.table(t)));
+            tables.forEach(measure -> System.out.println(experiment.table(measure)));
             System.out.println("written to " + folder);
             return 0;
         }
     }
 
-    /** A scenario with values set on the command line. */
-    static final class ScenarioOf {
+    /** The scenario parameter and the option --set that overrides values of it. */
+    static final class ScenarioOptions {
         @Parameters(paramLabel = "SCENARIO", description = "a scenario, in HCL")
         private Path file;
         @Option(names = "--set", paramLabel = "KEY=VALUE",
-                description = "in place of the file's value, such as routers.policy=hash or boxes.count=100")
-        private List<String> set = List.of();
+                description = "overrides a value of the file, such as routers.policy=hash or boxes.count=100")
+        private List<String> overrides = List.of();
 
+        /** Reads the scenario with the overrides applied. */
         Scenario read() throws IOException, InvalidSettingsException {
-            return ScenarioFile.read(file, values(set));
+            return ScenarioFile.read(file, parseOverrides(overrides));
         }
     }
 
-    static Map<String, Object> values(List<String> set) {
+    /** Parses KEY=VALUE pairs; values are booleans, doubles or strings. */
+    static Map<String, Object> parseOverrides(List<String> set) {
         Map<String, Object> values = new LinkedHashMap<>();
-        for (String one : set) {
-            int at = one.indexOf('=');
-            if (at < 1) {
-                throw new IllegalArgumentException("--set KEY=VALUE, not " + one);
+        for (String pair : set) {
+            int separator = pair.indexOf('=');
+            if (separator < 1) {
+                throw new IllegalArgumentException("--set expects KEY=VALUE, not " + pair);
             }
-            values.put(one.substring(0, at), value(one.substring(at + 1)));
+            values.put(pair.substring(0, separator), parseValue(pair.substring(separator + 1)));
         }
         return values;
     }
 
-    private static Object value(String text) {
+    private static Object parseValue(String text) {
         if (text.equals("true") || text.equals("false")) {
             return Boolean.valueOf(text);
         }
@@ -125,65 +129,71 @@
     }
 
     @Command(name = "run", mixinStandardHelpOptions = true,
-            description = "Plays one day and tells what came of it.")
-    static final class Run implements Callable<Integer> {
+            description = "Simulates one day and prints the results.")
+    static final class RunModel implements Callable<Integer> {
         @CommandLine.Mixin
-        private ScenarioOf scenario;
+        private ScenarioOptions scenario;
         @Option(names = "--seed", defaultValue = "1")
         private long seed;
-        @Option(names = "--timeline", paramLabel = "FILE", description = "each box, once a second, as CSV")
+        @Option(names = "--timeline", paramLabel = "FILE",
+                description = "writes the state of each server, once a second, as CSV")
         private Path timeline;
-        @Option(names = "--log", description = "print what the routers log")
-        private boolean log;
+        @Option(names = "--log", description = "prints the log of the routers")
+        private boolean printRouterLog;
 
         @Override
         public Integer call() throws Exception {
             Scenario read = scenario.read();
             Day day = new Day(read, seed);
             PrintStream out = System.out;
-            World world = new World(day, log ? out::println : line -> {
-                // not wanted
+            World world = new World(day, printRouterLog ? out::println : line -> {
+                // the log is not printed
             }, true);
             List<String> rows = new ArrayList<>();
             if (timeline != null) {
                 rows.add("second,box,kind,site,state,running,queued,unread_tokens,memory_share");
-                world.watch((second, boxes) -> boxes.forEach(b -> rows.add(second + "," + b)));
+                world.watch((second, servers) -> servers.forEach(server -> rows.add(second + "," + server)));
             }
-            long began = System.nanoTime();
-            Score.Result r = world.run();
-            double seconds = (System.nanoTime() - began) / 1e9;
-            print(out, day, read, r, world, seconds);
+            long startNanos = System.nanoTime();
+            Score.Result result = world.run();
+            double seconds = (System.nanoTime() - startNanos) / 1e9;
+            print(out, day, read, result, world, seconds);
             if (timeline != null) {
                 Files.write(timeline, rows);
             }
-            return r.brokenRules() == 0 ? 0 : FAILED;
+            return result.brokenRules() == 0 ? 0 : EXIT_FAILED;
         }
 
-        private static void print(PrintStream out, Day day, Scenario scenario, Score.Result r, World world,
-                double seconds) {
-            say(out, "policy %s, %d routers, %d boxes; %.1f asks/s of %.1f that the fleet can carry",
+        private static void print(PrintStream out, Day day, Scenario scenario, Score.Result result,
+                World world, double seconds) {
+            printLine(out, "policy %s, %d routers, %d servers; %.1f requests/s of a capacity of %.1f",
                     scenario.routers().policy(), day.routers(), day.boxes(), day.askRate(), day.capacity());
-            say(out, "service %.3f: whole %.3f, worst 10 s %.3f, worst class %.3f, worst municipality %.3f",
-                    r.g(), r.whole(), r.worstWindow(), r.worstClass(), r.worstMunicipality());
-            say(out, "off it: failed late %.3f, first tries across sites %.3f, work wasted %.3f",
-                    r.lateFailed(),
-                    r.crossed(), r.wasted());
-            say(out, "asks %d, tries %d, sends %d; ends %s", r.asks(), r.tries(), r.sends(), r.ends());
-            say(out, "attempts %s; new connections %d", r.outcomes(), r.handshakes());
-            say(out, "prompt tokens found kept %.3f; fullest box over the mean %.2f", r.hits(), r.spread());
-            for (int c = 0; c < r.byClass().size(); c++) {
-                say(out, "class %-10s in time %.3f, first token ms p50 %.1f p99 %.1f",
-                        scenario.classes().get(c).name(), r.byClass().get(c), r.firstP50ByClass().get(c),
-                        r.firstP99ByClass().get(c));
+            printLine(out,
+                    "service %.3f: whole %.3f, worst 10 s %.3f, worst class %.3f, worst municipality %.3f",
+                    result.g(), result.whole(), result.worstWindow(), result.worstClass(),
+                    result.worstMunicipality());
+            printLine(out, "deductions: failed late %.3f, first attempts across sites %.3f, work wasted %.3f",
+                    result.lateFailed(), result.crossed(), result.wasted());
+            printLine(out, "requests %d, attempts %d, sends %d; ends %s", result.asks(), result.tries(),
+                    result.sends(), result.ends());
+            printLine(out, "attempt outcomes %s; new connections %d", result.outcomes(), result.handshakes());
+            printLine(out, "prefix cache hits %.3f of prompt tokens; most loaded server over the mean %.2f",
+                    result.hits(), result.spread());
+            for (int c = 0; c < result.byClass().size(); c++) {
+                printLine(out, "class %-10s in time %.3f, first token ms p50 %.1f p99 %.1f",
+                        scenario.classes().get(c).name(), result.byClass().get(c),
+                        result.firstP50ByClass().get(c), result.firstP99ByClass().get(c));
             }
-            say(out, "%d events in %.2f s; policy %.0f ns an event told to it, %.0f ns a list", r.events(),
-                    seconds, r.moduleNanos() / Math.max(1, r.moduleEvents()), world.nanosOfList());
+            printLine(out, "%d events in %.2f s; policy %.0f ns per event, %.0f ns per endpoint list",
+                    result.events(), seconds, result.moduleNanos() / Math.max(1, result.moduleEvents()),
+                    world.nanosOfList());
             world.broken().stream().limit(20).forEach(out::println);
-            say(out, "broken rules: %d; cold boxes pushed over: %d", r.brokenRules(), r.felled());
+            printLine(out, "broken rules: %d; cold servers overloaded: %d", result.brokenRules(),
+                    result.felled());
         }
 
-        private static void say(PrintStream out, String form, Object... values) {
-            out.println(String.format(Locale.ROOT, form, values));
+        private static void printLine(PrintStream out, String format, Object... values) {
+            out.println(String.format(Locale.ROOT, format, values));
         }
     }
 }
--- a/src/main/java/yewdock/StoreCommands.java
+++ b/src/main/java/yewdock/StoreCommands.java
@@ -21,76 +21,80 @@
 import yewdock.store.StoreException;
 import yewdock.wire.Kept;
 
-/** What operators do with what a daemon keeps. */
+/** Commands for operator overrides and for the daemon's store. */
 final class StoreCommands {
     private StoreCommands() {
     }
 
-    /** A mark on a box, told to the daemon; done once it is on the disk. */
-    abstract static class Marking extends Commands.Asking {
-        private static final long ANSWER_MILLIS = 20_000;
-        @Parameters(paramLabel = "BOX", description = "its name on the box list")
-        private String box;
+    /** Changes the operator override of a server; ends once the daemon has stored the change. */
+    abstract static class OverrideCommand extends Commands.DaemonCommand {
+        private static final long ANSWER_TIMEOUT_MILLIS = 20_000;
+        @Parameters(paramLabel = "BOX", description = "the server's name on the endpoint list")
+        private String server;
         @CommandLine.Option(names = "--here",
-                description = "where rules are agreed: without the others, for when no majority is there")
-        private boolean here;
-        @CommandLine.Option(names = "--why", description = "where rules are agreed: kept in their history")
+                description = "where rules are agreed: only on this instance, for use without a quorum")
+        private boolean localOnly;
+        @CommandLine.Option(names = "--why",
+                description = "where rules are agreed: the reason kept in their history")
         private String why = "";
 
         @Override
-        final List<String> words() {
-            return here ? List.of(box, "--here") : why.isEmpty() ? List.of(box) : List.of(box, why);
+        final List<String> arguments() {
+            return localOnly ? List.of(server, "--here") : why.isEmpty() ? List.of(server)
+                    : List.of(server, why);
         }
 
         @Override
-        final long answerMillis() {
-            return ANSWER_MILLIS;
+        final long answerTimeoutMillis() {
+            return ANSWER_TIMEOUT_MILLIS;
         }
     }
 
     @Command(name = "drain", mixinStandardHelpOptions = true,
-            description = "A box gets no new work until undrain, whatever the list says.")
-    static final class Drain extends Marking {
+            description = "Sends a server no new requests until undrain, whatever the endpoint list says.")
+    static final class Drain extends OverrideCommand {
         @Override
-        String word() {
+        String command() {
             return "drain";
         }
     }
 
     @Command(name = "undrain", mixinStandardHelpOptions = true,
-            description = "Takes the mark on a box back: what the list says holds again.")
-    static final class Undrain extends Marking {
+            description = "Removes the operator override of a server: the endpoint list applies again.")
+    static final class Undrain extends OverrideCommand {
         @Override
-        String word() {
+        String command() {
             return "undrain";
         }
     }
 
-    @Command(name = "mark", mixinStandardHelpOptions = true, description = "Marks a box.",
+    @Command(name = "mark", mixinStandardHelpOptions = true,
+            description = "Sets an operator override on a server.",
             synopsisSubcommandLabel = "COMMAND", subcommands = Gone.class)
-    static final class Marks implements Callable<Integer> {
+    static final class MarkRoot implements Callable<Integer> {
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
 
         @Override
         public Integer call() {
-            throw new CommandLine.ParameterException(spec.commandLine(), "what it is marked as is missing");
+            throw new CommandLine.ParameterException(spec.commandLine(), "the kind of override is missing");
         }
     }
 
     @Command(name = "gone", mixinStandardHelpOptions = true,
-            description = "A box counts as gone until it starts anew, or until undrain.")
-    static final class Gone extends Marking {
+            description = "Treats a server as gone until it restarts, or until undrain.")
+    static final class Gone extends OverrideCommand {
         @Override
-        String word() {
+        String command() {
             return "mark-gone";
         }
     }
 
     @Command(name = "store", mixinStandardHelpOptions = true,
-            description = "What a daemon that doesn't run has kept.", synopsisSubcommandLabel = "COMMAND",
+            description = "Reads and changes the store of a daemon that isn't running.",
+            synopsisSubcommandLabel = "COMMAND",
             subcommands = {Verify.class, Show.class, Export.class, Import.class, Compact.class})
-    static final class Stores implements Callable<Integer> {
+    static final class StoreRoot implements Callable<Integer> {
         @CommandLine.Spec
         private CommandLine.Model.CommandSpec spec;
 
@@ -100,33 +104,35 @@
         }
     }
 
-    /** A command on the folder of the settings. */
-    abstract static class OfFolder implements Callable<Integer> {
+    /** A command on the store folder that the settings name. */
+    abstract static class StoreCommand implements Callable<Integer> {
         @CommandLine.Mixin
         private Commands.SettingsFile settings;
 
-        abstract void with(Path folder, int mostRecords) throws IOException, StoreException;
+        /** Runs the command; maxRecords is the most records that the settings allow. */
+        abstract void run(Path folder, int maxRecords) throws IOException, StoreException;
 
         @Override
         public final Integer call() throws Exception {
             OperatorSettings.StoreSettings store = settings.read().store();
             if (!store.enabled()) {
-                throw new IOException("store.folder is not set in the settings: nothing is kept");
+                throw new IOException("store.folder is not set in the settings: there is no store");
             }
-            with(store.folder(), store.maxRecords());
+            run(store.folder(), store.maxRecords());
             return 0;
         }
     }
 
-    private static Map<String, Kept> records(RecordFile store, String beginning) throws IOException {
+    /** The stored records whose keys begin with a prefix, by key. */
+    private static Map<String, Kept> records(RecordFile store, String prefix) throws IOException {
         Map<String, Kept> all = new TreeMap<>();
-        for (Map.Entry<String, byte[]> e : store.prefix(RecordKeys.STORE_PREFIX + beginning).entrySet()) {
+        for (Map.Entry<String, byte[]> e : store.prefix(RecordKeys.STORE_PREFIX + prefix).entrySet()) {
             try {
                 all.put(e.getKey().substring(RecordKeys.STORE_PREFIX.length()),
                         ReplicatedRecords.parse(e.getValue()));
-            } catch (InvalidProtocolBufferException broken) {
-                throw new IOException("the record " + e.getKey() + " can't be read: " + broken.getMessage(),
-                        broken);
+            } catch (InvalidProtocolBufferException cause) {
+                throw new IOException("the record " + e.getKey() + " can't be read: " + cause.getMessage(),
+                        cause);
             }
         }
         return all;
@@ -136,13 +142,13 @@
         return TextFormat.printer().emittingSingleLine(true).printToString(kept);
     }
 
-    @Command(name = "verify", mixinStandardHelpOptions = true, description = "Reads and checks all of it.")
-    static final class Verify extends OfFolder {
+    @Command(name = "verify", mixinStandardHelpOptions = true, description = "Reads and checks all records.")
+    static final class Verify extends StoreCommand {
         @Override
-        void with(Path folder, int mostRecords) throws IOException, StoreException {
+        void run(Path folder, int maxRecords) throws IOException, StoreException {
             try (RecordFile store = RecordFile.openReadOnly(folder)) {
                 String good = store.missingCommits() > 0 ? store.missingCommits()
-                        + " commits are missing; what is left is good: " : "good: ";
+                        + " commits are missing; the rest is good: " : "good: ";
                 System.out.println(good + "version " + store.version() + ", commit "
                         + store.lastCommitNumber() + ", "
                         + records(store, "").size() + " records, " + store.bytes() + " bytes");
@@ -150,28 +156,28 @@
         }
     }
 
-    @Command(name = "show", mixinStandardHelpOptions = true, description = "Prints records, one a line.")
-    static final class Show extends OfFolder {
+    @Command(name = "show", mixinStandardHelpOptions = true, description = "Prints records, one per line.")
+    static final class Show extends StoreCommand {
         @Parameters(paramLabel = "BEGINNING", arity = "0..1", defaultValue = "",
-                description = "of the keys: mark/, box/, node/, list/, module/, settings/")
-        private String beginning;
+                description = "prefix of the keys: mark/, box/, node/, list/, module/, settings/")
+        private String keyPrefix;
 
         @Override
-        void with(Path folder, int mostRecords) throws IOException, StoreException {
+        void run(Path folder, int maxRecords) throws IOException, StoreException {
             try (RecordFile store = RecordFile.openReadOnly(folder)) {
-                records(store, beginning).values().forEach(kept -> System.out.println(line(kept)));
+                records(store, keyPrefix).values().forEach(kept -> System.out.println(line(kept)));
             }
         }
     }
 
     @Command(name = "export", mixinStandardHelpOptions = true,
-            description = "Writes all records to a file, one a line, as protobuf text.")
-    static final class Export extends OfFolder {
+            description = "Writes all records to a file, one per line, as protobuf text.")
+    static final class Export extends StoreCommand {
         @Parameters(paramLabel = "FILE")
         private Path file;
 
         @Override
-        void with(Path folder, int mostRecords) throws IOException, StoreException {
+        void run(Path folder, int maxRecords) throws IOException, StoreException {
             try (RecordFile store = RecordFile.openReadOnly(folder); PrintWriter out = new PrintWriter(
                     Files.newBufferedWriter(file))) {
                 Map<String, Kept> all = records(store, "");
@@ -185,26 +191,27 @@
     }
 
     @Command(name = "import", mixinStandardHelpOptions = true,
-            description = "Brings an export in, all of it or nothing; what is newer here stays.")
-    static final class Import extends OfFolder {
+            description = "Imports an exported file, all or nothing; newer records in the store are kept.")
+    static final class Import extends StoreCommand {
         @Parameters(paramLabel = "FILE")
         private Path file;
 
         @Override
-        void with(Path folder, int mostRecords) throws IOException, StoreException {
+        void run(Path folder, int maxRecords) throws IOException, StoreException {
             try (RecordFile store = RecordFile.open(folder)) {
-                ReplicatedRecords known = new ReplicatedRecords("import", mostRecords);
+                ReplicatedRecords known = new ReplicatedRecords("import", maxRecords);
                 records(store, "").values().forEach(known::merge);
                 Map<String, byte[]> changes = new TreeMap<>();
-                int number = 0;
+                int lineNumber = 0;
                 try (BufferedReader lines = Files.newBufferedReader(file)) {
                     for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                        number++;
-                        Kept kept = read(line, number);
+                        lineNumber++;
+                        Kept kept = read(line, lineNumber);
                         ReplicatedRecords.MergeResult merged = known.merge(kept);
                         if (merged == ReplicatedRecords.MergeResult.REJECTED) {
-                            throw new IOException(file + ": line " + number + ": "
-                                    + (ReplicatedRecords.validate(kept) == null ? "more records than are kept"
+                            throw new IOException(file + ": line " + lineNumber + ": "
+                                    + (ReplicatedRecords.validate(kept) == null
+                                    ? "more records than the store may hold"
                                     : ReplicatedRecords.validate(kept)));
                         }
                         if (merged == ReplicatedRecords.MergeResult.APPLIED) {
@@ -214,31 +221,31 @@
                     }
                 }
                 store.write(changes);
-                System.out.println(changes.size() + " of " + number + " records were taken");
+                System.out.println(changes.size() + " of " + lineNumber + " records were imported");
             }
         }
 
-        private Kept read(String line, int number) throws IOException {
+        private Kept read(String line, int lineNumber) throws IOException {
             try {
                 Kept.Builder kept = Kept.newBuilder();
                 TextFormat.merge(line, kept);
                 return kept.build();
             } catch (TextFormat.ParseException e) {
-                throw new IOException(file + ": line " + number + ": " + e.getMessage(), e);
+                throw new IOException(file + ": line " + lineNumber + ": " + e.getMessage(), e);
             }
         }
     }
 
     @Command(name = "compact", mixinStandardHelpOptions = true,
-            description = "Gives back the room that old commits take.")
-    static final class Compact extends OfFolder {
-        private static final int LONGEST_MILLIS = 60_000;
+            description = "Frees the space taken by old commits.")
+    static final class Compact extends StoreCommand {
+        private static final int MAX_COMPACTION_MILLIS = 60_000;
 
         @Override
-        void with(Path folder, int mostRecords) throws IOException, StoreException {
+        void run(Path folder, int maxRecords) throws IOException, StoreException {
             try (RecordFile store = RecordFile.open(folder)) {
                 long before = store.bytes();
-                store.compact(LONGEST_MILLIS);
+                store.compact(MAX_COMPACTION_MILLIS);
                 System.out.println(before + " bytes before, " + store.bytes() + " now");
             }
         }
