--- a/src/main/java/umberspread/BoundedLoadRouter.java
+++ b/src/main/java/umberspread/BoundedLoadRouter.java
@@ -247,7 +247,7 @@
 
     /** What this router knows of a server. Times are in microseconds; 0 means never. */
     static final class TrackedServer {
-        ServerState entry;
+        ServerState state;
         int points;
         List<Pool> pools = List.of();
         int inFlight;
@@ -271,10 +271,10 @@
         double otherInFlight;
         long otherInFlightUntil;
 
-        TrackedServer(ServerState entry, int points, int classes) {
+        TrackedServer(ServerState state, int points, int classes) {
             this.classBackoffUntil = new long[classes];
             this.classFailures = new int[classes];
-            this.entry = entry;
+            this.state = state;
             this.points = points;
         }
 
@@ -453,9 +453,9 @@
             withinColdBudget(server, latestTime);
             return ready;
         }
-        boolean wasReady = server.entry.lifecycle() == Lifecycle.READY;
-        boolean moved = server.entry.zone() != entry.zone() || server.entry.kind() != entry.kind();
-        server.entry = entry;
+        boolean wasReady = server.state.lifecycle() == Lifecycle.READY;
+        boolean moved = server.state.zone() != entry.zone() || server.state.kind() != entry.kind();
+        server.state = entry;
         withinColdBudget(server, latestTime);
         if (moved) {
             server.pools = poolsOf(entry);
@@ -477,8 +477,8 @@
     }
 
     private boolean removeServer(TrackedServer server) {
-        servers.remove(server.entry.id());
-        return server.entry.lifecycle() == Lifecycle.READY;
+        servers.remove(server.state.id());
+        return server.state.lifecycle() == Lifecycle.READY;
     }
 
     /** A point depends only on its server, so a change moves only the keys next to that server's points. */
@@ -486,14 +486,14 @@
         readyServers.clear();
         planStale = true;
         readyServers.addAll(servers.values());
-        readyServers.removeIf(server -> server.entry.lifecycle() != Lifecycle.READY);
-        readyServers.sort((one, other) -> Long.compare(one.entry.id(), other.entry.id()));
+        readyServers.removeIf(server -> server.state.lifecycle() != Lifecycle.READY);
+        readyServers.sort((one, other) -> Long.compare(one.state.id(), other.state.id()));
         Map<Long, TrackedServer> byPoint = new HashMap<>();
         for (TrackedServer server : readyServers) {
             for (int i = 0; i < server.points; i++) {
-                long point = hash.applyAsLong(hash.applyAsLong(server.entry.id() ^ Mixing.RING_SALT) + i);
+                long point = hash.applyAsLong(hash.applyAsLong(server.state.id() ^ Mixing.RING_SALT) + i);
                 TrackedServer other = byPoint.get(point);
-                if (other == null || other.entry.id() > server.entry.id()) {
+                if (other == null || other.state.id() > server.state.id()) {
                     byPoint.put(point, server);
                 }
             }
@@ -535,9 +535,9 @@
         int own = 0;
         List<Integer> zones = new ArrayList<>();
         for (TrackedServer server : pool.members) {
-            own += server.entry.zone() == settings.zone() ? 1 : 0;
-            if (!zones.contains(server.entry.zone())) {
-                zones.add(server.entry.zone());
+            own += server.state.zone() == settings.zone() ? 1 : 0;
+            if (!zones.contains(server.state.zone())) {
+                zones.add(server.state.zone());
             }
         }
         pool.prefersOwnZone = settings.instances() >= MIN_INSTANCES_PER_ZONE * zones.size()
@@ -594,7 +594,7 @@
         int candidates = ownZoneOnly ? pool.preferredReady : pool.ready;
         for (int i = pool.walkStart(position); seen < candidates && found < spread; i = pool.next(i)) {
             TrackedServer server = pool.owners[i];
-            if (server.lastWalk == walkId || ownZoneOnly && server.entry.zone() != settings.zone()) {
+            if (server.lastWalk == walkId || ownZoneOnly && server.state.zone() != settings.zone()) {
                 continue;
             }
             server.lastWalk = walkId;
@@ -611,7 +611,7 @@
             // a machine kind keeps a share of its keys on the ring that is its speed relative to the fastest
             // kind's
             if (spread == 1 && speed(server)
-                    < fastestKindSpeed * Mixing.uniform(pending.key ^ Mixing.mix(~server.entry.id()))) {
+                    < fastestKindSpeed * Mixing.uniform(pending.key ^ Mixing.mix(~server.state.id()))) {
                 slower = slower == null ? server : slower;
                 continue;
             }
@@ -620,7 +620,7 @@
                 continue;
             }
             double score = -capacityShare(server, now) * speed(server)
-                    / Math.log(Mixing.uniform(session ^ server.entry.id()));
+                    / Math.log(Mixing.uniform(session ^ server.state.id()));
             if (best == null || score > bestScore) {
                 best = server;
                 bestScore = score;
@@ -635,8 +635,8 @@
      * started since has no history cached and little capacity.
      */
     private boolean keepsSession(PendingRequest pending, TrackedServer server, long now) {
-        return server != null && servers.get(server.entry.id()) == server
-                && server.entry.lifecycle() == Lifecycle.READY
+        return server != null && servers.get(server.state.id()) == server
+                && server.state.lifecycle() == Lifecycle.READY
                 && server.pools.contains(pending.pool) && capacityShare(server, now) >= 1
                 && mayTake(pending, server, now)
                 && !(cheapToPrefill(pending) && overBound(pending, server, now));
@@ -661,7 +661,7 @@
                 / pending.pool.capacity;
         double fair = average * (tuning.loadFactorPercent() / 100.0);
         return server.inFlight + 1 > (tuning.randomRounding()
-                ? Math.floor(fair + Mixing.uniform(pending.request.id() ^ server.entry.id()))
+                ? Math.floor(fair + Mixing.uniform(pending.request.id() ^ server.state.id()))
                 : Math.ceil(fair));
     }
 
@@ -790,7 +790,7 @@
         double took = Math.max(1, now - attempt.sentAt);
         mean[classIndex] += mean[classIndex] == 0 ? took : (took - mean[classIndex]) * MOVING_AVERAGE_WEIGHT;
         double ratio = Math.min(MAX_RELATIVE_WEIGHT, took / mean[classIndex]);
-        int kind = attempt.server.entry.kind();
+        int kind = attempt.server.state.kind();
         double known = kindLatencyRatio.getOrDefault(kind, 1.0);
         double weight = Math.max(MOVING_AVERAGE_WEIGHT,
                 1.0 / (KIND_PRIOR_SAMPLES + kindSamples.merge(kind, 1, Integer::sum)));
@@ -798,7 +798,7 @@
     }
 
     private double speed(TrackedServer server) {
-        return 1 / kindLatencyRatio.getOrDefault(server.entry.kind(), 1.0);
+        return 1 / kindLatencyRatio.getOrDefault(server.state.kind(), 1.0);
     }
 
     /**
@@ -806,7 +806,7 @@
      * a congested zone if the difference makes up for the prefill.
      */
     private void learnZoneDelay(PendingRequest pending, Attempt attempt, long now) {
-        int side = attempt.server.entry.zone() == settings.zone() ? 0 : 1;
+        int side = attempt.server.state.zone() == settings.zone() ? 0 : 1;
         zoneDelay[side] += ((double) (now - attempt.sentAt) / firstTokenTarget(pending) - zoneDelay[side])
                 * ZONE_DELAY_WEIGHT;
     }
@@ -854,12 +854,12 @@
     }
 
     private double weight(TrackedServer server) {
-        return server.entry.weight() > 0 ? server.entry.weight() : 1;
+        return server.state.weight() > 0 ? server.state.weight() : 1;
     }
 
     /** Whether the server may be sent an attempt of this request now. */
     private boolean mayTake(PendingRequest pending, TrackedServer server, long now) {
-        return pending.attempts.stream().noneMatch(attempt -> attempt.server.entry.id() == server.entry.id())
+        return pending.attempts.stream().noneMatch(attempt -> attempt.server.state.id() == server.state.id())
                 && !server.isAvoided(now)
                 && server.classBackoffUntil[pending.request.requestClass()] <= now
                 && mayRepeatOn(pending, server, now)
@@ -873,7 +873,7 @@
      */
     private boolean takesKeyWhileCold(long key, TrackedServer server, long now) {
         double share = capacityShare(server, now);
-        return share >= 1 || Mixing.uniform(key ^ Mixing.mix(server.entry.id() ^ Mixing.COLD_SALT)) < share;
+        return share >= 1 || Mixing.uniform(key ^ Mixing.mix(server.state.id() ^ Mixing.COLD_SALT)) < share;
     }
 
     /**
@@ -886,8 +886,8 @@
         if (capacityShare(server, now) >= 1) {
             return true;
         }
-        if (server.coldBudgetStart != server.entry.startedAt()) {
-            server.coldBudgetStart = server.entry.startedAt();
+        if (server.coldBudgetStart != server.state.startedAt()) {
+            server.coldBudgetStart = server.state.startedAt();
             long startDelay = jittered(coldSendInterval(server, now));
             server.nextColdSendAt = now + settings.contract().overloadWindow() / 2 + startDelay;
         }
@@ -911,7 +911,7 @@
 
     /** Returns the share of its capacity, 0 to 1, that a server has; it grows linearly while it warms up. */
     private double capacityShare(TrackedServer server, long now) {
-        long start = server.entry.startedAt();
+        long start = server.state.startedAt();
         long age = now - start;
         long warmUpTime = settings.contract().warmUpTime();
         if (start == 0 || age >= warmUpTime) {
@@ -1012,7 +1012,7 @@
         server.inFlight++;
         server.onTrial = server.ejections > 0;
         server.pools.forEach(pool -> pool.inFlight++);
-        actions.send(pending.request.id(), server.entry.id(), pending.deadline - now);
+        actions.send(pending.request.id(), server.state.id(), pending.deadline - now);
     }
 
     /** Counts a sent request as traffic of its key; refused requests load no server. */
@@ -1211,7 +1211,7 @@
                         << Math.min(server.ejections, MAX_BACKOFF_DOUBLINGS));
                 server.ejections++;
                 planStale = true;
-                actions.log("ejected server " + server.entry.id() + " after " + outcome + ", trial in "
+                actions.log("ejected server " + server.state.id() + " after " + outcome + ", trial in "
                         + (server.ejectedUntil - now) / 1000 + " ms");
             }
         } else {
@@ -1323,8 +1323,8 @@
                 && arrives < ran.sentAt + pending.requestClass.dedupWindow()
                 && switch (pending.requestClass.dedupGroup()) {
             case ALL -> true;
-            case ZONE -> ran.server.entry.zone() == server.entry.zone();
-            case CELL -> ran.server.entry.cell() == server.entry.cell();
+            case ZONE -> ran.server.state.zone() == server.state.zone();
+            case CELL -> ran.server.state.cell() == server.state.cell();
         };
     }
 
--- a/src/main/java/umberspread/GenerationRouter.java
+++ b/src/main/java/umberspread/GenerationRouter.java
@@ -65,7 +65,7 @@
     public LearnedState learnedState(boolean withKeys) {
         List<LearnedState.LearnedServer> servers = new ArrayList<>();
         for (TrackedServer server : router.servers.values()) {
-            servers.add(new LearnedState.LearnedServer(server.entry.id(), server.points,
+            servers.add(new LearnedState.LearnedServer(server.state.id(), server.points,
                     list(server.classBackoffUntil), Arrays.stream(server.classFailures).boxed().toList(),
                     server.ejectedUntil, server.ejections, server.consecutiveResets, server.slowUntil,
                     server.lastFirstTokenDelay, server.nextColdSendAt, server.coldBudgetStart));
@@ -162,7 +162,7 @@
         Set<Long> avoided = new HashSet<>();
         for (TrackedServer server : router.servers.values()) {
             if (server.isAvoided(now)) {
-                avoided.add(server.entry.id());
+                avoided.add(server.state.id());
             }
         }
         return avoided;
--- a/src/main/java/yewdock/Commands.java
+++ b/src/main/java/yewdock/Commands.java
@@ -12,8 +12,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import yewdock.baseline.Options;
-import yewdock.baseline.Policies;
+import yewdock.baseline.PolicyOptions;
+import yewdock.baseline.RoutingPolicies;
 import yewdock.daemon.OperatorClient;
 import yewdock.daemon.ProcessHandover;
 import yewdock.daemon.Supervisor;
@@ -24,18 +24,18 @@
 import yewdock.settings.InvalidSettingsException;
 import yewdock.settings.OperatorSettings;
 import yewdock.testbed.Fleet;
-import yewdock.testbed.Ledger;
-import yewdock.testbed.Load;
-import yewdock.verification.AgreementProof;
-import yewdock.verification.CopiesProof;
-import yewdock.verification.DeploymentsProof;
-import yewdock.verification.LiveProof;
-import yewdock.verification.ReplacementProof;
-import yewdock.verification.Router;
-import yewdock.verification.Rules;
-import yewdock.verification.StoreCost;
-import yewdock.verification.StoreProof;
-import yewdock.verification.UpgradeProof;
+import yewdock.testbed.LoadGenerator;
+import yewdock.testbed.ObservationLog;
+import yewdock.verification.ConsensusVerification;
+import yewdock.verification.DaemonProcess;
+import yewdock.verification.DeploymentVerification;
+import yewdock.verification.LiveComparison;
+import yewdock.verification.ReplacementVerification;
+import yewdock.verification.ReplicationVerification;
+import yewdock.verification.RunChecker;
+import yewdock.verification.StoreBenchmark;
+import yewdock.verification.StoreVerification;
+import yewdock.verification.UpgradeVerification;
 
 /**
  * The command line of all commands. It is apart from {@link Main} so that {@code serve} starts without
@@ -117,17 +117,17 @@
     @Command(name = "adapter", mixinStandardHelpOptions = true,
             description = "Serves the simulator's protocol over standard input and output.")
     static final class Adapter implements Callable<Integer> {
-        @Option(names = "--policy", defaultValue = Policies.MODULE,
+        @Option(names = "--policy", defaultValue = RoutingPolicies.MODULE,
                 description = "the routing policy: ${COMPLETION-CANDIDATES}",
                 completionCandidates = PolicyNames.class)
         private String policy;
 
         @Override
         public Integer call() {
-            Options options = new Options(125, 64, "splitmix", "ceil", "requests");
+            PolicyOptions options = new PolicyOptions(125, 64, "splitmix", "ceil", "requests");
             return umberspread.adapter.Main.serve(System.in, System.out, System.err,
-                    (settings, seed, actions) -> Policies.make(policy, options, settings, seed, actions,
-                    null));
+                    (settings, seed, actions) -> RoutingPolicies.create(policy, options, settings, seed,
+                            actions, null));
         }
     }
 
@@ -136,7 +136,7 @@
         private static final long serialVersionUID = 1;
 
         PolicyNames() {
-            super(Policies.NAMES);
+            super(RoutingPolicies.NAMES);
         }
     }
 
@@ -260,22 +260,23 @@
         public Integer call() throws Exception {
             Path folder = Files.createTempDirectory("yewdock-demo");
             try (Fleet fleet = new Fleet(4, 32);
-                    Router router = Router.start(MAIN_CLASS, folder, fleet.configuration("127.0.0.1:0"),
-                            "")) {
-                System.out.println("4 stand-in servers, their endpoint list at " + fleet.list().address()
+                    DaemonProcess router = DaemonProcess.start(MAIN_CLASS, folder,
+                            fleet.configuration("127.0.0.1:0"), "")) {
+                System.out.println("4 stand-in servers, their endpoint list at " + fleet.discovery().address()
                         + ", the router at " + router.address());
-                Load load = new Load(new Load.Plan(router.address(), 16, 60, 30, 10, 1), fleet.ledger());
+                LoadGenerator load = new LoadGenerator(new LoadGenerator.Profile(router.address(), 16, 60, 30,
+                        10, 1), fleet.observations());
                 load.start();
                 Thread.sleep(HALF_RUN_MILLIS);
-                System.out.println(router.ask("upgrade", List.of()).lines());
+                System.out.println(router.sendCommand("upgrade", List.of()).output());
                 Thread.sleep(HALF_RUN_MILLIS);
-                System.out.println(router.ask("status", List.of()).lines());
+                System.out.println(router.sendCommand("status", List.of()).output());
                 load.stop();
-                System.out.println(Load.summary(fleet.ledger().atClients()));
-                List<String> broken = Rules.broken(fleet.ledger());
+                System.out.println(LoadGenerator.summary(fleet.observations().requestResults()));
+                List<String> broken = RunChecker.violations(fleet.observations());
                 broken.forEach(System.out::println);
                 System.out.println("broken rules: " + broken.size());
-                return router.leave() && broken.isEmpty() ? 0 : EXIT_FAILED;
+                return router.terminate() && broken.isEmpty() ? 0 : EXIT_FAILED;
             }
         }
     }
@@ -314,7 +315,7 @@
                         "exactly one of HOST:PORT and --scenario FILE is required");
             }
             if (scenario != null) {
-                new LiveProof(MAIN_CLASS, System.out::println).run(ScenarioFile.read(scenario,
+                new LiveComparison(MAIN_CLASS, System.out::println).run(ScenarioFile.read(scenario,
                         ModelCommands.parseOverrides(overrides)), seed);
                 return 0;
             }
@@ -327,23 +328,25 @@
                 throw new IllegalArgumentException(
                         "load can only be sent to a loopback address, not to " + target);
             }
-            Ledger ledger = new Ledger();
-            Load load = new Load(new Load.Plan(address, connections, rate, tokens, pace, seed),
-                    ledger);
+            ObservationLog observations = new ObservationLog();
+            LoadGenerator load = new LoadGenerator(new LoadGenerator.Profile(address, connections, rate,
+                    tokens, pace, seed), observations);
             load.start();
             TimeUnit.SECONDS.sleep(seconds);
             load.stop();
-            System.out.println(Load.summary(ledger.atClients()));
+            System.out.println(LoadGenerator.summary(observations.requestResults()));
             if (records != null) {
                 StringBuilder all = new StringBuilder("id,end,status,exact,sent_anew,began_ns,");
                 all.append("first_ns,ended_ns\n");
-                ledger.atClients().forEach(a -> all.append(a.id()).append(',').append(a.end()).append(',')
-                        .append(a.status()).append(',').append(a.exact()).append(',').append(a.crossed())
-                        .append(',').append(a.began()).append(',').append(a.firstToken()).append(',')
-                        .append(a.ended()).append('\n'));
+                observations.requestResults().forEach(a ->
+                        all.append(a.id()).append(',').append(a.outcome()).append(',')
+                        .append(a.status()).append(',').append(a.matchesReference()).append(',')
+                        .append(a.resent()).append(',').append(a.startedNanos()).append(',')
+                        .append(a.firstTokenNanos()).append(',').append(a.endedNanos()).append('\n'));
                 Files.writeString(records, all);
             }
-            return ledger.atClients().stream().allMatch(a -> a.end() == Ledger.End.SERVED && a.exact())
+            return observations.requestResults().stream().allMatch(a ->
+                    a.outcome() == ObservationLog.RequestOutcome.SERVED && a.matchesReference())
                     ? 0 : EXIT_FAILED;
         }
     }
@@ -367,7 +370,7 @@
 
         @Override
         public Integer call() throws Exception {
-            List<String> broken = new UpgradeProof(MAIN_CLASS, upgrades, connections, rate, seed,
+            List<String> broken = new UpgradeVerification(MAIN_CLASS, upgrades, connections, rate, seed,
                     System.out::println).run();
             return reportViolations(broken);
         }
@@ -385,7 +388,7 @@
 
         @Override
         public Integer call() throws Exception {
-            List<String> broken = new ReplacementProof(MAIN_CLASS, replacements, rate, seed,
+            List<String> broken = new ReplacementVerification(MAIN_CLASS, replacements, rate, seed,
                     System.out::println).run();
             return reportViolations(broken);
         }
@@ -403,18 +406,19 @@
 
         @Override
         public Integer call() throws Exception {
-            AgreementProof proof = new AgreementProof(Main.class.getName(), System.out::println);
+            ConsensusVerification proof = new ConsensusVerification(Main.class.getName(),
+                    System.out::println);
             if (seeds > 0) {
-                proof.seeds(seed, seeds);
-                proof.sizes();
+                proof.runSeeds(seed, seeds);
+                proof.measureSizes();
             }
             if (seconds > 0) {
-                proof.processes(seconds, seed);
+                proof.runProcesses(seconds, seed);
             }
-            proof.broken().forEach(System.out::println);
-            System.out.println(proof.broken().isEmpty() ? "nothing broken"
-                    : "broken: " + proof.broken().size());
-            return proof.broken().isEmpty() ? 0 : 1;
+            proof.violations().forEach(System.out::println);
+            System.out.println(proof.violations().isEmpty() ? "nothing broken"
+                    : "broken: " + proof.violations().size());
+            return proof.violations().isEmpty() ? 0 : 1;
         }
     }
 
@@ -426,7 +430,7 @@
         @Option(names = "--splits", defaultValue = "100")
         private int splits;
         @Option(names = "--setups", split = ";", description = "the setups to measure, \"off\" among them")
-        private List<String> setups = StoreCost.SETUPS;
+        private List<String> setups = StoreBenchmark.SETUPS;
         @Option(names = "--rounds", defaultValue = "3", description = "rounds of each setup")
         private int rounds;
         @Option(names = "--cost-seconds", defaultValue = "10", description = "duration of each run")
@@ -438,13 +442,14 @@
         public Integer call() throws Exception {
             List<String> broken = new ArrayList<>();
             if (splits > 0) {
-                broken.addAll(new CopiesProof(splits, seed, System.out::println).run(100, 10_000));
+                broken.addAll(new ReplicationVerification(splits, seed, System.out::println)
+                        .run(100, 10_000));
             }
             if (kills > 0) {
-                broken.addAll(new StoreProof(MAIN_CLASS, kills, seed, System.out::println).run());
+                broken.addAll(new StoreVerification(MAIN_CLASS, kills, seed, System.out::println).run());
             }
             if (costSeconds > 0) {
-                broken.addAll(new StoreCost(MAIN_CLASS, setups, rounds, costSeconds, seed,
+                broken.addAll(new StoreBenchmark(MAIN_CLASS, setups, rounds, costSeconds, seed,
                         System.out::println).run());
             }
             return reportViolations(broken);
@@ -459,7 +464,7 @@
 
         @Override
         public Integer call() {
-            List<String> violations = new DeploymentsProof(System.out::println).run(seeds);
+            List<String> violations = new DeploymentVerification(System.out::println).run(seeds);
             return reportViolations(violations);
         }
     }
--- a/src/main/java/yewdock/ModelCommands.java
+++ b/src/main/java/yewdock/ModelCommands.java
@@ -17,11 +17,11 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import yewdock.experiment.Experiment;
-import yewdock.experiment.Plan;
-import yewdock.model.Day;
+import yewdock.experiment.ExperimentPlan;
+import yewdock.model.SampledScenario;
 import yewdock.model.Scenario;
 import yewdock.model.Score;
-import yewdock.model.World;
+import yewdock.model.Simulation;
 import yewdock.scenario.ScenarioFile;
 import yewdock.settings.InvalidSettingsException;
 
@@ -73,7 +73,7 @@
 
         @Override
         public Integer call() throws Exception {
-            Plan plan = Plan.read(file);
+            ExperimentPlan plan = ExperimentPlan.read(file);
             Path folder = out != null ? out
                     : Path.of(file.getFileName().toString().replaceFirst("\\.[^.]*$", ""));
             Experiment experiment = new Experiment(plan, folder);
@@ -144,52 +144,55 @@
         @Override
         public Integer call() throws Exception {
             Scenario read = scenario.read();
-            Day day = new Day(read, seed);
+            SampledScenario sampled = new SampledScenario(read, seed);
             PrintStream out = System.out;
-            World world = new World(day, printRouterLog ? out::println : line -> {
+            Simulation simulation = new Simulation(sampled, printRouterLog ? out::println : line -> {
                 // the log is not printed
             }, true);
             List<String> rows = new ArrayList<>();
             if (timeline != null) {
                 rows.add("second,box,kind,site,state,running,queued,unread_tokens,memory_share");
-                world.watch((second, servers) -> servers.forEach(server -> rows.add(second + "," + server)));
+                simulation.onEachSecond((second, servers) -> servers.forEach(server -> rows.add(second + ","
+                        + server)));
             }
             long startNanos = System.nanoTime();
-            Score.Result result = world.run();
+            Score.SimulationResult result = simulation.run();
             double seconds = (System.nanoTime() - startNanos) / 1e9;
-            print(out, day, read, result, world, seconds);
+            print(out, sampled, read, result, simulation, seconds);
             if (timeline != null) {
                 Files.write(timeline, rows);
             }
-            return result.brokenRules() == 0 ? 0 : EXIT_FAILED;
+            return result.ruleViolations() == 0 ? 0 : EXIT_FAILED;
         }
 
-        private static void print(PrintStream out, Day day, Scenario scenario, Score.Result result,
-                World world, double seconds) {
+        private static void print(PrintStream out, SampledScenario sampled, Scenario scenario,
+                Score.SimulationResult result, Simulation simulation, double seconds) {
             printLine(out, "policy %s, %d routers, %d servers; %.1f requests/s of a capacity of %.1f",
-                    scenario.routers().policy(), day.routers(), day.boxes(), day.askRate(), day.capacity());
+                    scenario.routers().policy(), sampled.routers(), sampled.servers(), sampled.requestRate(),
+                            sampled.capacity());
             printLine(out,
                     "service %.3f: whole %.3f, worst 10 s %.3f, worst class %.3f, worst municipality %.3f",
-                    result.g(), result.whole(), result.worstWindow(), result.worstClass(),
+                    result.score(), result.servedShare(), result.worstWindow(), result.worstClass(),
                     result.worstMunicipality());
             printLine(out, "deductions: failed late %.3f, first attempts across sites %.3f, work wasted %.3f",
-                    result.lateFailed(), result.crossed(), result.wasted());
-            printLine(out, "requests %d, attempts %d, sends %d; ends %s", result.asks(), result.tries(),
-                    result.sends(), result.ends());
+                    result.lateFailedShare(), result.crossSiteShare(), result.wastedShare());
+            printLine(out, "requests %d, attempts %d, sends %d; ends %s", result.requests(),
+                    result.clientAttempts(), result.serverAttempts(), result.ends());
             printLine(out, "attempt outcomes %s; new connections %d", result.outcomes(), result.handshakes());
             printLine(out, "prefix cache hits %.3f of prompt tokens; most loaded server over the mean %.2f",
-                    result.hits(), result.spread());
-            for (int c = 0; c < result.byClass().size(); c++) {
+                    result.cacheHitShare(), result.peakToMeanLoad());
+            for (int c = 0; c < result.servedShareByClass().size(); c++) {
                 printLine(out, "class %-10s in time %.3f, first token ms p50 %.1f p99 %.1f",
-                        scenario.classes().get(c).name(), result.byClass().get(c),
-                        result.firstP50ByClass().get(c), result.firstP99ByClass().get(c));
+                        scenario.classes().get(c).name(), result.servedShareByClass().get(c),
+                        result.firstTokenP50MillisByClass().get(c),
+                                result.firstTokenP99MillisByClass().get(c));
             }
             printLine(out, "%d events in %.2f s; policy %.0f ns per event, %.0f ns per endpoint list",
                     result.events(), seconds, result.moduleNanos() / Math.max(1, result.moduleEvents()),
-                    world.nanosOfList());
-            world.broken().stream().limit(20).forEach(out::println);
-            printLine(out, "broken rules: %d; cold servers overloaded: %d", result.brokenRules(),
-                    result.felled());
+                    simulation.nanosPerListEvent());
+            simulation.ruleViolations().stream().limit(20).forEach(out::println);
+            printLine(out, "broken rules: %d; cold servers overloaded: %d", result.ruleViolations(),
+                    result.crashedColdServers());
         }
 
         private static void printLine(PrintStream out, String format, Object... values) {
--- a/src/main/java/yewdock/admin/AdminInterface.java
+++ b/src/main/java/yewdock/admin/AdminInterface.java
@@ -30,9 +30,9 @@
     private long lastId;
 
     /** Creates an admin interface whose commands go through this platform front. */
-    public AdminInterface(ConnectionManager front) {
-        this.connectionManager = front;
-        front.forwardOperatorAnswersTo(this::answer);
+    public AdminInterface(ConnectionManager connectionManager) {
+        this.connectionManager = connectionManager;
+        connectionManager.forwardOperatorAnswersTo(this::answer);
     }
 
     /** Handles a new connection. */
--- a/src/main/java/yewdock/baseline/ConsistentHashPolicy.java
+++ b/src/main/java/yewdock/baseline/ConsistentHashPolicy.java
@@ -16,13 +16,13 @@
  * factor times the average load, rounded up.
  */
 final class ConsistentHashPolicy extends BaselinePolicy {
-    private final Options options;
+    private final PolicyOptions options;
     private final boolean bounded;
     private final LongUnaryOperator hash;
     private long[] positions = new long[0];
     private TrackedServer[] owners = new TrackedServer[0];
 
-    ConsistentHashPolicy(Routing.Settings settings, long seed, Routing.Actions actions, Options options,
+    ConsistentHashPolicy(Routing.Settings settings, long seed, Routing.Actions actions, PolicyOptions options,
             boolean bounded) {
         super(settings, seed, actions);
         this.options = options;
@@ -34,7 +34,7 @@
     void readyServersChanged() {
         Map<Long, TrackedServer> byPosition = new HashMap<>();
         for (TrackedServer server : readyServers) {
-            for (int i = 0; i < options.points(); i++) {
+            for (int i = 0; i < options.virtualNodes(); i++) {
                 byPosition.putIfAbsent(hash.applyAsLong(hash.applyAsLong(server.state.id()) + i), server);
             }
         }
@@ -70,11 +70,11 @@
     }
 
     private boolean isWithinBound(TrackedServer server, Request request) {
-        double factor = options.factor() / 100.0;
+        double factor = options.loadFactorPercent() / 100.0;
         if (options.rounding().equals("ceil") && options.measure().equals("requests")) {
             // integer arithmetic: with doubles the product may come out just above a whole number
             long parts = 100L * readyServers.size();
-            return server.inFlight + 1 <= ((totalInFlight + 1L) * options.factor()
+            return server.inFlight + 1 <= ((totalInFlight + 1L) * options.loadFactorPercent()
                     + parts - 1) / parts;
         }
         if (options.measure().equals("tokens")) {
--- a/src/main/java/yewdock/baseline/HashFunctions.java
+++ b/src/main/java/yewdock/baseline/HashFunctions.java
@@ -10,7 +10,9 @@
     private HashFunctions() {
     }
 
-    /** Returns the function with this name, one of {@link Options#HASHES}; unknown names give splitmix. */
+    /**
+     * Returns the function with this name, one of {@link PolicyOptions#HASHES}; unknown names give splitmix.
+     */
     static LongUnaryOperator byName(String name) {
         return switch (name) {
             case "murmur3" -> {
--- a/src/main/java/yewdock/baseline/LoadPolicy.java
+++ b/src/main/java/yewdock/baseline/LoadPolicy.java
@@ -15,13 +15,14 @@
     enum Strategy { RANDOM, ROUND_ROBIN, LEAST_OPEN, TWO_CHOICES, REPORTED, SEES_ALL }
 
     private final Strategy strategy;
-    private final Sight trueState;
+    private final TrueServerState trueState;
     private int nextIndex;
 
-    LoadPolicy(Routing.Settings settings, long seed, Routing.Actions actions, Strategy way, Sight sight) {
+    LoadPolicy(Routing.Settings settings, long seed, Routing.Actions actions, Strategy way,
+            TrueServerState trueState) {
         super(settings, seed, actions);
         this.strategy = way;
-        this.trueState = sight;
+        this.trueState = trueState;
         this.nextIndex = random.nextInt(1 << 16);
     }
 
@@ -99,8 +100,8 @@
         Routing.RequestClass requestClass = settings.classes().get(request.requestClass());
         for (TrackedServer server : readyServers) {
             if (!triedServers.contains(server) && isAdmittedInSlowStart(server, now)) {
-                double microsToFirstToken = trueState.firstTokenIn(server.state.id(), request);
-                if (trueState.paceIn(server.state.id()) > requestClass.interTokenTarget()) {
+                double microsToFirstToken = trueState.microsToFirstToken(server.state.id(), request);
+                if (trueState.interTokenMicros(server.state.id()) > requestClass.interTokenTarget()) {
                     microsToFirstToken += requestClass.firstTokenTarget();
                 }
                 if (microsToFirstToken < soonest) {
--- a/src/main/java/yewdock/baseline/Options.java
+++ b/src/main/java/yewdock/baseline/PolicyOptions.java
@@ -5,13 +5,14 @@
 /**
  * Parameters of the consistent-hash policies.
  *
- * @param factor the load bound, in percent of the average load
- * @param points the virtual nodes of a server on the ring
+ * @param loadFactorPercent the load bound, in percent of the average load
+ * @param virtualNodes the virtual nodes of a server on the ring
  * @param hash the hash function, one of {@link #HASHES}
  * @param rounding how the bound is rounded, one of {@link #ROUNDINGS}
  * @param measure what the load counts, one of {@link #MEASURES}
  */
-public record Options(int factor, int points, String hash, String rounding, String measure) {
+public record PolicyOptions(int loadFactorPercent, int virtualNodes, String hash, String rounding,
+        String measure) {
     /** Names of the hash functions. */
     public static final List<String> HASHES = List.of("splitmix", "murmur3", "xxh3", "komi", "crc32");
     /** Rounding of the bound: up; up or down at random, drawn per request and server; down, to 1 at least. */
@@ -20,9 +21,10 @@
     public static final List<String> MEASURES = List.of("requests", "tokens");
 
     /** Checks the ranges and names; throws IllegalArgumentException for the first that is invalid. */
-    public Options {
-        check(factor > 100 && factor <= 100_000, "factor: must be over 100 and at most 100000");
-        check(points >= 1 && points <= 10_000, "points: must be from 1 to 10000");
+    public PolicyOptions {
+        check(loadFactorPercent > 100 && loadFactorPercent <= 100_000,
+                "factor: must be over 100 and at most 100000");
+        check(virtualNodes >= 1 && virtualNodes <= 10_000, "points: must be from 1 to 10000");
         check(HASHES.contains(hash), "hash: must be one of " + HASHES);
         check(ROUNDINGS.contains(rounding), "rounding: must be one of " + ROUNDINGS);
         check(MEASURES.contains(measure), "measure: must be one of " + MEASURES);
--- a/src/main/java/yewdock/daemon/StateCodec.java
+++ b/src/main/java/yewdock/daemon/StateCodec.java
@@ -79,13 +79,13 @@
         long shiftMicros = clockMicros - ageMicros - encoded.getClock();
         try {
             Map<Long, Long> toldAt = new HashMap<>();
-            for (Box box : encoded.getBoxes().getBoxesList()) {
-                if (box.getToldAt() != 0) {
-                    toldAt.put(box.getId(), box.getToldAt() + shiftMicros);
+            for (Box server : encoded.getBoxes().getBoxesList()) {
+                if (server.getToldAt() != 0) {
+                    toldAt.put(server.getId(), server.getToldAt() + shiftMicros);
                 }
             }
-            return new InheritedState(decodeEndpointList(encoded.getBoxes()), encoded.getBoxes().getAddress(),
-                    toldAt,
+            return new InheritedState(decodeEndpointList(encoded.getBoxes()),
+                    encoded.getBoxes().getAddress(), toldAt,
                     encoded.hasModule() ? learnedState(encoded.getModule()) : null, shiftMicros,
                     Map.copyOf(encoded.getCountersMap()), encoded.getAfterRestart());
         } catch (IllegalArgumentException e) {
--- a/src/main/java/yewdock/experiment/Experiment.java
+++ b/src/main/java/yewdock/experiment/Experiment.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.Future;
 import java.util.function.IntConsumer;
 import yewdock.model.Scenario;
-import yewdock.model.World;
+import yewdock.model.Simulation;
 import yewdock.settings.InvalidSettingsException;
 
 /**
@@ -19,7 +19,7 @@
  * threads, and writes the results as CSV tables, an HTML page and SVG plots.
  */
 public final class Experiment {
-    private final Plan plan;
+    private final ExperimentPlan plan;
     private final Path folder;
     private final RunStore runs;
 
@@ -28,7 +28,7 @@
      *
      * @throws IOException if the folder can't be read or holds runs of another plan
      */
-    public Experiment(Plan plan, Path folder) throws IOException {
+    public Experiment(ExperimentPlan plan, Path folder) throws IOException {
         this.plan = plan;
         this.folder = folder;
         this.runs = new RunStore(plan, folder);
@@ -68,7 +68,7 @@
                     Scenario scenario = scenarios.get(cell);
                     if (!runs.contains(key)) {
                         pending.add(pool.submit(() -> {
-                            runs.add(key, Measures.of(World.run(scenario, seed)));
+                            runs.add(key, Measures.of(Simulation.run(scenario, seed)));
                             onRunEnded.accept(1);
                         }));
                     }
@@ -89,7 +89,7 @@
         Files.writeString(folder.resolve("summary.csv"), new Summary(plan, runs).csv());
         HtmlReport report = new HtmlReport(plan, runs);
         Files.writeString(folder.resolve("index.html"), report.html());
-        for (Plan.Plot plot : plan.plots()) {
+        for (ExperimentPlan.Plot plot : plan.plots()) {
             Files.writeString(folder.resolve(HtmlReport.fileName(plot)), report.svg(plot));
         }
     }
--- a/src/main/java/yewdock/experiment/Plan.java
+++ b/src/main/java/yewdock/experiment/ExperimentPlan.java
@@ -23,7 +23,7 @@
  * @param variedKeys the setting keys that vary, in the order of the file
  * @param fingerprint a hash of the plan, the scenario and the names of the measures
  */
-public record Plan(String title, String scenarioText, String scenarioName, List<Long> seeds,
+public record ExperimentPlan(String title, String scenarioText, String scenarioName, List<Long> seeds,
         List<Map<String, Object>> cells, List<String> variedKeys, List<Plot> plots, String fingerprint) {
     private static final int MAX_CELLS = 10_000;
     private static final int MAX_SEEDS = 10_000;
@@ -37,7 +37,7 @@
     }
 
     /** Copies the lists. */
-    public Plan {
+    public ExperimentPlan {
         seeds = List.copyOf(seeds);
         cells = List.copyOf(cells);
         variedKeys = List.copyOf(variedKeys);
@@ -49,7 +49,7 @@
      *
      * @throws InvalidSettingsException with one line for each error
      */
-    public static Plan read(Path file) throws IOException, InvalidSettingsException {
+    public static ExperimentPlan read(Path file) throws IOException, InvalidSettingsException {
         String text = Files.readString(file);
         List<String> errors = new ArrayList<>();
         Section root = Section.read(file.toString(), text, errors);
@@ -96,7 +96,7 @@
         for (int i = 0; i < seedCount; i++) {
             seeds.add((long) firstSeed + i);
         }
-        Plan plan = new Plan(title, scenarioText, scenario.toString(), seeds, cells,
+        ExperimentPlan plan = new ExperimentPlan(title, scenarioText, scenario.toString(), seeds, cells,
                 List.copyOf(vary.keySet()), plots, fingerprint(text, scenarioText));
         // an error in a cell is reported before the first run, not when its turn comes
         for (Map<String, Object> cell : plan.cells()) {
--- a/src/main/java/yewdock/experiment/HtmlReport.java
+++ b/src/main/java/yewdock/experiment/HtmlReport.java
@@ -33,7 +33,7 @@
             Error bars in plots are half the width of the interval.</p>
             """;
 
-    private final Plan plan;
+    private final ExperimentPlan plan;
     private final RunStore runs;
     private final Summary summary;
 
@@ -41,14 +41,14 @@
         System.setProperty("java.awt.headless", "true");
     }
 
-    HtmlReport(Plan plan, RunStore runs) {
+    HtmlReport(ExperimentPlan plan, RunStore runs) {
         this.plan = plan;
         this.runs = runs;
         this.summary = new Summary(plan, runs);
     }
 
     /** The name of the SVG file for a plot, made from its title. */
-    static String fileName(Plan.Plot plot) {
+    static String fileName(ExperimentPlan.Plot plot) {
         return plot.title().toLowerCase(Locale.ROOT).replaceAll("[^a-z0-9]+", "-") + ".svg";
     }
 
@@ -57,7 +57,7 @@
         StringBuilder all = new StringBuilder(HEAD.replace("TITLE", escape(plan.title())));
         all.append("<p>").append(plan.cells().size()).append(" settings, ").append(plan.seeds().size())
                 .append(NOTE);
-        for (Plan.Plot plot : plan.plots()) {
+        for (ExperimentPlan.Plot plot : plan.plots()) {
             all.append("<h2>").append(escape(plot.title())).append("</h2>\n").append(svg(plot).replaceFirst(
                     "(?s)^.*?(?=<svg)", ""));
             table(all, plot.y());
@@ -90,7 +90,7 @@
     }
 
     /** Renders a plot as an SVG document. */
-    String svg(Plan.Plot plot) throws IOException {
+    String svg(ExperimentPlan.Plot plot) throws IOException {
         XYChart chart = new XYChartBuilder().width(860).height(460).title(plot.title()).xAxisTitle(plot.x())
                 .yAxisTitle(plot.y()).theme(Styler.ChartTheme.Matlab).build();
         chart.getStyler().setLegendPosition(Styler.LegendPosition.OutsideE);
--- a/src/main/java/yewdock/experiment/Measures.java
+++ b/src/main/java/yewdock/experiment/Measures.java
@@ -6,36 +6,36 @@
 import java.util.Map;
 import java.util.function.ToDoubleFunction;
 import yewdock.model.Score;
-import yewdock.model.Score.End;
-import yewdock.model.Score.Result;
+import yewdock.model.Score.RequestEnd;
+import yewdock.model.Score.SimulationResult;
 
 /** The measures taken of each run. The order of their names is the column order of runs.csv. */
 final class Measures {
-    private static final Map<String, ToDoubleFunction<Result>> ALL = new LinkedHashMap<>();
+    private static final Map<String, ToDoubleFunction<SimulationResult>> ALL = new LinkedHashMap<>();
 
     static {
-        ALL.put("service", Result::g);
-        ALL.put("whole", Result::whole);
-        ALL.put("worst_10s", Result::worstWindow);
-        ALL.put("worst_class", Result::worstClass);
-        ALL.put("worst_municipality", Result::worstMunicipality);
-        ALL.put("last_third", Result::lastThird);
-        ALL.put("failed_late", Result::lateFailed);
-        ALL.put("across_sites", Result::crossed);
-        ALL.put("wasted", Result::wasted);
-        ALL.put("hits", Result::hits);
-        ALL.put("spread", Result::spread);
-        ALL.put("first_p50_ms", Result::firstP50Millis);
-        ALL.put("first_p99_ms", Result::firstP99Millis);
-        ALL.put("late", r -> r.part(Score.End.LATE));
-        ALL.put("refused", r -> r.part(End.REFUSED));
-        ALL.put("failed", r -> r.part(End.FAILED));
-        ALL.put("broken", r -> r.part(End.BROKEN));
-        ALL.put("tries_per_ask", Result::triesPerAsk);
-        ALL.put("sends_per_ask", r -> r.asks() == 0 ? 0 : (double) r.sends() / r.asks());
-        ALL.put("asks", Result::asks);
-        ALL.put("felled", Result::felled);
-        ALL.put("broken_rules", Result::brokenRules);
+        ALL.put("service", SimulationResult::score);
+        ALL.put("whole", SimulationResult::servedShare);
+        ALL.put("worst_10s", SimulationResult::worstWindow);
+        ALL.put("worst_class", SimulationResult::worstClass);
+        ALL.put("worst_municipality", SimulationResult::worstMunicipality);
+        ALL.put("last_third", SimulationResult::lastThird);
+        ALL.put("failed_late", SimulationResult::lateFailedShare);
+        ALL.put("across_sites", SimulationResult::crossSiteShare);
+        ALL.put("wasted", SimulationResult::wastedShare);
+        ALL.put("hits", SimulationResult::cacheHitShare);
+        ALL.put("spread", SimulationResult::peakToMeanLoad);
+        ALL.put("first_p50_ms", SimulationResult::firstTokenP50Millis);
+        ALL.put("first_p99_ms", SimulationResult::firstTokenP99Millis);
+        ALL.put("late", r -> r.share(Score.RequestEnd.LATE));
+        ALL.put("refused", r -> r.share(RequestEnd.REFUSED));
+        ALL.put("failed", r -> r.share(RequestEnd.FAILED));
+        ALL.put("broken", r -> r.share(RequestEnd.BROKEN));
+        ALL.put("tries_per_ask", SimulationResult::clientAttemptsPerRequest);
+        ALL.put("sends_per_ask", r -> r.requests() == 0 ? 0 : (double) r.serverAttempts() / r.requests());
+        ALL.put("asks", SimulationResult::requests);
+        ALL.put("felled", SimulationResult::crashedColdServers);
+        ALL.put("broken_rules", SimulationResult::ruleViolations);
     }
 
     /** All names, in column order. */
@@ -45,7 +45,7 @@
     }
 
     /** The values of all measures for a run, in the order of {@link #NAMES}. */
-    static List<Double> of(Result result) {
+    static List<Double> of(SimulationResult result) {
         List<Double> values = new ArrayList<>();
         ALL.values().forEach(m -> values.add(m.applyAsDouble(result)));
         return values;
--- a/src/main/java/yewdock/experiment/RunStore.java
+++ b/src/main/java/yewdock/experiment/RunStore.java
@@ -21,7 +21,7 @@
 final class RunStore {
     private static final String HEADER_PREFIX = "# plan ";
 
-    private final Plan plan;
+    private final ExperimentPlan plan;
     private final Path file;
     /** Ordered by cell, then seed, so that the file doesn't depend on which run ended first. */
     private final TreeMap<RunKey, List<Double>> completed = new TreeMap<>();
@@ -35,7 +35,7 @@
     }
 
     /** Opens the store and reads what it holds; creates the folder if needed. */
-    RunStore(Plan plan, Path folder) throws IOException {
+    RunStore(ExperimentPlan plan, Path folder) throws IOException {
         this.plan = plan;
         this.file = folder.resolve("runs.csv");
         Files.createDirectories(folder);
--- a/src/main/java/yewdock/experiment/Summary.java
+++ b/src/main/java/yewdock/experiment/Summary.java
@@ -7,10 +7,10 @@
 
 /** Medians of every measure in every cell, and differences from the first cell paired by seed. */
 final class Summary {
-    private final Plan plan;
+    private final ExperimentPlan plan;
     private final RunStore runs;
 
-    Summary(Plan plan, RunStore runs) {
+    Summary(ExperimentPlan plan, RunStore runs) {
         this.plan = plan;
         this.runs = runs;
     }
--- a/src/main/java/yewdock/model/ArrivalProcess.java
+++ b/src/main/java/yewdock/model/ArrivalProcess.java
@@ -18,9 +18,9 @@
     private static final long HISTORY_MICROS = 120_000_000;
     private static final double FULL_CYCLE_RADIANS = 2 * Math.PI;
 
-    private final Day parameters;
-    private final Calendar calendar;
-    private final Consumer<Ask> sink;
+    private final SampledScenario parameters;
+    private final EventCalendar calendar;
+    private final Consumer<SimulatedRequest> sink;
     private final List<SharedStateDiscreteSampler> prefixSamplers = new ArrayList<>();
     private final List<int[]> prefixTokensByClass = new ArrayList<>();
     private final UniformRandomProvider arrivalRandom;
@@ -32,7 +32,8 @@
     private long requestCount;
 
     /** Creates the process, which passes each request to the sink at its time in the calendar. */
-    public ArrivalProcess(Day parameters, Calendar calendar, Consumer<Ask> sink) {
+    public ArrivalProcess(SampledScenario parameters, EventCalendar calendar,
+            Consumer<SimulatedRequest> sink) {
         this.parameters = parameters;
         this.calendar = calendar;
         this.sink = sink;
@@ -42,7 +43,7 @@
         sessionShareByClass = new double[parameters.classes.size()];
         double sessionsPerRequest = 0;
         for (int classIndex = 0; classIndex < sessionShareByClass.length; classIndex++) {
-            Day.SampledClass sampled = parameters.classes.get(classIndex);
+            SampledScenario.SampledClass sampled = parameters.classes.get(classIndex);
             UniformRandomProvider random = parameters.randomStreams.stream("beginnings", classIndex);
             prefixSamplers.add(RejectionInversionZipfSampler.of(
                     parameters.randomStreams.stream("zipf", classIndex), Math.max(1, sampled.prefixCount()),
@@ -58,7 +59,7 @@
         for (int classIndex = 0; classIndex < sessionShareByClass.length; classIndex++) {
             sessionShareByClass[classIndex] /= sessionsPerRequest;
         }
-        sessionRate = parameters.askRate * sessionsPerRequest;
+        sessionRate = parameters.requestRate * sessionsPerRequest;
     }
 
     /**
@@ -92,7 +93,7 @@
             return;
         }
         long when = at;
-        calendar.at(when, () -> {
+        calendar.scheduleAt(when, () -> {
             startSession(when);
             scheduleNextSession(when);
         });
@@ -100,8 +101,9 @@
 
     private double maxBurstFactor() {
         double max = 1;
-        for (Day.ScheduledDisturbance scheduled : parameters.disturbances) {
-            max = scheduled.disturbance().what() == Scenario.What.BURST ? Math.max(max, scheduled.size())
+        for (SampledScenario.ScheduledDisturbance scheduled : parameters.disturbances) {
+            max = scheduled.disturbance().kind() == Scenario.DisturbanceKind.BURST ? Math.max(max,
+                    scheduled.size())
                     : max;
         }
         return max;
@@ -117,8 +119,9 @@
             boolean inBurst = (RandomStreams.mix(parameters.seed ^ second * 31) & 7) == 0;
             rate *= inBurst ? 1 + parameters.burst : 1 - parameters.burst / 7;
         }
-        for (Day.ScheduledDisturbance scheduled : parameters.disturbances) {
-            if (scheduled.disturbance().what() == Scenario.What.BURST && at >= scheduled.fromMicros()
+        for (SampledScenario.ScheduledDisturbance scheduled : parameters.disturbances) {
+            if (scheduled.disturbance().kind() == Scenario.DisturbanceKind.BURST
+                    && at >= scheduled.fromMicros()
                     && at < scheduled.toMicros()) {
                 rate *= scheduled.size();
             }
@@ -130,7 +133,7 @@
         long sessionNumber = ++sessionCount;
         UniformRandomProvider random = parameters.randomStreams.stream("session", sessionNumber);
         int classIndex = pickIndex(sessionShareByClass, random);
-        Day.SampledClass sampled = parameters.classes.get(classIndex);
+        SampledScenario.SampledClass sampled = parameters.classes.get(classIndex);
         int municipality = pickIndex(parameters.municipalityShare, random);
         int site = pickIndex(parameters.siteShare, random);
         // the number of turns is geometric: each turn is followed by another with the same probability
@@ -155,7 +158,7 @@
     /** Sends the request of a turn, unless it lies before the run, and schedules the next turn. */
     private void startTurn(int classIndex, int municipality, int site, long session, long prefix,
             int prefixTokens, int contextTokens, int turnsLeft, long now, UniformRandomProvider random) {
-        Day.SampledClass sampled = parameters.classes.get(classIndex);
+        SampledScenario.SampledClass sampled = parameters.classes.get(classIndex);
         double factor = costFactor(classIndex);
         int newTokens = (int) Math.max(1, Math.min(MAX_CONTEXT_TOKENS / 2,
                 RandomStreams.logNormal(random, sampled.newTokens(), sampled.newSigma()) * factor));
@@ -165,8 +168,9 @@
         int promptTokens = Math.min(MAX_CONTEXT_TOKENS, contextTokens + newTokens);
         if (now >= 0) {
             long giveUpAt = now + Math.round(sampled.profile().deadlineSeconds() * MICROS_PER_SECOND);
-            sink.accept(new Ask(++requestCount, classIndex, municipality, site, session, prefix, promptTokens,
-                    Math.min(prefixTokens, promptTokens), Math.min(newTokens, promptTokens), outputTokens,
+            sink.accept(new SimulatedRequest(++requestCount, classIndex, municipality, site, session,
+                    prefix, promptTokens, Math.min(prefixTokens, promptTokens),
+                    Math.min(newTokens, promptTokens), outputTokens,
                     sampled.profile().maxOutputTokens(), now, giveUpAt));
         }
         if (turnsLeft > 1) {
@@ -179,17 +183,18 @@
             if (at < 0) {
                 next.run();
             } else if (at < parameters.lengthMicros) {
-                calendar.at(at, next);
+                calendar.scheduleAt(at, next);
             }
         }
     }
 
     /** The factor on the tokens of a request that arrives now: 1 unless a disturbance makes it costly. */
     private double costFactor(int classIndex) {
-        for (Day.ScheduledDisturbance scheduled : parameters.disturbances) {
-            if (scheduled.disturbance().what() == Scenario.What.COSTLY
-                    && scheduled.requestClass() == classIndex && calendar.now() >= scheduled.fromMicros()
-                    && calendar.now() < scheduled.toMicros()
+        for (SampledScenario.ScheduledDisturbance scheduled : parameters.disturbances) {
+            if (scheduled.disturbance().kind() == Scenario.DisturbanceKind.COSTLY
+                    && scheduled.requestClass() == classIndex
+                            && calendar.nowMicros() >= scheduled.fromMicros()
+                    && calendar.nowMicros() < scheduled.toMicros()
                     && costlyRandom.nextDouble() < scheduled.share()) {
                 return scheduled.size();
             }
--- a/src/main/java/yewdock/model/DiscoveryModel.java
+++ b/src/main/java/yewdock/model/DiscoveryModel.java
@@ -17,7 +17,7 @@
 final class DiscoveryModel {
     private static final double MICROS_PER_SECOND = 1e6;
 
-    private final World simulation;
+    private final Simulation simulation;
     private final UniformRandomProvider random;
     private final Lifecycle[] publishedStates;
     private final long[] publishedStartTimes;
@@ -30,7 +30,7 @@
     /** Added to the delay of every change while discovery is disturbed. */
     double extraDelayMicros;
 
-    DiscoveryModel(World simulation, UniformRandomProvider random) {
+    DiscoveryModel(Simulation simulation, UniformRandomProvider random) {
         this.simulation = simulation;
         this.random = random;
         int serverCount = simulation.servers.size();
@@ -46,7 +46,7 @@
         long startedAt = server.startedAtMicros;
         double detectionMicros = (silently ? simulation.parameters.silentDetectionMicros
                 : simulation.parameters.detectionMicros) * (0.75 + random.nextDouble() / 2);
-        simulation.calendar.after(
+        simulation.calendar.scheduleAfter(
                 detectionMicros + simulation.parameters.publishDelayMicros + extraDelayMicros, () -> {
                     int index = server.number;
                     if (version > publishedVersions[index]) {
@@ -66,14 +66,14 @@
         }
         publishScheduled = true;
         long period = Math.max(1, Math.round(simulation.parameters.publishPeriodMicros));
-        long next = (simulation.calendar.now() / period + 1) * period;
-        simulation.calendar.at(next, () -> {
+        long next = (simulation.calendar.nowMicros() / period + 1) * period;
+        simulation.calendar.scheduleAt(next, () -> {
             publishScheduled = false;
             List<ServerState> entries = new ArrayList<>();
             changed.forEach(index -> entries.add(endpoint(index)));
             changed.clear();
             for (SimulatedRouter router : List.copyOf(watchers)) {
-                simulation.calendar.after(
+                simulation.calendar.scheduleAfter(
                         random.nextDouble() * simulation.parameters.publishPeriodMicros / 8, () -> {
                             if (watchers.contains(router)) {
                                 router.listReceived(ListKind.DELTA, entries);
@@ -89,18 +89,18 @@
      */
     void watch(SimulatedRouter router) {
         watchers.remove(router);
-        double now = simulation.calendar.now();
+        double now = simulation.calendar.nowMicros();
         double answeredAt = Math.max(now, busyUntilMicros)
                 + MICROS_PER_SECOND / simulation.parameters.discoveryCallsPerSecond;
         double timeoutMicros =
-                simulation.parameters.scenario.list().timeoutSeconds() * MICROS_PER_SECOND;
+                simulation.parameters.scenario.discovery().timeoutSeconds() * MICROS_PER_SECOND;
         if (answeredAt - now > timeoutMicros) {
-            simulation.calendar.after(timeoutMicros,
+            simulation.calendar.scheduleAfter(timeoutMicros,
                     () -> router.listReceived(ListKind.FAILED, List.of()));
             return;
         }
         busyUntilMicros = answeredAt;
-        simulation.calendar.at(Math.round(answeredAt), () -> {
+        simulation.calendar.scheduleAt(Math.round(answeredAt), () -> {
             if (router.alive()) {
                 watchers.add(router);
                 router.listReceived(ListKind.FULL, endpoints());
--- a/src/main/java/yewdock/model/Calendar.java
+++ b/src/main/java/yewdock/model/EventCalendar.java
@@ -7,9 +7,9 @@
  * in which they were scheduled, so that runs are reproducible. Times are microseconds of virtual time; a time
  * in the past counts as now.
  */
-public final class Calendar {
+public final class EventCalendar {
     private final PriorityQueue<ScheduledEvent> events = new PriorityQueue<>(1024);
-    private long now;
+    private long nowMicros;
     private long nextSequence;
     private long executedCount;
 
@@ -23,18 +23,18 @@
     }
 
     /** The current time: that of the latest event. */
-    public long now() {
-        return now;
+    public long nowMicros() {
+        return nowMicros;
     }
 
     /** Schedules an event at a time. */
-    public void at(long time, Runnable action) {
-        events.add(new ScheduledEvent(Math.max(time, now), nextSequence++, action));
+    public void scheduleAt(long time, Runnable action) {
+        events.add(new ScheduledEvent(Math.max(time, nowMicros), nextSequence++, action));
     }
 
     /** Schedules an event after a delay in microseconds. */
-    public void after(double micros, Runnable action) {
-        at(now + Math.max(0, Math.round(micros)), action);
+    public void scheduleAfter(double micros, Runnable action) {
+        scheduleAt(nowMicros + Math.max(0, Math.round(micros)), action);
     }
 
     /** Runs the next event; returns false if there is none. */
@@ -43,22 +43,22 @@
         if (entry == null) {
             return false;
         }
-        now = entry.timeMicros;
+        nowMicros = entry.timeMicros;
         executedCount++;
         entry.action.run();
         return true;
     }
 
     /** Runs all events up to and including a time, and advances the clock to it. */
-    public void runTo(long time) {
+    public void runUntil(long time) {
         while (!events.isEmpty() && events.peek().timeMicros <= time) {
             runNext();
         }
-        now = Math.max(now, time);
+        nowMicros = Math.max(nowMicros, time);
     }
 
     /** The time of the next event; {@link Long#MAX_VALUE} if there is none. */
-    public long nextAt() {
+    public long nextTimeMicros() {
         return events.isEmpty() ? Long.MAX_VALUE : events.peek().timeMicros;
     }
 
--- a/src/main/java/yewdock/model/Work.java
+++ b/src/main/java/yewdock/model/InferenceJob.java
@@ -1,26 +1,26 @@
 package yewdock.model;
 
 /** One attempt of a request at a simulated server, with its progress. */
-public final class Work {
+public final class InferenceJob {
     /** Receives the progress and the end of a job. */
-    public interface Taker {
+    public interface JobListener {
         /** The first token was generated. */
-        void begun(Work job);
+        void firstToken(InferenceJob job);
 
         /** A token was generated; also called for the first one. */
-        default void token(Work job) {
+        default void tokenGenerated(InferenceJob job) {
             // most listeners need only the first token and the end
         }
 
         /** The last token was generated. */
-        void done(Work job);
+        void completed(InferenceJob job);
 
         /** The job was lost in a crash, its stream broke, or it was dropped from the queue. */
-        void lost(Work job);
+        void failed(InferenceJob job);
     }
 
-    final Ask request;
-    final Taker listener;
+    final SimulatedRequest request;
+    final JobListener listener;
     final long expiresAtMicros;
     /** Its cost in seconds of a warm, half-full server. */
     final double costSeconds;
@@ -36,10 +36,11 @@
     boolean abandoned;
 
     /**
-     * Creates a job; once it is abandoned and expiresAtMicros has passed, a server may drop it from its
-     * queue.
+     * Creates a job; once it is abandoned and expiresAtMicros has passed, a server may
+     * drop it from its queue.
      */
-    public Work(Ask request, Taker listener, long expiresAtMicros, double costSeconds) {
+    public InferenceJob(SimulatedRequest request, JobListener listener, long expiresAtMicros,
+            double costSeconds) {
         this.request = request;
         this.listener = listener;
         this.expiresAtMicros = expiresAtMicros;
@@ -47,12 +48,12 @@
     }
 
     /** The request that it belongs to. */
-    public Ask request() {
+    public SimulatedRequest request() {
         return request;
     }
 
     /** Prompt tokens that were in the server's cache when it first admitted the request. */
-    public int keptTokens() {
+    public int cachedPromptTokens() {
         return Math.max(0, firstCachedTokens);
     }
 
@@ -62,7 +63,7 @@
     }
 
     /** Marks that nobody waits for the answer any more; the server goes on with the job. */
-    public void abandon() {
+    public void markAbandoned() {
         abandoned = true;
     }
 }
--- a/src/main/java/yewdock/model/LoadReportModel.java
+++ b/src/main/java/yewdock/model/LoadReportModel.java
@@ -9,7 +9,7 @@
 final class LoadReportModel {
     private static final double MICROS_PER_SECOND = 1e6;
 
-    private final World simulation;
+    private final Simulation simulation;
     private final UniformRandomProvider random;
     private final ZigguratSampler.NormalizedGaussian gaussian;
     private final ServerReports[] reportsByServer;
@@ -27,7 +27,7 @@
         private int errors;
     }
 
-    LoadReportModel(World simulation, UniformRandomProvider random) {
+    LoadReportModel(Simulation simulation, UniformRandomProvider random) {
         this.simulation = simulation;
         this.random = random;
         this.gaussian = ZigguratSampler.NormalizedGaussian.of(random);
@@ -35,7 +35,7 @@
         for (int i = 0; i < reportsByServer.length; i++) {
             reportsByServer[i] = new ServerReports();
             SimulatedServer server = simulation.servers.get(i);
-            simulation.calendar.after(
+            simulation.calendar.scheduleAfter(
                     random.nextDouble() * simulation.parameters.reportIntervalMicros,
                     () -> createReport(server));
         }
@@ -61,13 +61,14 @@
         }
         ServerReports reports = reportsByServer[server.number];
         double seconds = simulation.parameters.reportIntervalMicros / MICROS_PER_SECOND;
-        reports.pending.add(new TimedReport(simulation.calendar.now(), new LoadReport(
+        reports.pending.add(new TimedReport(simulation.calendar.nowMicros(), new LoadReport(
                 noisy(server.inFlight()), Double.NaN, Double.NaN, Double.NaN,
                 noisy(reports.completed / seconds),
                 noisy(reports.errors / seconds), Double.NaN, noisy(server.pendingPromptTokens() / 1000))));
         reports.completed = 0;
         reports.errors = 0;
-        simulation.calendar.after(simulation.parameters.reportIntervalMicros, () -> createReport(server));
+        simulation.calendar.scheduleAfter(simulation.parameters.reportIntervalMicros, () ->
+                createReport(server));
     }
 
     private double noisy(double value) {
@@ -78,7 +79,7 @@
     LoadReport latestReport(SimulatedServer server) {
         ServerReports reports = reportsByServer[server.number];
         double knownUntil =
-                simulation.calendar.now() - simulation.parameters.reportDelayMicros - extraDelayMicros;
+                simulation.calendar.nowMicros() - simulation.parameters.reportDelayMicros - extraDelayMicros;
         while (!reports.pending.isEmpty() && reports.pending.peek().atMicros() <= knownUntil) {
             reports.latest = reports.pending.poll().report();
         }
--- a/src/main/java/yewdock/model/PrefixCache.java
+++ b/src/main/java/yewdock/model/PrefixCache.java
@@ -20,7 +20,7 @@
     }
 
     /** How many tokens of a prompt are cached, in whole blocks; doesn't count as a use. */
-    int lookup(Ask request, int blockTokens) {
+    int lookup(SimulatedRequest request, int blockTokens) {
         boolean noPrefix = request.prefix == 0;
         if (!noPrefix && !prefixTokens.containsKey(request.prefix)) {
             return 0;
@@ -34,7 +34,7 @@
      * Uses the cached tokens of a prompt and returns their number, in whole blocks; the session's own tokens
      * leave the cache and belong to the running request from then on.
      */
-    int take(Ask request, int blockTokens) {
+    int take(SimulatedRequest request, int blockTokens) {
         if (request.prefix != 0) {
             Integer prefixTokensHeld = prefixTokens.remove(request.prefix);
             if (prefixTokensHeld == null) {
@@ -52,14 +52,14 @@
     }
 
     /** Caches the shared prefix of a request, if it has one. */
-    void putPrefix(Ask request) {
+    void putPrefix(SimulatedRequest request) {
         if (request.prefix != 0 && prefixTokens.put(request.prefix, request.prefixTokens) == null) {
             cachedTokens += request.prefixTokens;
         }
     }
 
     /** Caches the tokens of a session beyond its shared prefix. */
-    void putSession(Ask request, int ownTokens) {
+    void putSession(SimulatedRequest request, int ownTokens) {
         Integer previous = sessionTokens.remove(request.session);
         sessionTokens.put(request.session, ownTokens);
         cachedTokens += ownTokens - (previous == null ? 0 : previous);
--- a/src/main/java/yewdock/model/RuleChecker.java
+++ b/src/main/java/yewdock/model/RuleChecker.java
@@ -15,7 +15,7 @@
     private static final double KNOWN_START_SHARE = 2.0 / 3;
     private static final int MAX_RECORDED = 1000;
 
-    private final World simulation;
+    private final Simulation simulation;
     private final Map<SimulatedServer, ArrayDeque<SentWork>> recentWork = new HashMap<>();
     private final List<String> violations = new ArrayList<>();
     private long violationCount;
@@ -26,7 +26,7 @@
     private record SentWork(long atMicros, double costSeconds, boolean startKnown) {
     }
 
-    RuleChecker(World simulation) {
+    RuleChecker(Simulation simulation) {
         this.simulation = simulation;
     }
 
@@ -35,7 +35,7 @@
         violationCount++;
         if (violations.size() < MAX_RECORDED) {
             violations.add(String.format(java.util.Locale.ROOT, "at %.3f s: %s",
-                    simulation.calendar.now() / MICROS_PER_SECOND, what));
+                    simulation.calendar.nowMicros() / MICROS_PER_SECOND, what));
         }
     }
 
@@ -54,12 +54,12 @@
      * or is gone, -1 if it was not.
      */
     void checkDrain(SimulatedRouter router, SimulatedServer server, long toldAtMicros) {
-        double lateSeconds = (simulation.calendar.now() - toldAtMicros) / MICROS_PER_SECOND;
+        double lateSeconds = (simulation.calendar.nowMicros() - toldAtMicros) / MICROS_PER_SECOND;
         if (toldAtMicros >= 0
-                && lateSeconds > simulation.parameters.scenario.contract().drainGraceSeconds()) {
+                && lateSeconds > simulation.parameters.scenario.rules().drainGraceSeconds()) {
             recordViolation("drain: router " + router.number + " sends to server " + server.number + " "
-                    + String.format(java.util.Locale.ROOT, "%.2f s after it was told of the drain",
-                            lateSeconds));
+                    + String.format(java.util.Locale.ROOT,
+                            "%.2f s after it was told of the drain", lateSeconds));
         }
     }
 
@@ -70,8 +70,8 @@
             return false;
         }
         ArrayDeque<SentWork> recent = recentWork.computeIfAbsent(server, s -> new ArrayDeque<>());
-        long now = simulation.calendar.now();
-        Scenario.Contract rules = simulation.parameters.scenario.contract();
+        long now = simulation.calendar.nowMicros();
+        Scenario.Contract rules = simulation.parameters.scenario.rules();
         recent.add(new SentWork(now, costSeconds, startKnown));
         while (recent.peek().atMicros() < now - rules.overloadWindowSeconds() * MICROS_PER_SECOND
                 || recent.peek().atMicros() < server.startedAtMicros) {
--- a/src/main/java/yewdock/model/Day.java
+++ b/src/main/java/yewdock/model/SampledScenario.java
@@ -8,17 +8,17 @@
  * The parameters of one run, sampled from the ranges of a scenario: servers, request classes, delays and
  * disturbances. Equal seeds give equal parameters.
  */
-public final class Day {
+public final class SampledScenario {
     /** An option whose drawn value is at least this is on. */
     private static final double ENABLED_FROM = 0.5;
 
     /** A disturbance with its sampled times and sizes; servers are given by their numbers. */
-    record ScheduledDisturbance(Scenario.Trouble disturbance, long fromMicros, long toMicros, double size,
+    record ScheduledDisturbance(Scenario.Disturbance disturbance, long fromMicros, long toMicros, double size,
             double share, List<Integer> servers, int requestClass, int site) {
     }
 
     /** A request class with its sampled values. */
-    record SampledClass(Scenario.AskClass profile, double share, double newTokens, double newSigma,
+    record SampledClass(Scenario.RequestClassProfile profile, double share, double newTokens, double newSigma,
             double outputTokens, double outputSigma, double turns, double thinkSeconds, int prefixCount,
             double prefixZipf, double prefixTokens, double prefixShare) {
     }
@@ -28,7 +28,7 @@
     final RandomStreams randomStreams;
     final long lengthMicros;
     /** Mean number of new requests per second. */
-    final double askRate;
+    final double requestRate;
     /** Amplitude of the sinusoidal change of the rate over the run, as a share of the rate. */
     final double swing;
     /** Share by which the rate rises in a short burst. */
@@ -37,7 +37,7 @@
     final List<Integer> routerSites = new ArrayList<>();
     final List<SimulatedServer.ServerSpec> serverSpecs = new ArrayList<>();
     /** The servers by number; the number is their index in this list. */
-    final List<Scenario.BoxLine> boxes = new ArrayList<>();
+    final List<Scenario.ServerEntry> servers = new ArrayList<>();
     final List<SampledClass> classes = new ArrayList<>();
     final double[] classShare;
     final double[] municipalityShare;
@@ -68,11 +68,11 @@
     final double routerDetectionMicros;
 
     /** Samples all parameters. */
-    public Day(Scenario scenario, long seed) {
+    public SampledScenario(Scenario scenario, long seed) {
         this.scenario = scenario;
         this.seed = seed;
         this.randomStreams = new RandomStreams(seed);
-        this.lengthMicros = Math.round(scenario.span().seconds() * 1e6);
+        this.lengthMicros = Math.round(scenario.loadProfile().seconds() * 1e6);
         UniformRandomProvider random = randomStreams.stream("day");
         Scenario.Sites sites = scenario.sites();
         crossSiteMicros = sites.crossSiteMillis().draw(random) * 1e3;
@@ -85,7 +85,7 @@
         attemptTimeoutShare = clients.attemptTimeoutShare().draw(random);
         backoffMicros = clients.backoffMillis().draw(random) * 1e3;
         retryAfterHonouredShare = clients.retryAfterHonouredShare().draw(random);
-        Scenario.Listing discovery = scenario.list();
+        Scenario.DiscoveryParameters discovery = scenario.discovery();
         detectionMicros = discovery.detectionSeconds().draw(random) * 1e6;
         silentDetectionMicros = discovery.silentDetectionSeconds().draw(random) * 1e6;
         publishDelayMicros = discovery.publishDelaySeconds().draw(random) * 1e6;
@@ -122,11 +122,11 @@
         }
         capacity = computeCapacity();
         UniformRandomProvider load = randomStreams.stream("load");
-        double perSecond = scenario.span().requestsPerSecond().draw(load);
-        double capacityShare = scenario.span().load().draw(load);
-        askRate = perSecond > 0 ? perSecond : capacityShare * capacity;
-        swing = scenario.span().swing().draw(load);
-        burst = scenario.span().burstFactor().draw(load);
+        double perSecond = scenario.loadProfile().requestsPerSecond().draw(load);
+        double capacityShare = scenario.loadProfile().load().draw(load);
+        requestRate = perSecond > 0 ? perSecond : capacityShare * capacity;
+        swing = scenario.loadProfile().rateSwing().draw(load);
+        burst = scenario.loadProfile().burstFactor().draw(load);
         municipalityShare = new double[scenario.municipalities().size()];
         quotaPerSecond = new double[municipalityShare.length];
         drawMunicipalities(randomStreams.stream("municipalities"), clients.quotaShare());
@@ -161,7 +161,7 @@
         return shares;
     }
 
-    private static SimulatedServer.ServerSpec sampleSpec(int number, Scenario.Kind kind,
+    private static SimulatedServer.ServerSpec sampleSpec(int number, Scenario.ServerKind kind,
             UniformRandomProvider random) {
         return new SimulatedServer.ServerSpec(number,
                 Math.max(1, (int) Math.round(kind.slots().draw(random))),
@@ -177,14 +177,14 @@
 
     /** Takes the servers that the scenario lists, or else mixes the kinds in proportion to their shares. */
     private void drawServers(UniformRandomProvider random) {
-        Scenario.Fleet fleet = scenario.fleet();
+        Scenario.ServerFleet fleet = scenario.fleet();
         int count = fleet.count().drawInteger(random);
-        boxes.addAll(fleet.servers());
-        if (!boxes.isEmpty()) {
+        servers.addAll(fleet.servers());
+        if (!servers.isEmpty()) {
             return;
         }
         double sum = 0;
-        for (Scenario.Kind kind : scenario.kinds()) {
+        for (Scenario.ServerKind kind : scenario.kinds()) {
             sum += kind.share();
         }
         double offset = random.nextDouble();
@@ -196,12 +196,12 @@
                 next = credit[kind] > credit[next] ? kind : next;
             }
             credit[next]--;
-            boxes.add(new Scenario.BoxLine(next, i % scenario.sites().names().size(),
+            servers.add(new Scenario.ServerEntry(next, i % scenario.sites().names().size(),
                     scenario.kinds().get(next).speed().draw(random)));
         }
     }
 
-    private static SampledClass sampleClass(Scenario.AskClass c, UniformRandomProvider random) {
+    private static SampledClass sampleClass(Scenario.RequestClassProfile c, UniformRandomProvider random) {
         return new SampledClass(c, c.share().draw(random), c.newTokens().draw(random),
                 c.newSigma().draw(random), c.outputTokens().draw(random), c.outputSigma().draw(random),
                 c.turns().draw(random), c.thinkSeconds().draw(random), c.prefixCount().drawInteger(random),
@@ -214,7 +214,7 @@
      */
     private double computeCapacity() {
         double requestsPerSecond = 0;
-        for (Scenario.BoxLine server : boxes) {
+        for (Scenario.ServerEntry server : servers) {
             SimulatedServer.ServerSpec spec = serverSpecs.get(server.kind());
             double costSeconds = 0;
             for (int c = 0; c < classes.size(); c++) {
@@ -233,14 +233,14 @@
     }
 
     /** The cost of a request in seconds of this server when warm, with its earlier turns cached. */
-    double costSeconds(SimulatedServer server, Ask request) {
-        return server.spec.costSeconds(request.newPromptTokens, request.outTokens, request.promptTokens)
+    double costSeconds(SimulatedServer server, SimulatedRequest request) {
+        return server.spec.costSeconds(request.newPromptTokens, request.outputTokens, request.promptTokens)
                 / server.speed;
     }
 
     private void drawDisturbances() {
-        for (int t = 0; t < scenario.troubles().size(); t++) {
-            Scenario.Trouble disturbance = scenario.troubles().get(t);
+        for (int t = 0; t < scenario.disturbances().size(); t++) {
+            Scenario.Disturbance disturbance = scenario.disturbances().get(t);
             UniformRandomProvider random = randomStreams.stream("trouble", t);
             boolean occurs = random.nextDouble() < disturbance.probability();
             long from = Math.round(disturbance.startShare().draw(random) * lengthMicros);
@@ -249,13 +249,14 @@
             double share = disturbance.share().draw(random);
             int site = indexOrRandom(disturbance.target(), scenario.sites().names(), random);
             int requestClass = indexOrRandom(disturbance.target(),
-                    scenario.classes().stream().map(Scenario.AskClass::name).toList(), random);
+                    scenario.classes().stream().map(Scenario.RequestClassProfile::name).toList(), random);
             List<Integer> affected = new ArrayList<>();
-            int wanted = (int) Math.max(share > 0 ? 1 : 0, Math.round(share * boxes.size()));
-            int first = random.nextInt(Math.max(1, boxes.size()));
-            for (int i = 0; i < boxes.size(); i++) {
-                int index = (first + i) % boxes.size();
-                boolean hit = disturbance.what() == Scenario.What.SITE_LOST ? boxes.get(index).site() == site
+            int wanted = (int) Math.max(share > 0 ? 1 : 0, Math.round(share * servers.size()));
+            int first = random.nextInt(Math.max(1, servers.size()));
+            for (int i = 0; i < servers.size(); i++) {
+                int index = (first + i) % servers.size();
+                boolean hit = disturbance.kind() == Scenario.DisturbanceKind.SITE_LOST
+                        ? servers.get(index).site() == site
                         : affected.size() < wanted;
                 if (hit) {
                     affected.add(index);
@@ -276,10 +277,10 @@
     }
 
     /** Creates the servers on an event calendar, warm and idle. */
-    List<SimulatedServer> newServers(Calendar calendar) {
+    List<SimulatedServer> newServers(EventCalendar calendar) {
         List<SimulatedServer> created = new ArrayList<>();
-        for (int i = 0; i < boxes.size(); i++) {
-            Scenario.BoxLine entry = boxes.get(i);
+        for (int i = 0; i < servers.size(); i++) {
+            Scenario.ServerEntry entry = servers.get(i);
             // the ids are hashed so that they reveal nothing about site, kind or age
             created.add(new SimulatedServer(i, RandomStreams.mix(seed ^ i * 0x51ed270b7L) >>> 1, entry.site(),
                     serverSpecs.get(entry.kind()), entry.speed(), calendar, randomStreams.stream("box", i)));
@@ -288,8 +289,8 @@
     }
 
     /** How many servers there are. */
-    public int boxes() {
-        return boxes.size();
+    public int servers() {
+        return servers.size();
     }
 
     /** How many routers there are. */
@@ -303,7 +304,7 @@
     }
 
     /** The mean rate of new requests per second. */
-    public double askRate() {
-        return askRate;
+    public double requestRate() {
+        return requestRate;
     }
 }
--- a/src/main/java/yewdock/model/Scenario.java
+++ b/src/main/java/yewdock/model/Scenario.java
@@ -3,26 +3,28 @@
 import java.util.List;
 
 /**
- * A scenario for simulations: the ranges from which {@link Day} samples the parameters of a run. Times are
- * milliseconds or seconds as their names say; shares lie between 0 and 1. docs/EXPERIMENTS.md describes each
- * key of the file.
+ * A scenario for simulations: the ranges from which {@link SampledScenario} samples the parameters of a run.
+ * Times are milliseconds or seconds as their names say; shares lie between 0 and 1. docs/EXPERIMENTS.md
+ * describes each key of the file.
  */
-public record Scenario(Span span, Sites sites, Routers routers, Clients clients, Listing list,
-        Reports reports, Contract contract, Fleet fleet, List<Kind> kinds, List<AskClass> classes,
-        List<Municipality> municipalities, List<Trouble> troubles) {
+public record Scenario(LoadProfile loadProfile, Sites sites, Routers routers, Clients clients,
+        DiscoveryParameters discovery, LoadReporting reports, Contract rules, ServerFleet fleet,
+        List<ServerKind> kinds, List<RequestClassProfile> classes, List<Municipality> municipalities,
+        List<Disturbance> disturbances) {
     public Scenario {
         kinds = List.copyOf(kinds);
         classes = List.copyOf(classes);
         municipalities = List.copyOf(municipalities);
-        troubles = List.copyOf(troubles);
+        disturbances = List.copyOf(disturbances);
     }
 
     /**
      * Length and load of a run: load is the offered share of the fleet's capacity; if requestsPerSecond is
-     * over 0, it is used instead. swing moves the rate up and down by this share once over the run, and
-     * burstFactor raises it by this share in short bursts.
+     * over 0, it is used instead. rateSwing moves the rate up and down by this share once over the run,
+     * and burstFactor raises it by this share in short bursts.
      */
-    public record Span(double seconds, Range load, Range requestsPerSecond, Range swing, Range burstFactor) {
+    public record LoadProfile(double seconds, Range load, Range requestsPerSecond, Range rateSwing,
+            Range burstFactor) {
     }
 
     /**
@@ -62,12 +64,13 @@
      * Discovery: how long it takes to detect a change, or a silent crash, and to publish it, how often it
      * publishes, and how many calls per second it answers.
      */
-    public record Listing(Range detectionSeconds, Range silentDetectionSeconds, Range publishDelaySeconds,
+    public record DiscoveryParameters(Range detectionSeconds, Range silentDetectionSeconds,
+            Range publishDelaySeconds,
             Range publishPeriodMillis, Range callsPerSecond, double timeoutSeconds) {
     }
 
     /** Load reports: how often they are created, how late they arrive, and their relative error. */
-    public record Reports(Range intervalMillis, Range delayMillis, Range noise) {
+    public record LoadReporting(Range intervalMillis, Range delayMillis, Range noise) {
     }
 
     /** The figures of the rules, as in {@link umberspread.Routing.Contract}. */
@@ -79,15 +82,15 @@
      * The number of servers, or a list of them; the cost of a new connection in round trips and in work of
      * the server; the most connections of one server.
      */
-    public record Fleet(Range count, List<BoxLine> servers, Range handshakeRoundTrips, Range handshakeMicros,
-            int maxConnections) {
-        public Fleet {
+    public record ServerFleet(Range count, List<ServerEntry> servers, Range handshakeRoundTrips,
+            Range handshakeMicros, int maxConnections) {
+        public ServerFleet {
             servers = List.copyOf(servers);
         }
     }
 
     /** One server: kind and site by index, and its speed relative to the reference speed. */
-    public record BoxLine(int kind, int site, double speed) {
+    public record ServerEntry(int kind, int site, double speed) {
     }
 
     /**
@@ -95,7 +98,7 @@
      * dropsExpired: whether it drops abandoned requests from its queue once they have expired, as a share of
      * the runs; cachesOutput: whether it keeps the tokens of an answer in the prefix cache.
      */
-    public record Kind(String name, double share, Range speed, Range slots, Range queueLimit,
+    public record ServerKind(String name, double share, Range speed, Range slots, Range queueLimit,
             Range memoryThousandTokens, Range stepMillis, Range perSequenceMillis,
             Range contextMillisPerThousand, Range attentionMillisPerMillion, Range prefillTokensPerSecond,
             Range prefillChunkTokens, Range coldCapacityShare, Range warmUpSeconds, boolean warmByWork,
@@ -103,7 +106,7 @@
     }
 
     /** A request class, as described in BRIEF, section 5. */
-    public record AskClass(String name, Range share, double firstTokenTargetSeconds,
+    public record RequestClassProfile(String name, Range share, double firstTokenTargetSeconds,
             double firstTokenTargetMillisPerThousand, double tokenTargetMillis, double deadlineSeconds,
             double worth, double lateWorth, Range newTokens, Range newSigma, Range outputTokens,
             Range outputSigma, int maxOutputTokens, Range turns, Range thinkSeconds, Range prefixCount,
@@ -119,12 +122,12 @@
      * lasts, its size, and the share of servers, routers or requests that it affects; target: the name of the
      * site or request class concerned, or empty for a random one.
      */
-    public record Trouble(String name, What what, double probability, Range startShare, Range seconds,
-            Range size, Range share, String target) {
+    public record Disturbance(String name, DisturbanceKind kind, double probability, Range startShare,
+            Range seconds, Range size, Range share, String target) {
     }
 
     /** The kinds of disturbances. Each constant is a value in scenario files. */
-    public enum What {
+    public enum DisturbanceKind {
         /** A share of the servers is slower by the factor size. */
         SLOW,
         /** Load reports arrive later by size seconds. */
@@ -154,7 +157,7 @@
 
     /** This scenario with other routers. */
     public Scenario withRouters(Routers other) {
-        return new Scenario(span, sites, other, clients, list, reports, contract, fleet, kinds, classes,
-                municipalities, troubles);
+        return new Scenario(loadProfile, sites, other, clients, discovery, reports, rules, fleet,
+                kinds, classes, municipalities, disturbances);
     }
 }
--- a/src/main/java/yewdock/model/Score.java
+++ b/src/main/java/yewdock/model/Score.java
@@ -26,7 +26,7 @@
     private static final long MAX_RECORDED_MICROS = 600_000_000;
 
     /** How a request ended; REFUSED, FAILED: after the last retry, BROKEN: after its first token. */
-    public enum End { IN_TIME, LATE, REFUSED, FAILED, BROKEN }
+    public enum RequestEnd { IN_TIME, LATE, REFUSED, FAILED, BROKEN }
 
     private final double[] offeredBySecond;
     private final double[] servedBySecond;
@@ -35,7 +35,7 @@
     private final double[] offeredByMunicipality;
     private final double[] servedByMunicipality;
     private final List<Histogram> firstTokenDelays = new ArrayList<>();
-    private final Map<End, Long> ends = new EnumMap<>(End.class);
+    private final Map<RequestEnd, Long> ends = new EnumMap<>(RequestEnd.class);
     private final Map<Outcome, Long> outcomes = new EnumMap<>(Outcome.class);
     private double offeredWorth;
     private double servedWorth;
@@ -51,11 +51,11 @@
     private double spreadSum;
     private long spreadCount;
     private final long lengthMicros;
-    private final Day parameters;
+    private final SampledScenario parameters;
     /** Cost of all requests on servers of the first kind, in seconds at the reference speed. */
     double offeredCost;
 
-    Score(Day parameters) {
+    Score(SampledScenario parameters) {
         this.parameters = parameters;
         this.lengthMicros = parameters.lengthMicros;
         int seconds = (int) Math.ceil(lengthMicros / 1e6) + 1;
@@ -72,10 +72,10 @@
     }
 
     /** Records a new request. */
-    void recordRequest(Ask request) {
+    void recordRequest(SimulatedRequest request) {
         requestCount++;
         offeredWorth += request.worth;
-        offeredBySecond[(int) Math.min(offeredBySecond.length - 1, request.arrivedAt / 1_000_000)] +=
+        offeredBySecond[(int) Math.min(offeredBySecond.length - 1, request.arrivedAtMicros / 1_000_000)] +=
                 request.worth;
         offeredByClass[request.requestClass] += request.worth;
         if (request.withinQuota) {
@@ -84,32 +84,33 @@
     }
 
     /** Records the delay from a request to its first token. */
-    void recordFirstToken(Ask request, long micros) {
+    void recordFirstToken(SimulatedRequest request, long micros) {
         firstTokenDelays.get(request.requestClass).recordValue(
                 Math.min(MAX_RECORDED_MICROS, Math.max(0, micros)));
     }
 
     /** Records the end of a request with the share of its worth that it earned. */
-    void recordEnd(Ask request, End end, double worthShare, long now) {
+    void recordEnd(SimulatedRequest request, RequestEnd end, double worthShare, long now) {
         endedCount++;
         ends.merge(end, 1L, Long::sum);
         double worth = request.worth * worthShare;
         servedWorth += worth;
-        servedBySecond[(int) Math.min(servedBySecond.length - 1, request.arrivedAt / 1_000_000)] += worth;
+        servedBySecond[(int) Math.min(servedBySecond.length - 1,
+                request.arrivedAtMicros / 1_000_000)] += worth;
         servedByClass[request.requestClass] += worth;
         if (request.withinQuota) {
             servedByMunicipality[request.municipality] += worth;
         }
-        Scenario.AskClass requestClass = parameters.classes.get(request.requestClass).profile();
+        Scenario.RequestClassProfile requestClass = parameters.classes.get(request.requestClass).profile();
         double targetMicros = requestClass.firstTokenTargetSeconds() * 1e6
                 + requestClass.firstTokenTargetMillisPerThousand() * request.promptTokens;
-        if (end != End.IN_TIME && now - request.arrivedAt > targetMicros) {
+        if (end != RequestEnd.IN_TIME && now - request.arrivedAtMicros > targetMicros) {
             lateFailedWorth += request.worth;
         }
     }
 
     /** Records an attempt at a server; first: of its client attempt, crossSite: to another site. */
-    void recordSend(Ask request, boolean first, boolean crossSite) {
+    void recordSend(SimulatedRequest request, boolean first, boolean crossSite) {
         serverAttempts++;
         firstAttempts += first ? 1 : 0;
         crossSiteAttempts += first && crossSite ? 1 : 0;
@@ -126,7 +127,7 @@
     }
 
     /** Records how many prompt tokens of an answered request were cached. */
-    void recordCacheHit(Ask request, int tokens) {
+    void recordCacheHit(SimulatedRequest request, int tokens) {
         promptTokens += request.promptTokens;
         cachedTokens += tokens;
     }
@@ -138,28 +139,31 @@
     }
 
     /**
-     * The figures of a run. The first one is the score; whole, worst and lastThird figures are shares of the
-     * offered worth that was answered in time; the figures by class follow the order of the scenario.
+     * The figures of a run. The first one is the score; servedShare and the worst and lastThird figures are
+     * shares of the offered worth that was answered in time; the figures by class follow the order of the
+     * scenario.
      */
-    public record Result(double g, double whole, double worstWindow, double worstClass,
-            double worstMunicipality, double lastThird, double lateFailed, double crossed, double wasted,
-            long asks, long tries, long sends, Map<End, Long> ends, Map<Outcome, Long> outcomes, double hits,
-            double spread, double firstP50Millis, double firstP99Millis, List<Double> byClass,
-            List<Double> firstP50ByClass, List<Double> firstP99ByClass, long handshakes, long brokenRules,
-            int felled, long events, double moduleNanos, long moduleEvents) {
+    public record SimulationResult(double score, double servedShare, double worstWindow, double worstClass,
+            double worstMunicipality, double lastThird, double lateFailedShare, double crossSiteShare,
+            double wastedShare, long requests, long clientAttempts, long serverAttempts,
+            Map<RequestEnd, Long> ends, Map<Outcome, Long> outcomes, double cacheHitShare,
+            double peakToMeanLoad, double firstTokenP50Millis, double firstTokenP99Millis,
+            List<Double> servedShareByClass, List<Double> firstTokenP50MillisByClass,
+            List<Double> firstTokenP99MillisByClass, long handshakes, long ruleViolations,
+            int crashedColdServers, long events, double moduleNanos, long moduleEvents) {
         /** The mean number of client attempts per request. */
-        public double triesPerAsk() {
-            return asks == 0 ? 0 : (double) tries / asks;
+        public double clientAttemptsPerRequest() {
+            return requests == 0 ? 0 : (double) clientAttempts / requests;
         }
 
         /** The share of the requests that ended this way. */
-        public double part(End end) {
-            return asks == 0 ? 0 : (double) ends.getOrDefault(end, 0L) / asks;
+        public double share(RequestEnd end) {
+            return requests == 0 ? 0 : (double) ends.getOrDefault(end, 0L) / requests;
         }
     }
 
     /** The figures of a finished run. */
-    Result toResult(World simulation) {
+    SimulationResult toResult(Simulation simulation) {
         double wasted = 0;
         for (SimulatedServer server : simulation.servers) {
             wasted += server.workWastedSeconds * server.speed;
@@ -185,8 +189,8 @@
             p50Millis.add(firstTokenDelays.get(classIndex).getValueAtPercentile(50) / 1e3);
             p99Millis.add(firstTokenDelays.get(classIndex).getValueAtPercentile(99) / 1e3);
         }
-        return new Result(score, whole, window, worstClass, worstMunicipality, lastThird(), lateFailed,
-                crossSite, waste, requestCount, simulation.clients.attemptCount(), serverAttempts,
+        return new SimulationResult(score, whole, window, worstClass, worstMunicipality, lastThird(),
+                lateFailed, crossSite, waste, requestCount, simulation.clients.attemptCount(), serverAttempts,
                 Collections.unmodifiableMap(new EnumMap<>(ends)),
                 Collections.unmodifiableMap(new EnumMap<>(outcomes)),
                 promptTokens == 0 ? 0 : cachedTokens / promptTokens,
--- a/src/main/java/yewdock/model/SimulatedClients.java
+++ b/src/main/java/yewdock/model/SimulatedClients.java
@@ -9,7 +9,7 @@
 final class SimulatedClients {
     private static final double MICROS_PER_SECOND = 1e6;
 
-    private final World simulation;
+    private final Simulation simulation;
     private final UniformRandomProvider random;
     /** Token bucket of each municipality, which holds two seconds of its quota. */
     private final double[] quotaTokens;
@@ -17,7 +17,7 @@
     private long attemptCount;
     private long openCount;
 
-    SimulatedClients(World simulation, UniformRandomProvider random) {
+    SimulatedClients(Simulation simulation, UniformRandomProvider random) {
         this.simulation = simulation;
         this.random = random;
         this.quotaTokens = new double[simulation.parameters.quotaPerSecond.length];
@@ -38,15 +38,16 @@
     }
 
     /** Starts a new request; it has its full worth only while its municipality is within its quota. */
-    void submit(Ask request) {
+    void submit(SimulatedRequest request) {
         int municipality = request.municipality;
         double quota = simulation.parameters.quotaPerSecond[municipality];
         quotaTokens[municipality] = Math.min(2 * quota, quotaTokens[municipality] + quota
-                * (simulation.calendar.now() - refilledAtMicros[municipality]) / MICROS_PER_SECOND);
-        refilledAtMicros[municipality] = simulation.calendar.now();
+                * (simulation.calendar.nowMicros() - refilledAtMicros[municipality]) / MICROS_PER_SECOND);
+        refilledAtMicros[municipality] = simulation.calendar.nowMicros();
         request.withinQuota = quotaTokens[municipality] >= 1;
         quotaTokens[municipality] -= request.withinQuota ? 1 : 0;
-        Scenario.AskClass requestClass = simulation.parameters.classes.get(request.requestClass).profile();
+        Scenario.RequestClassProfile requestClass =
+                simulation.parameters.classes.get(request.requestClass).profile();
         request.worth = requestClass.worth() * (request.withinQuota ? 1
                 : simulation.parameters.scenario.clients().overShareWorth());
         openCount++;
@@ -56,9 +57,9 @@
 
     /** Sends the request to a router; without any router the connection fails. */
     private void startAttempt(WaitingClient client) {
-        Ask request = client.request;
+        SimulatedRequest request = client.request;
         request.clientAttempts++;
-        long now = simulation.calendar.now();
+        long now = simulation.calendar.nowMicros();
         double deadlineMicros = simulation.parameters.classes.get(request.requestClass).profile()
                 .deadlineSeconds() * MICROS_PER_SECOND;
         double timeoutMicros = Math.min(simulation.parameters.attemptTimeoutShare * deadlineMicros,
@@ -69,28 +70,28 @@
                 now + Math.round(Math.max(1, timeoutMicros - delayMicros)));
         SimulatedRouter.ClientAttempt attempt = client.currentAttempt;
         if (router == null) {
-            simulation.calendar.after(delayMicros, () -> client.connectionLost(attempt));
+            simulation.calendar.scheduleAfter(delayMicros, () -> client.connectionLost(attempt));
         } else {
-            simulation.calendar.after(delayMicros, () -> router.receive(attempt));
+            simulation.calendar.scheduleAfter(delayMicros, () -> router.receive(attempt));
         }
     }
 
     /** A client that waits for the answer to one request. */
     final class WaitingClient {
-        private final Ask request;
+        private final SimulatedRequest request;
         private SimulatedRouter.ClientAttempt currentAttempt;
         private long firstTokenAtMicros = -1;
         private boolean wasRefused;
 
-        WaitingClient(Ask request) {
+        WaitingClient(SimulatedRequest request) {
             this.request = request;
         }
 
         /** Handles the first token. */
         void firstToken(SimulatedRouter.ClientAttempt attempt) {
             if (attempt == currentAttempt && !request.ended && firstTokenAtMicros < 0) {
-                firstTokenAtMicros = simulation.calendar.now();
-                simulation.score.recordFirstToken(request, firstTokenAtMicros - request.arrivedAt);
+                firstTokenAtMicros = simulation.calendar.nowMicros();
+                simulation.score.recordFirstToken(request, firstTokenAtMicros - request.arrivedAtMicros);
             }
         }
 
@@ -101,19 +102,19 @@
                         + " is answered twice");
                 return;
             }
-            long now = simulation.calendar.now();
-            Scenario.AskClass requestClass =
+            long now = simulation.calendar.nowMicros();
+            Scenario.RequestClassProfile requestClass =
                     simulation.parameters.classes.get(request.requestClass).profile();
             double targetMicros = requestClass.firstTokenTargetSeconds() * MICROS_PER_SECOND
                     + requestClass.firstTokenTargetMillisPerThousand() * request.promptTokens;
-            double firstTokenMicros = firstTokenAtMicros < 0 ? now - request.arrivedAt
-                    : firstTokenAtMicros - request.arrivedAt;
-            double intervalMicros = request.outTokens < 2 || firstTokenAtMicros < 0 ? 0
-                    : (now - firstTokenAtMicros) / (double) (request.outTokens - 1);
+            double firstTokenMicros = firstTokenAtMicros < 0 ? now - request.arrivedAtMicros
+                    : firstTokenAtMicros - request.arrivedAtMicros;
+            double intervalMicros = request.outputTokens < 2 || firstTokenAtMicros < 0 ? 0
+                    : (now - firstTokenAtMicros) / (double) (request.outputTokens - 1);
             boolean inTime = firstTokenMicros <= targetMicros
                     && intervalMicros <= requestClass.tokenTargetMillis() * 1e3;
             boolean late = !inTime && intervalMicros <= 2 * requestClass.tokenTargetMillis() * 1e3;
-            finish(inTime ? Score.End.IN_TIME : Score.End.LATE,
+            finish(inTime ? Score.RequestEnd.IN_TIME : Score.RequestEnd.LATE,
                     inTime ? 1 : late ? requestClass.lateWorth() : 0);
         }
 
@@ -121,7 +122,7 @@
         void failed(SimulatedRouter.ClientAttempt attempt) {
             if (attempt == currentAttempt && !request.ended) {
                 if (firstTokenAtMicros >= 0) {
-                    finish(Score.End.BROKEN, 0);
+                    finish(Score.RequestEnd.BROKEN, 0);
                 } else {
                     retry(0);
                 }
@@ -143,7 +144,7 @@
 
         /** Retries after the advised time or a backoff, both in microseconds; 0: no time was advised. */
         private void retry(long retryAfter) {
-            long now = simulation.calendar.now();
+            long now = simulation.calendar.nowMicros();
             boolean honours = retryAfter > 0
                     && random.nextDouble() < simulation.parameters.retryAfterHonouredShare;
             double waitMicros = honours ? retryAfter
@@ -151,17 +152,17 @@
                             * (0.5 + random.nextDouble());
             if (request.clientAttempts > simulation.parameters.maxRetries
                     || now + waitMicros >= request.giveUpAtMicros) {
-                finish(wasRefused ? Score.End.REFUSED : Score.End.FAILED, 0);
+                finish(wasRefused ? Score.RequestEnd.REFUSED : Score.RequestEnd.FAILED, 0);
             } else {
-                simulation.calendar.after(waitMicros, () -> startAttempt(this));
+                simulation.calendar.scheduleAfter(waitMicros, () -> startAttempt(this));
             }
         }
 
         /** Ends the request with this share of its worth. */
-        private void finish(Score.End end, double worthShare) {
+        private void finish(Score.RequestEnd end, double worthShare) {
             request.ended = true;
             openCount--;
-            simulation.score.recordEnd(request, end, worthShare, simulation.calendar.now());
+            simulation.score.recordEnd(request, end, worthShare, simulation.calendar.nowMicros());
         }
     }
 }
--- a/src/main/java/yewdock/model/Ask.java
+++ b/src/main/java/yewdock/model/SimulatedRequest.java
@@ -3,7 +3,7 @@
 /**
  * A request of a simulated client, over all its attempts. Times are microseconds from the start of the run.
  */
-public final class Ask {
+public final class SimulatedRequest {
     final long number;
     final int requestClass;
     final int municipality;
@@ -14,9 +14,9 @@
     final int prefixTokens;
     /** Prompt tokens that no earlier turn of the session had. */
     final int newPromptTokens;
-    final int outTokens;
-    final int mostOut;
-    final long arrivedAt;
+    final int outputTokens;
+    final int maxOutputTokens;
+    final long arrivedAtMicros;
     final long giveUpAtMicros;
     double worth;
     /** Whether its municipality was within its quota when it arrived. */
@@ -25,7 +25,7 @@
     int clientAttempts;
     boolean ended;
 
-    Ask(long number, int requestClass, int municipality, int site, long session, long prefix,
+    SimulatedRequest(long number, int requestClass, int municipality, int site, long session, long prefix,
             int promptTokens, int prefixTokens, int newPromptTokens, int outputTokens, int maxOutputTokens,
             long arrivedAtMicros, long giveUpAtMicros) {
         this.number = number;
@@ -37,9 +37,9 @@
         this.promptTokens = promptTokens;
         this.prefixTokens = prefixTokens;
         this.newPromptTokens = newPromptTokens;
-        this.outTokens = outputTokens;
-        this.mostOut = maxOutputTokens;
-        this.arrivedAt = arrivedAtMicros;
+        this.outputTokens = outputTokens;
+        this.maxOutputTokens = maxOutputTokens;
+        this.arrivedAtMicros = arrivedAtMicros;
         this.giveUpAtMicros = giveUpAtMicros;
     }
 
@@ -79,18 +79,18 @@
     }
 
     /** Tokens of the answer. */
-    public int outTokens() {
-        return outTokens;
+    public int outputTokens() {
+        return outputTokens;
     }
 
     /** The limit on output tokens that the request states. */
-    public int mostOut() {
-        return mostOut;
+    public int maxOutputTokens() {
+        return maxOutputTokens;
     }
 
     /** When the client first sent it. */
-    public long arrivedAt() {
-        return arrivedAt;
+    public long arrivedAtMicros() {
+        return arrivedAtMicros;
     }
 
     /** When the client gives up. */
--- a/src/main/java/yewdock/model/SimulatedRouter.java
+++ b/src/main/java/yewdock/model/SimulatedRouter.java
@@ -11,7 +11,7 @@
 import umberspread.Routing.ListKind;
 import umberspread.Routing.Outcome;
 import umberspread.Routing.ServerState;
-import yewdock.baseline.Sight;
+import yewdock.baseline.TrueServerState;
 
 /**
  * A simulated router instance. It carries out the actions of the routing module over a network with delays
@@ -26,7 +26,7 @@
 
     final int number;
     final int site;
-    private final World simulation;
+    private final Simulation simulation;
     private final UniformRandomProvider random;
     private final Map<Long, ClientAttempt> openRequests = new HashMap<>();
     /** For each server that was reported as draining or gone: when the router was told, in microseconds. */
@@ -47,14 +47,15 @@
     /** One attempt of a client: a request as this router receives it. */
     static final class ClientAttempt {
         final long id;
-        final Ask request;
+        final SimulatedRequest request;
         final SimulatedClients.WaitingClient client;
         final long deadlineMicros;
         private final List<ServerAttempt> attempts = new ArrayList<>(1);
         private boolean answered;
         private boolean streamStarted;
 
-        ClientAttempt(long id, Ask request, SimulatedClients.WaitingClient client, long deadlineMicros) {
+        ClientAttempt(long id, SimulatedRequest request, SimulatedClients.WaitingClient client,
+                long deadlineMicros) {
             this.id = id;
             this.request = request;
             this.client = client;
@@ -72,7 +73,7 @@
     }
 
     /** One sending of a request to a server. */
-    private final class ServerAttempt implements Work.Taker {
+    private final class ServerAttempt implements InferenceJob.JobListener {
         private final ClientAttempt clientAttempt;
         private final int number;
         private final SimulatedServer server;
@@ -81,37 +82,39 @@
         private boolean inFlight = true;
         private ConnectionPool pool;
         private boolean streamStarted;
-        private Work job;
+        private InferenceJob job;
 
         ServerAttempt(ClientAttempt clientAttempt, int number, SimulatedServer server) {
             this.clientAttempt = clientAttempt;
             this.number = number;
             this.server = server;
-            this.sentAtMicros = simulation.calendar.now();
+            this.sentAtMicros = simulation.calendar.nowMicros();
         }
 
         @Override
-        public void begun(Work job) {
-            simulation.calendar.after(networkDelayMicros(server.site), () -> handleFirstToken(this));
+        public void firstToken(InferenceJob job) {
+            simulation.calendar.scheduleAfter(networkDelayMicros(server.site), () -> handleFirstToken(this));
         }
 
         @Override
-        public void done(Work job) {
-            simulation.calendar.after(networkDelayMicros(server.site), () -> endAttempt(this, Outcome.OK));
+        public void completed(InferenceJob job) {
+            simulation.calendar.scheduleAfter(networkDelayMicros(server.site), () -> endAttempt(this,
+                    Outcome.OK));
         }
 
         @Override
-        public void lost(Work job) {
+        public void failed(InferenceJob job) {
             if (!server.unreachable) {
-                simulation.calendar.after(networkDelayMicros(server.site),
+                simulation.calendar.scheduleAfter(networkDelayMicros(server.site),
                         () -> endAttempt(this, Outcome.RESET));
             } else if (streamStarted) {
-                simulation.calendar.after(SILENT_STREAM_MICROS, () -> endAttempt(this, Outcome.RESET));
+                simulation.calendar.scheduleAfter(SILENT_STREAM_MICROS, () -> endAttempt(this,
+                        Outcome.RESET));
             }
         }
     }
 
-    SimulatedRouter(World simulation, int number, int site, UniformRandomProvider random) {
+    SimulatedRouter(Simulation simulation, int number, int site, UniformRandomProvider random) {
         this.simulation = simulation;
         this.number = number;
         this.site = site;
@@ -157,7 +160,7 @@
                     attempt.server.connections--;
                 }
                 if (attempt.inFlight && attempt.job != null) {
-                    attempt.job.abandon();
+                    attempt.job.markAbandoned();
                 }
                 attempt.inFlight = false;
             }
@@ -172,7 +175,7 @@
     }
 
     private long now() {
-        return simulation.calendar.now();
+        return simulation.calendar.nowMicros();
     }
 
     /** Delivers an event to the module and measures its cost if asked to. */
@@ -245,9 +248,9 @@
             return;
         }
         openRequests.put(clientAttempt.id, clientAttempt);
-        Ask request = clientAttempt.request;
+        SimulatedRequest request = clientAttempt.request;
         int receivedBy = incarnation;
-        simulation.calendar.at(clientAttempt.deadlineMicros + Math.round(ANSWER_SLACK_MICROS), () -> {
+        simulation.calendar.scheduleAt(clientAttempt.deadlineMicros + Math.round(ANSWER_SLACK_MICROS), () -> {
             if (incarnation == receivedBy && openRequests.get(clientAttempt.id) == clientAttempt
                     && !clientAttempt.answered && !clientAttempt.streamStarted) {
                 simulation.ruleChecker.recordViolation("answer: no final answer from router " + number
@@ -261,7 +264,7 @@
         });
         deliver(() -> module.requestArrived(now(), new Routing.Request(clientAttempt.id, request.requestClass,
                 request.municipality, request.clientAttempts > 1, request.session, request.prefix,
-                request.promptTokens, request.prefixTokens, request.mostOut,
+                request.promptTokens, request.prefixTokens, request.maxOutputTokens,
                 Math.max(1, clientAttempt.deadlineMicros - now()))));
     }
 
@@ -271,7 +274,7 @@
         }
         attempt.streamStarted = true;
         attempt.clientAttempt.streamStarted = true;
-        simulation.calendar.after(simulation.clientDelay(random),
+        simulation.calendar.scheduleAfter(simulation.clientDelay(random),
                 () -> attempt.clientAttempt.client.firstToken(attempt.clientAttempt));
         deliver(() -> module.firstToken(now(), attempt.clientAttempt.id, attempt.number));
     }
@@ -283,7 +286,7 @@
         }
         attempt.inFlight = false;
         if (attempt.job != null && outcome != Outcome.OK) {
-            attempt.job.abandon();
+            attempt.job.markAbandoned();
         }
         releaseConnection(attempt, outcome);
         ClientAttempt clientAttempt = attempt.clientAttempt;
@@ -293,8 +296,8 @@
             openRequests.remove(clientAttempt.id);
             if (outcome == Outcome.OK) {
                 double delay = simulation.clientDelay(random);
-                simulation.calendar.after(delay, () -> clientAttempt.client.completed(clientAttempt));
-                simulation.score.recordCacheHit(clientAttempt.request, attempt.job.keptTokens());
+                simulation.calendar.scheduleAfter(delay, () -> clientAttempt.client.completed(clientAttempt));
+                simulation.score.recordCacheHit(clientAttempt.request, attempt.job.cachedPromptTokens());
             } else {
                 clientAttempt.client.failed(clientAttempt);
             }
@@ -306,7 +309,7 @@
         simulation.score.recordOutcome(outcome);
         deliver(() -> module.attemptEnded(now(), clientAttempt.id, attempt.number, outcome,
                 now() - attempt.sentAtMicros, ended,
-                attempt.job == null ? 0 : attempt.job.keptTokens(), report));
+                attempt.job == null ? 0 : attempt.job.cachedPromptTokens(), report));
     }
 
     // ---- connections
@@ -337,7 +340,7 @@
         long keepaliveMicros = Math.round(
                 simulation.parameters.scenario.routers().keepaliveSeconds() * MICROS_PER_SECOND);
         long closesAt = now() + keepaliveMicros;
-        simulation.calendar.at(closesAt, () -> {
+        simulation.calendar.scheduleAt(closesAt, () -> {
             boolean current = pools[attempt.server.number] == pool
                     && pool.serverCrashes == attempt.server.crashes;
             if (current && !pool.idleSinceMicros.isEmpty()
@@ -369,12 +372,12 @@
         }
         if (duplicate || clientAttempt.answered
                 || clientAttempt.attempts.size() > simulation.parameters.scenario.routers().maxAttempts()) {
-            simulation.calendar.after(0, () -> endAttempt(attempt, Outcome.NOT_SENT));
+            simulation.calendar.scheduleAfter(0, () -> endAttempt(attempt, Outcome.NOT_SENT));
             return;
         }
         simulation.score.recordSend(clientAttempt.request, clientAttempt.attempts.size() == 1,
                 server.site != site);
-        simulation.calendar.after(Math.max(1, timeout), () -> {
+        simulation.calendar.scheduleAfter(Math.max(1, timeout), () -> {
             if (!attempt.streamStarted) {
                 endAttempt(attempt, Outcome.TIMEOUT);
             }
@@ -386,19 +389,20 @@
         if (!pool.idleSinceMicros.isEmpty() && server.alive) {
             pool.idleSinceMicros.pollLast();
             attempt.pool = pool;
-            simulation.calendar.after(oneWayMicros, () -> arriveAtServer(attempt));
+            simulation.calendar.scheduleAfter(oneWayMicros, () -> arriveAtServer(attempt));
         } else if (!server.alive && !server.unreachable
                 || server.connections >= simulation.parameters.scenario.fleet().maxConnections()) {
-            simulation.calendar.after(2 * oneWayMicros, () -> endAttempt(attempt, Outcome.CONNECT_FAILED));
+            simulation.calendar.scheduleAfter(2 * oneWayMicros, () -> endAttempt(attempt,
+                    Outcome.CONNECT_FAILED));
         } else if (server.unreachable && !server.alive) {
-            simulation.calendar.after(connectTimeoutMicros,
+            simulation.calendar.scheduleAfter(connectTimeoutMicros,
                     () -> endAttempt(attempt, Outcome.CONNECT_FAILED));
         } else {
             server.connections++;
             attempt.pool = pool;
             simulation.score.recordHandshake();
-            simulation.calendar.after(oneWayMicros * (1 + 2 * simulation.parameters.handshakeRoundTrips),
-                    () -> {
+            simulation.calendar.scheduleAfter(oneWayMicros * (1
+                    + 2 * simulation.parameters.handshakeRoundTrips), () -> {
                         server.addHandshake(simulation.parameters.handshakeMicros);
                         arriveAtServer(attempt);
                     });
@@ -417,13 +421,13 @@
         }
         if (!server.alive) {
             if (!server.unreachable) {
-                simulation.calendar.after(networkDelayMicros(server.site),
+                simulation.calendar.scheduleAfter(networkDelayMicros(server.site),
                         () -> endAttempt(attempt, Outcome.RESET));
             }
             return;
         }
         if (!submitToServer(attempt, false)) {
-            simulation.calendar.after(networkDelayMicros(server.site),
+            simulation.calendar.scheduleAfter(networkDelayMicros(server.site),
                     () -> endAttempt(attempt, Outcome.FULL));
         }
     }
@@ -438,14 +442,14 @@
             return true;
         }
         if (server.drawsError()) {
-            simulation.calendar.after(networkDelayMicros(server.site),
+            simulation.calendar.scheduleAfter(networkDelayMicros(server.site),
                     () -> endAttempt(attempt, Outcome.ERROR));
             return true;
         }
-        Work job = new Work(attempt.clientAttempt.request, attempt, attempt.clientAttempt.deadlineMicros,
-                costSeconds);
+        InferenceJob job = new InferenceJob(attempt.clientAttempt.request, attempt,
+                attempt.clientAttempt.deadlineMicros, costSeconds);
         if (abandoned) {
-            job.abandon();
+            job.markAbandoned();
         }
         attempt.job = job;
         return server.submit(job);
@@ -457,7 +461,7 @@
         if (clientAttempt != null && attemptNumber >= 0 && attemptNumber < clientAttempt.attempts.size()) {
             ServerAttempt attempt = clientAttempt.attempts.get(attemptNumber);
             if (attempt.inFlight && !attempt.streamStarted) {
-                simulation.calendar.after(0, () -> endAttempt(attempt, Outcome.CANCELLED));
+                simulation.calendar.scheduleAfter(0, () -> endAttempt(attempt, Outcome.CANCELLED));
             }
         }
     }
@@ -481,14 +485,14 @@
             return;
         }
         clientAttempt.answered = true;
-        simulation.calendar.after(simulation.clientDelay(random),
+        simulation.calendar.scheduleAfter(simulation.clientDelay(random),
                 () -> clientAttempt.client.rejected(clientAttempt, refused, retryAfter));
     }
 
     @Override
     public void watchEndpointList() {
         int watchedBy = incarnation;
-        simulation.calendar.after(networkDelayMicros(0), () -> {
+        simulation.calendar.scheduleAfter(networkDelayMicros(0), () -> {
             if (incarnation == watchedBy) {
                 simulation.discovery.watch(this);
             }
@@ -498,7 +502,7 @@
     @Override
     public void wakeAt(long time, int token) {
         int requestedBy = incarnation;
-        simulation.calendar.at(time, () -> {
+        simulation.calendar.scheduleAt(time, () -> {
             if (incarnation == requestedBy) {
                 deliver(() -> module.woken(now(), token));
             }
@@ -511,10 +515,10 @@
     }
 
     /** The true state of the servers, for baseline policies that may see it. */
-    Sight trueState() {
-        return new Sight() {
+    TrueServerState trueState() {
+        return new TrueServerState() {
             @Override
-            public double firstTokenIn(long replicaId, Routing.Request request) {
+            public double microsToFirstToken(long replicaId, Routing.Request request) {
                 ClientAttempt clientAttempt = openRequests.get(request.id());
                 SimulatedServer server = simulation.server(replicaId);
                 return clientAttempt == null || server == null ? Double.POSITIVE_INFINITY
@@ -522,7 +526,7 @@
             }
 
             @Override
-            public double paceIn(long replicaId) {
+            public double interTokenMicros(long replicaId) {
                 return simulation.server(replicaId).tokenIntervalMicros(1);
             }
         };
--- a/src/main/java/yewdock/model/SimulatedServer.java
+++ b/src/main/java/yewdock/model/SimulatedServer.java
@@ -45,10 +45,10 @@
     final int site;
     final ServerSpec spec;
     final double speed;
-    private final Calendar calendar;
+    private final EventCalendar calendar;
     private final UniformRandomProvider random;
-    private final ArrayDeque<Work> queue = new ArrayDeque<>();
-    private final List<Work> running = new ArrayList<>();
+    private final ArrayDeque<InferenceJob> queue = new ArrayDeque<>();
+    private final List<InferenceJob> running = new ArrayList<>();
     private final PrefixCache prefixCache = new PrefixCache();
     private long usedTokens;
     private long contextTokens;
@@ -78,8 +78,8 @@
     long preemptions;
 
     /** Creates a server that is warm and idle. */
-    public SimulatedServer(int number, long id, int site, ServerSpec spec, double speed, Calendar calendar,
-            UniformRandomProvider random) {
+    public SimulatedServer(int number, long id, int site, ServerSpec spec, double speed,
+            EventCalendar calendar, UniformRandomProvider random) {
         this.number = number;
         this.id = id;
         this.site = site;
@@ -90,7 +90,7 @@
     }
 
     /** Queues a job; returns false if all slots and the queue are full, or if nothing new is accepted. */
-    public boolean submit(Work job) {
+    public boolean submit(InferenceJob job) {
         if (!accepting || running.size() + queue.size() >= spec.slots + spec.queueLimit) {
             return false;
         }
@@ -116,7 +116,7 @@
         if (startedAtMicros == 0) {
             return 1;
         }
-        double warmByTime = (calendar.now() - startedAtMicros) / MICROS_PER_SECOND / spec.warmUpSeconds;
+        double warmByTime = (calendar.nowMicros() - startedAtMicros) / MICROS_PER_SECOND / spec.warmUpSeconds;
         double warm = spec.warmByWork ? Math.max(warmByTime,
                 workSinceStartSeconds / (WARM_UP_WORK_SHARE * spec.warmUpSeconds)) : warmByTime;
         return Math.min(1, spec.coldCapacityShare + (1 - spec.coldCapacityShare) * warm);
@@ -137,7 +137,7 @@
         double budget = spec.prefillChunkTokens;
         double tokenPairs = 0;
         for (int i = 0; i < running.size() && budget > 0; i++) {
-            Work job = running.get(i);
+            InferenceJob job = running.get(i);
             if (job.unreadTokens > 0) {
                 double part = Math.min(budget, job.unreadTokens);
                 budget -= part;
@@ -152,7 +152,7 @@
         double micros = (millis * MICROS_PER_MILLI / speed * slowdown + handshakeMicros) / capacityShare();
         handshakeMicros = 0;
         int startedBy = incarnation;
-        calendar.after(Math.max(1, micros), () -> {
+        calendar.scheduleAfter(Math.max(1, micros), () -> {
             if (incarnation == startedBy) {
                 finishStep();
             }
@@ -162,11 +162,11 @@
     /** Moves queued jobs into free slots while memory allows; one job is admitted even beyond the memory. */
     private void admitQueued() {
         while (running.size() < spec.slots && !queue.isEmpty()) {
-            Work job = queue.peek();
+            InferenceJob job = queue.peek();
             if (spec.dropsExpired && job.abandoned && job.generatedTokens == 0
-                    && job.expiresAtMicros <= calendar.now()) {
+                    && job.expiresAtMicros <= calendar.nowMicros()) {
                 queue.poll();
-                job.listener.lost(job);
+                job.listener.failed(job);
                 continue;
             }
             int sharedTokens = job.request.prefix == 0 ? 0 : job.request.prefixTokens;
@@ -192,9 +192,9 @@
     /** Applies the step that ends now: reads prompts, generates tokens, completes jobs, preempts. */
     private void finishStep() {
         double budget = spec.prefillChunkTokens;
-        List<Work> finished = null;
+        List<InferenceJob> finished = null;
         for (int i = 0; i < running.size(); i++) {
-            Work job = running.get(i);
+            InferenceJob job = running.get(i);
             if (job.unreadTokens > 0) {
                 double part = Math.min(budget, job.unreadTokens);
                 budget -= part;
@@ -208,10 +208,10 @@
             usedTokens++;
             contextTokens++;
             if (job.generatedTokens == 1) {
-                job.listener.begun(job);
+                job.listener.firstToken(job);
             }
-            job.listener.token(job);
-            if (job.generatedTokens >= job.request.outTokens) {
+            job.listener.tokenGenerated(job);
+            if (job.generatedTokens >= job.request.outputTokens) {
                 if (finished == null) {
                     finished = new ArrayList<>();
                 }
@@ -220,7 +220,7 @@
         }
         if (finished != null) {
             running.removeAll(finished);
-            for (Work job : finished) {
+            for (InferenceJob job : finished) {
                 release(job);
                 prefixCache.putSession(job.request,
                         job.ownPromptTokens + (spec.cachesOutput ? job.generatedTokens : 0));
@@ -231,21 +231,21 @@
         }
         prefixCache.evictTo(Math.max(0, spec.memoryTokens - usedTokens));
         while (usedTokens > spec.memoryTokens && running.size() > 1) {
-            Work newest = running.remove(running.size() - 1);
+            InferenceJob newest = running.remove(running.size() - 1);
             release(newest);
             queue.addFirst(newest);
             preemptions++;
         }
         if (finished != null) {
-            for (Work job : finished) {
-                job.listener.done(job);
+            for (InferenceJob job : finished) {
+                job.listener.completed(job);
             }
         }
         startStep();
     }
 
     /** Frees the memory of a job that leaves the batch. */
-    private void release(Work job) {
+    private void release(InferenceJob job) {
         usedTokens -= job.ownPromptTokens + job.generatedTokens;
         contextTokens -= job.request.promptTokens + job.generatedTokens;
     }
@@ -258,17 +258,17 @@
         crashes++;
         connections = 0;
         stepScheduled = false;
-        List<Work> all = new ArrayList<>(running);
+        List<InferenceJob> all = new ArrayList<>(running);
         all.addAll(queue);
         running.clear();
         queue.clear();
         prefixCache.clear();
         usedTokens = 0;
         contextTokens = 0;
-        for (Work job : all) {
+        for (InferenceJob job : all) {
             workWastedSeconds += job.costSeconds * Math.min(1,
-                    (double) job.generatedTokens / job.request.outTokens);
-            job.listener.lost(job);
+                    (double) job.generatedTokens / job.request.outputTokens);
+            job.listener.failed(job);
         }
     }
 
@@ -277,9 +277,9 @@
      * on with its jobs.
      */
     void breakStreams() {
-        for (Work job : new ArrayList<>(running)) {
+        for (InferenceJob job : new ArrayList<>(running)) {
             if (job.generatedTokens > 0) {
-                job.listener.lost(job);
+                job.listener.failed(job);
             }
         }
     }
@@ -291,7 +291,7 @@
         accepting = true;
         hung = false;
         workSinceStartSeconds = 0;
-        startedAtMicros = Math.max(1, calendar.now());
+        startedAtMicros = Math.max(1, calendar.nowMicros());
     }
 
     /** Suspends the server, or resumes it where it stopped. */
@@ -320,10 +320,10 @@
     /** Prompt tokens still to be read, of running and queued requests. */
     double pendingPromptTokens() {
         double sum = 0;
-        for (Work job : running) {
+        for (InferenceJob job : running) {
             sum += job.unreadTokens;
         }
-        for (Work job : queue) {
+        for (InferenceJob job : queue) {
             sum += job.request.promptTokens;
         }
         return sum;
@@ -338,7 +338,7 @@
      * Estimates the microseconds until the first token of a request that is sent now; infinite if the server
      * would not accept it.
      */
-    double firstTokenMicros(Ask request) {
+    double firstTokenMicros(SimulatedRequest request) {
         if (!alive || hung || !accepting || inFlight() >= spec.slots + spec.queueLimit) {
             return Double.POSITIVE_INFINITY;
         }
@@ -354,7 +354,7 @@
         if (ahead > 0 && !running.isEmpty()) {
             int[] remaining = new int[running.size()];
             for (int i = 0; i < remaining.length; i++) {
-                remaining[i] = running.get(i).request.outTokens - running.get(i).generatedTokens;
+                remaining[i] = running.get(i).request.outputTokens - running.get(i).generatedTokens;
             }
             java.util.Arrays.sort(remaining);
             slotWaitMicros = remaining[Math.min(ahead, remaining.length) - 1] * intervalMicros;
--- a/src/main/java/yewdock/model/World.java
+++ b/src/main/java/yewdock/model/Simulation.java
@@ -8,21 +8,21 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import umberspread.Routing;
 import umberspread.Routing.Lifecycle;
-import yewdock.baseline.Options;
-import yewdock.baseline.Policies;
+import yewdock.baseline.PolicyOptions;
+import yewdock.baseline.RoutingPolicies;
 
 /**
  * A discrete-event simulation of a whole installation: clients, routers with the real routing module,
  * servers, discovery, load reports and disturbances, in virtual time.
  */
-public final class World {
+public final class Simulation {
     private static final double MICROS_PER_SECOND = 1e6;
     private static final double SPREAD_INTERVAL_MICROS = 0.5 * MICROS_PER_SECOND;
     /** How long the simulation goes on at most after the last arrival until all requests have ended. */
     private static final long TAIL_MICROS = 120_000_000;
 
-    final Day parameters;
-    final Calendar calendar = new Calendar();
+    final SampledScenario parameters;
+    final EventCalendar calendar = new EventCalendar();
     final List<SimulatedServer> servers = new ArrayList<>();
     final List<SimulatedRouter> routers = new ArrayList<>();
     final RuleChecker ruleChecker;
@@ -43,7 +43,7 @@
      * Creates a simulation at time 0. The log receives the log lines of the routers; measuresCost: the time
      * that the module takes is measured.
      */
-    public World(Day parameters, Consumer<String> log, boolean measuresCost) {
+    public Simulation(SampledScenario parameters, Consumer<String> log, boolean measuresCost) {
         this.parameters = parameters;
         this.log = log;
         this.measuresCost = measuresCost;
@@ -62,17 +62,17 @@
     }
 
     /** Runs a scenario with the parameters that are sampled with a seed. */
-    public static Score.Result run(Scenario scenario, long seed) {
-        return new World(new Day(scenario, seed), line -> {
+    public static Score.SimulationResult run(Scenario scenario, long seed) {
+        return new Simulation(new SampledScenario(scenario, seed), line -> {
             // the log is not needed
         }, false).run();
     }
 
     /** Runs the simulation to its end. */
-    public Score.Result run() {
+    public Score.SimulationResult run() {
         start();
-        while (calendar.now() < parameters.lengthMicros + TAIL_MICROS
-                && (calendar.now() < parameters.lengthMicros || clients.openCount() > 0)
+        while (calendar.nowMicros() < parameters.lengthMicros + TAIL_MICROS
+                && (calendar.nowMicros() < parameters.lengthMicros || clients.openCount() > 0)
                 && calendar.runNext()) {
             // runNext does the work
         }
@@ -84,23 +84,23 @@
         routers.forEach(SimulatedRouter::start);
         new ArrivalProcess(parameters, calendar, this::submit).start();
         parameters.disturbances.forEach(this::schedule);
-        calendar.after(SPREAD_INTERVAL_MICROS, this::sampleSpread);
+        calendar.scheduleAfter(SPREAD_INTERVAL_MICROS, this::sampleSpread);
     }
 
-    private void submit(Ask request) {
+    private void submit(SimulatedRequest request) {
         score.offeredCost += parameters.serverSpecs.get(0).costSeconds(request.newPromptTokens,
-                request.outTokens, request.promptTokens);
+                request.outputTokens, request.promptTokens);
         clients.submit(request);
     }
 
     /** Whether periodic events stop, so that the calendar can run empty. */
     boolean isEnding() {
-        return calendar.now() > parameters.lengthMicros + TAIL_MICROS / 4;
+        return calendar.nowMicros() > parameters.lengthMicros + TAIL_MICROS / 4;
     }
 
     /** Samples how evenly the load is spread over the servers. */
     private void sampleSpread() {
-        if (calendar.now() >= parameters.lengthMicros) {
+        if (calendar.nowMicros() >= parameters.lengthMicros) {
             return;
         }
         double max = 0;
@@ -116,11 +116,11 @@
         if (sum >= alive && alive > 0) {
             score.recordSpread(max * alive / sum);
         }
-        calendar.after(SPREAD_INTERVAL_MICROS, this::sampleSpread);
+        calendar.scheduleAfter(SPREAD_INTERVAL_MICROS, this::sampleSpread);
     }
 
     /** The rule violations, each with its time; only the first thousand are kept. */
-    public List<String> broken() {
+    public List<String> ruleViolations() {
         return ruleChecker.violations();
     }
 
@@ -130,7 +130,7 @@
     }
 
     /** The mean nanoseconds that the module takes for an endpoint list; 0 if not measured. */
-    public double nanosOfList() {
+    public double nanosPerListEvent() {
         return listEvents == 0 ? 0 : listNanos / listEvents;
     }
 
@@ -146,7 +146,7 @@
 
     void log(SimulatedRouter router, String line) {
         log.accept(String.format(java.util.Locale.ROOT, "%.3f router %d: %s",
-                calendar.now() / MICROS_PER_SECOND, router.number, line));
+                calendar.nowMicros() / MICROS_PER_SECOND, router.number, line));
     }
 
     /** Draws a one-way delay between a client and a router, in microseconds. */
@@ -176,16 +176,16 @@
     /** Creates the policy of a router from the scenario's settings. */
     Routing.Events newPolicy(SimulatedRouter router, long seed) {
         Scenario.Routers config = parameters.scenario.routers();
-        Options options = new Options(config.loadFactorPercent(), config.ringPoints(), config.hash(),
-                config.rounding(), config.loadMeasure());
-        return Policies.make(config.policy(), options, routingSettings(router.site, router.number), seed,
-                router, router.trueState());
+        PolicyOptions options = new PolicyOptions(config.loadFactorPercent(), config.ringPoints(),
+                config.hash(), config.rounding(), config.loadMeasure());
+        return RoutingPolicies.create(config.policy(), options,
+                routingSettings(router.site, router.number), seed, router, router.trueState());
     }
 
     private Routing.Settings routingSettings(int site, int ordinal) {
         Scenario scenario = parameters.scenario;
         List<Routing.RequestClass> classes = new ArrayList<>();
-        for (Scenario.AskClass requestClass : scenario.classes()) {
+        for (Scenario.RequestClassProfile requestClass : scenario.classes()) {
             classes.add(new Routing.RequestClass(requestClass.name(), Routing.RetrySafety.RETRYABLE,
                     Routing.DedupGroup.ALL, 0, micros(requestClass.firstTokenTargetSeconds()),
                     micros(requestClass.firstTokenTargetMillisPerThousand() / 1000),
@@ -197,7 +197,7 @@
             tenants.add(new Routing.Tenant(scenario.municipalities().get(municipality).name(),
                     parameters.quotaPerSecond[municipality]));
         }
-        Scenario.Contract rules = scenario.contract();
+        Scenario.Contract rules = scenario.rules();
         return new Routing.Settings(parameters.routers, ordinal, site, classes, tenants,
                 scenario.clients().overShareWorth(), true,
                 new Routing.Limits(scenario.routers().maxAttempts(), false, true, false,
@@ -216,13 +216,13 @@
 
     // ---- disturbances
 
-    private void schedule(Day.ScheduledDisturbance disturbance) {
-        calendar.at(disturbance.fromMicros(), () -> startDisturbance(disturbance));
-        calendar.at(disturbance.toMicros(), () -> endDisturbance(disturbance));
+    private void schedule(SampledScenario.ScheduledDisturbance disturbance) {
+        calendar.scheduleAt(disturbance.fromMicros(), () -> startDisturbance(disturbance));
+        calendar.scheduleAt(disturbance.toMicros(), () -> endDisturbance(disturbance));
     }
 
-    private void startDisturbance(Day.ScheduledDisturbance disturbance) {
-        switch (disturbance.disturbance().what()) {
+    private void startDisturbance(SampledScenario.ScheduledDisturbance disturbance) {
+        switch (disturbance.disturbance().kind()) {
             case SLOW -> disturbance.servers().forEach(
                     server -> servers.get(server).slowdown *= Math.max(1, disturbance.size()));
             case ERRORS -> disturbance.servers().forEach(
@@ -244,8 +244,8 @@
         }
     }
 
-    private void endDisturbance(Day.ScheduledDisturbance disturbance) {
-        switch (disturbance.disturbance().what()) {
+    private void endDisturbance(SampledScenario.ScheduledDisturbance disturbance) {
+        switch (disturbance.disturbance().kind()) {
             case SLOW -> disturbance.servers().forEach(
                     server -> servers.get(server).slowdown /= Math.max(1, disturbance.size()));
             case ERRORS -> disturbance.servers().forEach(server -> servers.get(server).errorShare = 0);
@@ -266,7 +266,7 @@
     /** Hangs a server; routers end its silent streams after 4.5 s if it still hangs then. */
     private void hangServer(SimulatedServer server) {
         server.setHung(true);
-        calendar.after(4.5 * MICROS_PER_SECOND, () -> {
+        calendar.scheduleAfter(4.5 * MICROS_PER_SECOND, () -> {
             if (server.hung) {
                 server.breakStreams();
             }
@@ -276,7 +276,7 @@
     /**
      * Crashes the servers of a site, silently with a share over 0.5, and its routers with a size over 0.5.
      */
-    private void loseSite(Day.ScheduledDisturbance disturbance) {
+    private void loseSite(SampledScenario.ScheduledDisturbance disturbance) {
         boolean silently = disturbance.share() > 0.5;
         disturbance.servers().forEach(server -> crashServer(servers.get(server), silently));
         if (disturbance.size() > 0.5) {
@@ -292,7 +292,7 @@
     private void killRouter(SimulatedRouter router) {
         if (router.alive()) {
             router.crash();
-            calendar.after(parameters.routerDetectionMicros, () -> {
+            calendar.scheduleAfter(parameters.routerDetectionMicros, () -> {
                 if (!router.alive()) {
                     routersSeenAlive.remove(router);
                 }
@@ -335,22 +335,22 @@
      * Drains and restarts the servers one after the other: each announces its drain, accepts nothing after
      * two thirds of its time, and is restarted at the end of it.
      */
-    private void drainServers(Day.ScheduledDisturbance disturbance) {
+    private void drainServers(SampledScenario.ScheduledDisturbance disturbance) {
         long periodMicros = Math.max(1, (disturbance.toMicros() - disturbance.fromMicros())
                 / Math.max(1, disturbance.servers().size()));
         for (int i = 0; i < disturbance.servers().size(); i++) {
             SimulatedServer server = servers.get(disturbance.servers().get(i));
-            calendar.at(disturbance.fromMicros() + i * periodMicros, () -> {
+            calendar.scheduleAt(disturbance.fromMicros() + i * periodMicros, () -> {
                 if (server.alive) {
                     discovery.stateChanged(server, Lifecycle.DRAINING, false);
                 }
             });
-            calendar.at(disturbance.fromMicros() + i * periodMicros + 2 * periodMicros / 3, () -> {
+            calendar.scheduleAt(disturbance.fromMicros() + i * periodMicros + 2 * periodMicros / 3, () -> {
                 if (server.alive) {
                     server.accepting = false;
                 }
             });
-            calendar.at(disturbance.fromMicros() + (i + 1) * periodMicros, () -> {
+            calendar.scheduleAt(disturbance.fromMicros() + (i + 1) * periodMicros, () -> {
                 crashServer(server, false);
                 startServer(server);
             });
@@ -378,10 +378,11 @@
     }
 
     /** Calls the consumer with the second and a CSV row for each server, once per simulated second. */
-    public void watch(java.util.function.BiConsumer<Integer, List<String>> consumer) {
+    public void onEachSecond(java.util.function.BiConsumer<Integer, List<String>> consumer) {
         for (int second = 0; second < parameters.lengthMicros / MICROS_PER_SECOND; second++) {
             int at = second;
-            calendar.at(Math.round(second * MICROS_PER_SECOND), () -> consumer.accept(at, serverRows()));
+            calendar.scheduleAt(Math.round(second * MICROS_PER_SECOND), () -> consumer.accept(at,
+                    serverRows()));
         }
     }
 }
--- a/src/main/java/yewdock/scenario/ScenarioFile.java
+++ b/src/main/java/yewdock/scenario/ScenarioFile.java
@@ -8,8 +8,8 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.stream.Stream;
-import yewdock.baseline.Options;
-import yewdock.baseline.Policies;
+import yewdock.baseline.PolicyOptions;
+import yewdock.baseline.RoutingPolicies;
 import yewdock.model.Range;
 import yewdock.model.Scenario;
 import yewdock.settings.InvalidSettingsException;
@@ -20,7 +20,7 @@
     private static final double MAX_SECONDS = 86_400;
     private static final double MAX_SERVERS = 100_000;
     private static final double MAX_NUMBER = 1e9;
-    private static final List<String> TROUBLE_KINDS = Stream.of(Scenario.What.values())
+    private static final List<String> TROUBLE_KINDS = Stream.of(Scenario.DisturbanceKind.values())
             .map(w -> w.name().toLowerCase(Locale.ROOT)).toList();
 
     private ScenarioFile() {
@@ -62,7 +62,7 @@
 
     private static Scenario readScenario(Section root) {
         Section day = root.section("day");
-        Scenario.Span span = new Scenario.Span(day.number("seconds", 60, 1, MAX_SECONDS),
+        Scenario.LoadProfile span = new Scenario.LoadProfile(day.number("seconds", 60, 1, MAX_SECONDS),
                 readRange(day, "load", 0.5, 0.5, 0, 100), readRange(day, "asks_per_s", 0, 0, 0, 1e7),
                 readRange(day, "swing", 0, 0, 0, 1), readRange(day, "burst", 0, 0, 0, 6));
         day.rejectUnknownKeys();
@@ -87,7 +87,8 @@
                 readRange(clientSection, "quota", 0.75, 0.92, 0, 1000));
         clientSection.rejectUnknownKeys();
         Section listSection = root.section("list");
-        Scenario.Listing list = new Scenario.Listing(readRange(listSection, "notice_s", 1.4, 4.1, 0, 600),
+        Scenario.DiscoveryParameters list =
+                new Scenario.DiscoveryParameters(readRange(listSection, "notice_s", 1.4, 4.1, 0, 600),
                 readRange(listSection, "silent_s", 4.8, 13, 0, 600),
                 readRange(listSection, "add_s", 0.4, 2.3, 0, 600),
                 readRange(listSection, "period_ms", 210, 1400, 1, 600_000),
@@ -95,7 +96,7 @@
                 listSection.number("timeout_s", 2, 0.01, 600));
         listSection.rejectUnknownKeys();
         Section reportSection = root.section("reports");
-        Scenario.Reports reports = new Scenario.Reports(
+        Scenario.LoadReporting reports = new Scenario.LoadReporting(
                 readRange(reportSection, "every_ms", 950, 1500, 1, 600_000),
                 readRange(reportSection, "late_ms", 100, 490, 0, 600_000),
                 readRange(reportSection, "noise", 0.004, 0.05, 0, 10));
@@ -108,8 +109,8 @@
                 contractSection.number("fall_s", 2, 0.01, 600),
                 contractSection.number("ask_within_s", 10, 0.1, 3600));
         contractSection.rejectUnknownKeys();
-        List<Scenario.Kind> kinds = readServerKinds(root);
-        Scenario.Fleet fleet = readFleet(root, kinds, sites.names());
+        List<Scenario.ServerKind> kinds = readServerKinds(root);
+        Scenario.ServerFleet fleet = readFleet(root, kinds, sites.names());
         Scenario scenario = new Scenario(span, sites, routers, clients, list, reports, contract, fleet, kinds,
                 readRequestClasses(root), readMunicipalities(root), readTroubles(root, sites.names()));
         root.rejectUnknownKeys();
@@ -117,15 +118,15 @@
     }
 
     private static Scenario.Routers readRouters(Section section, List<String> sites) {
-        Options defaults = new Options(125, 64, "splitmix", "ceil", "requests");
+        PolicyOptions defaults = new PolicyOptions(125, 64, "splitmix", "ceil", "requests");
         Scenario.Routers routers = new Scenario.Routers(readRange(section, "count", 2, 3, 1, 10_000),
                 readSiteIndexes(section, "at", sites),
-                section.oneOf("policy", Policies.MODULE, Policies.NAMES),
-                section.integer("factor", defaults.factor(), 101, 100_000),
-                section.integer("points", defaults.points(), 1, 10_000),
-                section.oneOf("hash", defaults.hash(), Options.HASHES),
-                section.oneOf("rounding", defaults.rounding(), Options.ROUNDINGS),
-                section.oneOf("measure", defaults.measure(), Options.MEASURES),
+                section.oneOf("policy", RoutingPolicies.MODULE, RoutingPolicies.NAMES),
+                section.integer("factor", defaults.loadFactorPercent(), 101, 100_000),
+                section.integer("points", defaults.virtualNodes(), 1, 10_000),
+                section.oneOf("hash", defaults.hash(), PolicyOptions.HASHES),
+                section.oneOf("rounding", defaults.rounding(), PolicyOptions.ROUNDINGS),
+                section.oneOf("measure", defaults.measure(), PolicyOptions.MEASURES),
                 section.integer("attempts", 5, 1, 100), section.number("connect_s", 0.25, 0.001, 600),
                 section.number("keepalive_s", 5, 0.01, 3600), section.number("retry_after_s", 2, 0, 600),
                 readRange(section, "notice_s", 0.8, 3.9, 0, 600));
@@ -145,10 +146,10 @@
         return indexes;
     }
 
-    private static List<Scenario.Kind> readServerKinds(Section root) {
-        List<Scenario.Kind> kinds = new ArrayList<>();
+    private static List<Scenario.ServerKind> readServerKinds(Section root) {
+        List<Scenario.ServerKind> kinds = new ArrayList<>();
         root.sections("kind").forEach((name, section) -> {
-            kinds.add(new Scenario.Kind(name, section.number("share", 1, 0, MAX_NUMBER),
+            kinds.add(new Scenario.ServerKind(name, section.number("share", 1, 0, MAX_NUMBER),
                     readRange(section, "speed", 1, 1, 0.001, 1000),
                     readRange(section, "slots", 10, 30, 1, 10_000),
                     readRange(section, "queue", 5, 20, 0, 100_000),
@@ -171,10 +172,11 @@
         return kinds;
     }
 
-    private static Scenario.Fleet readFleet(Section root, List<Scenario.Kind> kinds, List<String> sites) {
+    private static Scenario.ServerFleet readFleet(Section root, List<Scenario.ServerKind> kinds,
+            List<String> sites) {
         Section fleetSection = root.section("boxes");
-        List<Scenario.BoxLine> servers = new ArrayList<>();
-        List<String> names = kinds.stream().map(Scenario.Kind::name).toList();
+        List<Scenario.ServerEntry> servers = new ArrayList<>();
+        List<String> names = kinds.stream().map(Scenario.ServerKind::name).toList();
         root.sections("box").forEach((name, serverSection) -> {
             int kind = names.indexOf(serverSection.string("kind", names.isEmpty() ? "" : names.get(0)));
             int site = sites.indexOf(serverSection.string("site", sites.isEmpty() ? "" : sites.get(0)));
@@ -184,11 +186,12 @@
             if (site < 0) {
                 serverSection.addError("site", "one of " + sites);
             }
-            servers.add(new Scenario.BoxLine(Math.max(0, kind), Math.max(0, site),
+            servers.add(new Scenario.ServerEntry(Math.max(0, kind), Math.max(0, site),
                     serverSection.number("speed", 1, 0.001, 1000)));
             serverSection.rejectUnknownKeys();
         });
-        Scenario.Fleet fleet = new Scenario.Fleet(readRange(fleetSection, "count", 8, 10, 0, MAX_SERVERS),
+        Scenario.ServerFleet fleet = new Scenario.ServerFleet(readRange(fleetSection, "count", 8, 10,
+                0, MAX_SERVERS),
                 servers, readRange(fleetSection, "handshake_trips", 1, 2, 0, 100),
                 readRange(fleetSection, "handshake_us", 1100, 4300, 0, 1e6),
                 fleetSection.integer("connections", 2400, 1, 1_000_000));
@@ -196,11 +199,11 @@
         return fleet;
     }
 
-    private static List<Scenario.AskClass> readRequestClasses(Section root) {
-        List<Scenario.AskClass> classes = new ArrayList<>();
+    private static List<Scenario.RequestClassProfile> readRequestClasses(Section root) {
+        List<Scenario.RequestClassProfile> classes = new ArrayList<>();
         root.sections("class").forEach((name, section) -> {
-            classes.add(new Scenario.AskClass(name, readRange(section, "share", 1, 1, 0, MAX_NUMBER),
-                    section.number("aim_s", 1, 0.001, MAX_SECONDS),
+            classes.add(new Scenario.RequestClassProfile(name, readRange(section, "share", 1, 1,
+                    0, MAX_NUMBER), section.number("aim_s", 1, 0.001, MAX_SECONDS),
                     section.number("aim_ms_per_k", 30, 0, 1e6), section.number("token_ms", 100, 0.01, 1e6),
                     section.number("give_up_s", 4, 0.001, MAX_SECONDS),
                     section.number("worth", 1, 0, MAX_NUMBER), section.number("late_worth", 0, 0, 1),
@@ -236,11 +239,12 @@
         return municipalities;
     }
 
-    private static List<Scenario.Trouble> readTroubles(Section root, List<String> sites) {
-        List<Scenario.Trouble> troubles = new ArrayList<>();
+    private static List<Scenario.Disturbance> readTroubles(Section root, List<String> sites) {
+        List<Scenario.Disturbance> troubles = new ArrayList<>();
         root.sections("trouble").forEach((name, section) -> {
             String kind = section.oneOf("what", TROUBLE_KINDS.get(0), TROUBLE_KINDS);
-            troubles.add(new Scenario.Trouble(name, Scenario.What.valueOf(kind.toUpperCase(Locale.ROOT)),
+            troubles.add(new Scenario.Disturbance(name,
+                    Scenario.DisturbanceKind.valueOf(kind.toUpperCase(Locale.ROOT)),
                     section.number("chance", 1, 0, 1), readRange(section, "at", 0.2, 0.5, 0, 1),
                     readRange(section, "seconds", 10, 20, 0, MAX_SECONDS),
                     readRange(section, "size", 1, 1, 0, MAX_NUMBER), readRange(section, "part", 0, 0, 0, 1),
--- a/src/main/java/yewdock/state/StateRecorder.java
+++ b/src/main/java/yewdock/state/StateRecorder.java
@@ -57,8 +57,8 @@
         String instance = records.instance();
         List<Kept> changed = new ArrayList<>();
         Map<String, Box> listed = new LinkedHashMap<>();
-        for (Box box : list.getBoxesList()) {
-            listed.put(RecordKeys.server(instance, box.getId()), box);
+        for (Box server : list.getBoxesList()) {
+            listed.put(RecordKeys.server(instance, server.getId()), server);
         }
         if (list.getFull()) {
             for (Kept kept : records.withPrefix(RecordKeys.serversPrefix(instance))) {
@@ -68,34 +68,34 @@
                 }
             }
         }
-        listed.forEach((key, box) -> {
+        listed.forEach((key, server) -> {
             Kept before = records.get(key);
-            if (box.getLifecycle() == Lifecycle.GONE.ordinal()) {
+            if (server.getLifecycle() == Lifecycle.GONE.ordinal()) {
                 if (before != null) {
                     changed.add(records.delete(key, wall));
-                    deleteServerMemory(box.getId(), wall, changed);
+                    deleteServerMemory(server.getId(), wall, changed);
                 }
                 return;
             }
             boolean sameLifecycle = before != null
-                    && before.getBox().getLifecycle() == box.getLifecycle();
+                    && before.getBox().getLifecycle() == server.getLifecycle();
             long toldAt = sameLifecycle ? before.getBox().getToldAt()
-                    : box.getToldAt() == 0 ? wall : Math.min(wall, box.getToldAt() + shift);
-            Box updated = box.toBuilder().setToldAt(toldAt).build();
+                    : server.getToldAt() == 0 ? wall : Math.min(wall, server.getToldAt() + shift);
+            Box updated = server.toBuilder().setToldAt(toldAt).build();
             if (before == null || !before.getBox().equals(updated)) {
                 changed.add(records.write(key, Kept.newBuilder().setBox(updated), wall));
             }
-            if (before != null && before.getBox().getStartedAt() != box.getStartedAt()) {
+            if (before != null && before.getBox().getStartedAt() != server.getStartedAt()) {
                 // the server was restarted: errors of the earlier process say nothing about the new one
-                deleteServerMemory(box.getId(), wall, changed);
+                deleteServerMemory(server.getId(), wall, changed);
             }
         });
         ListHead head = ListHead.newBuilder().setAddress(list.getAddress()).setVersion(list.getVersion())
                 .build();
         Kept before = records.get(RecordKeys.endpointList(instance));
         if (before == null || !before.getList().equals(head)) {
-            changed.add(records.write(RecordKeys.endpointList(instance), Kept.newBuilder().setList(head),
-                    wall));
+            changed.add(records.write(RecordKeys.endpointList(instance),
+                    Kept.newBuilder().setList(head), wall));
         }
         return changed;
     }
@@ -127,8 +127,8 @@
         Kept before = records.get(RecordKeys.moduleMemory(instance));
         if (before == null || wall - before.getWall() > MODULE_MEMORY_TTL_MICROS / 360
                 || before.getWall() > wall) {
-            changed.add(records.write(RecordKeys.moduleMemory(instance), Kept.newBuilder().setModule(rest),
-                    wall));
+            changed.add(records.write(RecordKeys.moduleMemory(instance),
+                    Kept.newBuilder().setModule(rest), wall));
         }
         return changed;
     }
@@ -232,12 +232,12 @@
                 ? head.getList().getVersion() : -1).setAddress(head == null ? "" : head.getList()
                 .getAddress());
         for (Kept kept : servers) {
-            Box box = kept.getBox();
-            long toldAt = Math.min(wall, Math.max(1, box.getToldAt()));
-            boolean outdatedDrain = box.getLifecycle() == Lifecycle.DRAINING.ordinal()
+            Box server = kept.getBox();
+            long toldAt = Math.min(wall, Math.max(1, server.getToldAt()));
+            boolean outdatedDrain = server.getLifecycle() == Lifecycle.DRAINING.ordinal()
                     && wall - toldAt > maxDrainAgeMicros;
-            list.addBoxes(box.toBuilder().setToldAt(toldAt).setLifecycle(outdatedDrain
-                    ? Lifecycle.READY.ordinal() : box.getLifecycle()));
+            list.addBoxes(server.toBuilder().setToldAt(toldAt).setLifecycle(outdatedDrain
+                    ? Lifecycle.READY.ordinal() : server.getLifecycle()));
         }
         State.Builder state = State.newBuilder().setVersion(version).setLeastReader(leastReader)
                 .setClock(wall).setMonoNanos(monoNanos).setBoxes(list);
--- a/src/main/java/yewdock/testbed/Fleet.java
+++ b/src/main/java/yewdock/testbed/Fleet.java
@@ -26,34 +26,34 @@
              "contract":{"drain_grace":1.0,"cold":8.7,"cold_from":0.32,"fall_multiple":3.0,"fall":2.0,
               "ask_within":10.0}}""";
 
-    private final Ledger ledger = new Ledger();
-    private final StubDiscovery list;
-    private final List<BoxStandin> boxes = new ArrayList<>();
+    private final ObservationLog observations = new ObservationLog();
+    private final StubDiscovery discovery;
+    private final List<StubServer> servers = new ArrayList<>();
 
     /** Starts count servers, each of which processes at most slots requests at once. */
     public Fleet(int count, int slots) throws IOException {
-        list = new StubDiscovery(ledger);
+        discovery = new StubDiscovery(observations);
         for (int i = 0; i < count; i++) {
-            BoxStandin server = new BoxStandin("s-" + Integer.toHexString(i + 1), slots, ledger);
-            boxes.add(server);
-            list.set(server.name(), server.address(), i % 2 == 0 ? ZONE : SECOND_ZONE,
+            StubServer server = new StubServer("s-" + Integer.toHexString(i + 1), slots, observations);
+            servers.add(server);
+            discovery.putServer(server.name(), server.address(), i % 2 == 0 ? ZONE : SECOND_ZONE,
                     i % 3 == 0 ? KIND : SECOND_KIND, "up", 0);
         }
     }
 
     /** What the servers and the discovery service observed; clients add their results. */
-    public Ledger ledger() {
-        return ledger;
+    public ObservationLog observations() {
+        return observations;
     }
 
     /** The stub discovery service. */
-    public StubDiscovery list() {
-        return list;
+    public StubDiscovery discovery() {
+        return discovery;
     }
 
     /** The servers, in the order of their names. */
-    public List<BoxStandin> boxes() {
-        return boxes;
+    public List<StubServer> servers() {
+        return servers;
     }
 
     /**
@@ -62,19 +62,19 @@
      * @param listen the host:port on which the router accepts clients
      */
     public String configuration(String listen) {
-        return "{\"name\":\"demo\",\"listen\":\"" + listen + "\",\"discovery\":\"" + list.address()
+        return "{\"name\":\"demo\",\"listen\":\"" + listen + "\",\"discovery\":\"" + discovery.address()
                 + "\",\"seed\":\"92094eb940cf389a\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,"
                 + "\"sockets\":1024},\"settings\":" + SETTINGS + "}";
     }
 
     /** Like {@link #configuration}, with the operator interface on a free port. */
-    public String withDoor(String listen) {
+    public String configurationWithOperator(String listen) {
         return configuration(listen).replace("\"discovery\"", "\"operator\":\"127.0.0.1:0\",\"discovery\"");
     }
 
     @Override
     public void close() {
-        list.close();
-        boxes.forEach(BoxStandin::close);
+        discovery.close();
+        servers.forEach(StubServer::close);
     }
 }
--- a/src/main/java/yewdock/testbed/FloodingPeer.java
+++ b/src/main/java/yewdock/testbed/FloodingPeer.java
@@ -30,7 +30,7 @@
     private final String name;
     private final String receiver;
     private final double bytesPerSecond;
-    private final AtomicLong written = new AtomicLong();
+    private final AtomicLong bytesWritten = new AtomicLong();
 
     /**
      * Listens for the connection of another instance.
@@ -55,8 +55,8 @@
     }
 
     /** The number of bytes sent over the latest connection. */
-    public long written() {
-        return written.get();
+    public long bytesWritten() {
+        return bytesWritten.get();
     }
 
     private void acceptLoop() {
@@ -88,7 +88,7 @@
                         .setAddress("10.0.0.1:8000").setId(server).setToldAt(number)));
             }
             sent += writeFrame(out, PeerFrame.newBuilder().setBatch(batch).build());
-            written.set(sent);
+            bytesWritten.set(sent);
             while (in.available() > 0) {
                 in.skipBytes(in.available());
             }
--- a/src/main/java/yewdock/testbed/LiveServer.java
+++ b/src/main/java/yewdock/testbed/LiveServer.java
@@ -9,18 +9,18 @@
 import java.util.function.LongFunction;
 import yewdock.http.MessageHead;
 import yewdock.http.MessageReader;
-import yewdock.model.Ask;
-import yewdock.model.Live;
-import yewdock.model.Work;
+import yewdock.model.InferenceJob;
+import yewdock.model.RealTimeModel;
+import yewdock.model.SimulatedRequest;
 
 /** Serves one simulated server of the model over HTTP: sends each token when the model produces it. */
 final class LiveServer extends LoopbackListener {
     private static final int MAX_TOKENS = 64_000;
 
-    private final Live live;
+    private final RealTimeModel live;
     private final int serverIndex;
     private final RealTimeDriver driver;
-    private final LongFunction<Ask> requests;
+    private final LongFunction<SimulatedRequest> requests;
 
     /**
      * Starts the server.
@@ -29,7 +29,8 @@
      * @param driver runs the model in real time and guards all access to it
      * @param requests looks a request up by its number; null if there is none
      */
-    LiveServer(Live live, int serverIndex, RealTimeDriver driver, LongFunction<Ask> requests)
+    LiveServer(RealTimeModel live, int serverIndex, RealTimeDriver driver,
+            LongFunction<SimulatedRequest> requests)
             throws IOException {
         super("live box " + serverIndex);
         this.live = live;
@@ -48,37 +49,37 @@
         while (true) {
             MessageHead head = connection.readMessage();
             String id = head.field("X-Correlation-Id");
-            Ask request = id == null ? null : requests.apply(requestNumber(id));
+            SimulatedRequest request = id == null ? null : requests.apply(requestNumber(id));
             if (request == null) {
                 connection.write("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
                 continue;
             }
             BlockingQueue<WorkEvent> workEvents = new ArrayBlockingQueue<>(MAX_TOKENS);
-            Work work = new Work(request, new Work.Taker() {
+            InferenceJob job = new InferenceJob(request, new InferenceJob.JobListener() {
                 @Override
-                public void begun(Work w) {
+                public void firstToken(InferenceJob w) {
                     // the first token is also reported to token()
                 }
 
                 @Override
-                public void token(Work w) {
+                public void tokenGenerated(InferenceJob w) {
                     workEvents.add(WorkEvent.TOKEN);
                 }
 
                 @Override
-                public void done(Work w) {
+                public void completed(InferenceJob w) {
                     workEvents.add(WorkEvent.DONE);
                 }
 
                 @Override
-                public void lost(Work w) {
+                public void failed(InferenceJob w) {
                     workEvents.add(WorkEvent.LOST);
                 }
             }, Long.MAX_VALUE, 0);
-            if (!driver.callLocked(() -> live.give(serverIndex, work))) {
+            if (!driver.callLocked(() -> live.submit(serverIndex, job))) {
                 connection.write("HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nX-Backend-Load: "
                         + loadReport() + "\r\nContent-Length: 0\r\n\r\n");
-            } else if (!streamResponse(connection, id, request, work, workEvents)) {
+            } else if (!streamResponse(connection, id, request, job, workEvents)) {
                 return;
             }
         }
@@ -93,9 +94,9 @@
     }
 
     /** Streams the response; false if the request was lost, so that the connection must be closed. */
-    private boolean streamResponse(BlockingHttpConnection connection, String id, Ask request, Work work,
-            BlockingQueue<WorkEvent> workEvents) throws IOException {
-        List<String> events = ReferenceStream.events(id, request.outTokens());
+    private boolean streamResponse(BlockingHttpConnection connection, String id, SimulatedRequest request,
+            InferenceJob job, BlockingQueue<WorkEvent> workEvents) throws IOException {
+        List<String> events = ReferenceStream.events(id, request.outputTokens());
         int sent = 0;
         try {
             while (true) {
@@ -108,7 +109,7 @@
                             "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":%d,"
                             + "\"completion_tokens\":%d,"
                             + "\"prompt_tokens_details\":{\"cached_tokens\":%d}}}\n\n",
-                            request.promptTokens(), request.outTokens(), work.keptTokens()));
+                            request.promptTokens(), request.outputTokens(), job.cachedPromptTokens()));
                     writeChunk(connection, "data: [DONE]\n\n");
                     writeChunk(connection, ": X-Backend-Load: " + loadReport() + "\n\n");
                     connection.write("0\r\n\r\n");
@@ -125,7 +126,7 @@
             return false;
         } finally {
             driver.callLocked(() -> {
-                work.abandon();
+                job.markAbandoned();
                 return null;
             });
         }
@@ -133,7 +134,7 @@
 
     private String loadReport() {
         return driver.callLocked(() -> String.format(Locale.ROOT, "inflight=%d,qps=0,eps=0,x1=%.3f",
-                live.held(serverIndex), live.unread(serverIndex)));
+                live.inFlight(serverIndex), live.pendingPromptThousands(serverIndex)));
     }
 
     private static void writeChunk(BlockingHttpConnection connection, String text) throws IOException {
--- a/src/main/java/yewdock/testbed/LiveDay.java
+++ b/src/main/java/yewdock/testbed/LiveSimulation.java
@@ -16,36 +16,36 @@
 import org.HdrHistogram.Histogram;
 import yewdock.http.MessageHead;
 import yewdock.http.MessageReader;
-import yewdock.model.Ask;
-import yewdock.model.Live;
+import yewdock.model.RealTimeModel;
+import yewdock.model.SimulatedRequest;
 
 /**
  * Runs a simulated day in real time over loopback sockets: a stub discovery service, a stub for each server
  * of the model, and a client for each request. The routers between them are real.
  */
-public final class LiveDay implements Closeable {
+public final class LiveSimulation implements Closeable {
     private static final long MAX_MICROS = 600_000_000;
 
-    private final Live live;
+    private final RealTimeModel live;
     private final RealTimeDriver driver;
     private final StubDiscovery discovery;
     private final List<LiveServer> servers = new ArrayList<>();
-    private final Map<Long, Ask> requests = new ConcurrentHashMap<>();
+    private final Map<Long, SimulatedRequest> requests = new ConcurrentHashMap<>();
     private final ExecutorService clients = Executors.newCachedThreadPool(work -> {
         Thread thread = new Thread(work, "live client");
         thread.setDaemon(true);
         return thread;
     });
-    private final Map<String, Outcome> byClass = new ConcurrentHashMap<>();
+    private final Map<String, ClassResult> byClass = new ConcurrentHashMap<>();
     private List<InetSocketAddress> routers = List.of();
 
     /** The results of one request class. Thread-safe. */
-    public static final class Outcome {
+    public static final class ClassResult {
         private final Histogram firstTokenMicros = new ConcurrentHistogram(MAX_MICROS, 3);
-        private int asked;
-        private int inTime;
-        private int served;
-        private int tries;
+        private int requestCount;
+        private int inTimeCount;
+        private int servedCount;
+        private int attemptCount;
 
         /** Milliseconds from the start of the first attempt to the first token, at this percentile. */
         public double firstMillis(double percentile) {
@@ -53,47 +53,47 @@
         }
 
         /** The number of requests. */
-        public synchronized int asked() {
-            return asked;
+        public synchronized int requestCount() {
+            return requestCount;
         }
 
         /** The number of requests whose response met the latency targets of their class. */
-        public synchronized int inTime() {
-            return inTime;
+        public synchronized int inTimeCount() {
+            return inTimeCount;
         }
 
         /** The number of requests that got a whole response. */
-        public synchronized int served() {
-            return served;
+        public synchronized int servedCount() {
+            return servedCount;
         }
 
         /** The number of attempts over all requests. */
-        public synchronized int tries() {
-            return tries;
+        public synchronized int attemptCount() {
+            return attemptCount;
         }
 
         private synchronized void add(boolean answeredInTime, boolean complete, int attemptsMade) {
-            asked++;
-            inTime += answeredInTime ? 1 : 0;
-            served += complete ? 1 : 0;
-            tries += attemptsMade;
+            requestCount++;
+            inTimeCount += answeredInTime ? 1 : 0;
+            servedCount += complete ? 1 : 0;
+            attemptCount += attemptsMade;
         }
     }
 
-    /** Starts the stub servers and the discovery service; requests arrive from {@link #play} on. */
-    public LiveDay(Live live) throws IOException {
+    /** Starts the stub servers and the discovery service; requests arrive from {@link #run} on. */
+    public LiveSimulation(RealTimeModel live) throws IOException {
         this.live = live;
         this.driver = new RealTimeDriver(live.calendar());
-        this.discovery = new StubDiscovery(new Ledger());
-        for (int i = 0; i < live.boxes(); i++) {
+        this.discovery = new StubDiscovery(new ObservationLog());
+        for (int i = 0; i < live.servers(); i++) {
             LiveServer server = new LiveServer(live, i, driver, requests::get);
             servers.add(server);
-            discovery.set(live.name(i), server.address(), live.site(i), live.kind(i), "up", 0);
+            discovery.putServer(live.name(i), server.address(), live.site(i), live.kind(i), "up", 0);
         }
     }
 
     /** The address of the discovery service, as host:port. */
-    public String list() {
+    public String discoveryAddress() {
         return discovery.address();
     }
 
@@ -101,7 +101,7 @@
      * Runs the day against these routers, as many as the scenario has, and waits until all requests have
      * ended, at most a minute beyond the end of the day.
      */
-    public void play(List<InetSocketAddress> routerAddresses) {
+    public void run(List<InetSocketAddress> routerAddresses) {
         routers = List.copyOf(routerAddresses);
         driver.callLocked(() -> {
             live.start(request -> {
@@ -112,7 +112,7 @@
         });
         driver.start();
         try {
-            TimeUnit.MICROSECONDS.sleep(live.length());
+            TimeUnit.MICROSECONDS.sleep(live.lengthMicros());
             clients.shutdown();
             clients.awaitTermination(60, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
@@ -120,19 +120,19 @@
         }
     }
 
-    private void runClient(Ask request) {
+    private void runClient(SimulatedRequest request) {
         long startedAt = System.nanoTime();
         boolean inTime = false;
         boolean complete = false;
         int attempts = 0;
-        while (attempts <= live.retries() && !complete) {
+        while (attempts <= live.maxRetries() && !complete) {
             long elapsedMicros = (System.nanoTime() - startedAt) / 1000;
-            long timeoutMicros = live.patience(request, request.arrivedAt() + elapsedMicros);
+            long timeoutMicros = live.timeoutMicros(request, request.arrivedAtMicros() + elapsedMicros);
             if (timeoutMicros <= 0) {
                 break;
             }
             attempts++;
-            long backoffMicros = live.wait(attempts);
+            long backoffMicros = live.backoffMicros(attempts);
             try (Socket socket = new Socket()) {
                 InetSocketAddress router = routerFor(request, attempts);
                 socket.setTcpNoDelay(true);
@@ -167,14 +167,14 @@
         resultOf(request).add(inTime, complete, attempts);
     }
 
-    private Outcome resultOf(Ask request) {
-        return byClass.computeIfAbsent(live.className(request), name -> new Outcome());
+    private ClassResult resultOf(SimulatedRequest request) {
+        return byClass.computeIfAbsent(live.className(request), name -> new ClassResult());
     }
 
-    private InetSocketAddress routerFor(Ask request, int attempt) {
+    private InetSocketAddress routerFor(SimulatedRequest request, int attempt) {
         List<InetSocketAddress> sameZone = new ArrayList<>();
         for (int r = 0; r < routers.size(); r++) {
-            if (live.routers().get(r) == live.site(request)) {
+            if (live.routerSites().get(r) == live.site(request)) {
                 sameZone.add(routers.get(r));
             }
         }
@@ -182,9 +182,9 @@
         return candidates.get((int) Math.floorMod(request.number() * 31 + attempt, (long) candidates.size()));
     }
 
-    private String requestText(Ask request, int attempt, long timeoutMicros) {
+    private String requestText(SimulatedRequest request, int attempt, long timeoutMicros) {
         String body = "{\"model\":\"" + live.className(request) + "\",\"stream\":true,\"max_tokens\":"
-                + request.mostOut() + "}";
+                + request.maxOutputTokens() + "}";
         return String.format(Locale.ROOT, "POST /v1/chat/completions HTTP/1.1\r\nHost: live\r\n"
                 + "X-Correlation-Id: r-%x\r\nX-Service-Class: %s\r\nX-Account: %s\r\nX-Session-Key: k-%x\r\n"
                 + "X-Time-Left: %.3f\r\n%sX-Facts: %sprompt_len=%d,prefix_len=%d,max_out=%d\r\n"
@@ -192,11 +192,12 @@
                 live.municipality(request), request.session(), timeoutMicros / 1e6,
                 attempt > 1 ? "X-Repeat: 1\r\n" : "",
                 request.prefix() == 0 ? "" : "prefix=p-" + Long.toHexString(request.prefix()) + ",",
-                request.promptTokens(), request.prefixTokens(), request.mostOut(), body.length(), body);
+                request.promptTokens(), request.prefixTokens(), request.maxOutputTokens(),
+                body.length(), body);
     }
 
     /** The results by the name of the request class; a class without requests is absent. */
-    public Map<String, Outcome> byClass() {
+    public Map<String, ClassResult> byClass() {
         return Map.copyOf(byClass);
     }
 
@@ -204,7 +205,7 @@
      * The longest delay between the due time of a simulated event and its execution, in milliseconds. A long
      * one means that the machine was too busy for the run to be comparable with the model.
      */
-    public double lateMillis() {
+    public double maxDelayMillis() {
         return driver.maxDelayMicros() / 1e3;
     }
 
--- a/src/main/java/yewdock/testbed/Load.java
+++ b/src/main/java/yewdock/testbed/LoadGenerator.java
@@ -20,7 +20,7 @@
  * A load generator: sends requests at a given overall rate over a given number of connections, one at a time
  * on each. It compares each stream with its reference byte for byte and records one observation per request.
  */
-public final class Load {
+public final class LoadGenerator {
     private static final int READ_TIMEOUT_MILLIS = 30_000;
     private static final int CONNECT_TIMEOUT_MILLIS = 10_000;
     private static final double NANOS_PER_SECOND = 1e9;
@@ -35,17 +35,17 @@
      * @param maxPaceMillis the longest pause between two tokens of a stream
      * @param seed determines ids, lengths and pauses
      */
-    public record Plan(InetSocketAddress router, int connections, double requestsPerSecond, int maxTokens,
+    public record Profile(InetSocketAddress router, int connections, double requestsPerSecond, int maxTokens,
             int maxPaceMillis, long seed) {
     }
 
-    private final Plan plan;
-    private final Ledger observations;
+    private final Profile plan;
+    private final ObservationLog observations;
     private final AtomicBoolean stopped = new AtomicBoolean();
     private final List<Thread> threads = new ArrayList<>();
 
     /** Prepares the load; nothing is sent before {@link #start}. */
-    public Load(Plan plan, Ledger observations) {
+    public LoadGenerator(Profile plan, ObservationLog observations) {
         this.plan = plan;
         this.observations = observations;
     }
@@ -104,7 +104,7 @@
         private BlockingHttpConnection connection;
 
         /** Sends one request and reads its response; paceMillis is the pause between tokens. */
-        Ledger.AtClient send(String id, int tokens, int paceMillis, int prefix) {
+        ObservationLog.RequestResult send(String id, int tokens, int paceMillis, int prefix) {
             long startedAt = System.nanoTime();
             boolean resent = false;
             while (true) {
@@ -115,14 +115,14 @@
                     }
                     connection.write(request(id, tokens, paceMillis, prefix));
                     MessageHead head = connection.readMessage();
-                    Ledger.AtClient record = completed(id, tokens, startedAt, head, resent);
+                    ObservationLog.RequestResult record = completed(id, tokens, startedAt, head, resent);
                     if (!head.keepsAlive()) {
                         close();
                     }
                     return record;
                 } catch (ConnectException e) {
                     close();
-                    return incomplete(id, startedAt, Ledger.End.NOT_CONNECTED, resent);
+                    return incomplete(id, startedAt, ObservationLog.RequestOutcome.NOT_CONNECTED, resent);
                 } catch (EOFException | SocketException e) {
                     boolean nothingReceived = connection != null && !connection.receivedAny();
                     boolean headReceived = connection != null && connection.head() != null;
@@ -132,14 +132,14 @@
                         resent = true;
                         continue;
                     }
-                    return incomplete(id, startedAt, headReceived ? Ledger.End.CUT_OFF
-                            : e instanceof SocketException ? Ledger.End.RESET : Ledger.End.UNANSWERED,
-                            resent);
+                    return incomplete(id, startedAt, headReceived ? ObservationLog.RequestOutcome.CUT_OFF
+                            : e instanceof SocketException ? ObservationLog.RequestOutcome.RESET
+                                    : ObservationLog.RequestOutcome.UNANSWERED, resent);
                 } catch (IOException e) {
                     boolean timedOut = e instanceof SocketTimeoutException;
                     close();
-                    return incomplete(id, startedAt, timedOut ? Ledger.End.UNANSWERED : Ledger.End.FAILED,
-                            resent);
+                    return incomplete(id, startedAt, timedOut ? ObservationLog.RequestOutcome.UNANSWERED
+                            : ObservationLog.RequestOutcome.FAILED, resent);
                 }
             }
         }
@@ -152,21 +152,25 @@
             connection = new BlockingHttpConnection(socket, MessageReader.Kind.RESPONSE);
         }
 
-        private Ledger.AtClient completed(String id, int tokens, long startedAt, MessageHead head,
-                boolean resent) {
+        private ObservationLog.RequestResult completed(String id, int tokens, long startedAt,
+                MessageHead head, boolean resent) {
             long now = System.nanoTime();
             int status = head.status();
             if (status == 200) {
                 String stream = connection.body().replaceAll("(?m)^:.*\n\n", "");
-                return new Ledger.AtClient(id, startedAt, connection.firstBodyNanos(), now, Ledger.End.SERVED,
+                return new ObservationLog.RequestResult(id, startedAt, connection.firstBodyNanos(),
+                        now, ObservationLog.RequestOutcome.SERVED,
                         status, stream.equals(ReferenceStream.stream(id, tokens)), resent);
             }
-            Ledger.End end = status == 503 || status == 429 ? Ledger.End.REFUSED : Ledger.End.FAILED;
-            return new Ledger.AtClient(id, startedAt, 0, now, end, status, true, resent);
+            ObservationLog.RequestOutcome end = status == 503 || status == 429
+                    ? ObservationLog.RequestOutcome.REFUSED : ObservationLog.RequestOutcome.FAILED;
+            return new ObservationLog.RequestResult(id, startedAt, 0, now, end, status, true, resent);
         }
 
-        private Ledger.AtClient incomplete(String id, long startedAt, Ledger.End end, boolean resent) {
-            return new Ledger.AtClient(id, startedAt, 0, System.nanoTime(), end, 0, false, resent);
+        private ObservationLog.RequestResult incomplete(String id, long startedAt,
+                ObservationLog.RequestOutcome end, boolean resent) {
+            return new ObservationLog.RequestResult(id, startedAt, 0, System.nanoTime(), end, 0,
+                    false, resent);
         }
 
         private void close() {
@@ -192,19 +196,20 @@
     }
 
     /** Summarizes results in one line: counts, and latencies in milliseconds. */
-    public static String summary(List<Ledger.AtClient> results) {
+    public static String summary(List<ObservationLog.RequestResult> results) {
         Histogram firstToken = new Histogram(3);
         Histogram total = new Histogram(3);
         long served = 0;
         long exact = 0;
         long resent = 0;
-        for (Ledger.AtClient result : results) {
-            total.recordValue(Math.max(0, (result.ended() - result.began()) / 1000));
-            resent += result.crossed() ? 1 : 0;
-            if (result.end() == Ledger.End.SERVED) {
+        for (ObservationLog.RequestResult result : results) {
+            total.recordValue(Math.max(0, (result.endedNanos() - result.startedNanos()) / 1000));
+            resent += result.resent() ? 1 : 0;
+            if (result.outcome() == ObservationLog.RequestOutcome.SERVED) {
                 served++;
-                exact += result.exact() ? 1 : 0;
-                firstToken.recordValue(Math.max(0, (result.firstToken() - result.began()) / 1000));
+                exact += result.matchesReference() ? 1 : 0;
+                firstToken.recordValue(Math.max(0,
+                        (result.firstTokenNanos() - result.startedNanos()) / 1000));
             }
         }
         return String.format(Locale.ROOT, "requests %d, served %d, exact %d, other ends %d, sent anew %d; "
--- a/src/main/java/yewdock/testbed/RealTimeDriver.java
+++ b/src/main/java/yewdock/testbed/RealTimeDriver.java
@@ -5,21 +5,21 @@
 import java.util.concurrent.locks.Condition;
 import java.util.concurrent.locks.ReentrantLock;
 import java.util.function.Supplier;
-import yewdock.model.Calendar;
+import yewdock.model.EventCalendar;
 
 /**
  * Runs the events of a simulation's calendar in real time, on a thread of its own. The simulation is not
  * thread-safe, so all other access to it goes through {@link #callLocked}.
  */
 final class RealTimeDriver implements Closeable {
-    private final Calendar calendar;
+    private final EventCalendar calendar;
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition changed = lock.newCondition();
     private volatile long startedAtNanos;
     private boolean closed;
     private long maxDelayMicros;
 
-    RealTimeDriver(Calendar calendar) {
+    RealTimeDriver(EventCalendar calendar) {
         this.calendar = calendar;
     }
 
@@ -40,14 +40,14 @@
         lock.lock();
         try {
             while (!closed) {
-                long dueMicros = calendar.nextAt();
+                long dueMicros = calendar.nextTimeMicros();
                 long waitMicros = dueMicros - nowMicros();
                 if (waitMicros > 0) {
                     changed.await(dueMicros == Long.MAX_VALUE ? 1_000_000 : waitMicros,
                             TimeUnit.MICROSECONDS);
                 } else {
                     maxDelayMicros = Math.max(maxDelayMicros, -waitMicros);
-                    calendar.runTo(nowMicros());
+                    calendar.runUntil(nowMicros());
                 }
             }
         } catch (InterruptedException e) {
@@ -61,7 +61,7 @@
     <T> T callLocked(Supplier<T> action) {
         lock.lock();
         try {
-            calendar.runTo(nowMicros());
+            calendar.runUntil(nowMicros());
             T result = action.get();
             changed.signal();
             return result;
--- a/src/main/java/yewdock/testbed/Relay.java
+++ b/src/main/java/yewdock/testbed/Relay.java
@@ -41,19 +41,19 @@
      * Sets whether bytes sent to the target, and bytes sent by the target, are held back. Held bytes are kept
      * and passed on when the direction is unblocked.
      */
-    public synchronized void hold(boolean toTarget, boolean fromTarget) {
+    public synchronized void block(boolean toTarget, boolean fromTarget) {
         blocksToTarget = toTarget;
         blocksFromTarget = fromTarget;
         notifyAll();
     }
 
     /** Delays each piece of data by this time from now on. */
-    public synchronized void late(long millis) {
+    public synchronized void setDelayMillis(long millis) {
         delayMillis = millis;
     }
 
     /** Closes all connections at once. */
-    public void reset() {
+    public void resetConnections() {
         openSockets.forEach(Relay::close);
     }
 
@@ -100,7 +100,7 @@
         }
     }
 
-    private synchronized long late() {
+    private synchronized long delayMillis() {
         return delayMillis;
     }
 
@@ -111,7 +111,7 @@
             OutputStream out = to.getOutputStream();
             for (int count = in.read(bytes); count >= 0; count = in.read(bytes)) {
                 awaitUnblocked(toTarget);
-                long waitMillis = late();
+                long waitMillis = delayMillis();
                 if (waitMillis > 0) {
                     Thread.sleep(waitMillis);
                 }
@@ -148,7 +148,7 @@
         } catch (IOException e) {
             // nothing is left to release
         }
-        hold(false, false);
-        reset();
+        block(false, false);
+        resetConnections();
     }
 }
--- a/src/main/java/yewdock/testbed/StubDiscovery.java
+++ b/src/main/java/yewdock/testbed/StubDiscovery.java
@@ -28,12 +28,12 @@
     private record ListUpdate(long version, List<ListedServer> servers) {
     }
 
-    private final Ledger observations;
+    private final ObservationLog observations;
     private final Map<String, ListedServer> servers = new LinkedHashMap<>();
     private long version = 1;
 
     /** Starts serving an empty endpoint list; each state it sends is recorded as an observation. */
-    public StubDiscovery(Ledger observations) throws IOException {
+    public StubDiscovery(ObservationLog observations) throws IOException {
         super("list");
         this.observations = observations;
         startAccepting();
@@ -43,16 +43,16 @@
      * Adds or replaces a server under a new list version. The state is "up", "draining" or "removed";
      * startedMillis is Unix time.
      */
-    public synchronized void set(String name, String address, String zone, String kind, String state,
+    public synchronized void putServer(String name, String address, String zone, String kind, String state,
             long startedMillis) {
         servers.put(name, new ListedServer(name, address, zone, kind, state, startedMillis, ++version));
         notifyAll();
     }
 
     /** Changes the state of a listed server. */
-    public synchronized void state(String name, String state) {
+    public synchronized void setState(String name, String state) {
         ListedServer server = servers.get(name);
-        set(name, server.address, server.zone, server.kind, state, server.startedMillis);
+        putServer(name, server.address, server.zone, server.kind, state, server.startedMillis);
     }
 
     @Override
@@ -75,7 +75,8 @@
             connection.write("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
             long writtenAt = System.nanoTime();
             update.servers.forEach(server -> observations.add(
-                    new Ledger.Told(server.name, server.state, writtenAt, socket.getPort())));
+                    new ObservationLog.EndpointUpdate(server.name, server.state, writtenAt,
+                            socket.getPort())));
         }
     }
 
--- a/src/main/java/yewdock/testbed/BoxStandin.java
+++ b/src/main/java/yewdock/testbed/StubServer.java
@@ -13,7 +13,7 @@
  * pause between them as the request asks for. It can refuse new requests, reset streams midway, crash, and
  * run slower during its slow start.
  */
-public final class BoxStandin extends LoopbackListener {
+public final class StubServer extends LoopbackListener {
     private static final Pattern TOKENS_FIELD = Pattern.compile("\"max_tokens\":\\s*([0-9]{1,6})");
     private static final Pattern PACE_FIELD = Pattern.compile("\"pace_ms\":\\s*([0-9]{1,6})");
     private static final long SLOW_START_NANOS = 8_700_000_000L;
@@ -21,7 +21,7 @@
     private static final double COLD_CAPACITY = 0.32;
 
     private final String name;
-    private final Ledger observations;
+    private final ObservationLog observations;
     private final int slots;
     private final AtomicInteger inFlight = new AtomicInteger();
     private volatile boolean draining;
@@ -29,7 +29,7 @@
     private volatile long restartedAtNanos;
 
     /** Starts a server that processes at most slots requests at once and refuses the others. */
-    public BoxStandin(String name, int slots, Ledger observations) throws IOException {
+    public StubServer(String name, int slots, ObservationLog observations) throws IOException {
         super("box " + name);
         this.name = name;
         this.slots = slots;
@@ -68,7 +68,8 @@
             if (id == null) {
                 connection.write("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
             } else if (draining || inFlight.get() >= slots) {
-                observations.add(new Ledger.AtBox(id, name, startedAt, System.nanoTime(), false));
+                observations.add(new ObservationLog.ServerAttempt(id, name, startedAt,
+                        System.nanoTime(), false));
                 connection.write(
                         "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nX-Backend-Load: inflight="
                         + inFlight.get() + "\r\nContent-Length: 0\r\n\r\n");
@@ -109,7 +110,7 @@
             complete = true;
         } finally {
             inFlight.decrementAndGet();
-            observations.add(new Ledger.AtBox(id, name, startedAt,
+            observations.add(new ObservationLog.ServerAttempt(id, name, startedAt,
                     complete ? System.nanoTime() : lastSurelyOpen, true));
         }
     }
--- a/src/main/java/yewdock/upgrade/SupervisorReducer.java
+++ b/src/main/java/yewdock/upgrade/SupervisorReducer.java
@@ -373,10 +373,10 @@
         }
     }
 
-    private void sendToOthers(SupervisedGeneration from, Frame.Builder frame, Boxes boxes) {
+    private void sendToOthers(SupervisedGeneration from, Frame.Builder frame, Boxes endpointList) {
         for (SupervisedGeneration g : generations.values()) {
             boolean knowsNothingYet = g == upcoming && stage.compareTo(Stage.READY) < 0;
-            if (g != from && g.connected && !knowsNothingYet && boxes.getBoxesCount() > 0) {
+            if (g != from && g.connected && !knowsNothingYet && endpointList.getBoxesCount() > 0) {
                 send(g, frame);
             }
         }
--- a/src/main/java/yewdock/verification/ConsensusChecker.java
+++ b/src/main/java/yewdock/verification/ConsensusChecker.java
@@ -32,11 +32,11 @@
     private final Map<String, Long> cordonedSince = new HashMap<>();
     private final Map<String, Long> stepBeforeFirstProposal = new HashMap<>();
     private final Set<String> acceptedChanges = new HashSet<>();
-    private final Map<String, Integer> notes = new TreeMap<>();
+    private final Map<String, Integer> eventCounts = new TreeMap<>();
     private long latestStep;
     private long latestRevision;
     private long latestAnsweredStep;
-    private long longestBehind;
+    private long longestStaleness;
     private long contradictions;
     private long longestContradiction;
     private long decisions;
@@ -59,8 +59,8 @@
     /** Records that a change is proposed, again if it is a retry. */
     ProposedChange proposed(RuleChange change) {
         // a retry gets the outcome of the first proposal
-        return new ProposedChange(change, stepBeforeFirstProposal.computeIfAbsent(change.getId(), id ->
-                latestAnsweredStep));
+        return new ProposedChange(change,
+                stepBeforeFirstProposal.computeIfAbsent(change.getId(), id -> latestAnsweredStep));
     }
 
     /** Checks the answer to a proposal. */
@@ -133,7 +133,7 @@
         for (Map.Entry<Long, Long> prepared : preparedSteps.entrySet()) {
             if (prepared.getKey() > view.step()) {
                 long behind = now - prepared.getValue();
-                longestBehind = Math.max(longestBehind, behind);
+                longestStaleness = Math.max(longestStaleness, behind);
                 if (behind > maxStalenessMicros) {
                     violation(now + ": " + name + " decides by step " + view.step() + ", and step "
                             + prepared.getKey() + " was prepared " + behind + " us ago");
@@ -153,14 +153,14 @@
 
     /** Counts a logged event; a diverged history is a violation. */
     void eventLogged(String event, String what, long now) {
-        notes.merge(event, 1, Integer::sum);
+        eventCounts.merge(event, 1, Integer::sum);
         if (event.equals("agreement.diverged")) {
             violation(now + ": " + event + " " + what);
         }
     }
 
     /** At the end of a run, with all faults over: checks that each accepted change is in force. */
-    public void nothingLost(RuleStateMachine rules) {
+    public void checkNothingLost(RuleStateMachine rules) {
         for (String id : acceptedChanges) {
             if (rules.outcome(id) == null) {
                 violation("the change " + id + " was accepted, and is lost");
@@ -171,13 +171,13 @@
     }
 
     /** The violations found so far, oldest first; at most 20. */
-    public List<String> broken() {
+    public List<String> violations() {
         return violations;
     }
 
     /** The longest time for which a router decided without knowing of a prepared change. */
-    public long longestBehind() {
-        return longestBehind;
+    public long longestStaleness() {
+        return longestStaleness;
     }
 
     /** The longest time for which a router sent to a cordoned server. */
@@ -196,19 +196,19 @@
     }
 
     /** Number of changes that came into force. */
-    public int forced() {
+    public int changesInForce() {
         return inForceAt.size();
     }
 
     /** The time from prepared to in force of each change, in the order in which they came into force. */
-    public List<Long> timesToForce() {
+    public List<Long> activationTimes() {
         List<Long> times = new ArrayList<>();
         inForceAt.forEach((id, at) -> times.add(at - preparedAt.getOrDefault(id, at)));
         return times;
     }
 
     /** Number of logged events by event name. */
-    public Map<String, Integer> notes() {
-        return notes;
+    public Map<String, Integer> eventCounts() {
+        return eventCounts;
     }
 }
