--- a/src/main/java/yewdock/verification/CouncilSim.java
+++ b/src/main/java/yewdock/verification/ConsensusSimulation.java
@@ -18,7 +18,7 @@
 import yewdock.consensus.TaskScheduler;
 import yewdock.lease.LeaseTiming;
 import yewdock.logging.EventLog;
-import yewdock.model.Calendar;
+import yewdock.model.EventCalendar;
 import yewdock.rules.RuleKind;
 import yewdock.rules.RulesView;
 import yewdock.store.KeyValueStore;
@@ -31,16 +31,16 @@
 /**
  * Simulates consensus among routers in virtual time: members and followers, each with its own clock and
  * store, on a network that loses, duplicates and delays messages and can be cut in one direction or both.
- * {@link ConsensusChecker} checks every decision. The same seed gives the same run. Times are in
- * microseconds.
+ * {@link ConsensusChecker} checks every decision. The same seed gives the same
+ * run. Times are in microseconds.
  */
-public final class CouncilSim {
+public final class ConsensusSimulation {
     /**
      * Deliberate defects that the checker must detect: a lease twice as long as allowed at one member; leases
      * cut short at the members; writes acknowledged before they are synced; a clock that runs at half speed;
      * and decisions that trust the lease timer without checking the clock.
      */
-    public enum Plant {
+    public enum ProtocolDefect {
         NONE, LEASE_TWICE, LEASE_CUT_SHORT_AT_MEMBERS, ACK_BEFORE_SYNC, CLOCK_AT_HALF, TIMER_ALONE
     }
 
@@ -53,10 +53,10 @@
     private static final int SERVERS = 4;
 
     private final SplittableRandom random;
-    private final Plant defect;
-    private final Calendar calendar = new Calendar();
-    private final List<Host> routers = new ArrayList<>();
-    private final Map<String, Host> routersByName = new HashMap<>();
+    private final ProtocolDefect defect;
+    private final EventCalendar calendar = new EventCalendar();
+    private final List<SimulatedRouter> routers = new ArrayList<>();
+    private final Map<String, SimulatedRouter> routersByName = new HashMap<>();
     private final List<String> members;
     /** Directed links that lose all messages, as "from>to". */
     private final Set<String> cutLinks = new HashSet<>();
@@ -65,7 +65,7 @@
     private long messagesSent;
     private int proposedChanges;
     private int proposalsSent;
-    private int listsCaughtUp;
+    private int endpointListCatchUps;
 
     /**
      * Starts all instances.
@@ -75,7 +75,7 @@
      * @param seed draws everything that is random
      * @param defect the deliberate defect, or NONE
      */
-    public CouncilSim(int members, int followers, long seed, Plant defect) {
+    public ConsensusSimulation(int members, int followers, long seed, ProtocolDefect defect) {
         EventLog.muteLibraryLogs();
         this.random = new SplittableRandom(seed);
         this.defect = defect;
@@ -85,25 +85,25 @@
         }
         this.members = names.subList(0, members);
         for (String name : names) {
-            Host router = new Host(name);
+            SimulatedRouter router = new SimulatedRouter(name);
             routers.add(router);
             routersByName.put(name, router);
         }
-        routers.forEach(Host::start);
+        routers.forEach(SimulatedRouter::start);
         runAfter(0, this::checkDecisions);
     }
 
     private void runAfter(long delay, Runnable work) {
-        calendar.at(now() + delay, work);
+        calendar.scheduleAt(now() + delay, work);
     }
 
     /** Advances the virtual time. */
     public void run(long micros) {
-        calendar.runTo(now() + micros);
+        calendar.runUntil(now() + micros);
     }
 
     /** The checker of this run, with its results. */
-    public ConsensusChecker judge() {
+    public ConsensusChecker checker() {
         return checker;
     }
 
@@ -113,8 +113,8 @@
     }
 
     /** How often a router learned of a newer endpoint list from another one and fetched it. */
-    public int listsCaughtUp() {
-        return listsCaughtUp;
+    public int endpointListCatchUps() {
+        return endpointListCatchUps;
     }
 
     /** Number of proposals sent so far, including retries. */
@@ -124,7 +124,7 @@
 
     /** The current virtual time. */
     public long now() {
-        return calendar.now();
+        return calendar.nowMicros();
     }
 
     /** Number of instances, members and followers. */
@@ -133,19 +133,19 @@
     }
 
     /** The instance with this index; members come first. */
-    public Host host(int number) {
+    public SimulatedRouter router(int number) {
         return routers.get(number);
     }
 
     /** The instance that leads and is not paused, or null. */
-    public Host leader() {
-        return routers.stream().filter(router -> router.council != null && !router.paused
-                && router.council.isLeader())
+    public SimulatedRouter leader() {
+        return routers.stream().filter(router -> router.consensusNode != null && !router.paused
+                && router.consensusNode.isLeader())
                 .findFirst().orElse(null);
     }
 
     /** Cuts the link from one instance to another, in this direction only. */
-    public void cutLink(Host from, Host to) {
+    public void cutLink(SimulatedRouter from, SimulatedRouter to) {
         cutLinks.add(from.name + ">" + to.name);
     }
 
@@ -155,8 +155,8 @@
      * @param in cut what the others send to it
      * @param out cut what it sends
      */
-    public void cutOff(Host isolated, boolean in, boolean out) {
-        for (Host router : routers) {
+    public void isolate(SimulatedRouter isolated, boolean in, boolean out) {
+        for (SimulatedRouter router : routers) {
             if (router != isolated && out) {
                 cutLink(isolated, router);
             }
@@ -170,10 +170,10 @@
     public void heal() {
         cutLinks.clear();
         lossRate = 0;
-        for (Host router : routers) {
-            router.full(false);
+        for (SimulatedRouter router : routers) {
+            router.setDiskFull(false);
             router.resume();
-            if (router.council == null) {
+            if (router.consensusNode == null) {
                 router.start();
             }
         }
@@ -187,27 +187,27 @@
     /**
      * Injects random faults one after the other while changes are proposed, and heals all of them at the end.
      */
-    public void trouble(long micros) {
+    public void runWithRandomFaults(long micros) {
         long until = now() + micros;
         while (now() < until) {
             switch (random.nextInt(10)) {
-                case 0 -> cutOff(randomRouter(), true, true);
-                case 1 -> cutOff(randomRouter(), random.nextBoolean(), true);
+                case 0 -> isolate(randomRouter(), true, true);
+                case 1 -> isolate(randomRouter(), random.nextBoolean(), true);
                 case 2 -> cutLink(randomRouter(), randomRouter());
                 case 3 -> randomRouter().pause((long) (SECOND * Math.exp(random.nextDouble() * 4 - 2)));
                 case 4 -> randomRouter().kill();
-                case 8 -> randomRouter().full(true);
+                case 8 -> randomRouter().setDiskFull(true);
                 case 5 -> setLossRate(random.nextDouble() * 0.3);
                 case 6 -> {
-                    Host leader = leader();
+                    SimulatedRouter leader = leader();
                     if (leader != null) {
                         propose(randomRouter());
                         run(random.nextLong(10_000));
-                        cutOff(leader, true, random.nextBoolean());
+                        isolate(leader, true, random.nextBoolean());
                     }
                 }
                 case 7 -> {
-                    Host leader = leader();
+                    SimulatedRouter leader = leader();
                     if (leader != null) {
                         leader.kill();
                     }
@@ -222,20 +222,20 @@
         heal();
     }
 
-    private Host randomRouter() {
+    private SimulatedRouter randomRouter() {
         return routers.get(random.nextInt(routers.size()));
     }
 
     /** Proposes at an instance to cordon a random server, or to uncordon it if it is cordoned. */
-    public void propose(Host at) {
-        if (at.council == null || at.paused) {
+    public void propose(SimulatedRouter at) {
+        if (at.consensusNode == null || at.paused) {
             return;
         }
         String server = "b" + random.nextInt(SERVERS);
         String subject = RuleKind.SERVER.subject(server);
         RuleChange.Builder change = RuleChange.newBuilder().setId("c" + ++proposedChanges).setWho("staff")
-                .setSubject(subject).setBase(at.council.localRules().revision(subject));
-        if (!at.council.localRules().view().cordonedServers().contains(server)) {
+                .setSubject(subject).setBase(at.consensusNode.localRules().revision(subject));
+        if (!at.consensusNode.localRules().view().cordonedServers().contains(server)) {
             change.setValue(RuleValue.newBuilder().setOut(true));
         }
         propose(at, change.build(), 3);
@@ -245,14 +245,14 @@
      * Proposes a change. It is retried where it got no outcome, and sometimes where it did: a change must be
      * applied once however often it is proposed.
      */
-    private void propose(Host at, RuleChange change, int attempts) {
+    private void propose(SimulatedRouter at, RuleChange change, int attempts) {
         proposalsSent++;
         ConsensusChecker.ProposedChange proposal = checker.proposed(change);
-        at.council.propose(change, (Proposed answer) -> {
-            checker.answered(proposal, answer, calendar.now());
+        at.consensusNode.propose(change, (Proposed answer) -> {
+            checker.answered(proposal, answer, calendar.nowMicros());
             if (answer.hasOutcome() && random.nextInt(4) == 0 || !answer.hasOutcome() && attempts > 1) {
                 runAfter(random.nextLong(SECOND), () -> {
-                    if (at.council != null && !at.paused && attempts > 1) {
+                    if (at.consensusNode != null && !at.paused && attempts > 1) {
                         propose(at, change, attempts - 1);
                     }
                 });
@@ -262,25 +262,25 @@
 
     /** Checks the decision of each running router, periodically. */
     private void checkDecisions() {
-        for (Host router : routers) {
-            if (router.council != null && !router.paused) {
-                boolean mayDecide = defect == Plant.TIMER_ALONE ? router.leaseTimerRunning
-                        : router.council.holdsLease();
-                checker.checkDecision(router.name, mayDecide, router.council.localRules().step(), router.view,
-                        calendar.now());
+        for (SimulatedRouter router : routers) {
+            if (router.consensusNode != null && !router.paused) {
+                boolean mayDecide = defect == ProtocolDefect.TIMER_ALONE ? router.leaseTimerRunning
+                        : router.consensusNode.holdsLease();
+                checker.checkDecision(router.name, mayDecide,
+                        router.consensusNode.localRules().step(), router.view, calendar.nowMicros());
             }
         }
         runAfter(DECISION_INTERVAL_MICROS, this::checkDecisions);
     }
 
     /** A simulated instance: its clock, its store and its process. */
-    public final class Host implements TaskScheduler, ConsensusNode.ConsensusHost {
+    public final class SimulatedRouter implements TaskScheduler, ConsensusNode.ConsensusHost {
         private final String name;
         private final double clockRate;
         private final long clockOffsetMicros;
         private final List<Runnable> pausedTasks = new ArrayList<>();
         private SimulatedStore store = new SimulatedStore();
-        private ConsensusNode council;
+        private ConsensusNode consensusNode;
         private RulesView view = RulesView.EMPTY;
         private boolean paused;
         private boolean leaseTimerRunning;
@@ -288,9 +288,9 @@
         private int incarnation;
         private long leaseEnd;
 
-        Host(String name) {
+        SimulatedRouter(String name) {
             this.name = name;
-            boolean halfSpeed = defect == Plant.CLOCK_AT_HALF && name.equals("r000");
+            boolean halfSpeed = defect == ProtocolDefect.CLOCK_AT_HALF && name.equals("r000");
             this.clockRate = halfSpeed ? 0.5 : 1 + (random.nextDouble() * 2 - 1) * MAX_CLOCK_DRIFT;
             this.clockOffsetMicros = random.nextLong(1_000 * SECOND);
         }
@@ -301,16 +301,16 @@
         }
 
         /** The consensus node in its process, or null while the process is dead. */
-        public ConsensusNode council() {
-            return council;
+        public ConsensusNode consensusNode() {
+            return consensusNode;
         }
 
         private LeaseTiming leaseTiming() {
             LeaseTiming correct = LeaseTiming.forMaxDelay(MAX_STALENESS_MICROS, MAX_CLOCK_DRIFT);
-            if (defect == Plant.LEASE_TWICE && name.equals("r001")) {
+            if (defect == ProtocolDefect.LEASE_TWICE && name.equals("r001")) {
                 return new LeaseTiming(2 * correct.lengthMicros(), MAX_CLOCK_DRIFT);
             }
-            return defect == Plant.LEASE_CUT_SHORT_AT_MEMBERS && members.contains(name)
+            return defect == ProtocolDefect.LEASE_CUT_SHORT_AT_MEMBERS && members.contains(name)
                     ? new LeaseTiming(correct.lengthMicros() / 20, MAX_CLOCK_DRIFT) : correct;
         }
 
@@ -320,7 +320,7 @@
             view = RulesView.EMPTY;
             leaseTimerRunning = false;
             try {
-                council = new ConsensusNode(new ConsensusNode.ConsensusConfig("sim", name, members,
+                consensusNode = new ConsensusNode(new ConsensusNode.ConsensusConfig("sim", name, members,
                         leaseTiming()), this, this,
                         members.contains(name) ? new DurableRaftStore(() -> store) : null,
                                 random.nextLong() >>> 1);
@@ -332,28 +332,28 @@
         /** Kills the process. */
         public void kill() {
             incarnation++;
-            if (council != null) {
-                council.close();
+            if (consensusNode != null) {
+                consensusNode.close();
             }
-            council = null;
+            consensusNode = null;
             pausedTasks.clear();
             paused = false;
         }
 
         /** Kills the process and erases the store; {@link #start} starts it again. */
-        public void wipe() {
+        public void killAndEraseStore() {
             kill();
             store = new SimulatedStore();
         }
 
         /** Lets all writes to the store fail as on a full disk, or succeed again. */
-        public void full(boolean isFull) {
+        public void setDiskFull(boolean isFull) {
             store.full = isFull;
         }
 
         /** Pauses the process for some time, like SIGSTOP; a paused one stays as it is. */
         public void pause(long micros) {
-            if (council != null && !paused) {
+            if (consensusNode != null && !paused) {
                 paused = true;
                 int scheduledIn = incarnation;
                 runAfter(micros, () -> {
@@ -370,10 +370,11 @@
                 paused = false;
                 List<Runnable> delivered = new ArrayList<>(pausedTasks);
                 pausedTasks.clear();
-                if (council != null) {
+                if (consensusNode != null) {
                     // a resumed process may take a decision before it does anything else
-                    checker.checkDecision(name, defect == Plant.TIMER_ALONE ? leaseTimerRunning
-                            : council.holdsLease(), council.localRules().step(), view, calendar.now());
+                    checker.checkDecision(name, defect == ProtocolDefect.TIMER_ALONE ? leaseTimerRunning
+                            : consensusNode.holdsLease(), consensusNode.localRules().step(), view,
+                                    calendar.nowMicros());
                 }
                 delivered.forEach(Runnable::run);
             }
@@ -387,15 +388,15 @@
                 pausedTasks.add(() -> runUnlessPaused(expectedIncarnation, work));
             } else {
                 work.run();
-                if (council != null && members.contains(name)) {
-                    checker.checkCommittedRules(name, council, calendar.now());
+                if (consensusNode != null && members.contains(name)) {
+                    checker.checkCommittedRules(name, consensusNode, calendar.nowMicros());
                 }
             }
         }
 
         @Override
         public long nowMicros() {
-            return clockOffsetMicros + (long) (calendar.now() * clockRate);
+            return clockOffsetMicros + (long) (calendar.nowMicros() * clockRate);
         }
 
         @Override
@@ -411,7 +412,7 @@
                 return;
             }
             byte[] bytes = frame.toByteArray();
-            Host target = routersByName.get(to);
+            SimulatedRouter target = routersByName.get(to);
             int copies = lossRate > 0 && random.nextInt(20) == 0 ? 2 : 1;
             for (int i = 0; i < copies; i++) {
                 long extraDelay = lossRate > 0 && random.nextInt(10) == 0 ? random.nextLong(SECOND) : 0;
@@ -421,12 +422,12 @@
         }
 
         private void receive(String from, byte[] bytes) {
-            if (council == null) {
+            if (consensusNode == null) {
                 return;
             }
             runUnlessPaused(incarnation, () -> {
                 try {
-                    council.receive(from, CouncilFrame.parseFrom(bytes));
+                    consensusNode.receive(from, CouncilFrame.parseFrom(bytes));
                 } catch (InvalidProtocolBufferException e) {
                     throw new UncheckedIOException(e);
                 }
@@ -441,7 +442,7 @@
         @Override
         public void applyRules(RulesView next) {
             view = next;
-            council.rulesApplied(next.step(), council.localRules().chain());
+            consensusNode.rulesApplied(next.step(), consensusNode.localRules().chain());
         }
 
         @Override
@@ -454,18 +455,19 @@
         @Override
         public void endpointListOutdated(long newest) {
             // the simulated router fetches the newer list at once
-            council.endpointListInUse("list", newest);
-            listsCaughtUp++;
+            consensusNode.endpointListInUse("list", newest);
+            endpointListCatchUps++;
         }
 
         @Override
         public void logEvent(String event, Object... fields) {
-            checker.eventLogged(event, name + " " + Arrays.toString(fields), calendar.now());
+            checker.eventLogged(event, name + " " + Arrays.toString(fields), calendar.nowMicros());
         }
     }
 
     /**
-     * A store in memory. With the defect {@link Plant#ACK_BEFORE_SYNC} it acknowledges writes without keeping
+     * A store in memory. With the defect {@link ProtocolDefect#ACK_BEFORE_SYNC} it acknowledges writes
+     * without keeping
      * them, as if the process always crashed before the sync.
      */
     private final class SimulatedStore implements KeyValueStore {
@@ -483,7 +485,7 @@
             if (full) {
                 throw new StoreException(StoreException.Kind.UNWRITABLE, "disk full");
             }
-            if (defect != Plant.ACK_BEFORE_SYNC) {
+            if (defect != ProtocolDefect.ACK_BEFORE_SYNC) {
                 changes.forEach((k, v) -> {
                     if (v == null) {
                         records.remove(k);
--- a/src/main/java/yewdock/verification/AgreementProof.java
+++ b/src/main/java/yewdock/verification/ConsensusVerification.java
@@ -16,14 +16,14 @@
 import java.util.stream.LongStream;
 import org.HdrHistogram.Histogram;
 import yewdock.testbed.Fleet;
-import yewdock.testbed.Ledger;
-import yewdock.testbed.Load;
+import yewdock.testbed.LoadGenerator;
+import yewdock.testbed.ObservationLog;
 
 /**
  * Checks the consensus among routers under faults: thousands of seeded simulations in virtual time, clusters
  * of up to two hundred followers, and daemons as real processes under load.
  */
-public final class AgreementProof {
+public final class ConsensusVerification {
     /** One second, in microseconds. */
     private static final long SECOND = 1_000_000;
     private static final int MEMBERS = 3;
@@ -39,13 +39,13 @@
     private final List<String> violations = new ArrayList<>();
 
     /** Takes the main class of the daemons and the consumer of the report lines. */
-    public AgreementProof(String mainClass, Consumer<String> output) {
+    public ConsensusVerification(String mainClass, Consumer<String> output) {
         this.mainClass = mainClass;
         this.output = output;
     }
 
     /** The violations found so far, one line each; empty if there are none. */
-    public List<String> broken() {
+    public List<String> violations() {
         return violations;
     }
 
@@ -62,19 +62,20 @@
     }
 
     private static SimulationResult simulate(long seed) {
-        CouncilSim sim = new CouncilSim(seed % 2 == 0 ? 3 : 5, 3, seed, CouncilSim.Plant.NONE);
+        ConsensusSimulation sim = new ConsensusSimulation(seed % 2 == 0 ? 3 : 5, 3, seed,
+                ConsensusSimulation.ProtocolDefect.NONE);
         sim.run(5 * SECOND);
-        sim.trouble(20 * SECOND);
+        sim.runWithRandomFaults(20 * SECOND);
         sim.run(15 * SECOND);
-        ConsensusChecker checker = sim.judge();
+        ConsensusChecker checker = sim.checker();
         if (sim.leader() == null) {
-            checker.broken().add("no leader 15 s after all faults ended");
+            checker.violations().add("no leader 15 s after all faults ended");
         } else {
-            checker.nothingLost(sim.leader().council().committedRules());
+            checker.checkNothingLost(sim.leader().consensusNode().committedRules());
         }
-        return new SimulationResult(seed, checker.broken(), checker.longestBehind(),
-                checker.longestContradiction(), checker.forced(), checker.decisions(), checker.inDoubt(),
-                checker.timesToForce());
+        return new SimulationResult(seed, checker.violations(), checker.longestStaleness(),
+                checker.longestContradiction(), checker.changesInForce(), checker.decisions(),
+                checker.inDoubt(), checker.activationTimes());
     }
 
     /**
@@ -83,9 +84,9 @@
      * @param first the first seed
      * @param count number of consecutive seeds
      */
-    public void seeds(long first, int count) {
+    public void runSeeds(long first, int count) {
         List<SimulationResult> runs = LongStream.range(first, first + count).parallel()
-                .mapToObj(AgreementProof::simulate).toList();
+                .mapToObj(ConsensusVerification::simulate).toList();
         Histogram activationTimes = new Histogram(3);
         runs.forEach(result -> {
             result.activationTimesMicros.forEach(micros -> activationTimes.recordValue(Math.max(0, micros)));
@@ -106,23 +107,25 @@
     }
 
     /** Reports message rate and commit latency by number of followers, without faults. */
-    public void sizes() {
+    public void measureSizes() {
         for (int followers : new int[] {0, 10, 50, 200}) {
-            CouncilSim sim = new CouncilSim(5, followers, 1, CouncilSim.Plant.NONE);
+            ConsensusSimulation sim = new ConsensusSimulation(5, followers, 1,
+                    ConsensusSimulation.ProtocolDefect.NONE);
             sim.run(5 * SECOND);
             long before = sim.messagesSent();
             sim.run(10 * SECOND);
             long idleMessages = sim.messagesSent() - before;
             for (int i = 0; i < 20; i++) {
-                sim.propose(sim.host(i % sim.size()));
+                sim.propose(sim.router(i % sim.size()));
                 sim.run(SECOND);
             }
             Histogram activationTimes = new Histogram(3);
-            sim.judge().timesToForce().forEach(activationTimes::recordValue);
-            sim.judge().broken().forEach(violation -> violations.add("size " + followers + ": " + violation));
+            sim.checker().activationTimes().forEach(activationTimes::recordValue);
+            sim.checker().violations().forEach(violation -> violations.add("size " + followers + ": "
+                    + violation));
             output.accept(format("5 members and %d followers: %d messages/s when idle, %d changes in "
                     + "force, prepared to in force p50 %.1f ms, max %.1f ms", followers, idleMessages / 10,
-                    sim.judge().forced(), activationTimes.getValueAtPercentile(50) / 1e3,
+                    sim.checker().changesInForce(), activationTimes.getValueAtPercentile(50) / 1e3,
                     activationTimes.getMaxValue() / 1e3));
         }
     }
@@ -132,22 +135,21 @@
     /**
      * Runs three members and three followers as processes, under load and random faults, for some seconds.
      */
-    public void processes(int seconds, long seed) throws IOException, InterruptedException {
+    public void runProcesses(int seconds, long seed) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("agreement");
         SplittableRandom random = new SplittableRandom(seed);
         Map<String, Long> drainAcknowledgedAt = new HashMap<>();
-        List<Rules.OperatorDrain> operatorDrains = new ArrayList<>();
+        List<RunChecker.OperatorDrain> operatorDrains = new ArrayList<>();
         Map<String, Integer> faultCounts = new TreeMap<>();
         Histogram commandMillis = new Histogram(3);
         AtomicInteger unknownOutcomes = new AtomicInteger();
         try (Fleet fleet = new Fleet(SERVERS, 32);
-                AgreedInstallation cluster = new AgreedInstallation(mainClass, folder, fleet, MEMBERS,
-                        FOLLOWERS, "")) {
-            cluster.whole();
-            List<Load> loads = new ArrayList<>();
+                DaemonCluster cluster = new DaemonCluster(mainClass, folder, fleet, MEMBERS, FOLLOWERS, "")) {
+            cluster.awaitAllLeases();
+            List<LoadGenerator> loads = new ArrayList<>();
             for (int i = 0; i < cluster.size(); i++) {
-                loads.add(new Load(new Load.Plan(cluster.address(i), 4, 40, 10, 5, seed + i),
-                        fleet.ledger()));
+                loads.add(new LoadGenerator(new LoadGenerator.Profile(cluster.clientAddress(i), 4, 40, 10, 5,
+                        seed + i), fleet.observations()));
                 loads.get(i).start();
             }
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
@@ -155,8 +157,7 @@
                 SplittableRandom operatorRandom = new SplittableRandom(seed + 1);
                 while (System.nanoTime() < end) {
                     unknownOutcomes.addAndGet(toggleDrain(cluster, operatorRandom.nextInt(cluster.size()),
-                            fleet, operatorRandom, drainAcknowledgedAt, operatorDrains,
-                            commandMillis));
+                            fleet, operatorRandom, drainAcknowledgedAt, operatorDrains, commandMillis));
                 }
             }, "staff");
             operator.start();
@@ -165,46 +166,47 @@
                 injectFault(cluster, random.nextInt(cluster.size()), random, faultCounts);
                 Thread.sleep(random.nextLong(500, 4_000));
                 if (random.nextInt(3) > 0) {
-                    cluster.heal();
+                    cluster.healNetwork();
                     Thread.sleep(random.nextLong(500, 4_000));
                 }
                 if (++round % 20 == 0) {
                     output.accept("rounds " + round + ", faults " + faultCounts);
                 }
             }
-            cluster.heal();
+            cluster.healNetwork();
             operator.join();
-            cluster.whole();
+            cluster.awaitAllLeases();
             checkSameRules(cluster);
-            for (Load load : loads) {
+            for (LoadGenerator load : loads) {
                 load.stop();
             }
             drainAcknowledgedAt.forEach((server, at) ->
-                    operatorDrains.add(new Rules.OperatorDrain(server, at, Long.MAX_VALUE)));
-            checkAndReport(fleet.ledger(), operatorDrains, faultCounts, commandMillis, unknownOutcomes.get());
+                    operatorDrains.add(new RunChecker.OperatorDrain(server, at, Long.MAX_VALUE)));
+            checkAndReport(fleet.observations(), operatorDrains, faultCounts, commandMillis,
+                    unknownOutcomes.get());
         } finally {
-            UpgradeProof.deleteRecursively(folder);
+            UpgradeVerification.deleteRecursively(folder);
         }
     }
 
     /** Injects a random fault at an instance, in addition to those that still last. */
-    private static void injectFault(AgreedInstallation cluster, int instance, SplittableRandom random,
+    private static void injectFault(DaemonCluster cluster, int instance, SplittableRandom random,
             Map<String, Integer> faultCounts) throws IOException, InterruptedException {
         String name;
         switch (random.nextInt(6)) {
             case 0 -> {
                 name = "isolated both ways";
-                cluster.cutOff(instance, true, true);
+                cluster.isolate(instance, true, true);
             }
             case 1 -> {
                 name = "isolated one way";
                 boolean outgoing = random.nextBoolean();
-                cluster.cutOff(instance, outgoing, !outgoing);
+                cluster.isolate(instance, outgoing, !outgoing);
             }
             case 2 -> {
                 name = "one pair cut";
-                cluster.relayBetween(instance, (instance + 1) % cluster.size()).hold(random.nextBoolean(),
-                        true);
+                cluster.relayBetween(instance, (instance + 1) % cluster.size())
+                        .block(random.nextBoolean(), true);
             }
             case 3 -> {
                 name = "killed";
@@ -220,7 +222,7 @@
                 name = "connections reset";
                 for (int i = 0; i < cluster.size(); i++) {
                     if (i != instance) {
-                        cluster.relayBetween(instance, i).reset();
+                        cluster.relayBetween(instance, i).resetConnections();
                     }
                 }
             }
@@ -233,22 +235,22 @@
      *
      * @return 0 if the command succeeded, 1 if its outcome is unknown
      */
-    private static int toggleDrain(AgreedInstallation cluster, int at, Fleet fleet, SplittableRandom random,
-            Map<String, Long> drainAcknowledgedAt, List<Rules.OperatorDrain> operatorDrains,
+    private static int toggleDrain(DaemonCluster cluster, int at, Fleet fleet, SplittableRandom random,
+            Map<String, Long> drainAcknowledgedAt, List<RunChecker.OperatorDrain> operatorDrains,
             Histogram commandMillis) {
-        String server = fleet.boxes().get(SERVERS - 1 - random.nextInt(DRAINABLE_SERVERS)).name();
+        String server = fleet.servers().get(SERVERS - 1 - random.nextInt(DRAINABLE_SERVERS)).name();
         Long drainedSince = drainAcknowledgedAt.remove(server);
         long asked = System.nanoTime();
         if (drainedSince != null) {
-            operatorDrains.add(new Rules.OperatorDrain(server, drainedSince, asked));
+            operatorDrains.add(new RunChecker.OperatorDrain(server, drainedSince, asked));
         }
         try {
-            Router.Said result = cluster.router(at).ask(drainedSince == null ? "drain" : "undrain",
-                    List.of(server));
-            if (result.exit() == 0 && result.lines().contains("by agreement") && drainedSince == null) {
+            DaemonProcess.CommandResult result = cluster.daemon(at).sendCommand(drainedSince == null
+                    ? "drain" : "undrain", List.of(server));
+            if (result.exitCode() == 0 && result.output().contains("by agreement") && drainedSince == null) {
                 drainAcknowledgedAt.put(server, System.nanoTime());
             }
-            if (result.exit() == 0) {
+            if (result.exitCode() == 0) {
                 commandMillis.recordValue((System.nanoTime() - asked) / 1_000_000);
                 return 0;
             }
@@ -259,12 +261,12 @@
     }
 
     /** Checks that all instances hold the same rules, by the chain hash over all steps. */
-    private void checkSameRules(AgreedInstallation cluster) throws IOException {
+    private void checkSameRules(DaemonCluster cluster) throws IOException {
         List<String> lastLines = new ArrayList<>();
         for (int attempt = 0; attempt < 100; attempt++) {
             lastLines.clear();
             for (int i = 0; i < cluster.size(); i++) {
-                String[] lines = cluster.router(i).ask("rules", List.of()).lines().split("\n");
+                String[] lines = cluster.daemon(i).sendCommand("rules", List.of()).output().split("\n");
                 lastLines.add(lines[lines.length - 1]);
             }
             if (lastLines.stream().distinct().count() == 1) {
@@ -274,16 +276,16 @@
         violations.add("instances hold different rules: " + lastLines);
     }
 
-    private void checkAndReport(Ledger ledger, List<Rules.OperatorDrain> operatorDrains,
+    private void checkAndReport(ObservationLog observations, List<RunChecker.OperatorDrain> operatorDrains,
             Map<String, Integer> faultCounts, Histogram commandMillis, int unknownOutcomes) {
         long longestNanos = 0;
         long lateRequests = 0;
-        for (Ledger.AtBox attempt : ledger.atBoxes()) {
-            for (Rules.OperatorDrain drain : operatorDrains) {
-                if (drain.server().equals(attempt.box()) && attempt.began() > drain.acknowledgedAt()
-                        && attempt.began() < drain.revokedAt()) {
+        for (ObservationLog.ServerAttempt attempt : observations.serverAttempts()) {
+            for (RunChecker.OperatorDrain drain : operatorDrains) {
+                if (drain.server().equals(attempt.server()) && attempt.startedNanos() > drain.acknowledgedAt()
+                        && attempt.startedNanos() < drain.revokedAt()) {
                     lateRequests++;
-                    longestNanos = Math.max(longestNanos, attempt.began() - drain.acknowledgedAt());
+                    longestNanos = Math.max(longestNanos, attempt.startedNanos() - drain.acknowledgedAt());
                 }
             }
         }
@@ -291,16 +293,17 @@
             violations.add("request at a drained server " + longestNanos / 1_000_000
                     + " ms after the drain came into force");
         }
-        ledger.atClients().stream().filter(answer -> answer.end() == Ledger.End.SERVED
-                && !answer.exact()).limit(MAX_REPORTED)
+        observations.requestResults().stream().filter(answer ->
+                answer.outcome() == ObservationLog.RequestOutcome.SERVED
+                && !answer.matchesReference()).limit(MAX_REPORTED)
                 .forEach(answer -> violations.add("request " + answer.id()
                 + ": its stream differs from the reference"));
         output.accept(format("processes: %d drains in force, %d of %d requests at a drained server, latest "
                 + "%.3f s after the drain; %d commands answered, p50 %d ms, p99 %d ms, max %d ms, %d with "
                 + "unknown outcome; refused %d; faults %s", operatorDrains.size(), lateRequests,
-                ledger.atClients().size(), longestNanos / 1e9, commandMillis.getTotalCount(),
+                observations.requestResults().size(), longestNanos / 1e9, commandMillis.getTotalCount(),
                 commandMillis.getValueAtPercentile(50),
                 commandMillis.getValueAtPercentile(99), commandMillis.getMaxValue(), unknownOutcomes,
-                Rules.count(ledger, Ledger.End.REFUSED), faultCounts));
+                RunChecker.count(observations, ObservationLog.RequestOutcome.REFUSED), faultCounts));
     }
 }
--- a/src/main/java/yewdock/verification/AgreedInstallation.java
+++ b/src/main/java/yewdock/verification/DaemonCluster.java
@@ -17,7 +17,7 @@
  * A consensus cluster of daemons for fault injection, each a process with a store of its own. Any two of them
  * talk through a relay, which can hold back, delay or reset their traffic.
  */
-public final class AgreedInstallation implements Closeable {
+public final class DaemonCluster implements Closeable {
     private static final long STATUS_TIMEOUT_SECONDS = 40;
     /**
      * Long timeouts, because several daemons start at once on a machine that may be busy, and a daemon whose
@@ -35,7 +35,7 @@
     private final int[] peerPorts;
     private final int[] clientPorts;
     private final Relay[][] relays;
-    private final Router[] daemons;
+    private final DaemonProcess[] daemons;
     private final String agreementSettings;
 
     /**
@@ -48,7 +48,7 @@
      * @param followers number of non-voting instances
      * @param agreementSettings further lines of each daemon's agreement block
      */
-    public AgreedInstallation(String mainClass, Path folder, Fleet fleet, int members, int followers,
+    public DaemonCluster(String mainClass, Path folder, Fleet fleet, int members, int followers,
             String agreementSettings)
             throws IOException {
         int size = members + followers;
@@ -60,7 +60,7 @@
         peerPorts = new int[size];
         clientPorts = new int[size];
         relays = new Relay[size][size];
-        daemons = new Router[size];
+        daemons = new DaemonProcess[size];
         for (int i = 0; i < size; i++) {
             peerPorts[i] = ListenPorts.reserve();
             clientPorts[i] = ListenPorts.reserve();
@@ -85,7 +85,7 @@
         }
     }
 
-    private Router launch(int i) throws IOException {
+    private DaemonProcess launch(int i) throws IOException {
         List<String> peers = new ArrayList<>();
         List<String> votingMembers = new ArrayList<>();
         for (int j = 0; j < peerPorts.length; j++) {
@@ -101,12 +101,12 @@
                 + "\"\n  listen = \"127.0.0.1:" + peerPorts[i] + "\"\n  peers = [" + String.join(", ", peers)
                 + "]\n}\nagreement {\n  members = [" + String.join(", ", votingMembers) + "]\n"
                 + agreementSettings + "}\n";
-        return Router.launch(mainClass, Files.createDirectories(folder.resolve("r" + i)),
+        return DaemonProcess.launch(mainClass, Files.createDirectories(folder.resolve("r" + i)),
                 fleet.configuration("127.0.0.1:" + clientPorts[i]), LONG_STAGE_TIMEOUTS, settingsBlocks);
     }
 
     private void awaitServing(int i) throws IOException {
-        if (daemons[i].await(line -> line.contains("upgrade.done")) == null) {
+        if (daemons[i].awaitLogLine(line -> line.contains("upgrade.done")) == null) {
             throw new IOException("instance " + i + " did not start serving:\n" + daemons[i].log());
         }
     }
@@ -117,7 +117,7 @@
     }
 
     /** The current process of an instance. */
-    public Router router(int i) {
+    public DaemonProcess daemon(int i) {
         return daemons[i];
     }
 
@@ -127,7 +127,7 @@
     }
 
     /** The client address of an instance; a restart keeps it. */
-    public InetSocketAddress address(int i) {
+    public InetSocketAddress clientAddress(int i) {
         return new InetSocketAddress("127.0.0.1", clientPorts[i]);
     }
 
@@ -142,21 +142,21 @@
      * @param out hold back what the instance sends
      * @param in hold back what the others send to it
      */
-    public void cutOff(int isolated, boolean out, boolean in) {
+    public void isolate(int isolated, boolean out, boolean in) {
         for (int j = 0; j < daemons.length; j++) {
             if (j != isolated) {
                 boolean connects = isolated < j;
-                relayBetween(isolated, j).hold(connects ? out : in, connects ? in : out);
+                relayBetween(isolated, j).block(connects ? out : in, connects ? in : out);
             }
         }
     }
 
     /** Ends all partitions and delays. */
-    public void heal() {
+    public void healNetwork() {
         for (int i = 0; i < daemons.length; i++) {
             for (int j = i + 1; j < daemons.length; j++) {
-                relays[i][j].hold(false, false);
-                relays[i][j].late(0);
+                relays[i][j].block(false, false);
+                relays[i][j].setDelayMillis(0);
             }
         }
     }
@@ -187,11 +187,11 @@
 
     /** The output of an instance's status command. */
     public String status(int i) throws IOException {
-        return daemons[i].ask("status", List.of()).lines();
+        return daemons[i].sendCommand("status", List.of()).output();
     }
 
     /** Waits until the status of an instance matches, and returns it; throws if it does not in time. */
-    public String await(int i, Predicate<String> wanted) throws IOException {
+    public String awaitStatus(int i, Predicate<String> wanted) throws IOException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(STATUS_TIMEOUT_SECONDS);
         String status = "";
         while (System.nanoTime() < end) {
@@ -206,14 +206,14 @@
     }
 
     /** Waits until every instance holds a lease. */
-    public void whole() throws IOException {
+    public void awaitAllLeases() throws IOException {
         for (int i = 0; i < daemons.length; i++) {
-            await(i, s -> s.contains("agreement: lease"));
+            awaitStatus(i, s -> s.contains("agreement: lease"));
         }
     }
 
     /** The index of the member that leads, or -1 if none does. */
-    public int leader() throws IOException {
+    public int leaderIndex() throws IOException {
         for (int i = 0; i < members; i++) {
             if (daemons[i].process().isAlive() && status(i).contains("leader this instance")) {
                 return i;
@@ -224,7 +224,7 @@
 
     @Override
     public void close() {
-        for (Router router : daemons) {
+        for (DaemonProcess router : daemons) {
             if (router != null) {
                 router.close();
             }
--- a/src/main/java/yewdock/verification/Router.java
+++ b/src/main/java/yewdock/verification/DaemonProcess.java
@@ -13,7 +13,7 @@
 import yewdock.daemon.OperatorClient;
 
 /** A daemon running as a process, with its log and its operator commands. */
-public final class Router implements Closeable {
+public final class DaemonProcess implements Closeable {
     private static final long RESPONSE_TIMEOUT_MILLIS = 60_000;
     private static final long EXIT_TIMEOUT_SECONDS = 30;
     private static final int SIGTERM_EXIT_CODE = 128 + 15;
@@ -23,7 +23,7 @@
     private final ProcessLog log;
     private final CompletableFuture<InetSocketAddress> address = new CompletableFuture<>();
 
-    private Router(Path folder, Process process) {
+    private DaemonProcess(Path folder, Process process) {
         this.folder = folder;
         this.process = process;
         this.log = new ProcessLog(process, this::parseListenAddress);
@@ -37,24 +37,24 @@
      * @param configuration the platform's configuration
      * @param upgradeBlock the content of the upgrade block in the operator's settings file
      */
-    public static Router start(String mainClass, Path folder, String configuration,
+    public static DaemonProcess start(String mainClass, Path folder, String configuration,
             String upgradeBlock) throws IOException {
         return start(mainClass, folder, configuration, upgradeBlock, "");
     }
 
     /** Starts a daemon as above, with more blocks in the operator's settings file. */
-    public static Router start(String mainClass, Path folder, String configuration, String upgradeBlock,
-            String moreBlocks) throws IOException {
-        Router router = launch(mainClass, folder, configuration, upgradeBlock, moreBlocks);
-        if (router.await(line -> line.contains("upgrade.done")) == null) {
+    public static DaemonProcess start(String mainClass, Path folder, String configuration,
+            String upgradeBlock, String moreBlocks) throws IOException {
+        DaemonProcess router = launch(mainClass, folder, configuration, upgradeBlock, moreBlocks);
+        if (router.awaitLogLine(line -> line.contains("upgrade.done")) == null) {
             throw new IOException("the daemon did not start serving:\n" + router.log());
         }
         return router;
     }
 
     /** Starts a daemon as above, but returns at once. */
-    public static Router launch(String mainClass, Path folder, String configuration, String upgradeBlock,
-            String moreBlocks) throws IOException {
+    public static DaemonProcess launch(String mainClass, Path folder, String configuration,
+            String upgradeBlock, String moreBlocks) throws IOException {
         Path config = Files.writeString(folder.resolve("config.json"), configuration);
         Path operator = Files.writeString(folder.resolve("operator.hcl"), "daemon {\n  config = \"" + config
                 + "\"\n  control = \"" + folder.resolve("run")
@@ -65,7 +65,7 @@
                 "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx32m", "-cp",
                 System.getProperty("java.class.path"), mainClass, "daemon", "--settings",
                 operator.toString()).redirectErrorStream(true).start();
-        return new Router(folder, process);
+        return new DaemonProcess(folder, process);
     }
 
     private void parseListenAddress(String line) {
@@ -80,7 +80,7 @@
      *
      * @return the line, or null if the daemon ends or the wait times out without one
      */
-    public String await(Predicate<String> wanted) {
+    public String awaitLogLine(Predicate<String> wanted) {
         return log.await(wanted, RESPONSE_TIMEOUT_MILLIS);
     }
 
@@ -110,21 +110,21 @@
     }
 
     /** Sends an operator command with its arguments and returns its output and exit code. */
-    public Said ask(String command, List<String> arguments) throws IOException {
+    public CommandResult sendCommand(String command, List<String> arguments) throws IOException {
         List<String> lines = new ArrayList<>();
         int exit = OperatorClient.sendCommand(folder.resolve("run"), command, arguments,
                 RESPONSE_TIMEOUT_MILLIS, lines::add);
-        return new Said(String.join("\n", lines), exit);
+        return new CommandResult(String.join("\n", lines), exit);
     }
 
     /** The output and the exit code of an operator command. */
-    public record Said(String lines, int exit) {
+    public record CommandResult(String output, int exitCode) {
     }
 
     /**
      * Sends SIGTERM; returns whether the daemon ended in time with the exit code of a JVM after that signal.
      */
-    public boolean leave() {
+    public boolean terminate() {
         process.destroy();
         try {
             return process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)
@@ -136,7 +136,7 @@
     }
 
     /** Waits for the daemon to end and returns its exit code, or -1 if it does not end in time. */
-    public int exit() {
+    public int awaitExitCode() {
         try {
             return process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS) ? process.exitValue() : -1;
         } catch (InterruptedException e) {
--- a/src/main/java/yewdock/verification/DeploymentSimulation.java
+++ b/src/main/java/yewdock/verification/DeploymentSimulation.java
@@ -20,7 +20,7 @@
 import yewdock.core.ModelServer;
 import yewdock.core.Reducer;
 import yewdock.core.ResourceLimits;
-import yewdock.model.Calendar;
+import yewdock.model.EventCalendar;
 
 /**
  * Simulates half a minute of a random deployment in virtual time: the real reducer and the real module, with
@@ -62,8 +62,8 @@
         /** The version of the endpoint list in which its entry last changed. */
         private long listVersion;
         /**
-         * When the router was told that the server takes no new requests; beyond the end of the run before
-         * that.
+         * When the router was told that the server takes no new requests; beyond the end
+         * of the run before that.
          */
         private long drainToldAt = Long.MAX_VALUE / 2;
 
@@ -119,7 +119,7 @@
     private final RandomDeployment deployment;
     private final InjectedFault fault;
     private final SplittableRandom random;
-    private final Calendar calendar = new Calendar();
+    private final EventCalendar calendar = new EventCalendar();
     private final Map<Long, SimulatedServer> servers = new LinkedHashMap<>();
     private final Map<Long, SimulatedConnection> connections = new HashMap<>();
     private final Map<Long, SimulatedRequest> requests = new HashMap<>();
@@ -140,7 +140,7 @@
         this.deployment = RandomDeployment.fromSeed(seed);
         this.fault = fault;
         this.random = new SplittableRandom(seed);
-        calendar.runTo(START_MICROS);
+        calendar.runUntil(START_MICROS);
         for (int i = 0; i < deployment.serverCount(); i++) {
             addServer(0);
         }
@@ -156,7 +156,7 @@
         for (int i = 0; i < deployment.faultCount(); i++) {
             runAfter(random.nextLong(TRAFFIC_MICROS - 5 * SECOND), this::injectRandomFault);
         }
-        calendar.runTo(START_MICROS + TRAFFIC_MICROS + 20 * SECOND - 1);
+        calendar.runUntil(START_MICROS + TRAFFIC_MICROS + 20 * SECOND - 1);
         requests.values().stream().filter(request -> !request.answered && !request.clientGone)
                 .forEach(request -> violation("answer: request " + request.clientId
                 + " has no final answer"));
@@ -172,7 +172,7 @@
     }
 
     private long now() {
-        return calendar.now();
+        return calendar.nowMicros();
     }
 
     private void violation(String what) {
@@ -180,7 +180,7 @@
     }
 
     private void runAfter(long delay, Runnable task) {
-        calendar.after(delay, task);
+        calendar.scheduleAfter(delay, task);
     }
 
     // ---- the router
@@ -427,8 +427,8 @@
     // ---- faults
 
     private void addServer(long startedAt) {
-        SimulatedServer server = new SimulatedServer(++lastServerId, random.nextInt(deployment.zoneCount()),
-                startedAt);
+        SimulatedServer server = new SimulatedServer(++lastServerId,
+                random.nextInt(deployment.zoneCount()), startedAt);
         server.listVersion = listVersion;
         servers.put(server.id, server);
     }
@@ -467,8 +467,8 @@
     }
 
     /**
-     * Replaces a server as a rollout does: a new one starts, the old one drains for six seconds and is
-     * removed.
+     * Replaces a server as a rollout does: a new one starts, the old one drains for
+     * six seconds and is removed.
      */
     private void replaceServer(SimulatedServer server) {
         listVersion++;
--- a/src/main/java/yewdock/verification/DeploymentsProof.java
+++ b/src/main/java/yewdock/verification/DeploymentVerification.java
@@ -11,11 +11,11 @@
  * Runs many random deployments and reports the sums by what their settings allow. Also injects each kind of
  * fault to verify that the checks detect it.
  */
-public final class DeploymentsProof {
+public final class DeploymentVerification {
     private final Consumer<String> output;
 
     /** Takes the consumer of the report lines. */
-    public DeploymentsProof(Consumer<String> output) {
+    public DeploymentVerification(Consumer<String> output) {
         this.output = output;
     }
 
--- a/src/main/java/yewdock/verification/LiveProof.java
+++ b/src/main/java/yewdock/verification/LiveComparison.java
@@ -13,16 +13,16 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import yewdock.model.Day;
-import yewdock.model.Live;
+import yewdock.model.RealTimeModel;
+import yewdock.model.SampledScenario;
 import yewdock.model.Scenario;
 import yewdock.model.Score;
-import yewdock.model.World;
+import yewdock.model.Simulation;
 import yewdock.testbed.ListenPorts;
-import yewdock.testbed.LiveDay;
+import yewdock.testbed.LiveSimulation;
 
 /** Plays one scenario on sockets through real routers and in the model, and compares the results. */
-public final class LiveProof {
+public final class LiveComparison {
     private static final long START_STOP_TIMEOUT_SECONDS = 30;
     private static final double LATE_WARNING_MILLIS = 50;
 
@@ -30,7 +30,7 @@
     private final Consumer<String> output;
 
     /** Takes the main class of the routers' program and the consumer of the report lines. */
-    public LiveProof(String mainClass, Consumer<String> output) {
+    public LiveComparison(String mainClass, Consumer<String> output) {
         this.mainClass = mainClass;
         this.output = output;
     }
@@ -38,7 +38,7 @@
     /**
      * One request class on both sides: first-token latency in ms, and the share of requests served in time.
      */
-    public record Compared(double socketsP50, double modelP50, double socketsP99, double modelP99,
+    public record ClassComparison(double socketsP50, double modelP50, double socketsP99, double modelP99,
             double socketsInTime, double modelInTime) {
     }
 
@@ -48,55 +48,59 @@
      *
      * @return the comparison by request class
      */
-    public Map<String, Compared> run(Scenario fullScenario, long seed) throws IOException {
-        Scenario scenario = new Scenario(fullScenario.span(), fullScenario.sites(), fullScenario.routers(),
-                fullScenario.clients(), fullScenario.list(),
-                fullScenario.reports(), fullScenario.contract(), fullScenario.fleet(), fullScenario.kinds(),
-                fullScenario.classes(), fullScenario.municipalities(), fullScenario.troubles().stream()
-                .filter(t -> t.what() == Scenario.What.SLOW
-                        || t.what() == Scenario.What.COSTLY || t.what() == Scenario.What.BURST).toList());
-        Live live = new Live(new Day(scenario, seed));
+    public Map<String, ClassComparison> run(Scenario fullScenario, long seed) throws IOException {
+        Scenario scenario = new Scenario(fullScenario.loadProfile(), fullScenario.sites(),
+                fullScenario.routers(), fullScenario.clients(), fullScenario.discovery(),
+                fullScenario.reports(), fullScenario.rules(), fullScenario.fleet(), fullScenario.kinds(),
+                fullScenario.classes(), fullScenario.municipalities(), fullScenario.disturbances().stream()
+                .filter(t -> t.kind() == Scenario.DisturbanceKind.SLOW
+                        || t.kind() == Scenario.DisturbanceKind.COSTLY
+                                || t.kind() == Scenario.DisturbanceKind.BURST).toList());
+        RealTimeModel live = new RealTimeModel(new SampledScenario(scenario, seed));
         Path folder = Files.createTempDirectory("live");
         List<Process> routers = new ArrayList<>();
-        Map<String, Compared> compared = new TreeMap<>();
-        try (LiveDay day = new LiveDay(live)) {
+        Map<String, ClassComparison> compared = new TreeMap<>();
+        try (LiveSimulation simulation = new LiveSimulation(live)) {
             List<InetSocketAddress> addresses = new ArrayList<>();
-            for (int r = 0; r < live.routers().size(); r++) {
+            for (int r = 0; r < live.routerSites().size(); r++) {
                 InetSocketAddress address = new InetSocketAddress("127.0.0.1", ListenPorts.reserve());
                 Path config = Files.writeString(folder.resolve("router-" + r + ".json"),
-                        live.configuration(r, "127.0.0.1:" + address.getPort(), day.list()));
+                        live.configuration(r, "127.0.0.1:" + address.getPort(),
+                                simulation.discoveryAddress()));
                 routers.add(start(config, folder.resolve("router-" + r + ".log")));
                 addresses.add(address);
             }
             for (InetSocketAddress address : addresses) {
                 awaitReady(address);
             }
-            day.play(addresses);
-            Score.Result model = World.run(scenario, seed);
-            if (day.lateMillis() > LATE_WARNING_MILLIS) {
+            simulation.run(addresses);
+            Score.SimulationResult model = Simulation.run(scenario, seed);
+            if (simulation.maxDelayMillis() > LATE_WARNING_MILLIS) {
                 output.accept(String.format(Locale.ROOT,
                         "the stand-in servers were up to %.0f ms late: the machine is busy",
-                        day.lateMillis()));
+                        simulation.maxDelayMillis()));
             }
             output.accept("| class | requests | first token p50 ms, sockets | model | p99 ms, sockets "
                     + "| model | in time, sockets | model | attempts per request |"
                     + "\n|---|---|---|---|---|---|---|---|---|");
             for (int c = 0; c < scenario.classes().size(); c++) {
                 String name = scenario.classes().get(c).name();
-                LiveDay.Outcome outcome = day.byClass().get(name);
+                LiveSimulation.ClassResult outcome = simulation.byClass().get(name);
                 if (outcome == null) {
                     continue;
                 }
-                Compared comparison = new Compared(outcome.firstMillis(50), model.firstP50ByClass().get(c),
-                        outcome.firstMillis(99), model.firstP99ByClass().get(c),
-                        (double) outcome.inTime() / outcome.asked(), model.byClass().get(c));
+                ClassComparison comparison = new ClassComparison(outcome.firstMillis(50),
+                        model.firstTokenP50MillisByClass().get(c),
+                        outcome.firstMillis(99), model.firstTokenP99MillisByClass().get(c),
+                        (double) outcome.inTimeCount() / outcome.requestCount(),
+                                model.servedShareByClass().get(c));
                 compared.put(name, comparison);
                 output.accept(String.format(Locale.ROOT,
                         "| %s | %d | %.1f | %.1f | %.1f | %.1f | %.3f | %.3f | %.2f |",
-                        name, outcome.asked(), comparison.socketsP50(), comparison.modelP50(),
+                        name, outcome.requestCount(), comparison.socketsP50(), comparison.modelP50(),
                         comparison.socketsP99(), comparison.modelP99(),
                         comparison.socketsInTime(), comparison.modelInTime(),
-                        (double) outcome.tries() / outcome.asked()));
+                        (double) outcome.attemptCount() / outcome.requestCount()));
             }
         } finally {
             routers.forEach(Process::destroy);
--- a/src/main/java/yewdock/verification/ReplacementProof.java
+++ b/src/main/java/yewdock/verification/ReplacementVerification.java
@@ -13,10 +13,10 @@
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
 import yewdock.testbed.FaultyGeneration.Fault;
-import yewdock.testbed.FaultySuccession;
+import yewdock.testbed.FaultyHandover;
 import yewdock.testbed.Fleet;
-import yewdock.testbed.Ledger;
-import yewdock.testbed.Load;
+import yewdock.testbed.LoadGenerator;
+import yewdock.testbed.ObservationLog;
 import yewdock.upgrade.Stage;
 
 /**
@@ -24,7 +24,7 @@
  * one, which is told to terminate when the newer one is ready. Meanwhile an operator cordons and uncordons
  * servers and quiesces and resumes whichever process serves, and some of the newer processes fail on purpose.
  */
-public final class ReplacementProof {
+public final class ReplacementVerification {
     private static final int SERVERS = 6;
     private static final int SLOTS_PER_SERVER = 64;
     private static final List<Stage> FAILING_STAGES = List.of(Stage.CHECK, Stage.STATE, Stage.READY,
@@ -37,9 +37,9 @@
     private final double requestsPerSecond;
     private final long seed;
     private final Consumer<String> output;
-    private final List<Rules.OperatorDrain> operatorDrains = new ArrayList<>();
+    private final List<RunChecker.OperatorDrain> operatorDrains = new ArrayList<>();
     private final List<String> violations = new ArrayList<>();
-    private final List<Instance> started = new ArrayList<>();
+    private final List<ServingProcess> started = new ArrayList<>();
     private final Map<String, Integer> faultCounts = new LinkedHashMap<>();
     private final Histogram serveTimes = new Histogram(3);
     private final Histogram readyTimes = new Histogram(3);
@@ -56,7 +56,7 @@
      * @param seed draws the load and the servers to cordon
      * @param output receives the report lines
      */
-    public ReplacementProof(String mainClass, int replacements, double requestsPerSecond, long seed,
+    public ReplacementVerification(String mainClass, int replacements, double requestsPerSecond, long seed,
             Consumer<String> output) {
         this.mainClass = mainClass;
         this.replacements = replacements;
@@ -69,11 +69,12 @@
     public List<String> run() throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("yewdock-proof");
         try (Fleet fleet = new Fleet(SERVERS, SLOTS_PER_SERVER)) {
-            Instance serving = start(folder, fleet.withDoor("127.0.0.1:0"));
+            ServingProcess serving = start(folder, fleet.configurationWithOperator("127.0.0.1:0"));
             InetSocketAddress address = serving.address();
-            String config = fleet.withDoor("127.0.0.1:" + address.getPort());
-            serving.ready();
-            Load load = new Load(new Load.Plan(address, 48, requestsPerSecond, 40, 10, seed), fleet.ledger());
+            String config = fleet.configurationWithOperator("127.0.0.1:" + address.getPort());
+            serving.awaitReady();
+            LoadGenerator load = new LoadGenerator(new LoadGenerator.Profile(address, 48, requestsPerSecond,
+                    40, 10, seed), fleet.observations());
             load.start();
             SplittableRandom random = new SplittableRandom(seed);
             for (int i = 0; i < replacements; i++) {
@@ -88,19 +89,19 @@
                 }
             }
             load.stop();
-            serving.leave();
-            check(serving.ended(), "the last process did not end");
-            violations.addAll(Rules.broken(fleet.ledger(), operatorDrains));
-            report(fleet.ledger());
+            serving.terminate();
+            check(serving.awaitExit(), "the last process did not end");
+            violations.addAll(RunChecker.violations(fleet.observations(), operatorDrains));
+            report(fleet.observations());
         } finally {
-            started.forEach(Instance::close);
-            UpgradeProof.deleteRecursively(folder);
+            started.forEach(ServingProcess::close);
+            UpgradeVerification.deleteRecursively(folder);
         }
         return violations;
     }
 
-    private Instance start(Path folder, String config) throws IOException {
-        Instance instance = Instance.start(List.of(mainClass, "serve"), folder, config);
+    private ServingProcess start(Path folder, String config) throws IOException {
+        ServingProcess instance = ServingProcess.start(List.of(mainClass, "serve"), folder, config);
         started.add(instance);
         return instance;
     }
@@ -112,32 +113,34 @@
     }
 
     /** Uncordons the server that is cordoned, if any, and cordons a random one. */
-    private void cordon(Instance instance, Fleet fleet, SplittableRandom random) throws IOException {
+    private void cordon(ServingProcess instance, Fleet fleet, SplittableRandom random) throws IOException {
         if (cordonedServer != null) {
-            operatorDrains.add(new Rules.OperatorDrain(cordonedServer, cordonedAt, System.nanoTime()));
-            check(instance.call("uncordon " + cordonedServer).startsWith("YES "),
+            operatorDrains.add(new RunChecker.OperatorDrain(cordonedServer, cordonedAt, System.nanoTime()));
+            check(instance.sendCommand("uncordon " + cordonedServer).startsWith("YES "),
                     "the uncordon command failed");
         }
-        cordonedServer = fleet.boxes().get(random.nextInt(SERVERS)).name();
-        check(instance.call("cordon " + cordonedServer).startsWith("YES "), "the cordon command failed");
+        cordonedServer = fleet.servers().get(random.nextInt(SERVERS)).name();
+        check(instance.sendCommand("cordon " + cordonedServer).startsWith("YES "),
+                "the cordon command failed");
         cordonedAt = System.nanoTime();
     }
 
-    private Instance replace(Instance older, Path folder, String config) throws IOException {
-        Instance newer = start(folder, config);
-        check(newer.await(l -> l.contains("succession.took_over")) != null,
+    private ServingProcess replace(ServingProcess older, Path folder, String config) throws IOException {
+        ServingProcess newer = start(folder, config);
+        check(newer.awaitLogLine(l -> l.contains("succession.took_over")) != null,
                 "the newer process did not take over:\n"
                 + newer.log() + "\nthe older process:\n" + older.log());
         serveTimes.recordValue((System.nanoTime() - newer.startedAt()) / 1_000);
         memoryKilobytes.recordValue(older.residentKilobytes() + newer.residentKilobytes());
-        readyTimes.recordValue(newer.ready() / 1_000);
-        older.leave();
-        check(older.ended(), "the older process did not end:\n" + older.log());
+        readyTimes.recordValue(newer.awaitReady() / 1_000);
+        older.terminate();
+        check(older.awaitExit(), "the older process did not end:\n" + older.log());
         check(!(older.log() + newer.log()).contains("fault"), "a fault in the log");
         return newer;
     }
 
-    private void replaceWithFault(Instance older, Path folder, String config, int index) throws IOException {
+    private void replaceWithFault(ServingProcess older, Path folder, String config, int index)
+            throws IOException {
         Stage stage = FAILING_STAGES.get(index % FAILING_STAGES.size());
         Fault fault = FAULTS.get(index / FAILING_STAGES.size() % FAULTS.size());
         // a process that fails in the check stage is not connected to the older one yet: it can send nothing
@@ -145,39 +148,40 @@
         Fault injected = stage == Stage.CHECK && (fault == Fault.NONSENSE || fault == Fault.HANG)
                 ? Fault.EXIT : fault;
         faultCounts.merge(stage + " " + injected, 1, Integer::sum);
-        try (Instance newer = Instance.start(List.of(FaultySuccession.class.getName(), stage.name(),
+        try (ServingProcess newer = ServingProcess.start(List.of(FaultyHandover.class.getName(), stage.name(),
                 injected.name()), folder, config)) {
             if (injected == Fault.EXIT || injected == Fault.KILLED) {
-                check(newer.ended(), "a newer process that fails did not end");
+                check(newer.awaitExit(), "a newer process that fails did not end");
             } else {
-                check(older.await(l -> l.contains("succession.newer ")) != null,
+                check(older.awaitLogLine(l -> l.contains("succession.newer ")) != null,
                         "the newer process did not connect");
                 if (stage == Stage.SHARE) {
-                    check(older.await(l -> l.contains("succession.newer_gone")) != null,
+                    check(older.awaitLogLine(l -> l.contains("succession.newer_gone")) != null,
                             "the older process did not give up a newer one that hangs in the share stage:\n"
                             + older.log());
                 }
             }
         }
-        check(older.call("health").startsWith("YES "),
+        check(older.sendCommand("health").startsWith("YES "),
                 "the older process does not serve any more after " + stage + ' '
                 + injected + ":\n" + older.log());
     }
 
     /** Quiesces the process and resumes it, and checks the health that it reports. */
-    private void quiesceAndResume(Instance instance) throws IOException {
-        check(instance.call("quiesce").startsWith("YES "), "the quiesce command failed");
-        check(instance.call("health").startsWith("NO "), "ready though it is quiesced");
-        check(instance.call("resume").startsWith("YES "), "the resume command failed");
-        check(instance.call("health").startsWith("YES "), "not ready though it is resumed");
+    private void quiesceAndResume(ServingProcess instance) throws IOException {
+        check(instance.sendCommand("quiesce").startsWith("YES "), "the quiesce command failed");
+        check(instance.sendCommand("health").startsWith("NO "), "ready though it is quiesced");
+        check(instance.sendCommand("resume").startsWith("YES "), "the resume command failed");
+        check(instance.sendCommand("health").startsWith("YES "), "not ready though it is resumed");
     }
 
-    private void report(Ledger ledger) {
+    private void report(ObservationLog observations) {
         output.accept("replacements " + replacements + ", of them failing on purpose "
                 + faultCounts.values().stream().mapToInt(Integer::intValue).sum() + " " + faultCounts);
-        output.accept(Load.summary(ledger.atClients()));
-        for (Ledger.End end : Ledger.End.values()) {
-            output.accept("ended " + end.name().toLowerCase(Locale.ROOT) + ": " + Rules.count(ledger, end));
+        output.accept(LoadGenerator.summary(observations.requestResults()));
+        for (ObservationLog.RequestOutcome end : ObservationLog.RequestOutcome.values()) {
+            output.accept("ended " + end.name().toLowerCase(Locale.ROOT) + ": "
+                    + RunChecker.count(observations, end));
         }
         reportHistogram("start to serving, ms", serveTimes);
         reportHistogram("start to ready, ms", readyTimes);
--- a/src/main/java/yewdock/verification/CopiesSim.java
+++ b/src/main/java/yewdock/verification/ReplicationSimulation.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
-import yewdock.model.Calendar;
+import yewdock.model.EventCalendar;
 import yewdock.replication.ReplicationEffect;
 import yewdock.replication.ReplicationEvent;
 import yewdock.replication.Replicator;
@@ -22,7 +22,7 @@
  * frames over links with delay and bandwidth, which are cut and reopened. The same seed gives the same run.
  * Times are in microseconds.
  */
-public final class CopiesSim {
+public final class ReplicationSimulation {
     private static final long DELAY_MICROS = 2_000;
     private static final long REDIAL_MICROS = 500_000;
     private static final int MAX_RECORDS = 200_000;
@@ -34,7 +34,7 @@
         private final int index;
         private final String name;
         private ReplicatedRecords records;
-        private Replicator replica;
+        private Replicator replicator;
         private long clockOffsetMicros;
 
         private SimulatedInstance(int number, String name) {
@@ -48,8 +48,8 @@
         }
 
         /** Its replicator, or null while it is stopped. */
-        public Replicator replica() {
-            return replica;
+        public Replicator replicator() {
+            return replicator;
         }
 
         /** Writes a record under this key and replicates it. */
@@ -59,7 +59,7 @@
         }
 
         /** Deletes the record of this key, if it exists, and replicates that. */
-        public void drop(String key) {
+        public void delete(String key) {
             if (records.delete(key, now() + clockOffsetMicros) != null) {
                 reduce(this, new ReplicationEvent.RecordsChanged(List.of(key)));
             }
@@ -76,7 +76,7 @@
     private final List<SimulatedInstance> instances = new ArrayList<>();
     /** Open links by the indexes of both ends, the lower one first, such as "0-2". */
     private final Map<String, SimulatedLink> links = new HashMap<>();
-    private final Calendar calendar = new Calendar();
+    private final EventCalendar calendar = new EventCalendar();
     private final SplittableRandom random;
     private final int maxTombstones;
     /** The names in the configuration of every running instance. */
@@ -87,12 +87,12 @@
     private long framesSent;
 
     /** Starts instances of these names, each keeping at most 10,000 tombstones. */
-    public CopiesSim(List<String> names, long seed) {
+    public ReplicationSimulation(List<String> names, long seed) {
         this(names, seed, 10_000);
     }
 
     /** Starts instances of these names, each keeping at most so many tombstones. */
-    public CopiesSim(List<String> names, long seed, int mostTombstones) {
+    public ReplicationSimulation(List<String> names, long seed, int mostTombstones) {
         this.configuredNames = List.copyOf(names);
         this.random = new SplittableRandom(seed);
         this.maxTombstones = mostTombstones;
@@ -115,19 +115,19 @@
         Set<String> peers = new TreeSet<>(configuredNames);
         peers.remove(instance.name);
         instance.records = records;
-        instance.replica = new Replicator("sim", peers, records, syncedUntil, maxTombstones);
-        scheduleTick(instance, instance.replica);
+        instance.replicator = new Replicator("sim", peers, records, syncedUntil, maxTombstones);
+        scheduleTick(instance, instance.replicator);
     }
 
     private void scheduleTick(SimulatedInstance instance, Replicator current) {
-        if (instance.replica == current) {
+        if (instance.replicator == current) {
             reduce(instance, new ReplicationEvent.Tick());
             runAt(Math.max(now() + 1, current.nextTickDue()), () -> scheduleTick(instance, current));
         }
     }
 
     /** The instance with this index. */
-    public SimulatedInstance node(int i) {
+    public SimulatedInstance instance(int i) {
         return instances.get(i);
     }
 
@@ -143,22 +143,22 @@
 
     /** The current virtual time. */
     public long now() {
-        return calendar.now();
+        return calendar.nowMicros();
     }
 
     /** Advances the virtual time. */
     public void run(long micros) {
-        calendar.runTo(calendar.now() + micros);
+        calendar.runUntil(calendar.nowMicros() + micros);
     }
 
     /**
-     * Runs until all instances hold the same records; returns how long it took, or -1 if it took longer than
-     * allowed.
+     * Runs until all instances hold the same records; returns how long it took, or -1 if
+     * it took longer than allowed.
      */
     public long runUntilConverged(long maxMicros) {
         long startedAt = now();
         while (now() - startedAt <= maxMicros) {
-            if (agree()) {
+            if (hasConverged()) {
                 return now() - startedAt;
             }
             run(10_000);
@@ -167,7 +167,7 @@
     }
 
     /** Partitions the instances whose bit is set from those whose bit is not. */
-    public void split(int newPartitionBits) {
+    public void partition(int newPartitionBits) {
         partitionBits = newPartitionBits;
         links.forEach((pair, link) -> {
             String[] ends = pair.split("-");
@@ -179,7 +179,7 @@
     }
 
     /** Ends the partition. */
-    public void join() {
+    public void heal() {
         partitionBits = 0;
     }
 
@@ -201,12 +201,12 @@
     }
 
     /** Sets the offset of an instance's clock. */
-    public void wallOff(int i, long micros) {
+    public void setClockOffset(int i, long micros) {
         instances.get(i).clockOffsetMicros = micros;
     }
 
     /** Restarts an instance with no records. */
-    public void wipe(int i) {
+    public void restartEmpty(int i) {
         stop(i);
         startReplicator(instances.get(i), new ReplicatedRecords(instances.get(i).name, MAX_RECORDS), 0);
     }
@@ -219,17 +219,17 @@
             }
         });
         links.values().removeIf(p -> p.cut);
-        instances.get(i).replica = null;
+        instances.get(i).replicator = null;
     }
 
     /** The stored records of an instance, as an encoded Records message. */
-    public byte[] disk(int i) {
+    public byte[] storedRecords(int i) {
         yewdock.wire.Records.Builder all = yewdock.wire.Records.newBuilder();
         instances.get(i).records.recordsAfter("").forEach(all::addRecords);
         return all.build().toByteArray();
     }
 
-    /** Starts an instance on the records that {@link #disk} returned. */
+    /** Starts an instance on the records that {@link #storedRecords} returned. */
     public void start(int i, byte[] disk) {
         ReplicatedRecords records = new ReplicatedRecords(instances.get(i).name, MAX_RECORDS);
         try {
@@ -241,11 +241,11 @@
     }
 
     /** Restarts every running instance with a configuration that names these instances. */
-    public void rename(List<String> newNames) {
+    public void restartWithNames(List<String> newNames) {
         configuredNames = List.copyOf(newNames);
         for (SimulatedInstance instance : instances) {
-            if (instance.replica != null) {
-                long syncedUntil = instance.replica.lastSyncedStamp();
+            if (instance.replicator != null) {
+                long syncedUntil = instance.replicator.lastSyncedStamp();
                 stop(instance.index);
                 startReplicator(instance, instance.records, syncedUntil);
             }
@@ -253,8 +253,9 @@
     }
 
     /** Whether all running instances hold the same records. */
-    public boolean agree() {
-        return instances.stream().filter(n -> n.replica != null).map(n -> n.records.bucketSums()).distinct()
+    public boolean hasConverged() {
+        return instances.stream().filter(n -> n.replicator != null).map(n ->
+                n.records.bucketSums()).distinct()
                 .count() == 1;
     }
 
@@ -263,20 +264,21 @@
         StringBuilder all = new StringBuilder();
         instances.forEach(n -> all.append(n.name).append(": ").append(n.records.size()).append(" records, ")
                 .append(n.records.tombstones()).append(" tombstones, horizon ").append(n.records.horizon())
-                .append(n.replica == null ? "" : " " + n.replica.peerStatuses()).append('\n'));
+                .append(n.replicator == null ? "" : " " + n.replicator.peerStatuses()).append('\n'));
         return all.toString();
     }
 
     // ---- the network
 
     private void runAt(long time, Runnable task) {
-        calendar.at(time, task);
+        calendar.scheduleAt(time, task);
     }
 
     private void redial() {
         for (int a = 0; a < instances.size(); a++) {
             for (int b = a + 1; b < instances.size(); b++) {
-                if (instances.get(a).replica != null && instances.get(b).replica != null && sameSide(a, b)
+                if (instances.get(a).replicator != null && instances.get(b).replicator != null
+                        && sameSide(a, b)
                         && configuredNames.contains(instances.get(a).name)
                                 && configuredNames.contains(instances.get(b).name)
                         && !links.containsKey(a + "-" + b)) {
@@ -290,10 +292,10 @@
     }
 
     private void reduce(SimulatedInstance instance, ReplicationEvent event) {
-        if (instance.replica == null) {
+        if (instance.replicator == null) {
             return;
         }
-        for (ReplicationEffect effect : instance.replica.reduce(event, now())) {
+        for (ReplicationEffect effect : instance.replicator.reduce(event, now())) {
             if (effect instanceof ReplicationEffect.SendToPeer e) {
                 send(instance, e.peer(), e.frame());
             } else if (effect instanceof ReplicationEffect.ClosePeer e) {
--- a/src/main/java/yewdock/verification/CopiesProof.java
+++ b/src/main/java/yewdock/verification/ReplicationVerification.java
@@ -15,7 +15,7 @@
  * Measures record replication in virtual time: five instances are partitioned and healed again and again.
  * Reports the time and the bytes that they take to converge; not to converge in time is a violation.
  */
-public final class CopiesProof {
+public final class ReplicationVerification {
     private static final int INSTANCES = 5;
     /** One second, in microseconds. */
     private static final long SECOND = 1_000_000;
@@ -33,7 +33,7 @@
      * @param seed draws the partitions, the changes and the network delays
      * @param output receives the report lines
      */
-    public CopiesProof(int splits, long seed, Consumer<String> output) {
+    public ReplicationVerification(int splits, long seed, Consumer<String> output) {
         this.splits = splits;
         this.seed = seed;
         this.output = output;
@@ -55,14 +55,14 @@
         for (int i = 0; i < INSTANCES; i++) {
             names.add("i" + i);
         }
-        CopiesSim sim = new CopiesSim(names, seed);
+        ReplicationSimulation sim = new ReplicationSimulation(names, seed);
         SplittableRandom random = new SplittableRandom(seed);
-        sim.split(1);
+        sim.partition(1);
         for (int i = 0; i < size; i++) {
-            sim.node(0).write(RecordKeys.server("i0", i), Kept.newBuilder().setBox(Box.newBuilder()
+            sim.instance(0).write(RecordKeys.server("i0", i), Kept.newBuilder().setBox(Box.newBuilder()
                     .setName("s-" + i).setAddress("10.0.0." + i % 250 + ":8000").setId(i).setWeight(1)));
         }
-        sim.join();
+        sim.heal();
         long bytesBefore = sim.bytesSent();
         long firstMicros = sim.runUntilConverged(60 * SECOND);
         long snapshotBytes = sim.bytesSent() - bytesBefore;
@@ -76,14 +76,14 @@
         Histogram convergenceMillis = new Histogram(3);
         Histogram convergenceBytes = new Histogram(3);
         for (int split = 0; split < splits; split++) {
-            sim.split(random.nextInt(1, (1 << INSTANCES) - 1));
+            sim.partition(random.nextInt(1, (1 << INSTANCES) - 1));
             for (int i = 0; i < CHANGES_PER_SPLIT; i++) {
                 change(sim, random, size);
                 sim.run(random.nextLong(SECOND / 10));
             }
             sim.run(6 * SECOND);
             bytesBefore = sim.bytesSent();
-            sim.join();
+            sim.heal();
             long converged = sim.runUntilConverged(MAX_CONVERGENCE_MICROS);
             if (converged < 0) {
                 violations.add(size + " records, split " + split + ": no convergence within "
@@ -101,12 +101,12 @@
                 convergenceBytes.getMaxValue() / 1e3, idleBytesPerSecond / 1e3));
     }
 
-    private static void change(CopiesSim sim, SplittableRandom random, int size) {
-        CopiesSim.SimulatedInstance instance = sim.node(random.nextInt(INSTANCES));
+    private static void change(ReplicationSimulation sim, SplittableRandom random, int size) {
+        ReplicationSimulation.SimulatedInstance instance = sim.instance(random.nextInt(INSTANCES));
         // the same server gets different overrides on several sides of a partition
         String key = RecordKeys.override("s-" + random.nextInt(Math.min(size, 20)));
         if (random.nextInt(3) == 0) {
-            instance.drop(key);
+            instance.delete(key);
         } else {
             instance.write(key, Kept.newBuilder().setMark(Mark.newBuilder()
                     .setKindValue(1 + random.nextInt(2)).setBy("i" + random.nextInt(INSTANCES))));
--- a/src/main/java/yewdock/verification/Instance.java
+++ b/src/main/java/yewdock/verification/ServingProcess.java
@@ -16,7 +16,7 @@
  * A router process started with {@code serve}, as the platform starts it, with an address for operator
  * commands. Several of them in succession form one router.
  */
-public final class Instance implements Closeable {
+public final class ServingProcess implements Closeable {
     private static final long WAIT_MILLIS = 30_000;
     private static final int COMMAND_TIMEOUT_MILLIS = 5_000;
     private static final String LISTEN_MESSAGE = "listens on /";
@@ -26,7 +26,7 @@
     private final ProcessLog log;
     private final long startedAt = System.nanoTime();
 
-    private Instance(Process process) {
+    private ServingProcess(Process process) {
         this.process = process;
         this.log = new ProcessLog(process, line -> { });
     }
@@ -38,7 +38,7 @@
      * @param folder holds the files of the process
      * @param configuration the platform's configuration, with an address for operators
      */
-    public static Instance start(List<String> mainAndArguments, Path folder, String configuration)
+    public static ServingProcess start(List<String> mainAndArguments, Path folder, String configuration)
             throws IOException {
         Path config = Files.writeString(Files.createTempFile(folder, "config", ".json"), configuration);
         List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin",
@@ -48,7 +48,7 @@
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().put("PROXY_CONFIG", config.toString());
         builder.environment().put("TMPDIR", Files.createDirectories(folder.resolve("tmp")).toString());
-        return new Instance(builder.start());
+        return new ServingProcess(builder.start());
     }
 
     /** The client address; waits until the process listens on it. */
@@ -57,7 +57,7 @@
     }
 
     private InetSocketAddress awaitAddress(String message) throws IOException {
-        String line = await(l -> l.contains(message));
+        String line = awaitLogLine(l -> l.contains(message));
         if (line == null) {
             throw new IOException("the process did not log its address:\n" + log());
         }
@@ -65,7 +65,7 @@
     }
 
     /** Sends an operator command and returns the whole answer. */
-    public String call(String line) throws IOException {
+    public String sendCommand(String line) throws IOException {
         InetSocketAddress at = awaitAddress(OPERATOR_LISTEN_MESSAGE);
         try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
             socket.setSoTimeout(COMMAND_TIMEOUT_MILLIS);
@@ -75,10 +75,10 @@
     }
 
     /** Waits until the process reports ready; returns the time since its start, in nanoseconds. */
-    public long ready() throws IOException {
+    public long awaitReady() throws IOException {
         long waitStart = System.nanoTime();
         while (System.nanoTime() - waitStart < TimeUnit.MILLISECONDS.toNanos(WAIT_MILLIS)) {
-            if (call("health").startsWith("YES")) {
+            if (sendCommand("health").startsWith("YES")) {
                 return System.nanoTime() - startedAt;
             }
             Thread.onSpinWait();
@@ -96,7 +96,7 @@
      *
      * @return the line, or null if the process ends or the wait times out without one
      */
-    public String await(Predicate<String> wanted) {
+    public String awaitLogLine(Predicate<String> wanted) {
         return log.await(wanted, WAIT_MILLIS);
     }
 
@@ -122,12 +122,12 @@
     }
 
     /** Sends SIGTERM. */
-    public void leave() {
+    public void terminate() {
         process.destroy();
     }
 
     /** Waits for the process to end; returns false if it does not in time. */
-    public boolean ended() {
+    public boolean awaitExit() {
         try {
             return process.waitFor(WAIT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
@@ -137,7 +137,7 @@
     }
 
     /** The exit code; the process must have ended. */
-    public int exit() {
+    public int exitCode() {
         return process.exitValue();
     }
 
@@ -145,6 +145,6 @@
     @Override
     public void close() {
         process.destroyForcibly();
-        ended();
+        awaitExit();
     }
 }
--- a/src/main/java/yewdock/verification/StoreCost.java
+++ b/src/main/java/yewdock/verification/StoreBenchmark.java
@@ -21,8 +21,8 @@
 import yewdock.store.StoreException;
 import yewdock.testbed.Fleet;
 import yewdock.testbed.FloodingPeer;
-import yewdock.testbed.Ledger;
-import yewdock.testbed.Load;
+import yewdock.testbed.LoadGenerator;
+import yewdock.testbed.ObservationLog;
 import yewdock.wire.Box;
 import yewdock.wire.Kept;
 
@@ -32,7 +32,7 @@
  * so that noise on the machine affects all of them. Also measures how long a daemon takes to start with many
  * records and with none.
  */
-public final class StoreCost {
+public final class StoreBenchmark {
     /** The names of all setups. */
     public static final List<String> SETUPS = List.of("off", "on", "on, a peer hangs", "on, a peer floods");
     private static final int STARTS_PER_STORE = 5;
@@ -61,7 +61,7 @@
      * @param seed draws the load
      * @param output receives the report lines
      */
-    public StoreCost(String mainClass, List<String> setups, int rounds, int seconds, long seed,
+    public StoreBenchmark(String mainClass, List<String> setups, int rounds, int seconds, long seed,
             Consumer<String> output) {
         this.mainClass = mainClass;
         this.setups = List.copyOf(setups);
@@ -113,11 +113,11 @@
             });
             measurements.forEach((setup, all) -> output.accept("CPU us per request by round, " + setup + ": "
                     + all.stream().map(measurement -> Math.round(measurement.cpuMicros)).toList()));
-            output.accept("read from the flooding peer: " + floodingPeer.written() / 1_000_000 / (seconds
+            output.accept("read from the flooding peer: " + floodingPeer.bytesWritten() / 1_000_000 / (seconds
                     + WARM_UP_MILLIS / 1000) + " MB/s of " + FLOOD_BYTES_PER_SECOND / 1e6);
             measureStarts(folder);
         } finally {
-            UpgradeProof.deleteRecursively(folder);
+            UpgradeVerification.deleteRecursively(folder);
         }
         return violations;
     }
@@ -137,10 +137,11 @@
             throws IOException, InterruptedException {
         Files.createDirectory(folder);
         try (Fleet fleet = new Fleet(8, 64);
-                Router router = Router.start(mainClass, folder, fleet.configuration("127.0.0.1:0"),
-                        UpgradeProof.QUICK_STAGES, settingsBlocks(setup, folder, peer))) {
-            Load load = new Load(new Load.Plan(router.address(), CONNECTIONS, REQUESTS_PER_SECOND, 10, 2,
-                    seed), fleet.ledger());
+                DaemonProcess router = DaemonProcess.start(mainClass, folder,
+                        fleet.configuration("127.0.0.1:0"),
+                        UpgradeVerification.QUICK_STAGES, settingsBlocks(setup, folder, peer))) {
+            LoadGenerator load = new LoadGenerator(new LoadGenerator.Profile(router.address(), CONNECTIONS,
+                    REQUESTS_PER_SECOND, 10, 2, seed), fleet.observations());
             load.start();
             Thread.sleep(WARM_UP_MILLIS);
             List<ProcessHandle> processes = router.generations();
@@ -155,13 +156,14 @@
             long endedAt = System.nanoTime();
             load.stop();
             Histogram firstTokenMicros = new Histogram(3);
-            for (Ledger.AtClient answer : fleet.ledger().atClients()) {
-                if (answer.ended() >= startedAt && answer.ended() < endedAt
-                        && answer.end() == Ledger.End.SERVED) {
-                    firstTokenMicros.recordValue((answer.firstToken() - answer.began()) / 1000);
+            for (ObservationLog.RequestResult answer : fleet.observations().requestResults()) {
+                if (answer.endedNanos() >= startedAt && answer.endedNanos() < endedAt
+                        && answer.outcome() == ObservationLog.RequestOutcome.SERVED) {
+                    firstTokenMicros.recordValue((answer.firstTokenNanos() - answer.startedNanos()) / 1000);
                 }
             }
-            Rules.broken(fleet.ledger()).forEach(violation -> violations.add(setup + ": " + violation));
+            RunChecker.violations(fleet.observations()).forEach(violation -> violations.add(setup + ": "
+                    + violation));
             long served = firstTokenMicros.getTotalCount();
             return new Measurement(served / ((endedAt - startedAt) / 1e9), cpuUsed / 1000.0 / served,
                     daemonCpuUsed / 1000.0 / served, firstTokenMicros.getValueAtPercentile(50) / 1000.0,
@@ -195,8 +197,9 @@
                 }
                 try (Fleet fleet = new Fleet(8, 64)) {
                     long startedAt = System.nanoTime();
-                    Router router = Router.start(mainClass, startFolder, fleet.configuration("127.0.0.1:0"),
-                            UpgradeProof.QUICK_STAGES, settingsBlocks("on", startFolder, 0));
+                    DaemonProcess router = DaemonProcess.start(mainClass, startFolder,
+                            fleet.configuration("127.0.0.1:0"),
+                            UpgradeVerification.QUICK_STAGES, settingsBlocks("on", startFolder, 0));
                     startMillis[full][i] = (System.nanoTime() - startedAt) / NANOS_PER_MILLI;
                     router.close();
                 }
--- a/src/main/java/yewdock/verification/StoreProof.java
+++ b/src/main/java/yewdock/verification/StoreVerification.java
@@ -13,16 +13,16 @@
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
 import yewdock.testbed.Fleet;
-import yewdock.testbed.Ledger;
 import yewdock.testbed.ListenPorts;
-import yewdock.testbed.Load;
+import yewdock.testbed.LoadGenerator;
+import yewdock.testbed.ObservationLog;
 
 /**
  * Kills a daemon with a store again and again under load, together with its generations, while discovery and
  * an operator drain servers. Checks by the stand-in servers' records that drains are kept, and by the status
  * after each restart that no acknowledged command is lost.
  */
-public final class StoreProof {
+public final class StoreVerification {
     private static final int SERVERS = 8;
     private static final int SLOTS_PER_SERVER = 64;
     /** Number of servers, the last ones, that the operator drains; discovery drains the others. */
@@ -35,7 +35,7 @@
     private final int kills;
     private final long seed;
     private final Consumer<String> output;
-    private final List<Rules.OperatorDrain> operatorDrains = new ArrayList<>();
+    private final List<RunChecker.OperatorDrain> operatorDrains = new ArrayList<>();
     private final Map<String, Long> drainAcknowledgedAt = new HashMap<>();
     /**
      * Whether a server must be drained by the operator after a restart: true or false by the last
@@ -55,7 +55,7 @@
      * @param seed draws the load, the commands and the times of the kills
      * @param output receives the report lines
      */
-    public StoreProof(String mainClass, int kills, long seed, Consumer<String> output) {
+    public StoreVerification(String mainClass, int kills, long seed, Consumer<String> output) {
         this.mainClass = mainClass;
         this.kills = kills;
         this.seed = seed;
@@ -75,15 +75,15 @@
             Thread discoveryDrains = new Thread(() ->
                     drainByEndpointList(fleet, over, new SplittableRandom(seed + 1)),
                     "drains");
-            Load load = null;
+            LoadGenerator load = null;
             for (int lifetime = 0; lifetime <= kills; lifetime++) {
                 long startedAt = System.nanoTime();
-                try (Router router = Router.start(mainClass, folder, configuration, UpgradeProof.QUICK_STAGES,
-                        storeBlock)) {
+                try (DaemonProcess router = DaemonProcess.start(mainClass, folder,
+                        configuration, UpgradeVerification.QUICK_STAGES, storeBlock)) {
                     restartTimes.recordValue((System.nanoTime() - startedAt) / 1_000_000);
                     if (load == null) {
-                        load = new Load(new Load.Plan(router.address(), CONNECTIONS, REQUESTS_PER_SECOND, 30,
-                                10, seed), fleet.ledger());
+                        load = new LoadGenerator(new LoadGenerator.Profile(router.address(), CONNECTIONS,
+                                REQUESTS_PER_SECOND, 30, 10, seed), fleet.observations());
                         load.start();
                         discoveryDrains.start();
                     }
@@ -100,17 +100,17 @@
             discoveryDrains.join();
             load.stop();
             drainAcknowledgedAt.forEach((server, at) ->
-                    operatorDrains.add(new Rules.OperatorDrain(server, at, Long.MAX_VALUE)));
-            violations.addAll(Rules.brokenOverKills(fleet.ledger(), operatorDrains));
-            report(fleet.ledger(), violations);
+                    operatorDrains.add(new RunChecker.OperatorDrain(server, at, Long.MAX_VALUE)));
+            violations.addAll(RunChecker.violationsWithKills(fleet.observations(), operatorDrains));
+            report(fleet.observations(), violations);
         } finally {
-            UpgradeProof.deleteRecursively(folder);
+            UpgradeVerification.deleteRecursively(folder);
         }
         return violations;
     }
 
     /** Sends commands until the next kill, which may come while the last command is in progress. */
-    private void runLifetime(Router router, Fleet fleet, SplittableRandom random)
+    private void runLifetime(DaemonProcess router, Fleet fleet, SplittableRandom random)
             throws InterruptedException {
         long end = System.nanoTime() + random.nextLong(100, MAX_LIFETIME_MILLIS) * 1_000_000;
         while (System.nanoTime() < end) {
@@ -126,21 +126,23 @@
         }
     }
 
-    private void toggleDrain(Router router, Fleet fleet, SplittableRandom random) {
-        String server = fleet.boxes().get(SERVERS - 1 - random.nextInt(OPERATOR_SERVERS)).name();
+    private void toggleDrain(DaemonProcess router, Fleet fleet, SplittableRandom random) {
+        String server = fleet.servers().get(SERVERS - 1 - random.nextInt(OPERATOR_SERVERS)).name();
         boolean drain = !drainAcknowledgedAt.containsKey(server);
         long sentAt = System.nanoTime();
         if (!drain) {
             // once the undrain is requested, the server may get requests again
-            operatorDrains.add(new Rules.OperatorDrain(server, drainAcknowledgedAt.remove(server), sentAt));
+            operatorDrains.add(new RunChecker.OperatorDrain(server,
+                    drainAcknowledgedAt.remove(server), sentAt));
         }
         Boolean expectedBefore = expectedDrains.remove(server);
         commands++;
         try {
-            Router.Said result = router.ask(drain ? "drain" : "undrain", List.of(server));
+            DaemonProcess.CommandResult result = router.sendCommand(drain ? "drain" : "undrain",
+                    List.of(server));
             long now = System.nanoTime();
-            boolean notDrained = result.lines().contains("has no mark");
-            if (result.exit() == 0 || notDrained && !drain && expectedBefore == null) {
+            boolean notDrained = result.output().contains("has no mark");
+            if (result.exitCode() == 0 || notDrained && !drain && expectedBefore == null) {
                 acknowledgementMicros.recordValue((now - sentAt) / 1000);
                 expectedDrains.put(server, drain);
                 if (drain) {
@@ -155,9 +157,9 @@
         }
     }
 
-    private void checkExpectedDrains(Router router, int lifetime, List<String> violations)
+    private void checkExpectedDrains(DaemonProcess router, int lifetime, List<String> violations)
             throws IOException {
-        String status = router.ask("status", List.of()).lines();
+        String status = router.sendCommand("status", List.of()).output();
         expectedDrains.forEach((server, drain) -> {
             if (status.contains("mark: " + server + " drain") != drain) {
                 violations.add("after kill " + lifetime + " the " + (drain ? "drain" : "undrain") + " of "
@@ -176,10 +178,10 @@
     private static void drainByEndpointList(Fleet fleet, AtomicBoolean over, SplittableRandom random) {
         try {
             while (!over.get()) {
-                String server = fleet.boxes().get(random.nextInt(SERVERS - OPERATOR_SERVERS)).name();
-                fleet.list().state(server, "draining");
+                String server = fleet.servers().get(random.nextInt(SERVERS - OPERATOR_SERVERS)).name();
+                fleet.discovery().setState(server, "draining");
                 Thread.sleep(random.nextLong(1_500, 6_000));
-                fleet.list().state(server, "up");
+                fleet.discovery().setState(server, "up");
                 Thread.sleep(random.nextLong(300));
             }
         } catch (InterruptedException e) {
@@ -187,11 +189,12 @@
         }
     }
 
-    private void report(Ledger ledger, List<String> violations) {
+    private void report(ObservationLog observations, List<String> violations) {
         output.accept("kills " + kills + ", seed " + seed + "; commands " + commands + ", without answer "
-                + commandsWithoutAnswer + "; state changes told by discovery " + ledger.told().size());
-        output.accept(Load.summary(ledger.atClients()));
-        output.accept("attempts at servers " + ledger.atBoxes().size());
+                + commandsWithoutAnswer + "; state changes told by discovery "
+                        + observations.endpointUpdates().size());
+        output.accept(LoadGenerator.summary(observations.requestResults()));
+        output.accept("attempts at servers " + observations.serverAttempts().size());
         output.accept(String.format(Locale.ROOT, "command to acknowledgement ms p50 %.1f p99 %.1f max %.1f",
                 acknowledgementMicros.getValueAtPercentile(50) / 1000.0,
                 acknowledgementMicros.getValueAtPercentile(99)
--- a/src/main/java/yewdock/verification/UpgradeProof.java
+++ b/src/main/java/yewdock/verification/UpgradeVerification.java
@@ -12,19 +12,20 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
-import yewdock.testbed.BoxStandin;
 import yewdock.testbed.FaultyGeneration;
 import yewdock.testbed.FaultyGeneration.Fault;
 import yewdock.testbed.Fleet;
-import yewdock.testbed.Ledger;
-import yewdock.testbed.Load;
+import yewdock.testbed.LoadGenerator;
+import yewdock.testbed.ObservationLog;
+import yewdock.testbed.StubServer;
 import yewdock.upgrade.Stage;
 
 /**
  * Upgrades a daemon again and again under load, with real processes and sockets, streams that stay open,
- * servers that drain and come back, and some upgrades that fail on purpose. {@link Rules} checks the results.
+ * servers that drain and come back, and some upgrades that fail on purpose.
+ * {@link RunChecker} checks the results.
  */
-public final class UpgradeProof {
+public final class UpgradeVerification {
     /** An upgrade block with timeouts short enough that a hung process doesn't prolong the run. */
     public static final String QUICK_STAGES = """
               start_s = 8
@@ -73,8 +74,8 @@
      * @param seed draws the load, the drains and the faults
      * @param output receives the report lines
      */
-    public UpgradeProof(String mainClass, int upgrades, int connections, double requestsPerSecond, long seed,
-            Consumer<String> output) {
+    public UpgradeVerification(String mainClass, int upgrades, int connections, double requestsPerSecond,
+            long seed, Consumer<String> output) {
         this.mainClass = mainClass;
         this.upgrades = upgrades;
         this.connections = connections;
@@ -88,12 +89,12 @@
         Path folder = Files.createTempDirectory("yewdock-proof");
         List<String> violations = new ArrayList<>();
         try (Fleet fleet = new Fleet(SERVERS, SLOTS_PER_SERVER);
-                Router router = Router.start(mainClass, folder, fleet.configuration("127.0.0.1:0"),
-                        QUICK_STAGES)) {
-            Load load = new Load(new Load.Plan(router.address(), connections, requestsPerSecond, 40, 10,
-                    seed), fleet.ledger());
-            Load streams = new Load(new Load.Plan(router.address(), LONG_STREAMS, 2, LONG_TOKENS,
-                    LONG_PACE_MILLIS, seed + 1), fleet.ledger());
+                DaemonProcess router = DaemonProcess.start(mainClass, folder,
+                        fleet.configuration("127.0.0.1:0"), QUICK_STAGES)) {
+            LoadGenerator load = new LoadGenerator(new LoadGenerator.Profile(router.address(), connections,
+                    requestsPerSecond, 40, 10, seed), fleet.observations());
+            LoadGenerator streams = new LoadGenerator(new LoadGenerator.Profile(router.address(),
+                    LONG_STREAMS, 2, LONG_TOKENS, LONG_PACE_MILLIS, seed + 1), fleet.observations());
             AtomicBoolean over = new AtomicBoolean();
             Thread drains = new Thread(() -> drainServers(fleet, over), "drains");
             load.start();
@@ -110,12 +111,12 @@
             drains.join();
             load.stop();
             streams.stop();
-            if (!router.leave()) {
+            if (!router.terminate()) {
                 violations.add("the daemon did not end on SIGTERM in time:\n" + router.log());
             }
             checkLog(router.log(), violations);
-            violations.addAll(Rules.broken(fleet.ledger()));
-            report(fleet.ledger(), violations);
+            violations.addAll(RunChecker.violations(fleet.observations()));
+            report(fleet.observations(), violations);
             if (!violations.isEmpty()) {
                 output.accept("the daemon's log: " + Files.writeString(
                         Files.createTempFile("yewdock-proof", ".log"), router.log()));
@@ -130,7 +131,8 @@
         log.lines().filter(l -> l.contains("fault")).forEach(l -> violations.add("a fault in the log: " + l));
     }
 
-    private void upgrade(Router router, boolean fails, SplittableRandom random, List<String> violations)
+    private void upgrade(DaemonProcess router, boolean fails, SplittableRandom random,
+            List<String> violations)
             throws IOException {
         List<String> arguments = new ArrayList<>();
         String faultName = "none";
@@ -150,17 +152,18 @@
             }
         }
         long startedAt = System.nanoTime();
-        Router.Said result = router.ask("upgrade", arguments);
+        DaemonProcess.CommandResult result = router.sendCommand("upgrade", arguments);
         upgradeSpans.add(new long[] {startedAt, System.nanoTime()});
         Files.writeString(config, validConfiguration);
         if (fails) {
             faultCounts.merge(faultName, 1, Integer::sum);
         } else {
-            stageTimes(result.lines());
+            stageTimes(result.output());
         }
-        if (fails ? result.exit() != 1 || !result.lines().contains("serves as before") : result.exit() != 0) {
-            violations.add("an upgrade with fault " + faultName + " ended with " + result.exit() + ": "
-                    + result.lines());
+        if (fails ? result.exitCode() != 1 || !result.output().contains("serves as before")
+                : result.exitCode() != 0) {
+            violations.add("an upgrade with fault " + faultName + " ended with " + result.exitCode() + ": "
+                    + result.output());
         }
     }
 
@@ -183,34 +186,35 @@
     private void drainServers(Fleet fleet, AtomicBoolean over) {
         SplittableRandom random = new SplittableRandom(seed + 2);
         while (!over.get()) {
-            BoxStandin server = fleet.boxes().get(random.nextInt(SERVERS));
-            fleet.list().state(server.name(), "draining");
+            StubServer server = fleet.servers().get(random.nextInt(SERVERS));
+            fleet.discovery().setState(server.name(), "draining");
             try {
                 Thread.sleep(DRAIN_MILLIS);
             } catch (InterruptedException e) {
                 return;
             }
-            fleet.list().state(server.name(), "up");
+            fleet.discovery().setState(server.name(), "up");
         }
     }
 
-    private void report(Ledger ledger, List<String> violations) {
-        List<Ledger.AtClient> during = new ArrayList<>();
-        List<Ledger.AtClient> outside = new ArrayList<>();
-        for (Ledger.AtClient answer : ledger.atClients()) {
-            long answeredAt = answer.firstToken() == 0 ? answer.ended() : answer.firstToken();
+    private void report(ObservationLog observations, List<String> violations) {
+        List<ObservationLog.RequestResult> during = new ArrayList<>();
+        List<ObservationLog.RequestResult> outside = new ArrayList<>();
+        for (ObservationLog.RequestResult answer : observations.requestResults()) {
+            long answeredAt = answer.firstTokenNanos() == 0 ? answer.endedNanos() : answer.firstTokenNanos();
             boolean overlapsUpgrade = upgradeSpans.stream()
-                    .anyMatch(s -> answer.began() < s[1] && answeredAt > s[0]);
-            if (answer.began() >= measuredFrom) {
+                    .anyMatch(s -> answer.startedNanos() < s[1] && answeredAt > s[0]);
+            if (answer.startedNanos() >= measuredFrom) {
                 (overlapsUpgrade ? during : outside).add(answer);
             }
         }
         int failed = faultCounts.values().stream().mapToInt(Integer::intValue).sum();
         output.accept("upgrades " + upgrades + ", of them failing on purpose " + failed + " " + faultCounts);
-        output.accept("during upgrades:  " + Load.summary(during));
-        output.accept("outside upgrades: " + Load.summary(outside));
-        for (Ledger.End end : Ledger.End.values()) {
-            output.accept("ended " + end.name().toLowerCase(Locale.ROOT) + ": " + Rules.count(ledger, end));
+        output.accept("during upgrades:  " + LoadGenerator.summary(during));
+        output.accept("outside upgrades: " + LoadGenerator.summary(outside));
+        for (ObservationLog.RequestOutcome end : ObservationLog.RequestOutcome.values()) {
+            output.accept("ended " + end.name().toLowerCase(Locale.ROOT) + ": "
+                    + RunChecker.count(observations, end));
         }
         stageTimes.forEach((stage, histogram) -> output.accept(String.format(Locale.ROOT,
                 "stage %-7s ms p50 %7.1f p99 %7.1f max %7.1f", stage,
--- a/src/test/java/umberspread/ExampleTest.java
+++ b/src/test/java/umberspread/ExampleTest.java
@@ -17,8 +17,8 @@
         // example begins
         Routing.Actions actions = new Routing.Actions() {
             @Override
-            public void send(long requestId, long replicaId, long timeout) {
-                carriedOut.add("send " + requestId + " to " + replicaId);
+            public void send(long requestId, long serverId, long timeout) {
+                carriedOut.add("send " + requestId + " to " + serverId);
             }
 
             @Override
@@ -38,7 +38,7 @@
 
             @Override
             public void watchEndpointList() {
-                carriedOut.add("follow the list");
+                carriedOut.add("watch the endpoint list");
             }
 
             @Override
--- a/src/test/java/yewdock/AgentDiscoveryTest.java
+++ b/src/test/java/yewdock/AgentDiscoveryTest.java
@@ -35,7 +35,7 @@
     private Routing.Actions module;
 
     /** Sends each request to server 1 and records what it is told of the list. */
-    private final class Module extends QuietModule {
+    private final class Module extends NoOpModule {
         Module(Routing.Actions actions) {
             module = actions;
         }
--- a/src/test/java/yewdock/ConsensusDaemonTest.java
+++ b/src/test/java/yewdock/ConsensusDaemonTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import yewdock.testbed.Fleet;
-import yewdock.testbed.Load;
-import yewdock.verification.AgreedInstallation;
-import yewdock.verification.Router;
+import yewdock.testbed.LoadGenerator;
+import yewdock.verification.DaemonCluster;
+import yewdock.verification.DaemonProcess;
 
 /** Consensus among router daemons in separate processes, connected by relays that can hold messages back. */
 class ConsensusDaemonTest {
@@ -25,8 +25,9 @@
         return "  agreed_within_s = " + seconds + "\n";
     }
 
-    private static Load newLoad(AgreedInstallation installation, int index, Fleet fleet, long seed) {
-        return new Load(new Load.Plan(installation.address(index), 4, 100, 5, 2, seed), fleet.ledger());
+    private static LoadGenerator newLoad(DaemonCluster installation, int index, Fleet fleet, long seed) {
+        return new LoadGenerator(new LoadGenerator.Profile(installation.clientAddress(index), 4, 100, 5, 2,
+                seed), fleet.observations());
     }
 
     /**
@@ -36,56 +37,60 @@
     @Test
     void agreedDrainHoldsThroughLeaderIsolationAndRestart() throws Exception {
         try (Fleet fleet = new Fleet(3, 16);
-                AgreedInstallation installation = new AgreedInstallation(MAIN, folder, fleet, 3, 1,
+                DaemonCluster installation = new DaemonCluster(MAIN, folder, fleet, 3, 1,
                         agreementTimeout(2))) {
-            installation.whole();
-            String server = fleet.boxes().get(0).name();
-            Router.Said result = installation.router(3).ask("drain", List.of(server));
+            installation.awaitAllLeases();
+            String server = fleet.servers().get(0).name();
+            DaemonProcess.CommandResult result = installation.daemon(3).sendCommand("drain", List.of(server));
             long drainedAt = System.nanoTime();
-            assertEquals(0, result.exit(), result.lines());
-            assertTrue(result.lines().contains("by agreement, revision 1"), result.lines());
-            Load[] loads = new Load[4];
+            assertEquals(0, result.exitCode(), result.output());
+            assertTrue(result.output().contains("by agreement, revision 1"), result.output());
+            LoadGenerator[] loads = new LoadGenerator[4];
             for (int i = 0; i < 4; i++) {
                 loads[i] = newLoad(installation, i, fleet, i + 1);
                 loads[i].start();
             }
-            int leader = installation.leader();
-            installation.cutOff(leader, true, true);
-            installation.await(leader, s -> s.contains("in doubt, refusing"));
-            installation.await(3, s -> s.contains("agreement: lease") && !s.contains("leader i" + leader));
-            String secondServer = fleet.boxes().get(1).name();
+            int leader = installation.leaderIndex();
+            installation.isolate(leader, true, true);
+            installation.awaitStatus(leader, s -> s.contains("in doubt, refusing"));
+            installation.awaitStatus(3, s -> s.contains("agreement: lease") && !s.contains("leader i"
+                    + leader));
+            String secondServer = fleet.servers().get(1).name();
             assertEquals(0,
-                    installation.router(3).ask("drain", List.of(secondServer, "noise in its fan")).exit());
+                    installation.daemon(3).sendCommand("drain", List.of(secondServer,
+                            "noise in its fan")).exitCode());
             // the isolated leader's command may still be proposed once the partition heals; it names a server
             // that is not drained, so that it has no effect then
-            String undrainedServer = fleet.boxes().get(2).name();
-            assertEquals(1, installation.router(leader).ask("undrain", List.of(undrainedServer)).exit());
+            String undrainedServer = fleet.servers().get(2).name();
+            assertEquals(1, installation.daemon(leader).sendCommand("undrain",
+                    List.of(undrainedServer)).exitCode());
             long secondDrainedAt = System.nanoTime();
-            installation.heal();
-            installation.whole();
-            assertNotEquals(-1, installation.leader());
+            installation.healNetwork();
+            installation.awaitAllLeases();
+            assertNotEquals(-1, installation.leaderIndex());
             installation.restart(3);
-            installation.whole();
+            installation.awaitAllLeases();
             // the new generation learns the rules before it serves, and the supervisor stays a voting member
-            assertEquals(0, installation.router(1).ask("upgrade", List.of()).exit(),
-                    installation.router(1).log());
-            installation.await(1, s -> s.contains("agreement: lease") && s.contains("votes"));
-            String rules = installation.router(3).ask("rules", List.of()).lines();
+            assertEquals(0, installation.daemon(1).sendCommand("upgrade", List.of()).exitCode(),
+                    installation.daemon(1).log());
+            installation.awaitStatus(1, s -> s.contains("agreement: lease") && s.contains("votes"));
+            String rules = installation.daemon(3).sendCommand("rules", List.of()).output();
             assertTrue(rules.contains("box/" + secondServer + " = out"), rules);
             assertTrue(rules.contains("noise in its fan"), rules);
-            for (Load load : loads) {
+            for (LoadGenerator load : loads) {
                 load.stop();
             }
-            fleet.ledger().atBoxes().forEach(a -> {
-                assertTrue(!a.box().equals(server) || a.began() < drainedAt, "sent to " + server);
-                assertTrue(!a.box().equals(secondServer) || a.began() < secondDrainedAt,
+            fleet.observations().serverAttempts().forEach(a -> {
+                assertTrue(!a.server().equals(server) || a.startedNanos() < drainedAt, "sent to " + server);
+                assertTrue(!a.server().equals(secondServer) || a.startedNanos() < secondDrainedAt,
                         "sent to " + secondServer);
             });
-            assertTrue(fleet.ledger().atBoxes().stream().anyMatch(a -> a.began() > secondDrainedAt));
-            assertTrue(installation.router(3).leave(),
-                    "follower did not exit: " + installation.router(3).log());
-            assertTrue(installation.router(0).leave(),
-                    "voting member did not exit: " + installation.router(0).log());
+            assertTrue(fleet.observations().serverAttempts().stream().anyMatch(a ->
+                    a.startedNanos() > secondDrainedAt));
+            assertTrue(installation.daemon(3).terminate(),
+                    "follower did not exit: " + installation.daemon(3).log());
+            assertTrue(installation.daemon(0).terminate(),
+                    "voting member did not exit: " + installation.daemon(0).log());
         }
     }
 
@@ -96,24 +101,25 @@
     @Test
     void withoutQuorumNewRequestsAreRefused() throws Exception {
         try (Fleet fleet = new Fleet(2, 16);
-                AgreedInstallation installation = new AgreedInstallation(MAIN, folder, fleet, 3, 0,
+                DaemonCluster installation = new DaemonCluster(MAIN, folder, fleet, 3, 0,
                         agreementTimeout(1))) {
-            installation.whole();
+            installation.awaitAllLeases();
             installation.kill(0);
             installation.kill(1);
-            installation.await(2, s -> s.contains("in doubt, refusing"));
-            String server = fleet.boxes().get(0).name();
-            assertEquals(0, installation.router(2).ask("drain", List.of(server, "--here")).exit());
-            Load load = newLoad(installation, 2, fleet, 1);
+            installation.awaitStatus(2, s -> s.contains("in doubt, refusing"));
+            String server = fleet.servers().get(0).name();
+            assertEquals(0, installation.daemon(2).sendCommand("drain", List.of(server,
+                    "--here")).exitCode());
+            LoadGenerator load = newLoad(installation, 2, fleet, 1);
             load.start();
-            while (fleet.ledger().atClients().size() < 20) {
+            while (fleet.observations().requestResults().size() < 20) {
                 Thread.onSpinWait();
             }
             load.stop();
-            assertTrue(fleet.ledger().atClients().stream().allMatch(a -> a.status() == 503));
-            assertTrue(fleet.ledger().atBoxes().isEmpty());
+            assertTrue(fleet.observations().requestResults().stream().allMatch(a -> a.status() == 503));
+            assertTrue(fleet.observations().serverAttempts().isEmpty());
             installation.restart(0);
-            installation.await(2, s -> s.contains("agreement: lease"));
+            installation.awaitStatus(2, s -> s.contains("agreement: lease"));
         }
     }
 }
--- a/src/test/java/yewdock/HedgingTest.java
+++ b/src/test/java/yewdock/HedgingTest.java
@@ -34,7 +34,7 @@
     private long now;
 
     /** Takes no decisions of its own: the test requests the actions. */
-    private final class Module extends QuietModule {
+    private final class Module extends NoOpModule {
         Module(Routing.Actions actions) {
             module = actions;
         }
@@ -81,8 +81,8 @@
         handle(new Event.Started(new EndpointList(1, true, List.of(server(1, Lifecycle.READY),
                 server(2, Lifecycle.READY), server(3, Lifecycle.READY))), "127.0.0.1:8500"));
         handle(new Event.ClientConnected(1));
-        handle(new Event.RequestReceived(1, new ModelRequest("r1", 0, 0, false, 1, 1, 1, 0, 9, 6_000_000,
-                100)));
+        handle(new Event.RequestReceived(1, new ModelRequest("r1", 0, 0, false, 1, 1, 1, 0, 9,
+                6_000_000, 100)));
     }
 
     private void handle(Event event) {
--- a/src/test/java/yewdock/QuietModule.java
+++ b/src/test/java/yewdock/NoOpModule.java
@@ -7,7 +7,7 @@
 import umberspread.Routing.ServerState;
 
 /** A module that takes no action on any event; a test overrides the events that it is about. */
-class QuietModule implements Routing.Events {
+class NoOpModule implements Routing.Events {
     @Override
     public void started(long now) {
         // no action
--- a/src/test/java/yewdock/OutdatedEndpointListTest.java
+++ b/src/test/java/yewdock/OutdatedEndpointListTest.java
@@ -37,7 +37,7 @@
     private int calls;
 
     /** Follows the list from the start and records each server's state. */
-    private final class Module extends QuietModule {
+    private final class Module extends NoOpModule {
         private final Routing.Actions actions;
 
         Module(Routing.Actions actions) {
@@ -132,8 +132,8 @@
             assertEquals(List.of("DRAINING", "READY"), states.subList(1, 3));
             pass(SECOND / 2, new EndpointList(39, true, List.of(FIRST, SECOND_SERVER)));
             assertEquals(List.of("DRAINING", "READY"), states.subList(1, 3));
-            pass(3 * SECOND, new EndpointList(41, true, List.of(server(1, Lifecycle.DRAINING),
-                    SECOND_SERVER)));
+            pass(3 * SECOND, new EndpointList(41, true,
+                    List.of(server(1, Lifecycle.DRAINING), SECOND_SERVER)));
             assertEquals(List.of("DRAINING", "READY"), states.subList(1, 3));
             assertTrue(openCall.sinceVersion() == 41, "the watch goes on from " + openCall.sinceVersion());
         }
--- a/src/test/java/yewdock/PolledDiscoveryTest.java
+++ b/src/test/java/yewdock/PolledDiscoveryTest.java
@@ -45,7 +45,7 @@
     private long now;
 
     /** Calls discovery once, and again a second after it is told of a failure. */
-    private final class Module extends QuietModule {
+    private final class Module extends NoOpModule {
         Module(Routing.Actions actions) {
             module = actions;
         }
@@ -144,8 +144,8 @@
     }
 
     /**
-     * A list that another router already has is asked for without waiting for the timeout of an unanswered
-     * call.
+     * A list that another router already has is asked for without waiting for the
+     * timeout of an unanswered call.
      */
     @Test
     void newerListOfAnotherRouterIsAskedForAtOnce() {
@@ -163,8 +163,8 @@
     }
 
     /**
-     * The whole fleet pays for discovery calls: about one each 5 s without changes, and few in a long
-     * silence.
+     * The whole fleet pays for discovery calls: about one each 5 s without changes, and
+     * few in a long silence.
      */
     @Test
     void callRateIsBoundedWithoutChangesAndWithoutAnswers() {
--- a/src/test/java/yewdock/ProcessHandoverTest.java
+++ b/src/test/java/yewdock/ProcessHandoverTest.java
@@ -18,11 +18,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import yewdock.testbed.FaultySuccession;
+import yewdock.testbed.FaultyHandover;
 import yewdock.testbed.Fleet;
-import yewdock.verification.Instance;
 import yewdock.verification.ProcessSignals;
-import yewdock.verification.ReplacementProof;
+import yewdock.verification.ReplacementVerification;
+import yewdock.verification.ServingProcess;
 
 /** Handover from a router process to the newer one that replaces it, started as the platform does. */
 @Timeout(120)
@@ -31,35 +31,35 @@
 
     @TempDir
     private Path folder;
-    private final List<Instance> started = new ArrayList<>();
+    private final List<ServingProcess> started = new ArrayList<>();
 
     @AfterEach
     void closeInstances() {
-        started.forEach(Instance::close);
+        started.forEach(ServingProcess::close);
     }
 
-    private Instance start(String config, String... main) throws IOException {
-        Instance instance = Instance.start(main.length == 0 ? List.of(MAIN, "serve") : List.of(main), folder,
-                config);
+    private ServingProcess start(String config, String... main) throws IOException {
+        ServingProcess instance = ServingProcess.start(main.length == 0 ? List.of(MAIN, "serve")
+                : List.of(main), folder, config);
         started.add(instance);
         return instance;
     }
 
-    private Instance startFirst(Fleet fleet) throws IOException {
-        Instance instance = start(fleet.withDoor("127.0.0.1:0"));
-        instance.ready();
+    private ServingProcess startFirst(Fleet fleet) throws IOException {
+        ServingProcess instance = start(fleet.configurationWithOperator("127.0.0.1:0"));
+        instance.awaitReady();
         return instance;
     }
 
-    private Instance startNewer(Instance older, Fleet fleet, String... main) throws IOException {
-        return start(fleet.withDoor("127.0.0.1:" + older.address().getPort()), main);
+    private ServingProcess startNewer(ServingProcess older, Fleet fleet, String... main) throws IOException {
+        return start(fleet.configurationWithOperator("127.0.0.1:" + older.address().getPort()), main);
     }
 
-    private static void awaitTakeover(Instance newer) {
-        assertNotNull(newer.await(l -> l.contains("succession.took_over")), newer.log());
+    private static void awaitTakeover(ServingProcess newer) {
+        assertNotNull(newer.awaitLogLine(l -> l.contains("succession.took_over")), newer.log());
     }
 
-    private static Socket connect(Instance instance) throws IOException {
+    private static Socket connect(ServingProcess instance) throws IOException {
         InetSocketAddress address = instance.address();
         Socket socket = new Socket(address.getAddress(), address.getPort());
         socket.setSoTimeout(20_000);
@@ -78,7 +78,7 @@
         return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
     }
 
-    private static void signal(Instance instance, String name) throws Exception {
+    private static void signal(ServingProcess instance, String name) throws Exception {
         ProcessSignals.send(name, List.of(instance.process().pid()));
     }
 
@@ -89,7 +89,7 @@
     @Test
     void replacementsUnderLoadBreakNoRule() throws Exception {
         List<String> output = new ArrayList<>();
-        assertEquals(List.of(), new ReplacementProof(MAIN, 5, 80, 3, output::add).run(),
+        assertEquals(List.of(), new ReplacementVerification(MAIN, 5, 80, 3, output::add).run(),
                 String.join("\n", output));
     }
 
@@ -97,22 +97,23 @@
     @Test
     void idOpenAtTheOlderProcessIsRejectedByTheNewer() throws Exception {
         try (Fleet fleet = new Fleet(2, 8)) {
-            Instance older = startFirst(fleet);
+            ServingProcess older = startFirst(fleet);
             try (Socket stream = connect(older)) {
                 sendRequest(stream, "one", 120, 30);
                 assertEquals('H', stream.getInputStream().read());
-                Instance newer = startNewer(older, fleet);
+                ServingProcess newer = startNewer(older, fleet);
                 awaitTakeover(newer);
-                assertNotNull(older.await(l -> l.contains("succession.lets_go")), older.log());
-                assertTrue(newer.call("health").startsWith("NO an older process finishes"), newer.log());
+                assertNotNull(older.awaitLogLine(l -> l.contains("succession.lets_go")), older.log());
+                assertTrue(newer.sendCommand("health").startsWith("NO an older process finishes"),
+                        newer.log());
                 try (Socket duplicate = connect(newer)) {
                     sendRequest(duplicate, "one", 1, 1);
                     assertTrue(readResponse(duplicate).startsWith("HTTP/1.1 409 "));
                 }
                 assertTrue(readResponse(stream).endsWith("0\r\n\r\n"));
-                older.leave();
-                assertTrue(older.ended());
-                newer.ready();
+                older.terminate();
+                assertTrue(older.awaitExit());
+                newer.awaitReady();
             }
         }
     }
@@ -124,18 +125,18 @@
     @Test
     void cordonAppliesAtBothProcesses() throws Exception {
         try (Fleet fleet = new Fleet(3, 8)) {
-            Instance older = startFirst(fleet);
-            assertTrue(older.call("cordon s-2").startsWith("YES "));
+            ServingProcess older = startFirst(fleet);
+            assertTrue(older.sendCommand("cordon s-2").startsWith("YES "));
             List<Socket> olderConnections = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
                 olderConnections.add(connect(older));
             }
-            Instance newer = startNewer(older, fleet);
+            ServingProcess newer = startNewer(older, fleet);
             awaitTakeover(newer);
-            assertTrue(newer.call("counters").contains("members_unavailable=1\n"));
-            assertTrue(newer.call("cordon s-1").startsWith("YES "));
-            assertTrue(newer.call("uncordon s-2").startsWith("YES "));
-            assertNotNull(newer.await(l -> l.contains("uncordoned s-2")));
+            assertTrue(newer.sendCommand("counters").contains("members_unavailable=1\n"));
+            assertTrue(newer.sendCommand("cordon s-1").startsWith("YES "));
+            assertTrue(newer.sendCommand("uncordon s-2").startsWith("YES "));
+            assertNotNull(newer.awaitLogLine(l -> l.contains("uncordoned s-2")));
             int served = 0;
             for (Socket socket : olderConnections) {
                 try (socket) {
@@ -144,8 +145,8 @@
                 }
             }
             assertTrue(served > 0, older.log());
-            assertTrue(fleet.ledger().atBoxes().stream().noneMatch(a -> a.box().equals("s-1")),
-                    fleet.ledger().atBoxes().toString());
+            assertTrue(fleet.observations().serverAttempts().stream().noneMatch(a ->
+                    a.server().equals("s-1")), fleet.observations().serverAttempts().toString());
         }
     }
 
@@ -153,14 +154,14 @@
     @Test
     void operatorOverridesSurviveAKilledProcess() throws Exception {
         try (Fleet fleet = new Fleet(2, 8)) {
-            Instance older = startFirst(fleet);
-            assertTrue(older.call("cordon s-1").startsWith("YES "));
+            ServingProcess older = startFirst(fleet);
+            assertTrue(older.sendCommand("cordon s-1").startsWith("YES "));
             older.close();
-            Instance newer = startNewer(older, fleet);
-            newer.ready();
+            ServingProcess newer = startNewer(older, fleet);
+            newer.awaitReady();
             assertTrue(newer.log().contains("succession.nobody"), newer.log());
-            assertTrue(newer.call("counters").contains("members_unavailable=1\n"));
-            assertTrue(newer.call("uncordon s-1").startsWith("YES s-1 may serve again"));
+            assertTrue(newer.sendCommand("counters").contains("members_unavailable=1\n"));
+            assertTrue(newer.sendCommand("uncordon s-1").startsWith("YES s-1 may serve again"));
         }
     }
 
@@ -171,9 +172,9 @@
         Files.writeString(tmp.resolve("yewdock-demo.marks"), "yewdock marks 1\ndrains 0 s-1\nend 2\n");
         Files.writeString(tmp.resolve("yewdock-demo.sock"), "no socket");
         try (Fleet fleet = new Fleet(2, 8)) {
-            Instance first = startFirst(fleet);
+            ServingProcess first = startFirst(fleet);
             assertTrue(first.log().contains("succession.marks_unreadable"), first.log());
-            assertTrue(first.call("counters").contains("members_unavailable=0\n"));
+            assertTrue(first.sendCommand("counters").contains("members_unavailable=0\n"));
         }
     }
 
@@ -181,11 +182,12 @@
     @Test
     void olderProcessServesWhenTheNewerDies() throws Exception {
         try (Fleet fleet = new Fleet(2, 8)) {
-            Instance older = startFirst(fleet);
-            Instance faulty = startNewer(older, fleet, FaultySuccession.class.getName(), "SHARE", "KILLED");
-            assertTrue(faulty.ended());
-            assertNotNull(older.await(l -> l.contains("succession.newer_gone") && l.contains("shared=true")),
-                    older.log());
+            ServingProcess older = startFirst(fleet);
+            ServingProcess faulty = startNewer(older, fleet, FaultyHandover.class.getName(), "SHARE",
+                    "KILLED");
+            assertTrue(faulty.awaitExit());
+            assertNotNull(older.awaitLogLine(l -> l.contains("succession.newer_gone")
+                    && l.contains("shared=true")), older.log());
             try (Socket client = connect(older)) {
                 sendRequest(client, "after", 2, 1);
                 assertTrue(readResponse(client).startsWith("HTTP/1.1 200 "));
@@ -193,11 +195,11 @@
             try (Socket stream = connect(older)) {
                 sendRequest(stream, "stream", 150, 30);
                 assertEquals('H', stream.getInputStream().read());
-                Instance newer = startNewer(older, fleet);
+                ServingProcess newer = startNewer(older, fleet);
                 awaitTakeover(newer);
-                assertNotNull(older.await(l -> l.contains("succession.lets_go")));
+                assertNotNull(older.awaitLogLine(l -> l.contains("succession.lets_go")));
                 newer.close();
-                older.ready();
+                older.awaitReady();
                 try (Socket client = connect(older)) {
                     sendRequest(client, "again", 2, 1);
                     assertTrue(readResponse(client).startsWith("HTTP/1.1 200 "));
@@ -212,10 +214,10 @@
     @Test
     void connectionsInTheQueueOfAHungProcessAreServed() throws Exception {
         try (Fleet fleet = new Fleet(2, 32)) {
-            Instance older = startFirst(fleet);
+            ServingProcess older = startFirst(fleet);
             signal(older, "STOP");
-            Instance newer = startNewer(older, fleet);
-            assertNotNull(newer.await(l -> l.contains("listens on")), newer.log());
+            ServingProcess newer = startNewer(older, fleet);
+            assertNotNull(newer.awaitLogLine(l -> l.contains("listens on")), newer.log());
             List<Socket> clients = new ArrayList<>();
             for (int i = 0; i < 24; i++) {
                 Socket client = connect(newer);
@@ -235,11 +237,11 @@
     @Test
     void olderProcessMayExitBeforeTheNewerIsReady() throws Exception {
         try (Fleet fleet = new Fleet(2, 8)) {
-            Instance older = startFirst(fleet);
-            Instance newer = startNewer(older, fleet);
-            older.leave();
-            assertTrue(older.ended());
-            newer.ready();
+            ServingProcess older = startFirst(fleet);
+            ServingProcess newer = startNewer(older, fleet);
+            older.terminate();
+            assertTrue(older.awaitExit());
+            newer.awaitReady();
             try (Socket client = connect(newer)) {
                 sendRequest(client, "one", 2, 1);
                 assertTrue(readResponse(client).startsWith("HTTP/1.1 200 "));
@@ -251,10 +253,11 @@
     @Test
     void occupiedOperatorPortEndsTheStart() throws Exception {
         try (Fleet fleet = new Fleet(1, 8); ServerSocket taken = new ServerSocket(0)) {
-            Instance router = start(fleet.withDoor("127.0.0.1:0").replace("\"operator\":\"127.0.0.1:0\"",
-                    "\"operator\":\"127.0.0.1:" + taken.getLocalPort() + "\""));
-            assertTrue(router.ended());
-            assertEquals(1, router.exit());
+            ServingProcess router = start(fleet.configurationWithOperator("127.0.0.1:0")
+                    .replace("\"operator\":\"127.0.0.1:0\"",
+                            "\"operator\":\"127.0.0.1:" + taken.getLocalPort() + "\""));
+            assertTrue(router.awaitExit());
+            assertEquals(1, router.exitCode());
             assertTrue(router.log().contains("can't listen for operators"), router.log());
             assertFalse(router.log().contains("listens on"), router.log());
         }
--- a/src/test/java/yewdock/StoreDaemonTest.java
+++ b/src/test/java/yewdock/StoreDaemonTest.java
@@ -18,11 +18,11 @@
 import org.junit.jupiter.api.io.TempDir;
 import yewdock.testbed.Fleet;
 import yewdock.testbed.ListenPorts;
-import yewdock.testbed.Load;
-import yewdock.verification.Router;
-import yewdock.verification.Rules;
-import yewdock.verification.StoreProof;
-import yewdock.verification.UpgradeProof;
+import yewdock.testbed.LoadGenerator;
+import yewdock.verification.DaemonProcess;
+import yewdock.verification.RunChecker;
+import yewdock.verification.StoreVerification;
+import yewdock.verification.UpgradeVerification;
 
 /** Daemons in separate processes with stores and replication: kills, restarts, bad disks, lost peers. */
 class StoreDaemonTest {
@@ -35,20 +35,20 @@
         return "store {\n  folder = \"" + directory + "\"\n  retry_s = 0.1\n}\n";
     }
 
-    private Router start(Fleet fleet, String name, String extraSettings) throws IOException {
-        return Router.start(MAIN, Files.createDirectories(folder.resolve(name)),
-                fleet.configuration("127.0.0.1:0"), UpgradeProof.QUICK_STAGES, extraSettings);
+    private DaemonProcess start(Fleet fleet, String name, String extraSettings) throws IOException {
+        return DaemonProcess.start(MAIN, Files.createDirectories(folder.resolve(name)),
+                fleet.configuration("127.0.0.1:0"), UpgradeVerification.QUICK_STAGES, extraSettings);
     }
 
     /** Sends an operator command that must succeed; returns its output. */
-    private static String ask(Router router, String command, String... words) throws IOException {
-        Router.Said result = router.ask(command, List.of(words));
-        assertEquals(0, result.exit(), result.lines());
-        return result.lines();
+    private static String ask(DaemonProcess router, String command, String... words) throws IOException {
+        DaemonProcess.CommandResult result = router.sendCommand(command, List.of(words));
+        assertEquals(0, result.exitCode(), result.output());
+        return result.output();
     }
 
     /** Waits until the router's status contains the text. */
-    private static void awaitStatus(Router router, String text) throws Exception {
+    private static void awaitStatus(DaemonProcess router, String text) throws Exception {
         String status = "";
         for (int i = 0; i < 2_000; i++) {
             status = ask(router, "status");
@@ -62,7 +62,8 @@
 
     private static void runLoad(Fleet fleet, InetSocketAddress router, long seed, int millis)
             throws Exception {
-        Load load = new Load(new Load.Plan(router, 8, 150, 5, 2, seed), fleet.ledger());
+        LoadGenerator load = new LoadGenerator(new LoadGenerator.Profile(router, 8, 150, 5, 2, seed),
+                fleet.observations());
         load.start();
         Thread.sleep(millis);
         load.stop();
@@ -71,7 +72,7 @@
     /** A short run of the store proof: kills under load must lose no acknowledged change. */
     @Test
     void killsUnderLoadLoseNoAcknowledgedChange() throws Exception {
-        assertEquals(List.of(), new StoreProof(MAIN, 2, 5, line -> { }).run());
+        assertEquals(List.of(), new StoreVerification(MAIN, 2, 5, line -> { }).run());
     }
 
     /** A drain holds until it is undone; a server marked as gone is used again once it has restarted. */
@@ -79,38 +80,40 @@
     void operatorOverridesHoldOverUpgradesAndRestartsUntilUndone() throws Exception {
         Path directory = folder.resolve("kept");
         try (Fleet fleet = new Fleet(3, 16)) {
-            String server = fleet.boxes().get(0).name();
-            try (Router router = start(fleet, "a", storeBlock(directory))) {
+            String server = fleet.servers().get(0).name();
+            try (DaemonProcess router = start(fleet, "a", storeBlock(directory))) {
                 ask(router, "drain", server);
-                assertEquals(1, router.ask("drain", List.of("nobody")).exit());
-                assertEquals(1, router.ask("drain", List.of(server, "--here")).exit(),
+                assertEquals(1, router.sendCommand("drain", List.of("nobody")).exitCode());
+                assertEquals(1, router.sendCommand("drain", List.of(server, "--here")).exitCode(),
                         "--here needs consensus, which is off");
-                assertEquals(1, router.ask("rules", List.of()).exit());
-                assertEquals(0, router.ask("upgrade", List.of()).exit());
+                assertEquals(1, router.sendCommand("rules", List.of()).exitCode());
+                assertEquals(0, router.sendCommand("upgrade", List.of()).exitCode());
                 runLoad(fleet, router.address(), 1, 400);
             }
-            try (Router router = start(fleet, "a", storeBlock(directory))) {
+            try (DaemonProcess router = start(fleet, "a", storeBlock(directory))) {
                 awaitStatus(router, "mark: " + server + " drain, by here");
                 runLoad(fleet, router.address(), 2, 400);
-                assertFalse(fleet.ledger().atBoxes().isEmpty());
-                assertTrue(fleet.ledger().atBoxes().stream().noneMatch(a -> a.box().equals(server)));
+                assertFalse(fleet.observations().serverAttempts().isEmpty());
+                assertTrue(fleet.observations().serverAttempts().stream().noneMatch(a ->
+                        a.server().equals(server)));
                 ask(router, "undrain", server);
                 runLoad(fleet, router.address(), 3, 800);
-                assertTrue(fleet.ledger().atBoxes().stream().anyMatch(a -> a.box().equals(server)));
+                assertTrue(fleet.observations().serverAttempts().stream().anyMatch(a ->
+                        a.server().equals(server)));
                 ask(router, "mark-gone", server);
-                assertTrue(router.leave());
+                assertTrue(router.terminate());
             }
             // the server restarts while the router is down: the override was for the process before
-            fleet.list().set(server, fleet.boxes().get(0).address(), Fleet.ZONE, Fleet.KIND, "up",
-                    System.currentTimeMillis() - 60_000);
-            int before = fleet.ledger().atBoxes().size();
-            try (Router router = start(fleet, "a", storeBlock(directory))) {
+            fleet.discovery().putServer(server, fleet.servers().get(0).address(), Fleet.ZONE, Fleet.KIND,
+                    "up", System.currentTimeMillis() - 60_000);
+            int before = fleet.observations().serverAttempts().size();
+            try (DaemonProcess router = start(fleet, "a", storeBlock(directory))) {
                 runLoad(fleet, router.address(), 4, 800);
                 assertFalse(ask(router, "status").contains("mark:"));
-                assertTrue(fleet.ledger().atBoxes().stream().skip(before)
-                        .anyMatch(a -> a.box().equals(server)), router.log());
+                assertTrue(fleet.observations().serverAttempts().stream().skip(before)
+                        .anyMatch(a -> a.server().equals(server)), router.log());
             }
-            assertEquals(List.of(), Rules.brokenOverKills(fleet.ledger(), List.of()));
+            assertEquals(List.of(), RunChecker.violationsWithKills(fleet.observations(), List.of()));
         }
     }
 
@@ -120,19 +123,19 @@
         Path directory = folder.resolve("kept");
         Fleet fleet = new Fleet(3, 16);
         try (fleet) {
-            String server = fleet.boxes().get(1).name();
-            try (Router router = start(fleet, "a", storeBlock(directory))) {
-                fleet.list().state(server, "draining");
+            String server = fleet.servers().get(1).name();
+            try (DaemonProcess router = start(fleet, "a", storeBlock(directory))) {
+                fleet.discovery().setState(server, "draining");
                 awaitStatus(router, "list: version 5");
-                assertTrue(router.leave());
+                assertTrue(router.terminate());
             }
-            fleet.list().close();
-            int before = fleet.ledger().atBoxes().size();
-            try (Router router = start(fleet, "a", storeBlock(directory))) {
+            fleet.discovery().close();
+            int before = fleet.observations().serverAttempts().size();
+            try (DaemonProcess router = start(fleet, "a", storeBlock(directory))) {
                 runLoad(fleet, router.address(), 1, 600);
-                assertTrue(fleet.ledger().atBoxes().size() > before, router.log());
-                assertTrue(fleet.ledger().atBoxes().stream().skip(before)
-                        .noneMatch(a -> a.box().equals(server)));
+                assertTrue(fleet.observations().serverAttempts().size() > before, router.log());
+                assertTrue(fleet.observations().serverAttempts().stream().skip(before)
+                        .noneMatch(a -> a.server().equals(server)));
             }
         }
     }
@@ -140,27 +143,28 @@
     @Test
     void secondDaemonOnTheSameStoreExits() throws Exception {
         try (Fleet fleet = new Fleet(1, 4);
-                Router router = start(fleet, "a", storeBlock(folder.resolve("s")));
-                Router second = Router.launch(MAIN, Files.createDirectory(folder.resolve("b")),
-                        fleet.configuration("127.0.0.1:0"), UpgradeProof.QUICK_STAGES,
+                DaemonProcess router = start(fleet, "a", storeBlock(folder.resolve("s")));
+                DaemonProcess second = DaemonProcess.launch(MAIN, Files.createDirectory(folder.resolve("b")),
+                        fleet.configuration("127.0.0.1:0"), UpgradeVerification.QUICK_STAGES,
                         storeBlock(folder.resolve("s")))) {
-            assertEquals(1, second.exit());
-            assertNotNull(second.await(l -> l.contains("is in use by another process")));
-            ask(router, "drain", fleet.boxes().get(0).name());
+            assertEquals(1, second.awaitExitCode());
+            assertNotNull(second.awaitLogLine(l -> l.contains("is in use by another process")));
+            ask(router, "drain", fleet.servers().get(0).name());
         }
     }
 
     @Test
     void unusableStoreIsReportedAndRecoversWhileTheRouterServes() throws Exception {
         Path directory = Files.writeString(folder.resolve("s"), "in the way");
-        try (Fleet fleet = new Fleet(2, 16); Router router = start(fleet, "a", storeBlock(directory))) {
+        try (Fleet fleet = new Fleet(2, 16); DaemonProcess router = start(fleet, "a",
+                storeBlock(directory))) {
             runLoad(fleet, router.address(), 1, 300);
-            assertFalse(fleet.ledger().atClients().isEmpty());
+            assertFalse(fleet.observations().requestResults().isEmpty());
             awaitStatus(router, "store: failed (READ_ONLY)");
             Files.delete(directory);
             awaitStatus(router, "store: open");
-            ask(router, "drain", fleet.boxes().get(0).name());
-            assertEquals(List.of(), Rules.broken(fleet.ledger()));
+            ask(router, "drain", fleet.servers().get(0).name());
+            assertEquals(List.of(), RunChecker.violations(fleet.observations()));
         }
     }
 
@@ -168,16 +172,16 @@
     void damagedStoreIsKeptUnderAnotherName() throws Exception {
         Path directory = folder.resolve("s");
         try (Fleet fleet = new Fleet(2, 16)) {
-            try (Router router = start(fleet, "a", storeBlock(directory))) {
-                ask(router, "drain", fleet.boxes().get(0).name());
-                assertTrue(router.leave());
+            try (DaemonProcess router = start(fleet, "a", storeBlock(directory))) {
+                ask(router, "drain", fleet.servers().get(0).name());
+                assertTrue(router.terminate());
             }
             byte[] bytes = Files.readAllBytes(directory.resolve("records.mv"));
             for (int i = 4096; i < bytes.length; i++) {
                 bytes[i] = (byte) (bytes[i] ^ 0x55);
             }
             Files.write(directory.resolve("records.mv"), bytes);
-            try (Router router = start(fleet, "a", storeBlock(directory))) {
+            try (DaemonProcess router = start(fleet, "a", storeBlock(directory))) {
                 awaitStatus(router, "store: open");
                 assertTrue(Files.exists(directory.resolve("records.mv.damaged")), router.log());
             }
@@ -198,10 +202,10 @@
                     + "\"\n  peers = [\"i" + (1 - i) + "=127.0.0.1:" + ports[1 - i] + "\"]\n}\n";
         }
         try (Fleet fleet = new Fleet(3, 16);
-                Router routerOne = start(fleet, "one",
+                DaemonProcess routerOne = start(fleet, "one",
                         storeBlock(folder.resolve("s1")) + replicationBlocks[1])) {
-            String server = fleet.boxes().get(0).name();
-            try (Router routerZero = start(fleet, "zero",
+            String server = fleet.servers().get(0).name();
+            try (DaemonProcess routerZero = start(fleet, "zero",
                     storeBlock(folder.resolve("s0")) + replicationBlocks[0])) {
                 awaitStatus(routerZero, "peer i1: up");
                 awaitStatus(routerOne, "peer i0: up");
@@ -209,12 +213,13 @@
                 awaitStatus(routerOne, "mark: " + server + " drain, by i0");
                 sendGarbage(ports[1]);
                 runLoad(fleet, routerOne.address(), 1, 400);
-                assertTrue(fleet.ledger().atBoxes().stream().noneMatch(a -> a.box().equals(server)));
-                assertEquals(List.of(), Rules.broken(fleet.ledger()));
+                assertTrue(fleet.observations().serverAttempts().stream().noneMatch(a ->
+                        a.server().equals(server)));
+                assertEquals(List.of(), RunChecker.violations(fleet.observations()));
             }
             awaitStatus(routerOne, "peer i0: down");
             // with an empty store it gets its own overrides back from its peer
-            try (Router routerZero = start(fleet, "empty",
+            try (DaemonProcess routerZero = start(fleet, "empty",
                     storeBlock(folder.resolve("s2")) + replicationBlocks[0])) {
                 awaitStatus(routerZero, "mark: " + server + " drain, by i0");
                 ask(routerZero, "undrain", server);
--- a/src/test/java/yewdock/admin/AdminInterfaceTest.java
+++ b/src/test/java/yewdock/admin/AdminInterfaceTest.java
@@ -32,10 +32,10 @@
     AdminInterfaceTest() throws Exception {
         config = Config.read(Files.readString(Path.of("src/test/resources/exchanges/config.json")),
                 line -> { });
-        Reducer desk = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
+        Reducer reducer = new Reducer(CoreSettings.of(config.settings(), config.keepaliveMicros()),
                 config.bounds(), counters,
                 actions -> new GenerationRouter(config.settings(), 1, actions));
-        connectionManager = new ConnectionManager(config, desk, counters, new NoNetwork(), () -> micros,
+        connectionManager = new ConnectionManager(config, reducer, counters, new NoNetwork(), () -> micros,
                 line -> { });
         adminInterface = new AdminInterface(connectionManager);
         connectionManager.start();
--- a/src/test/java/yewdock/baseline/BoundTest.java
+++ b/src/test/java/yewdock/baseline/BoundTest.java
@@ -78,13 +78,12 @@
     /** With m requests in flight on n servers no server ever has more than ceil((1+e) m / n), for every e. */
     @Test
     void largestLoadStaysWithinTheBound() {
-        for (String hash : Options.HASHES) {
+        for (String hash : PolicyOptions.HASHES) {
             for (int factor : new int[] {105, 125, 200}) {
                 for (int servers : new int[] {1, 7, 100}) {
                     CountingActions actions = new CountingActions();
-                    Routing.Events ring = Policies.make("bounded", new Options(factor, 64, hash, "ceil",
-                            "requests"),
-                            settings(), 1, actions, null);
+                    Routing.Events ring = RoutingPolicies.create("bounded", new PolicyOptions(factor, 64,
+                            hash, "ceil", "requests"), settings(), 1, actions, null);
                     ring.listReceived(0, Routing.ListKind.FULL, fleet(servers));
                     SplittableRandom random = new SplittableRandom(factor * 31L + servers);
                     List<long[]> running = new ArrayList<>();
@@ -99,8 +98,8 @@
                         } else {
                             // a third share one key: without the bound they would overload its server
                             long key = random.nextInt(3) == 0 ? 42 : 1 + random.nextInt(1000);
-                            ring.requestArrived(i, new Routing.Request(i, 0, 0, false, 0, key, 100, 0, 10,
-                                    SECOND));
+                            ring.requestArrived(i, new Routing.Request(i, 0, 0, false, 0, key, 100, 0,
+                                    10, SECOND));
                             inFlight++;
                             running.add(new long[] {i, actions.lastServer});
                             long maxInFlight = ((long) factor * inFlight + 100L * servers - 1)
@@ -120,8 +119,8 @@
         Map<Boolean, Integer> maxInFlight = new HashMap<>();
         for (boolean bounded : List.of(true, false)) {
             CountingActions actions = new CountingActions();
-            Routing.Events ring = Policies.make(bounded ? "bounded" : "hash",
-                    new Options(125, 64, "splitmix", "ceil", "requests"), settings(), 1, actions, null);
+            Routing.Events ring = RoutingPolicies.create(bounded ? "bounded" : "hash",
+                    new PolicyOptions(125, 64, "splitmix", "ceil", "requests"), settings(), 1, actions, null);
             ring.listReceived(0, Routing.ListKind.FULL, fleet(10));
             for (int i = 1; i <= 100; i++) {
                 ring.requestArrived(i, new Routing.Request(i, 0, 0, false, 0, 42, 100, 0, 10, SECOND));
@@ -149,8 +148,8 @@
 
     private static Map<Long, Long> serverByKey(int servers) {
         CountingActions actions = new CountingActions();
-        Routing.Events ring = Policies.make("hash", new Options(125, 64, "splitmix", "ceil", "requests"),
-                settings(), 1, actions, null);
+        Routing.Events ring = RoutingPolicies.create("hash", new PolicyOptions(125, 64, "splitmix", "ceil",
+                "requests"), settings(), 1, actions, null);
         ring.listReceived(0, Routing.ListKind.FULL, fleet(servers));
         Map<Long, Long> serverByKey = new HashMap<>();
         for (long key = 1; key <= 1000; key++) {
--- a/src/test/java/yewdock/consensus/ConsensusSimTest.java
+++ b/src/test/java/yewdock/consensus/ConsensusSimTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import yewdock.verification.CouncilSim;
-import yewdock.verification.CouncilSim.Plant;
+import yewdock.verification.ConsensusSimulation;
+import yewdock.verification.ConsensusSimulation.ProtocolDefect;
 import yewdock.wire.Append;
 import yewdock.wire.Appended;
 import yewdock.wire.RaftFrame;
@@ -21,19 +21,19 @@
 
     @Test
     void aGroupIsFoundedAndCommitsAChange() {
-        CouncilSim sim = new CouncilSim(3, 2, 1, Plant.NONE);
+        ConsensusSimulation sim = new ConsensusSimulation(3, 2, 1, ProtocolDefect.NONE);
         sim.run(5 * SECOND_MICROS);
-        assertNotNull(sim.leader(), sim.judge().notes().toString());
+        assertNotNull(sim.leader(), sim.checker().eventCounts().toString());
         for (int i = 0; i < sim.size(); i++) {
-            assertTrue(sim.host(i).council().holdsLease(), sim.host(i).name());
+            assertTrue(sim.router(i).consensusNode().holdsLease(), sim.router(i).name());
         }
-        sim.propose(sim.host(4));
+        sim.propose(sim.router(4));
         sim.run(SECOND_MICROS);
-        assertEquals(1, sim.judge().forced());
+        assertEquals(1, sim.checker().changesInForce());
         for (int i = 0; i < sim.size(); i++) {
-            assertEquals(1, sim.host(i).council().localRules().revision(), sim.host(i).name());
+            assertEquals(1, sim.router(i).consensusNode().localRules().revision(), sim.router(i).name());
         }
-        assertEquals(List.of(), sim.judge().broken());
+        assertEquals(List.of(), sim.checker().violations());
     }
 
     /**
@@ -42,16 +42,17 @@
      */
     @Test
     void membersWithoutALeaderElectOne() {
-        CouncilSim sim = simulateFaults(3, 3, 874, Plant.NONE);
-        assertNotNull(sim.leader(), sim.judge().notes().toString());
-        assertTrue(sim.judge().notes().containsKey("agreement.nobody_leads"));
+        ConsensusSimulation sim = simulateFaults(3, 3, 874, ProtocolDefect.NONE);
+        assertNotNull(sim.leader(), sim.checker().eventCounts().toString());
+        assertTrue(sim.checker().eventCounts().containsKey("agreement.nobody_leads"));
     }
 
     /** Runs a simulation with 20 s of faults, and 15 s without to recover. */
-    private static CouncilSim simulateFaults(int members, int followers, long seed, Plant plant) {
-        CouncilSim sim = new CouncilSim(members, followers, seed, plant);
+    private static ConsensusSimulation simulateFaults(int members, int followers, long seed,
+            ProtocolDefect defect) {
+        ConsensusSimulation sim = new ConsensusSimulation(members, followers, seed, defect);
         sim.run(5 * SECOND_MICROS);
-        sim.trouble(20 * SECOND_MICROS);
+        sim.runWithRandomFaults(20 * SECOND_MICROS);
         sim.run(15 * SECOND_MICROS);
         return sim;
     }
@@ -61,45 +62,46 @@
         int forced = 0;
         long behind = 0;
         for (int seed = 1; seed <= 60; seed++) {
-            CouncilSim sim = simulateFaults(seed % 2 == 0 ? 3 : 5, 3, seed, Plant.NONE);
-            assertNotNull(sim.leader(), "seed " + seed + " " + sim.judge().notes());
-            sim.judge().nothingLost(sim.leader().council().committedRules());
-            assertEquals(List.of(), sim.judge().broken(), "seed " + seed);
+            ConsensusSimulation sim = simulateFaults(seed % 2 == 0 ? 3 : 5, 3, seed, ProtocolDefect.NONE);
+            assertNotNull(sim.leader(), "seed " + seed + " " + sim.checker().eventCounts());
+            sim.checker().checkNothingLost(sim.leader().consensusNode().committedRules());
+            assertEquals(List.of(), sim.checker().violations(), "seed " + seed);
             for (int i = 0; i < sim.size(); i++) {
-                assertTrue(sim.host(i).council().holdsLease(), "seed " + seed + " " + sim.host(i).name());
-                assertEquals(sim.leader().council().committedRules().chain(),
-                        sim.host(i).council().localRules().chain());
+                assertTrue(sim.router(i).consensusNode().holdsLease(), "seed " + seed + " "
+                        + sim.router(i).name());
+                assertEquals(sim.leader().consensusNode().committedRules().chain(),
+                        sim.router(i).consensusNode().localRules().chain());
             }
-            forced += sim.judge().forced();
-            behind = Math.max(behind, sim.judge().longestBehind());
+            forced += sim.checker().changesInForce();
+            behind = Math.max(behind, sim.checker().longestStaleness());
         }
         assertTrue(forced > 500, "changes in force: " + forced);
         assertTrue(behind > SECOND_MICROS, "no router was ever behind: " + behind);
     }
 
-    /** Checks the judge itself: it has to detect each of these faults that are injected on purpose. */
+    /** Checks the checker itself: it has to detect each of these faults that are injected on purpose. */
     @ParameterizedTest
     @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-    void everyInjectedFaultIsDetected(Plant plant) {
+    void everyInjectedFaultIsDetected(ProtocolDefect defect) {
         for (int seed = 1; seed <= 60; seed++) {
-            CouncilSim sim = simulateFaults(3, 3, seed, plant);
+            ConsensusSimulation sim = simulateFaults(3, 3, seed, defect);
             if (sim.leader() != null) {
-                sim.judge().nothingLost(sim.leader().council().committedRules());
+                sim.checker().checkNothingLost(sim.leader().consensusNode().committedRules());
             }
-            if (!sim.judge().broken().isEmpty()) {
-                System.out.println(plant + " seed " + seed + ": " + sim.judge().broken().get(0));
+            if (!sim.checker().violations().isEmpty()) {
+                System.out.println(defect + " seed " + seed + ": " + sim.checker().violations().get(0));
                 return;
             }
         }
-        fail(plant + " was not detected in 60 seeds");
+        fail(defect + " was not detected in 60 seeds");
     }
 
     /** A leader could otherwise take a response to a round of an earlier term for one to its own round. */
     @Test
     void responsesOfAnEarlierTermAreDropped() {
         RaftFrame.Builder frame = RaftFrame.newBuilder().setTerm(3);
-        assertTrue(RaftMember.isOutdatedResponse(frame.setAppended(Appended.getDefaultInstance()).build(),
-                4));
+        assertTrue(RaftMember.isOutdatedResponse(
+                frame.setAppended(Appended.getDefaultInstance()).build(), 4));
         assertFalse(RaftMember.isOutdatedResponse(frame.build(), 3));
         assertFalse(RaftMember.isOutdatedResponse(frame.build(), 2));
         assertFalse(RaftMember.isOutdatedResponse(frame.setAppend(Append.getDefaultInstance()).build(), 4));
@@ -107,16 +109,16 @@
 
     @Test
     void aRouterWithAnOutdatedEndpointListIsToldOncePerVersion() {
-        CouncilSim sim = new CouncilSim(3, 2, 1, Plant.NONE);
+        ConsensusSimulation sim = new ConsensusSimulation(3, 2, 1, ProtocolDefect.NONE);
         sim.run(5 * SECOND_MICROS);
         for (int i = 0; i < 5; i++) {
-            sim.host(i).council().endpointListInUse("list", i == 4 ? 6 : 7);
+            sim.router(i).consensusNode().endpointListInUse("list", i == 4 ? 6 : 7);
         }
         sim.run(SECOND_MICROS);
-        assertEquals(1, sim.listsCaughtUp());
-        sim.host(2).council().endpointListInUse("list", 8);
+        assertEquals(1, sim.endpointListCatchUps());
+        sim.router(2).consensusNode().endpointListInUse("list", 8);
         sim.run(SECOND_MICROS);
-        assertEquals(5, sim.listsCaughtUp());
+        assertEquals(5, sim.endpointListCatchUps());
     }
 
     /**
@@ -142,20 +144,20 @@
     @Test
     void aMemberWithAFullDiskRecoversByItself() {
         for (int index = 0; index < 3; index++) {
-            CouncilSim sim = new CouncilSim(3, 1, index + 1, Plant.NONE);
+            ConsensusSimulation sim = new ConsensusSimulation(3, 1, index + 1, ProtocolDefect.NONE);
             sim.run(5 * SECOND_MICROS);
-            sim.host(index).full(true);
-            sim.propose(sim.host(3));
+            sim.router(index).setDiskFull(true);
+            sim.propose(sim.router(3));
             sim.run(8 * SECOND_MICROS);
-            sim.propose(sim.host(3));
+            sim.propose(sim.router(3));
             sim.run(4 * SECOND_MICROS);
-            assertTrue(sim.judge().forced() >= 1, "the others did not go on without " + index);
-            assertTrue(sim.host(3).council().holdsLease());
-            sim.host(index).full(false);
+            assertTrue(sim.checker().changesInForce() >= 1, "the others did not go on without " + index);
+            assertTrue(sim.router(3).consensusNode().holdsLease());
+            sim.router(index).setDiskFull(false);
             sim.run(8 * SECOND_MICROS);
-            assertEquals(sim.leader().council().committedRules().chain(),
-                    sim.host(index).council().committedRules().chain());
-            assertEquals(List.of(), sim.judge().broken());
+            assertEquals(sim.leader().consensusNode().committedRules().chain(),
+                    sim.router(index).consensusNode().committedRules().chain());
+            assertEquals(List.of(), sim.checker().violations());
         }
     }
 
@@ -163,59 +165,59 @@
     @Test
     void aMemberThatLostItsDiskRejoins() {
         for (int seed = 1; seed <= 10; seed++) {
-            CouncilSim sim = new CouncilSim(3, 1, seed, Plant.NONE);
+            ConsensusSimulation sim = new ConsensusSimulation(3, 1, seed, ProtocolDefect.NONE);
             sim.run(5 * SECOND_MICROS);
             for (int i = 0; i < 6; i++) {
-                CouncilSim.Host host = sim.host((seed + i) % 3);
-                host.wipe();
-                sim.propose(sim.host(3));
+                ConsensusSimulation.SimulatedRouter host = sim.router((seed + i) % 3);
+                host.killAndEraseStore();
+                sim.propose(sim.router(3));
                 sim.run(SECOND_MICROS / 2);
                 host.start();
-                sim.propose(sim.host(3));
+                sim.propose(sim.router(3));
                 sim.run(8 * SECOND_MICROS);
-                assertTrue(host.council().isVotingMember(), "seed " + seed + " round " + i + " "
-                        + sim.judge().notes());
+                assertTrue(host.consensusNode().isVotingMember(), "seed " + seed + " round " + i + " "
+                        + sim.checker().eventCounts());
             }
-            sim.judge().nothingLost(sim.leader().council().committedRules());
-            assertEquals(List.of(), sim.judge().broken(), "seed " + seed);
+            sim.checker().checkNothingLost(sim.leader().consensusNode().committedRules());
+            assertEquals(List.of(), sim.checker().violations(), "seed " + seed);
         }
     }
 
     /** Without a majority every lease expires, so no router acts on rules that others may have changed. */
     @Test
     void withoutAMajorityAllLeasesExpireInTime() {
-        CouncilSim sim = new CouncilSim(3, 2, 1, Plant.NONE);
+        ConsensusSimulation sim = new ConsensusSimulation(3, 2, 1, ProtocolDefect.NONE);
         sim.run(5 * SECOND_MICROS);
-        sim.host(0).kill();
-        sim.host(1).kill();
+        sim.router(0).kill();
+        sim.router(1).kill();
         sim.run(3 * SECOND_MICROS);
         for (int i = 2; i < 5; i++) {
-            assertFalse(sim.host(i).council().holdsLease(), sim.host(i).name());
+            assertFalse(sim.router(i).consensusNode().holdsLease(), sim.router(i).name());
         }
         sim.heal();
         sim.run(5 * SECOND_MICROS);
         for (int i = 0; i < 5; i++) {
-            assertTrue(sim.host(i).council().holdsLease(), sim.host(i).name());
+            assertTrue(sim.router(i).consensusNode().holdsLease(), sim.router(i).name());
         }
     }
 
     /** A change waits for a partitioned router only until its lease has expired; that router then refuses. */
     @Test
     void aPartitionedRouterDelaysAChangeByOneLeaseAtMost() {
-        CouncilSim sim = new CouncilSim(3, 2, 1, Plant.NONE);
+        ConsensusSimulation sim = new ConsensusSimulation(3, 2, 1, ProtocolDefect.NONE);
         sim.run(5 * SECOND_MICROS);
-        sim.propose(sim.host(3));
+        sim.propose(sim.router(3));
         sim.run(SECOND_MICROS / 2);
-        assertEquals(1, sim.judge().forced());
-        assertTrue(sim.judge().timesToForce().get(0) < SECOND_MICROS / 10,
-                sim.judge().timesToForce().toString());
-        sim.cutOff(sim.host(4), true, true);
-        sim.propose(sim.host(3));
+        assertEquals(1, sim.checker().changesInForce());
+        assertTrue(sim.checker().activationTimes().get(0) < SECOND_MICROS / 10,
+                sim.checker().activationTimes().toString());
+        sim.isolate(sim.router(4), true, true);
+        sim.propose(sim.router(3));
         sim.run(2 * SECOND_MICROS);
-        assertEquals(1, sim.judge().forced());
+        assertEquals(1, sim.checker().changesInForce());
         sim.run(SECOND_MICROS);
-        assertEquals(2, sim.judge().forced());
-        assertFalse(sim.host(4).council().holdsLease());
-        assertEquals(List.of(), sim.judge().broken());
+        assertEquals(2, sim.checker().changesInForce());
+        assertFalse(sim.router(4).consensusNode().holdsLease());
+        assertEquals(List.of(), sim.checker().violations());
     }
 }
--- a/src/test/java/yewdock/experiment/ExperimentTest.java
+++ b/src/test/java/yewdock/experiment/ExperimentTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import yewdock.model.Days;
+import yewdock.model.TestScenarios;
 import yewdock.settings.InvalidSettingsException;
 
 /** Experiments give the same bytes on any number of threads and after an interruption. */
@@ -42,10 +42,10 @@
     @TempDir
     private Path folder;
 
-    private Plan plan(String text) throws IOException, InvalidSettingsException {
-        Files.writeString(folder.resolve("small.hcl"), Days.SMALL);
+    private ExperimentPlan plan(String text) throws IOException, InvalidSettingsException {
+        Files.writeString(folder.resolve("small.hcl"), TestScenarios.SMALL);
         Files.writeString(folder.resolve("plan.hcl"), text);
-        return Plan.read(folder.resolve("plan.hcl"));
+        return ExperimentPlan.read(folder.resolve("plan.hcl"));
     }
 
     private String[] run(String out, int threads) throws Exception {
@@ -92,7 +92,7 @@
     @Test
     void rejectsRunsOfAnotherPlan() throws Exception {
         run("out", 2);
-        Plan other = plan(PLAN.replace("seeds = 6", "seeds = 7"));
+        ExperimentPlan other = plan(PLAN.replace("seeds = 6", "seeds = 7"));
         assertThrows(IOException.class, () -> new Experiment(other, folder.resolve("out")));
     }
 
--- a/src/test/java/yewdock/model/ManyRoutersTest.java
+++ b/src/test/java/yewdock/model/ManyRoutersTest.java
@@ -15,8 +15,9 @@
  * router keeps by itself must also hold for their sum.
  */
 class ManyRoutersTest {
-    private static World simulation(long seed, Map<String, Object> overrides) throws Exception {
-        return Days.simulation(ScenarioFile.read(Path.of("docs/studies/fleet.hcl"), overrides), seed);
+    private static Simulation simulation(long seed, Map<String, Object> overrides) throws Exception {
+        return TestScenarios.simulation(
+                ScenarioFile.read(Path.of("docs/studies/fleet.hcl"), overrides), seed);
     }
 
     /**
@@ -26,16 +27,16 @@
     @ParameterizedTest
     @ValueSource(longs = {6, 8, 10})
     void overloadedRoutersDoNotOverloadColdServers(long seed) throws Exception {
-        World simulation = simulation(seed, Map.of("day.load", 1.1));
+        Simulation simulation = simulation(seed, Map.of("day.load", 1.1));
         simulation.run();
-        assertEquals(List.of(), simulation.broken());
+        assertEquals(List.of(), simulation.ruleViolations());
     }
 
     @Test
     void fleetRunBreaksNoRuleAndIsReproducible() throws Exception {
-        World simulation = simulation(3, Map.of());
+        Simulation simulation = simulation(3, Map.of());
         String result = simulation.run().toString();
-        assertEquals(List.of(), simulation.broken());
+        assertEquals(List.of(), simulation.ruleViolations());
         assertEquals(0, simulation.requestCounts()[2]);
         assertEquals(result, simulation(3, Map.of()).run().toString());
     }
--- a/src/test/java/yewdock/model/SimulatedServerTest.java
+++ b/src/test/java/yewdock/model/SimulatedServerTest.java
@@ -14,22 +14,22 @@
 
 /** Tests a single simulated server step by step, and the event calendar. */
 class SimulatedServerTest {
-    private final Calendar calendar = new Calendar();
+    private final EventCalendar calendar = new EventCalendar();
     private final List<String> events = new ArrayList<>();
-    private final Work.Taker listener = new Work.Taker() {
+    private final InferenceJob.JobListener listener = new InferenceJob.JobListener() {
         @Override
-        public void begun(Work job) {
-            events.add(calendar.now() + " begun " + job.request().number());
+        public void firstToken(InferenceJob job) {
+            events.add(calendar.nowMicros() + " begun " + job.request().number());
         }
 
         @Override
-        public void done(Work job) {
-            events.add(calendar.now() + " done " + job.request().number());
+        public void completed(InferenceJob job) {
+            events.add(calendar.nowMicros() + " done " + job.request().number());
         }
 
         @Override
-        public void lost(Work job) {
-            events.add(calendar.now() + " lost " + job.request().number());
+        public void failed(InferenceJob job) {
+            events.add(calendar.nowMicros() + " lost " + job.request().number());
         }
     };
 
@@ -40,9 +40,9 @@
         return new SimulatedServer(0, 1, 0, spec, 1, calendar, new RandomStreams(1).stream("test"));
     }
 
-    private Work newJob(long number, long session, int prompt, int outputTokens) {
-        return new Work(new Ask(number, 0, 0, 0, session, 0, prompt, 0, prompt, outputTokens, outputTokens, 0,
-                0), listener, 1000, 0.1);
+    private InferenceJob newJob(long number, long session, int prompt, int outputTokens) {
+        return new InferenceJob(new SimulatedRequest(number, 0, 0, 0, session, 0, prompt, 0, prompt,
+                outputTokens, outputTokens, 0, 0), listener, 1000, 0.1);
     }
 
     private void runToEnd() {
@@ -64,13 +64,13 @@
         SimulatedServer server = newServer(4, 4, 100_000, false);
         server.submit(newJob(1, 7, 1024, 1));
         runToEnd();
-        long firstDoneAt = calendar.now();
-        Work repeated = newJob(2, 7, 1056, 1);
+        long firstDoneAt = calendar.nowMicros();
+        InferenceJob repeated = newJob(2, 7, 1056, 1);
         server.submit(repeated);
         runToEnd();
-        assertEquals(1024, repeated.keptTokens());
+        assertEquals(1024, repeated.cachedPromptTokens());
         // only the last 32 tokens are read
-        assertEquals(firstDoneAt + 11_000 + 3_200, calendar.now());
+        assertEquals(firstDoneAt + 11_000 + 3_200, calendar.nowMicros());
     }
 
     @Test
@@ -80,14 +80,14 @@
             server.submit(newJob(session, session, 1024, 1));
             runToEnd();
         }
-        Work oldest = newJob(8, 1, 1024, 1);
-        Work newest = newJob(9, 3, 1024, 1);
+        InferenceJob oldest = newJob(8, 1, 1024, 1);
+        InferenceJob newest = newJob(9, 3, 1024, 1);
         server.submit(newest);
         runToEnd();
         server.submit(oldest);
         runToEnd();
-        assertEquals(1024, newest.keptTokens());
-        assertEquals(0, oldest.keptTokens());
+        assertEquals(1024, newest.cachedPromptTokens());
+        assertEquals(0, oldest.cachedPromptTokens());
     }
 
     @Test
@@ -119,13 +119,13 @@
     void crashLosesRunningQueuedAndAbandonedJobs() {
         SimulatedServer server = newServer(1, 8, 100_000, true);
         for (int i = 1; i <= 4; i++) {
-            Work job = newJob(i, i, 100, 50);
+            InferenceJob job = newJob(i, i, 100, 50);
             server.submit(job);
             if (i % 2 == 0) {
-                job.abandon();
+                job.markAbandoned();
             }
         }
-        calendar.runTo(100_000);
+        calendar.runUntil(100_000);
         server.crash(false);
         runToEnd();
         assertEquals(List.of("100000 lost 1", "100000 lost 2", "100000 lost 3", "100000 lost 4"),
@@ -144,9 +144,9 @@
             events.clear();
             SimulatedServer server = newServer(1, 8, 100_000, dropsExpired);
             server.submit(newJob(1, 1, 100, 50));
-            Work late = newJob(2, 2, 100, 1);
+            InferenceJob late = newJob(2, 2, 100, 1);
             server.submit(late);
-            late.abandon();
+            late.markAbandoned();
             runToEnd();
             assertEquals(dropsExpired, events.stream().anyMatch(t -> t.endsWith("lost 2")));
             assertEquals(!dropsExpired, events.stream().anyMatch(t -> t.endsWith("done 2")));
@@ -157,14 +157,14 @@
     void hungServerResumesWhereItStopped() {
         SimulatedServer server = newServer(1, 8, 100_000, false);
         server.submit(newJob(1, 1, 100, 5));
-        calendar.runTo(30_000);
+        calendar.runUntil(30_000);
         server.setHung(true);
-        calendar.runTo(1_000_000);
+        calendar.runUntil(1_000_000);
         assertEquals(1, server.inFlight());
         server.setHung(false);
         runToEnd();
         assertTrue(events.get(events.size() - 1).endsWith("done 1"));
-        assertTrue(calendar.now() > 1_000_000);
+        assertTrue(calendar.nowMicros() > 1_000_000);
     }
 
     @Test
@@ -172,9 +172,9 @@
         List<Integer> order = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             int index = i;
-            calendar.at(50, () -> order.add(index));
+            calendar.scheduleAt(50, () -> order.add(index));
         }
-        calendar.at(10, () -> calendar.at(50, () -> order.add(100)));
+        calendar.scheduleAt(10, () -> calendar.scheduleAt(50, () -> order.add(100)));
         runToEnd();
         for (int i = 0; i <= 100; i++) {
             assertEquals(i, order.get(i));
@@ -189,35 +189,35 @@
             @ForAll @Size(min = 1, max = 40) List<@IntRange(min = 1, max = 900) Integer> prompts,
             @ForAll @IntRange(min = 1, max = 8) int slots,
             @ForAll @IntRange(min = 1200, max = 5000) int memoryTokens) {
-        Calendar eventCalendar = new Calendar();
+        EventCalendar eventCalendar = new EventCalendar();
         SimulatedServer.ServerSpec spec = new SimulatedServer.ServerSpec(0, slots, 100, memoryTokens, 10, 1,
                 0.1, 1, 10_000, 256, 0.5, 10, true, 0, false, true);
         SimulatedServer server = new SimulatedServer(0, 1, 0, spec, 1.5, eventCalendar,
                 new RandomStreams(2).stream("test"));
         int[] started = new int[prompts.size()];
         int[] done = new int[prompts.size()];
-        Work.Taker counting = new Work.Taker() {
+        InferenceJob.JobListener counting = new InferenceJob.JobListener() {
             @Override
-            public void begun(Work job) {
+            public void firstToken(InferenceJob job) {
                 started[(int) job.request().number()]++;
             }
 
             @Override
-            public void done(Work job) {
+            public void completed(InferenceJob job) {
                 done[(int) job.request().number()]++;
-                assertEquals(job.request().outTokens(), job.generatedTokens());
+                assertEquals(job.request().outputTokens(), job.generatedTokens());
             }
 
             @Override
-            public void lost(Work job) {
+            public void failed(InferenceJob job) {
                 throw new AssertionError("lost " + job.request().number());
             }
         };
         for (int i = 0; i < prompts.size(); i++) {
-            Ask request = new Ask(i, 0, 0, 0, i % 5 + 1, 0, prompts.get(i), 0, prompts.get(i), 1 + i * 7 % 90,
-                    100, 0, 0);
-            eventCalendar.at(i * 5_000L,
-                    () -> assertTrue(server.submit(new Work(request, counting, 0, 0.1))));
+            SimulatedRequest request = new SimulatedRequest(i, 0, 0, 0, i % 5 + 1, 0, prompts.get(i), 0,
+                    prompts.get(i), 1 + i * 7 % 90, 100, 0, 0);
+            eventCalendar.scheduleAt(i * 5_000L,
+                    () -> assertTrue(server.submit(new InferenceJob(request, counting, 0, 0.1))));
         }
         while (eventCalendar.runNext()) {
             assertTrue(server.inFlight() <= prompts.size());
--- a/src/test/java/yewdock/model/Days.java
+++ b/src/test/java/yewdock/model/TestScenarios.java
@@ -6,7 +6,7 @@
 import yewdock.settings.InvalidSettingsException;
 
 /** Scenarios for tests: a small one, and variants of it with some values replaced. */
-public final class Days {
+public final class TestScenarios {
     /** A small scenario with two request classes and two municipalities, as the text of a scenario file. */
     public static final String SMALL = """
             day {
@@ -45,7 +45,7 @@
             }
             """;
 
-    private Days() {
+    private TestScenarios() {
     }
 
     /** The small scenario, with some values replaced by the given pairs of key and value. */
@@ -67,8 +67,8 @@
     }
 
     /** Creates a simulation that discards the routers' log and doesn't measure the module's cost. */
-    static World simulation(Scenario scenario, long seed) {
-        return new World(new Day(scenario, seed), line -> {
+    static Simulation simulation(Scenario scenario, long seed) {
+        return new Simulation(new SampledScenario(scenario, seed), line -> {
             // the log is not needed
         }, false);
     }
--- a/src/test/java/yewdock/replication/ReplicationSimTest.java
+++ b/src/test/java/yewdock/replication/ReplicationSimTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import yewdock.state.RecordKeys;
 import yewdock.state.ReplicatedRecords;
-import yewdock.verification.CopiesSim;
+import yewdock.verification.ReplicationSimulation;
 import yewdock.wire.Batch;
 import yewdock.wire.Kept;
 import yewdock.wire.Mark;
@@ -36,108 +36,108 @@
     @Test
     void instancesAgreeAfterPartitionsHeal() {
         for (int seed = 1; seed <= 20; seed++) {
-            CopiesSim sim = new CopiesSim(names(5), seed);
+            ReplicationSimulation sim = new ReplicationSimulation(names(5), seed);
             sim.run(3 * SECOND_MICROS);
             SplittableRandom random = new SplittableRandom(seed);
             for (int round = 0; round < 5; round++) {
-                sim.split(random.nextInt(1 << 5));
+                sim.partition(random.nextInt(1 << 5));
                 for (int i = 0; i < 40; i++) {
-                    sim.node(random.nextInt(5)).write(RecordKeys.override("s-" + random.nextInt(20)),
+                    sim.instance(random.nextInt(5)).write(RecordKeys.override("s-" + random.nextInt(20)),
                             mark(1 + random.nextInt(2)));
-                    sim.node(random.nextInt(5)).drop(RecordKeys.override("s-" + random.nextInt(20)));
+                    sim.instance(random.nextInt(5)).delete(RecordKeys.override("s-" + random.nextInt(20)));
                     sim.run(random.nextLong(SECOND_MICROS / 2));
                 }
-                sim.join();
+                sim.heal();
                 sim.run(5 * SECOND_MICROS);
-                assertTrue(sim.agree(), "seed " + seed + " round " + round + ": " + sim.differences());
+                assertTrue(sim.hasConverged(), "seed " + seed + " round " + round + ": " + sim.differences());
             }
         }
     }
 
     @Test
     void aDrainIsPushedWithoutWaitingForAComparison() {
-        CopiesSim sim = new CopiesSim(names(5), 1);
+        ReplicationSimulation sim = new ReplicationSimulation(names(5), 1);
         sim.run(3 * SECOND_MICROS);
-        sim.node(2).write(RecordKeys.override("s-1"), mark(1));
+        sim.instance(2).write(RecordKeys.override("s-1"), mark(1));
         sim.run(SECOND_MICROS / 10);
-        assertTrue(sim.agree());
-        assertNotNull(sim.node(4).records().get(RecordKeys.override("s-1")));
+        assertTrue(sim.hasConverged());
+        assertNotNull(sim.instance(4).records().get(RecordKeys.override("s-1")));
     }
 
     @Test
     void anInstanceWithAnEmptyDiskRecoversFromASnapshot() {
-        CopiesSim sim = new CopiesSim(names(3), 1);
+        ReplicationSimulation sim = new ReplicationSimulation(names(3), 1);
         for (int i = 0; i < 3000; i++) {
-            sim.node(i % 3).write(RecordKeys.server("i" + i % 3, i), mark(1));
+            sim.instance(i % 3).write(RecordKeys.server("i" + i % 3, i), mark(1));
         }
         sim.run(20 * SECOND_MICROS);
-        assertTrue(sim.agree());
-        sim.wipe(1);
-        sim.node(1).write(RecordKeys.server("i1", 1), mark(2));
+        assertTrue(sim.hasConverged());
+        sim.restartEmpty(1);
+        sim.instance(1).write(RecordKeys.server("i1", 1), mark(2));
         sim.run(20 * SECOND_MICROS);
-        assertTrue(sim.agree(), sim.differences());
-        assertEquals(3000, sim.node(1).records().size());
+        assertTrue(sim.hasConverged(), sim.differences());
+        assertEquals(3000, sim.instance(1).records().size());
         // what it has written since wins, although its stamps started from zero again
-        assertEquals(2, sim.node(0).records().get(RecordKeys.server("i1", 1)).getMark().getKindValue());
+        assertEquals(2, sim.instance(0).records().get(RecordKeys.server("i1", 1)).getMark().getKindValue());
     }
 
     @Test
     void anInterruptedSnapshotIsRestarted() {
-        CopiesSim sim = new CopiesSim(names(2), 1);
+        ReplicationSimulation sim = new ReplicationSimulation(names(2), 1);
         for (int i = 0; i < 20_000; i++) {
-            sim.node(0).write(RecordKeys.server("i0", i), mark(1));
+            sim.instance(0).write(RecordKeys.server("i0", i), mark(1));
         }
-        sim.wipe(1);
+        sim.restartEmpty(1);
         sim.run(1);
-        while (sim.node(1).records().size() == 0) {
+        while (sim.instance(1).records().size() == 0) {
             sim.run(SECOND_MICROS / 1000);
         }
-        assertTrue(sim.node(1).records().size() < 20_000);
-        sim.split(1);
+        assertTrue(sim.instance(1).records().size() < 20_000);
+        sim.partition(1);
         sim.run(SECOND_MICROS);
-        assertTrue(sim.node(1).replica().needsFullSync());
-        sim.join();
+        assertTrue(sim.instance(1).replicator().needsFullSync());
+        sim.heal();
         sim.run(20 * SECOND_MICROS);
-        assertTrue(sim.agree(), sim.differences());
+        assertTrue(sim.hasConverged(), sim.differences());
     }
 
     @Test
     void removedRecordsAreNotRestoredByAStalePeer() {
-        CopiesSim sim = new CopiesSim(names(3), 1, 5);
-        sim.node(0).write(RecordKeys.override("s-old"), mark(1));
+        ReplicationSimulation sim = new ReplicationSimulation(names(3), 1, 5);
+        sim.instance(0).write(RecordKeys.override("s-old"), mark(1));
         sim.run(5 * SECOND_MICROS);
-        byte[] disk = sim.disk(2);
+        byte[] disk = sim.storedRecords(2);
         sim.stop(2);
-        sim.rename(List.of("i0", "i1"));
-        sim.node(0).drop(RecordKeys.override("s-old"));
+        sim.restartWithNames(List.of("i0", "i1"));
+        sim.instance(0).delete(RecordKeys.override("s-old"));
         for (int i = 0; i < 30; i++) {
-            sim.node(0).write(RecordKeys.override("s-" + i), mark(1));
+            sim.instance(0).write(RecordKeys.override("s-" + i), mark(1));
             sim.run(SECOND_MICROS / 10);
-            sim.node(0).drop(RecordKeys.override("s-" + i));
+            sim.instance(0).delete(RecordKeys.override("s-" + i));
         }
         sim.run(10 * SECOND_MICROS);
-        assertNull(sim.node(0).records().getWithTombstones(RecordKeys.override("s-old")),
+        assertNull(sim.instance(0).records().getWithTombstones(RecordKeys.override("s-old")),
                 "the tombstone should be purged by now");
-        sim.rename(List.of("i0", "i1", "i2"));
+        sim.restartWithNames(List.of("i0", "i1", "i2"));
         sim.start(2, disk);
-        assertNotNull(sim.node(2).records().get(RecordKeys.override("s-old")));
+        assertNotNull(sim.instance(2).records().get(RecordKeys.override("s-old")));
         sim.run(10 * SECOND_MICROS);
-        assertTrue(sim.agree(), sim.differences());
-        assertNull(sim.node(2).records().get(RecordKeys.override("s-old")));
-        assertNull(sim.node(0).records().get(RecordKeys.override("s-old")));
+        assertTrue(sim.hasConverged(), sim.differences());
+        assertNull(sim.instance(2).records().get(RecordKeys.override("s-old")));
+        assertNull(sim.instance(0).records().get(RecordKeys.override("s-old")));
     }
 
     @Test
     void wallClocksDoNotDecideConflicts() {
-        CopiesSim sim = new CopiesSim(names(3), 1);
+        ReplicationSimulation sim = new ReplicationSimulation(names(3), 1);
         sim.run(3 * SECOND_MICROS);
-        sim.wallOff(0, 3600 * SECOND_MICROS);
-        sim.node(0).write(RecordKeys.override("s-1"), mark(1));
+        sim.setClockOffset(0, 3600 * SECOND_MICROS);
+        sim.instance(0).write(RecordKeys.override("s-1"), mark(1));
         sim.run(3 * SECOND_MICROS);
-        sim.node(1).drop(RecordKeys.override("s-1"));
+        sim.instance(1).delete(RecordKeys.override("s-1"));
         sim.run(3 * SECOND_MICROS);
-        assertTrue(sim.agree());
-        assertNull(sim.node(0).records().get(RecordKeys.override("s-1")));
+        assertTrue(sim.hasConverged());
+        assertNull(sim.instance(0).records().get(RecordKeys.override("s-1")));
     }
 
     @Test
@@ -145,7 +145,8 @@
         ReplicatedRecords records = new ReplicatedRecords("a", 100_000);
         Replicator replicator = new Replicator("c", Set.of("b"), records, 1, 1000);
         replicator.reduce(new ReplicationEvent.PeerConnected("b"), 0);
-        replicator.reduce(new ReplicationEvent.PeerFrameReceived("b", CopiesSim.hello("c", "b", "a")), 0);
+        replicator.reduce(new ReplicationEvent.PeerFrameReceived("b", ReplicationSimulation.hello("c", "b",
+                "a")), 0);
         int sent = 0;
         for (int i = 0; i < 50_000; i++) {
             records.write(RecordKeys.override("s-" + i % 500), mark(1 + i % 2), 0);
@@ -176,7 +177,8 @@
             ReplicatedRecords records = new ReplicatedRecords("a", 100);
             Replicator replicator = new Replicator("c", Set.of("b"), records, 1, 1000);
             replicator.reduce(new ReplicationEvent.PeerConnected("b"), 0);
-            replicator.reduce(new ReplicationEvent.PeerFrameReceived("b", CopiesSim.hello("c", "b", "a")), 0);
+            replicator.reduce(new ReplicationEvent.PeerFrameReceived("b", ReplicationSimulation.hello("c",
+                    "b", "a")), 0);
             List<ReplicationEffect> effects =
                     replicator.reduce(new ReplicationEvent.PeerFrameReceived("b", frame), 1);
             assertTrue(effects.stream().anyMatch(e -> e instanceof ReplicationEffect.ClosePeer),
@@ -187,8 +189,8 @@
 
     @Test
     void unknownPeersAreRefused() {
-        Stream.of(CopiesSim.hello("other", "b", "a"), CopiesSim.hello("c", "d", "a"),
-                CopiesSim.hello("c", "b", "z")).forEach(hello -> {
+        Stream.of(ReplicationSimulation.hello("other", "b", "a"), ReplicationSimulation.hello("c", "d", "a"),
+                ReplicationSimulation.hello("c", "b", "z")).forEach(hello -> {
                     Replicator replicator = new Replicator("c", Set.of("b"),
                             new ReplicatedRecords("a", 100), 1, 1000);
                     replicator.reduce(new ReplicationEvent.PeerConnected("b"), 0);
--- a/src/test/java/yewdock/scenario/ScenarioFileTest.java
+++ b/src/test/java/yewdock/scenario/ScenarioFileTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import yewdock.experiment.Plan;
-import yewdock.model.Days;
+import yewdock.experiment.ExperimentPlan;
 import yewdock.model.Scenario;
+import yewdock.model.TestScenarios;
 import yewdock.settings.InvalidSettingsException;
 
 /** Checks that each error in a scenario is reported in one line that names its key. */
@@ -41,7 +41,7 @@
     void reportsOneLineThatNamesTheKey(String key, String value) {
         Object parsedValue = value.matches("-?[0-9.]+") ? (Object) Double.valueOf(value) : value;
         InvalidSettingsException e = assertThrows(InvalidSettingsException.class,
-                () -> ScenarioFile.parse("here", Days.SMALL, Map.of(key, parsedValue)));
+                () -> ScenarioFile.parse("here", TestScenarios.SMALL, Map.of(key, parsedValue)));
         assertEquals(1, e.errors().size(), e.errors().toString());
         String expectedKey = key.startsWith("nothing") ? "nothing" : key;
         assertTrue(e.errors().get(0).startsWith("here: " + expectedKey + ":"), e.errors().get(0));
@@ -49,21 +49,22 @@
 
     @Test
     void readsRangesNumbersAndDefaults() throws InvalidSettingsException {
-        Scenario scenario = ScenarioFile.parse("here", Days.SMALL, Map.of("day.swing", List.of(0.1, 0.3)));
-        assertEquals(0.1, scenario.span().swing().from());
-        assertEquals(0.3, scenario.span().swing().to());
+        Scenario scenario = ScenarioFile.parse("here", TestScenarios.SMALL, Map.of("day.swing", List.of(0.1,
+                0.3)));
+        assertEquals(0.1, scenario.loadProfile().rateSwing().from());
+        assertEquals(0.3, scenario.loadProfile().rateSwing().to());
         assertEquals(6, scenario.fleet().count().from());
         assertEquals(6, scenario.fleet().count().to());
         assertEquals(List.of("site-1", "site-2"), scenario.sites().names());
-        assertThrows(InvalidSettingsException.class, () -> ScenarioFile.parse("here", Days.SMALL,
+        assertThrows(InvalidSettingsException.class, () -> ScenarioFile.parse("here", TestScenarios.SMALL,
                 Map.of("day.swing", List.of(0.3, 0.1))));
     }
 
     @Test
     void rejectsTextThatIsNoScenario() {
         for (String text : new String[] {"{{{", "day {", "just words", ""}) {
-            assertThrows(InvalidSettingsException.class, () -> ScenarioFile.parse("here", text, Map.of()),
-                    text);
+            assertThrows(InvalidSettingsException.class,
+                    () -> ScenarioFile.parse("here", text, Map.of()), text);
         }
     }
 
@@ -77,7 +78,7 @@
         int plans = 0;
         for (Path file : files) {
             if (Files.readString(file).contains("experiment {")) {
-                assertTrue(!Plan.read(file).cells().isEmpty(), file.toString());
+                assertTrue(!ExperimentPlan.read(file).cells().isEmpty(), file.toString());
                 plans++;
             } else {
                 assertTrue(!ScenarioFile.read(file, Map.of()).classes().isEmpty(), file.toString());
--- a/src/test/java/yewdock/state/StateRecorderTest.java
+++ b/src/test/java/yewdock/state/StateRecorderTest.java
@@ -29,9 +29,9 @@
                 .setLifecycle(lifecycle.ordinal()).setStartedAt(startedAt).setWeight(1).build();
     }
 
-    private static Boxes list(long version, boolean full, Box... boxes) {
+    private static Boxes list(long version, boolean full, Box... servers) {
         return Boxes.newBuilder().setVersion(version).setFull(full).setAddress("list:1")
-                .addAllBoxes(List.of(boxes)).build();
+                .addAllBoxes(List.of(servers)).build();
     }
 
     private State state(long wall) {
--- a/src/test/java/yewdock/verification/DeploymentSimulationTest.java
+++ b/src/test/java/yewdock/verification/DeploymentSimulationTest.java
@@ -45,6 +45,6 @@
     @EnumSource(value = DeploymentSimulation.InjectedFault.class, mode = EnumSource.Mode.EXCLUDE,
             names = "NONE")
     void detectsEachInjectedFault(DeploymentSimulation.InjectedFault fault) {
-        assertTrue(DeploymentsProof.firstDetectingSeed(fault, SEEDS) > 0);
+        assertTrue(DeploymentVerification.firstDetectingSeed(fault, SEEDS) > 0);
     }
 }
